--- a/bench/claims.py
+++ b/bench/claims.py
@@ -31,7 +31,7 @@
 from oleanderdyke.kernel.claim_runs import RunAnswer
 from oleanderdyke.kernel.claims import ClaimTable, Free, Owned
 from oleanderdyke.kernel.demand import Plan, Replica
-from oleanderdyke.kernel.gate import Gate, GateSettings, Pass
+from oleanderdyke.kernel.gate import Accepted, Gate, GateSettings
 from oleanderdyke.kernel.quarantine import QuarantineSettings, make_quarantine
 from oleanderdyke.kernel.retries import RetryBudget, RetrySettings
 from oleanderdyke.links.messages import (
@@ -204,11 +204,11 @@
             rights=_Anyone(),
         )
         gate.set_phase(AgentPhase.SERVING)
-        gate.note_beat(1)
+        gate.record_heartbeat(1)
         answer = RunAnswer(201, _HEADERS, _BODY)
         for number in range(1_000):
             request = str(number)
-            if gate.admit(_make_dispatch(request, number), 0.0) != Pass():
+            if gate.admit(_make_dispatch(request, number), 0.0) != Accepted():
                 raise AssertionError('the gate refused')
             gate.finish(request, 1, answer)
 
--- a/bench/link.py
+++ b/bench/link.py
@@ -8,7 +8,7 @@
 
 from bench.events import Events
 from oleanderdyke.clock import SECOND, Millis
-from oleanderdyke.kernel.links_meter import LinkMeter
+from oleanderdyke.kernel.link_meter import LinkMeter
 
 
 @dataclass(slots=True)
@@ -73,7 +73,7 @@
         self._sequence += 1
         heapq.heappush(self._heap, (transfer.tag, self._sequence, transfer))
         self._active += 1
-        self.meter.note_asked(int(count), self._events.now)
+        self.meter.record_requested(int(count), self._events.now)
         self._plan()
         return transfer
 
@@ -84,7 +84,7 @@
         left = self.count_left(transfer)
         transfer.open = False
         self._active -= 1
-        self.meter.note_dropped(int(left), self._events.now)
+        self.meter.record_cancelled(int(left), self._events.now)
         self._plan()
         return transfer.count - left
 
@@ -94,7 +94,7 @@
             gained = (now - self._read) * self._rate / SECOND
             self._service += gained / self._active
             self.carried += gained
-            self.meter.note_carried(int(gained), now)
+            self.meter.record_sent(int(gained), now)
         self._read = now
 
     def _plan(self) -> None:
@@ -117,6 +117,6 @@
         self._active -= 1
         if not self._active:
             left = self.meter.bytes_in_flight
-            self.meter.note_dropped(left, self._events.now)
+            self.meter.record_cancelled(left, self._events.now)
         self._plan()
         transfer.done()
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -93,7 +93,7 @@
         )
         agent = random.randrange(_AGENTS)
         events = SegmentEvents(following[agent], added=hints)
-        directory.on_events(f'agent-{agent}', events, 0.0)
+        directory.apply_events(f'agent-{agent}', events, 0.0)
         following[agent] += len(hints)
     return directory
 
--- a/bench/reconcile.py
+++ b/bench/reconcile.py
@@ -73,13 +73,13 @@
 def _make_log(case: Case) -> tuple[SegmentLog, int]:
     log = SegmentLog()
     log.replace(case.before)
-    log.take()
+    log.drain()
     number = log.next_number
     for gone in case.gone:
         log.remove(gone)
     for new in case.new:
         log.add(new)
-    log.take()
+    log.drain()
     return log, number
 
 
@@ -217,9 +217,9 @@
     log = SegmentLog()
     for hint in _make_hints(Random(0), RECENT_EVENTS):
         log.add(hint)
-        log.take()
+        log.drain()
         log.remove(hint)
-        log.take()
+        log.drain()
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return used
--- a/bench/reporting.py
+++ b/bench/reporting.py
@@ -93,7 +93,7 @@
         link = self._store.link
         load = Load(
             link_bytes_in_flight=int(link.count_waiting()),
-            link_bytes_per_second=link.meter.read_rate(self._events.now),
+            link_bytes_per_second=link.meter.estimate_rate(self._events.now),
         )
         replica = self._show(STORE, load, 0)
         age = 0.0 if self._perfect else self._lags.report_age
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -147,13 +147,13 @@
     ]
     data = [encode(each) for each in messages]
     directory = Directory()
-    directory.on_events('agent', SegmentEvents(0, full=True), 0.0)
+    directory.apply_events('agent', SegmentEvents(0, full=True), 0.0)
 
     def take() -> None:
         for each in data:
             events = decode(each)
             if isinstance(events, SegmentEvents):
-                directory.on_events('agent', events, 0.0)
+                directory.apply_events('agent', events, 0.0)
 
     started = time.process_time()
     take()
--- a/bench/store_memory.py
+++ b/bench/store_memory.py
@@ -17,7 +17,7 @@
 from random import Random
 
 from oleanderdyke.clock import HOUR, Millis
-from oleanderdyke.kernel.blocks import digest_segment, hint
+from oleanderdyke.kernel.blocks import digest_segment, make_hint
 from oleanderdyke.kernel.demand import Keeper, SegmentHint
 from oleanderdyke.kernel.store_index import (
     StoreIndex,
@@ -71,8 +71,8 @@
         verified = self.index.add_part(part, 0.0)
         assert isinstance(verified, WriteVerified)
         sealed = self.index.seal('w', segment, 0.0)
-        self.index.take_deletions()
-        self.gaps[hint(segment)] = gap
+        self.index.drain_deletions()
+        self.gaps[make_hint(segment)] = gap
         return isinstance(sealed, WriteSealed)
 
     def fill(self, count: int) -> None:
@@ -81,8 +81,8 @@
             gap = self.random.uniform(1.0, 48.0) * HOUR
             assert self.write(gap)
             if number % 1_000 == 0:
-                self.index.log.take()
-        self.index.log.take()
+                self.index.log.drain()
+        self.index.log.drain()
 
 
 def make_writer(count: int, keeper: Keeper) -> _Writer:
@@ -123,7 +123,7 @@
     ranks = []
     for _ in range(EVICTIONS // 5):
         writer.write(0.5 * HOUR)
-        for events in writer.index.log.take():
+        for events in writer.index.log.drain():
             ranks += [gaps[each] for each in events.removed if each in gaps]
     shares = [1 - bisect_right(poorest, gap) / count for gap in ranks]
     return sum(shares) / len(shares)
--- a/src/oleanderdyke/agent/beats.py
+++ b/src/oleanderdyke/agent/beats.py
@@ -53,7 +53,7 @@
     def send(self) -> None:
         """Send a heartbeat and the new segment events on every link."""
         beat = self._make_beat()
-        events = self._role.segments.take()
+        events = self._role.segments.drain()
         for outbox in self._outboxes.values():
             self._put_beat(outbox, beat)
             if outbox.peer.role is PeerRole.ENTRY:
@@ -80,7 +80,7 @@
 
     def _make_beat(self) -> Heartbeat:
         self._sequence += 1
-        self._gate.note_beat(self._sequence)
+        self._gate.record_heartbeat(self._sequence)
         now = self._clock.now()
         loaded = self._role.loaded
         return Heartbeat(
--- a/src/oleanderdyke/agent/engine.py
+++ b/src/oleanderdyke/agent/engine.py
@@ -9,9 +9,9 @@
 from oleanderdyke.clock import SECOND, Clock, Millis
 from oleanderdyke.errors import ErrorKind, OleanderError
 from oleanderdyke.events import EventName
-from oleanderdyke.kernel.blocks import SegmentId, hint
+from oleanderdyke.kernel.blocks import SegmentId, make_hint
 from oleanderdyke.kernel.demand import SEGMENT_TOKENS, SegmentHint
-from oleanderdyke.kernel.gate import Loaded
+from oleanderdyke.kernel.gate import LoadedWeights
 from oleanderdyke.kernel.orders import Fence, Observed
 from oleanderdyke.kernel.segment_log import SegmentLog
 from oleanderdyke.links.messages import Load
@@ -29,7 +29,7 @@
         *,
         clock: Clock,
         events: EventLog,
-        on_loaded: Callable[[Loaded], None],
+        on_loaded: Callable[[LoadedWeights], None],
     ) -> None:
         self._backend = backend
         self._clock = clock
@@ -41,8 +41,8 @@
         self.segments = SegmentLog()
         self.observed: Observed | None = None
         self.held = False
-        self._seen = Loaded()
-        self.loaded = Loaded()
+        self._seen = LoadedWeights()
+        self.loaded = LoadedWeights()
         self.load = Load()
 
     def reset(self) -> None:
@@ -52,7 +52,7 @@
         self.segments.replace(())
         self.observed = None
         self.load = Load()
-        self._seen = Loaded()
+        self._seen = LoadedWeights()
         self._show_loaded()
 
     def hold(self) -> None:
@@ -85,7 +85,7 @@
     def note_used(self, segments: Sequence[SegmentId]) -> None:
         """Learn that a run has read or computed segments."""
         for segment in segments:
-            self._add(hint(segment))
+            self._add(make_hint(segment))
 
     def estimate_prefill(self, segments: int) -> Millis | None:
         """Return how long computing segments takes; None if unknown."""
@@ -95,7 +95,7 @@
         return segments * SEGMENT_TOKENS * SECOND / rate
 
     def _show_loaded(self) -> None:
-        loaded = Loaded() if self.held else self._seen
+        loaded = LoadedWeights() if self.held else self._seen
         if loaded == self.loaded:
             return
         self.loaded = loaded
@@ -116,7 +116,7 @@
         for number, stored, segment in events:
             self._note_gap(number - self._after - 1)
             self._after = number
-            self._note_event(hint(segment), stored=stored)
+            self._note_event(make_hint(segment), stored=stored)
 
     def _restart(self) -> None:
         # Numbers went back: another engine with an empty cache answers.
@@ -165,10 +165,10 @@
         raise _make_fault('/state') from error
 
 
-def _find_loaded(observed: Observed) -> Loaded:
+def _find_loaded(observed: Observed) -> LoadedWeights:
     if not observed.digest:
-        return Loaded()
-    return Loaded(
+        return LoadedWeights()
+    return LoadedWeights(
         observed.model, observed.version, observed.digest, observed.adapter
     )
 
--- a/src/oleanderdyke/agent/hosted/engine_loads.py
+++ b/src/oleanderdyke/agent/hosted/engine_loads.py
@@ -12,7 +12,6 @@
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.engine_clock import EngineClock
 from oleanderdyke.kernel.load_queue import LoadNotice, LoadStep
-from oleanderdyke.kernel.named_weights import SEND_MARGIN
 from oleanderdyke.kernel.rollout import (
     EngineState,
     Rollout,
@@ -20,6 +19,7 @@
     find_target,
 )
 from oleanderdyke.kernel.servers import ServerStart
+from oleanderdyke.kernel.weight_versions import FIRST_TOKEN_MARGIN
 from oleanderdyke.logs import EventLog
 from oleanderdyke.metrics import Metrics
 from oleanderdyke.platform.documents import MalformedRecord
@@ -90,13 +90,15 @@
         own = notice.agent == self._settings.process
         if own and notice.step is LoadStep.STARTED:
             self.has_begun = True
-        self._rollout.take(
-            notice, now=self._clock.now(), shift=self._engine_clock.most
+        self._rollout.apply(
+            notice,
+            now=self._clock.now(),
+            clock_offset=self._engine_clock.max_offset,
         )
 
     def forget_notices(self) -> None:
         """Drop what void notices told; the next step asks for a place anew."""
-        self._queue.forget()
+        self._queue.clear()
 
     async def begin(self) -> None:
         """Give up the place of a process that was here before.
@@ -153,14 +155,16 @@
     async def _read_state(self) -> EngineState:
         asked_at = self._clock.now()
         state = await self._engine.read_state()
-        self._engine_clock.note(
+        self._engine_clock.update(
             state.clock, asked_at=asked_at, now=self._clock.now()
         )
         return state
 
     def _is_late(self, state: EngineState) -> bool:
         """Return whether a report is of a start that another has followed."""
-        return self._state is not None and state.is_earlier_start(self._state)
+        return self._state is not None and state.is_from_earlier_start(
+            self._state
+        )
 
     async def _note_start(self, state: EngineState) -> None:
         """Know nothing of the start before once the engine is another one.
@@ -168,7 +172,7 @@
         Its name may be the same. What is settled has to be looked at again; the
         place in the queue is asked for anew, as the engine may hold others.
         """
-        if self._state is not None and state.is_other_start(self._state):
+        if self._state is not None and state.has_restarted_since(self._state):
             await self._lose()
             self._times.note_lost()
             self._done.clear()
@@ -227,7 +231,7 @@
             return
         held = state.versions[target.model]
         request = self._make_request(own.server, target.model, held)
-        if not self._queue.waits(request):
+        if not self._queue.is_pending(request):
             await self._tell(request)
             return
         if not self._may_load(own.server, target, held):
@@ -241,17 +245,17 @@
         requests, so that loading costs nothing but the others' pace.
         """
         now = self._clock.now()
-        shift = self._engine_clock.most
-        for server in self._rollout.tick(now=now, shift=shift):
+        clock_offset = self._engine_clock.max_offset
+        for server in self._rollout.tick(now=now, clock_offset=clock_offset):
             self._log.write(EventName.LOAD_PASSED_OVER, peer=server)
         if self._queue.may_load(self._settings.process, now):
             return True
         may_serve = self.weights.may_serve(
             target.model,
             held,
-            within=self._settings.version_limit - SEND_MARGIN,
+            within=self._settings.version_limit - FIRST_TOKEN_MARGIN,
             now=now,
-            shift=shift,
+            clock_offset=clock_offset,
         )
         if may_serve:
             self._log_queued(own, target, now)
@@ -304,8 +308,8 @@
 
     def _make_request(self, own: str, model: str, held: int) -> LoadNotice:
         """Ask for a place, and say how old the news of the weights is."""
-        replaced = self.weights.find_replaced(
-            model, held, self._clock.now(), self._engine_clock.most
+        replaced = self.weights.find_replaced_at(
+            model, held, self._clock.now(), self._engine_clock.max_offset
         )
         newest_at = None
         if replaced is not None and not math.isinf(replaced):
@@ -347,7 +351,7 @@
     def _is_applied(self, notice: LoadNotice) -> bool:
         process = self._settings.process
         if notice.step is LoadStep.WAITS:
-            return self._queue.waits(notice)
+            return self._queue.is_pending(notice)
         if notice.step is LoadStep.LOST:
             return self._queue.is_lost(process)
         return not self._queue.is_queued(process)
--- a/src/oleanderdyke/agent/hosted/shell.py
+++ b/src/oleanderdyke/agent/hosted/shell.py
@@ -179,10 +179,10 @@
         for named in news.list_versions():
             self._name(named)
         if news.is_complete:
-            self._engine.weights.note_read(asked_at + news.waited)
+            self._engine.weights.record_read(asked_at + news.waited)
 
     def _name(self, named: NamedVersion) -> None:
-        if self._engine.weights.name(named.model, named.version):
+        if self._engine.weights.add(named.model, named.version):
             self._log.write(
                 EventName.VERSION_NAMED,
                 model=named.model,
--- a/src/oleanderdyke/agent/prepare.py
+++ b/src/oleanderdyke/agent/prepare.py
@@ -17,7 +17,7 @@
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 from oleanderdyke.kernel.blocks import Namespace, SegmentId, make_namespace
 from oleanderdyke.kernel.demand import SEGMENT_TOKENS
-from oleanderdyke.kernel.gate import Loaded
+from oleanderdyke.kernel.gate import LoadedWeights
 from oleanderdyke.kernel.routing import BACKGROUND_LAST, lower_priority
 from oleanderdyke.links.messages import Dispatch, FetchPlan, Headers
 
@@ -133,7 +133,7 @@
         )
 
     def _check_weights(self, dispatch: Dispatch) -> None:
-        wanted = Loaded(
+        wanted = LoadedWeights(
             dispatch.model,
             dispatch.weight_version,
             dispatch.weight_digest,
--- a/src/oleanderdyke/agent/roles.py
+++ b/src/oleanderdyke/agent/roles.py
@@ -23,7 +23,7 @@
 from oleanderdyke.agent.settings import AgentSettings
 from oleanderdyke.agent.store import StoreShell
 from oleanderdyke.clock import Clock
-from oleanderdyke.kernel.gate import Gate, Loaded
+from oleanderdyke.kernel.gate import Gate, LoadedWeights
 from oleanderdyke.kernel.segment_log import SegmentLog
 from oleanderdyke.links.messages import BackendKind, Hello, Load
 from oleanderdyke.links.messages.segments import (
@@ -66,7 +66,7 @@
     loops: Sequence[Loop]
 
     @property
-    def loaded(self) -> Loaded:
+    def loaded(self) -> LoadedWeights:
         """Return the weights that runs must name."""
 
     def measure(self) -> Load:
@@ -109,9 +109,9 @@
         self._slots = settings.backend.slots
 
     @property
-    def loaded(self) -> Loaded:
+    def loaded(self) -> LoadedWeights:
         """Return no weights."""
-        return Loaded()
+        return LoadedWeights()
 
     def measure(self) -> Load:
         """Count what runs here against the slots."""
@@ -217,7 +217,7 @@
         self.loops = (orders.run, self._exporter.run)
 
     @property
-    def loaded(self) -> Loaded:
+    def loaded(self) -> LoadedWeights:
         """Return the weights that runs must name."""
         return self._engine.loaded
 
@@ -235,7 +235,7 @@
         self._engine.reset()
         self._exporter.forget()
 
-    def _on_loaded(self, loaded: Loaded) -> None:
+    def _on_loaded(self, loaded: LoadedWeights) -> None:
         self._gate.set_loaded(loaded)
         self._exporter.forget()
 
--- a/src/oleanderdyke/agent/routing.py
+++ b/src/oleanderdyke/agent/routing.py
@@ -136,4 +136,4 @@
             self._runs.cancel(outbox, message)
 
     def _on_claim_query(self, outbox: Outbox, message: ClaimQuery) -> None:
-        outbox.put(self._gate.answer(message))
+        outbox.put(self._gate.answer_query(message))
--- a/src/oleanderdyke/agent/runs.py
+++ b/src/oleanderdyke/agent/runs.py
@@ -28,7 +28,7 @@
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.claim_runs import RunAnswer
-from oleanderdyke.kernel.gate import Gate, Pass
+from oleanderdyke.kernel.gate import Accepted, Gate
 from oleanderdyke.kernel.stream_buffer import Reader, StreamBuffer
 from oleanderdyke.links.messages import (
     BodyChunk,
@@ -102,7 +102,7 @@
         if isinstance(admittance, Failed):
             self._refuse(outbox, admittance)
             return
-        if not isinstance(admittance, Pass):
+        if not isinstance(admittance, Accepted):
             return
         run = Run(
             message,
@@ -161,7 +161,7 @@
     def crash(self) -> tuple[tuple[Reader, Failed], ...]:
         """End what ran on the lost backend server; return what to tell whom."""
         told = []
-        for failed in self._gate.crash(self._clock.now()):
+        for failed in self._gate.finish_crashed(self._clock.now()):
             run = self._runs.get((failed.request, failed.attempt))
             if run is None:
                 continue
@@ -261,7 +261,7 @@
         self._stop(run, error)
 
     def _suspect(self, run: Run) -> None:
-        self._gate.lose(*run.key, self._clock.now())
+        self._gate.finish_disconnected(*run.key, self._clock.now())
         self._log_suspect(run)
         # Whoever learns of the lost run must know its suspect before.
         self._tell_suspects()
@@ -286,7 +286,7 @@
         reader = run.reader
         ran = find_ran(run, error)
         if ran is Ran.NO:
-            self._gate.bar(*run.key)
+            self._gate.finish_unsent(*run.key)
         self._gate.finish(*run.key, None, served=False)
         self._end_unanswered(run, error.kind)
         failed = Failed(*run.key, error.kind, ran, error.message)
--- a/src/oleanderdyke/agent/store.py
+++ b/src/oleanderdyke/agent/store.py
@@ -19,12 +19,12 @@
 from oleanderdyke.errors import OleanderError
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.demand import Keeper
-from oleanderdyke.kernel.links_meter import LinkMeter
+from oleanderdyke.kernel.link_meter import LinkMeter
 from oleanderdyke.kernel.segment_log import SegmentLog
 from oleanderdyke.kernel.store_index import StoreIndex, StoreLimits
 from oleanderdyke.kernel.store_meta import META_SUFFIX
 from oleanderdyke.kernel.store_outcomes import (
-    PartTaken,
+    PartAccepted,
     WriteBegun,
     WriteFailed,
     WriteJoined,
@@ -134,7 +134,7 @@
             slots=self._settings.readers,
             cached_bytes=0 if index is None else index.used_bytes,
             link_bytes_in_flight=self._meter.bytes_in_flight,
-            link_bytes_per_second=self._meter.read_rate(self._clock.now()),
+            link_bytes_per_second=self._meter.estimate_rate(self._clock.now()),
         )
 
     def read(self, outbox: Outbox, message: SegmentRead) -> None:
@@ -175,7 +175,7 @@
             return
         moved = replace(part, request=request)
         match index.add_part(moved, self._clock.now()):
-            case PartTaken():
+            case PartAccepted():
                 data += part.data
             case WriteVerified() as verified:
                 data += part.data
@@ -234,7 +234,7 @@
                 f'/objects/{name}', _META_LIMIT
             )
             stored = sizes.get(name.removesuffix(META_SUFFIX))
-            index.readmit(name, meta, stored, self._clock.now())
+            index.restore(name, meta, stored, self._clock.now())
         orphans = [
             name
             for name in sizes
@@ -298,7 +298,7 @@
         index = self._index
         if index is None:
             return
-        self._doomed += index.take_deletions()
+        self._doomed += index.drain_deletions()
         async with self._deleting:
             while self._doomed:
                 await self._backend.call(
--- a/src/oleanderdyke/agent/store_reads.py
+++ b/src/oleanderdyke/agent/store_reads.py
@@ -18,7 +18,7 @@
 from oleanderdyke.clock import SECOND, Clock, Millis
 from oleanderdyke.errors import ErrorKind, OleanderError
 from oleanderdyke.kernel.blocks import ID_BYTES
-from oleanderdyke.kernel.links_meter import LinkMeter
+from oleanderdyke.kernel.link_meter import LinkMeter
 from oleanderdyke.kernel.store_index import StoreIndex
 from oleanderdyke.kernel.store_outcomes import Pinned
 from oleanderdyke.links.link import LinkClosed
@@ -188,7 +188,7 @@
         if not isinstance(pinned, Pinned):
             reader.gap = True
             return None
-        self._meter.note_asked(pinned.length, now)
+        self._meter.record_requested(pinned.length, now)
         return _Copy(index, pinned, self._meter, pinned.length)
 
     def _drop(self, reader: _Reader) -> None:
@@ -198,7 +198,7 @@
     def _end(self, copy: _Copy) -> None:
         copy.receiver.close()
         copy.sender.close()
-        copy.meter.note_dropped(copy.uncarried, self._clock.now())
+        copy.meter.record_cancelled(copy.uncarried, self._clock.now())
         copy.index.unpin(copy.pinned)
 
     async def _send_copy(self, reader: _Reader, copy: _Copy) -> bool:
@@ -216,18 +216,18 @@
             )
             position = end
             copy.uncarried -= len(data)
-            copy.meter.note_carried(len(data), self._clock.now())
+            copy.meter.record_sent(len(data), self._clock.now())
         if copy.ended and copy.uncarried:
-            copy.index.free_broken(copy.pinned)
+            copy.index.free_corrupt(copy.pinned)
         return copy.uncarried == 0
 
     def _is_whole(self, copy: _Copy, length: int, digest: bytes) -> bool:
         pinned = copy.pinned
         if length == pinned.length and digest == pinned.digest:
-            return self._index is copy.index and copy.index.holds(
+            return self._index is copy.index and copy.index.is_pin_valid(
                 pinned, self._clock.now()
             )
-        copy.index.free_broken(pinned)
+        copy.index.free_corrupt(pinned)
         return False
 
     async def _fill(self, copy: _Copy) -> None:
--- a/src/oleanderdyke/entry/calls.py
+++ b/src/oleanderdyke/entry/calls.py
@@ -8,7 +8,7 @@
 from oleanderdyke.clock import Millis
 from oleanderdyke.entry.chat import Chat
 from oleanderdyke.entry.edge import Head, forward_headers
-from oleanderdyke.kernel.blocks import hint, make_namespace, split_segments
+from oleanderdyke.kernel.blocks import make_hint, make_namespace, split_segments
 from oleanderdyke.kernel.claim_records import make_key
 from oleanderdyke.kernel.demand import BYTES_PER_TOKEN, Demand
 from oleanderdyke.kernel.objects import ModelVersionSpec, ServiceSpec
@@ -60,7 +60,7 @@
             deadline=deadline,
             tokens=self.tokens,
             answer_tokens=self.answer_tokens,
-            segments=tuple(hint(segment) for segment in self.segments),
+            segments=tuple(make_hint(segment) for segment in self.segments),
             weight_digest=self.weight_digest,
             background=self.background,
             data_centre=data_centre,
--- a/src/oleanderdyke/entry/chat.py
+++ b/src/oleanderdyke/entry/chat.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from oleanderdyke.entry.documents import make_bad_request, parse_document
-from oleanderdyke.kernel.blocks import PromptMessage, canonical_prompt
+from oleanderdyke.kernel.blocks import PromptMessage, encode_prompt
 from oleanderdyke.kernel.routing import BACKGROUND_LAST, SHORT_FIRST
 
 # A prompt of another form would not match its segments.
@@ -50,7 +50,7 @@
 
     def make_prompt(self) -> bytes:
         """Return the canonical prompt."""
-        return canonical_prompt(self.messages)
+        return encode_prompt(self.messages)
 
     def make_engine_body(self, model: str, namespace: bytes) -> bytes:
         """Return the engine's JSON; the namespace keeps its cache apart."""
--- a/src/oleanderdyke/entry/dispatches.py
+++ b/src/oleanderdyke/entry/dispatches.py
@@ -8,7 +8,7 @@
 from oleanderdyke.clock import Millis
 from oleanderdyke.entry.calls import Call
 from oleanderdyke.kernel.attempt_events import SendDispatch
-from oleanderdyke.kernel.blocks import hint
+from oleanderdyke.kernel.blocks import make_hint
 from oleanderdyke.kernel.demand import Fleet, Plan, Replica
 from oleanderdyke.links.messages import BodyChunk, Dispatch, FetchPlan
 
@@ -83,7 +83,7 @@
     stores = fleet.stores(call.service) if worthy else ()
     if not stores:
         return None
-    hints = [hint(segment) for segment in call.segments]
+    hints = [make_hint(segment) for segment in call.segments]
     store = _choose_store(stores, replica, hints, fleet)
     held = fleet.count_leading(store.agent, hints)
     if held >= worthy:
--- a/src/oleanderdyke/entry/hosted/attempt.py
+++ b/src/oleanderdyke/entry/hosted/attempt.py
@@ -34,8 +34,11 @@
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.attempt_events import Received, SendDispatch, Unsent
 from oleanderdyke.kernel.backend import Backend, Owed
-from oleanderdyke.kernel.named_weights import BEGIN_MARGIN, SEND_MARGIN
 from oleanderdyke.kernel.servers import AnswerFacts, ServerStart
+from oleanderdyke.kernel.weight_versions import (
+    CANCEL_MARGIN,
+    FIRST_TOKEN_MARGIN,
+)
 from oleanderdyke.links.messages import (
     AnswerChunk,
     AnswerEnd,
@@ -131,7 +134,7 @@
         """
         if self._done or not self._sent or self._has_begun:
             return
-        if not may_begin(self._core, self._weights, BEGIN_MARGIN):
+        if not may_begin(self._core, self._weights, CANCEL_MARGIN):
             self._close_failed(
                 ErrorKind.STREAM_BROKEN, Ran.MAYBE, 'it waits on old weights'
             )
@@ -260,7 +263,7 @@
         # What would wait at the engine until its time is over runs late where
         # a server doesn't drop the requests of closed connections.
         delay = backend.find_delay(self._call.priority, self._core.clock.now())
-        if not may_begin(self._core, weights, SEND_MARGIN + delay):
+        if not may_begin(self._core, weights, FIRST_TOKEN_MARGIN + delay):
             return 'its weights were replaced too long ago'
         return ''
 
--- a/src/oleanderdyke/entry/hosted/call.py
+++ b/src/oleanderdyke/entry/hosted/call.py
@@ -13,7 +13,6 @@
 from oleanderdyke.kernel.backend import Backend
 from oleanderdyke.kernel.context_stores import ContextStores, Salt
 from oleanderdyke.kernel.deployment import Deployment, KeyOwner, Route, Share
-from oleanderdyke.kernel.named_weights import SEND_MARGIN
 from oleanderdyke.kernel.overload import (
     LATE_RANK,
     RequestAge,
@@ -21,6 +20,7 @@
 )
 from oleanderdyke.kernel.placement import CallDemand
 from oleanderdyke.kernel.servers import ServerStart
+from oleanderdyke.kernel.weight_versions import FIRST_TOKEN_MARGIN
 from oleanderdyke.links.messages import Headers
 from oleanderdyke.platform.requests import CallerRequest, decode_request
 
@@ -194,7 +194,7 @@
     return frozenset(
         version
         for version in held
-        if not core.may_serve(model.model, version, SEND_MARGIN)
+        if not core.may_serve(model.model, version, FIRST_TOKEN_MARGIN)
     )
 
 
--- a/src/oleanderdyke/entry/hosted/contexts.py
+++ b/src/oleanderdyke/entry/hosted/contexts.py
@@ -16,8 +16,8 @@
     CONTEXT_SOURCES,
     find_context_source,
 )
-from oleanderdyke.kernel.outdated import OutdatedContext
-from oleanderdyke.kernel.reading_turns import ReadingTurns
+from oleanderdyke.kernel.outdated_context import OutdatedContext
+from oleanderdyke.kernel.read_backoff import ReadBackoff
 from oleanderdyke.links.messages.news import StorePosition
 from oleanderdyke.links.news_desk import encode_loads
 from oleanderdyke.links.news_reader import SharedEvents
@@ -109,7 +109,7 @@
         client = ContextClient(view.traits.address, self._refuse)
         scope = self._followed[view.traits.address]
         store = self._make_dependency(view)
-        turns = ReadingTurns(self._core.random)
+        turns = ReadBackoff(self._core.random)
         with scope:
             while True:
                 if self._is_shared(view):
@@ -127,7 +127,7 @@
                 await anyio.sleep(turns.find_pause() / SECOND)
 
     def _note_unavailable(
-        self, error: ContextUnavailable, view: StoreView, turns: ReadingTurns
+        self, error: ContextUnavailable, view: StoreView, turns: ReadBackoff
     ) -> Millis:
         """Return when to ask again; a store that only has no place holds on.
 
@@ -135,8 +135,8 @@
         fails: without it, what others have saved would be read again.
         """
         if error.is_crowded:
-            return turns.note_crowded()
-        view.forget()
+            return turns.record_rejection()
+        view.invalidate()
         return _RETRY_PAUSE
 
     async def _read(
@@ -144,7 +144,7 @@
     ) -> None:
         asked_at = self._core.clock.now()
         found = await client.read_events(view.position, wait)
-        self._core.engine_clock.note(
+        self._core.engine_clock.update(
             found.clock, asked_at=asked_at, now=self._core.clock.now()
         )
         if found.has_gap or found.boot != view.boot:
@@ -156,11 +156,11 @@
             )
         if view.boot is not None and found.boot != view.boot:
             # Events of the new start begin anew, and may take a second to come.
-            view.forget()
+            view.invalidate()
             view.position = 0
             found = await client.read_events(0, wait)
         since = view.position
-        view.take(found, asked_at, self._core.clock.now())
+        view.apply_events(found, asked_at, self._core.clock.now())
         self._core.news.desk.keep_events(
             view.traits.address, since, found, asked_at
         )
@@ -170,8 +170,8 @@
         core, told = self._core, 0
         while True:
             board, now = core.news.desk.own_loads, core.clock.now()
-            loads = encode_loads(board.list_later(told, now), now)
-            told = board.last
+            loads = encode_loads(board.list_after(told, now), now)
+            told = board.last_number
             found = await core.news.reader.ask_events(
                 source,
                 self._list_positions(source),
@@ -200,9 +200,11 @@
         core = self._core
         now = core.clock.now()
         view = core.contexts.views.get(news.store)
-        if view is None or not view.take_shared(news.found, news.asked_at, now):
+        if view is None or not view.apply_shared_events(
+            news.found, news.asked_at, now
+        ):
             return
-        core.engine_clock.note(
+        core.engine_clock.update(
             news.found.clock, asked_at=news.clock_from, now=now
         )
         self._shared_until[news.store] = now + _SHARED_LIFE
@@ -218,14 +220,14 @@
         for model, newest in core.rollout.weights.list_newest().items():
             oldest = core.book.find_oldest_version(model)
             known = None if core.is_stale else oldest
-            self._outdated.note(model, newest, known, now)
+            self._outdated.update(model, newest, known, now)
 
     async def _free_outdated(
         self, client: ContextClient, view: StoreView
     ) -> None:
         """Free parts of old weights once no fetch of them can be running."""
         core = self._core
-        settled = self._outdated.list_settled(core.clock.now())
+        settled = self._outdated.list_oldest_usable(core.clock.now())
         outdated = tuple(view.list_outdated(settled))
         boot = view.boot
         if not outdated or boot is None:
--- a/src/oleanderdyke/entry/hosted/core.py
+++ b/src/oleanderdyke/entry/hosted/core.py
@@ -23,7 +23,7 @@
 from oleanderdyke.kernel.drain import Drain, DrainSettings
 from oleanderdyke.kernel.durations import Durations
 from oleanderdyke.kernel.engine_clock import EngineClock
-from oleanderdyke.kernel.load_board import TimedLoad
+from oleanderdyke.kernel.load_table import TimedLoad
 from oleanderdyke.kernel.presence import EntryCount
 from oleanderdyke.kernel.retries import (
     RetryBudget,
@@ -110,12 +110,12 @@
             rate_limit = backend.limit.per_second
         told = TimedLoad(start, load, self.clock.now(), rate_limit)
         self.book.note_load(start, load, told.at)
-        self.news.desk.loads.note(told)
-        self.news.desk.own_loads.note(told)
+        self.news.desk.loads.update(told)
+        self.news.desk.own_loads.update(told)
 
     def take_shared_load(self, told: TimedLoad) -> None:
         """Take the load that a server told a neighbour."""
-        if not self.news.desk.loads.note(told):
+        if not self.news.desk.loads.update(told):
             return
         self.book.note_load(told.start, told.load, told.at)
         if told.rate_limit is not None:
@@ -202,13 +202,13 @@
             version,
             within=self.settings.version_limit - margin,
             now=self.clock.now(),
-            shift=self.engine_clock.most,
+            clock_offset=self.engine_clock.max_offset,
         )
 
     def find_replaced(self, model: str, version: int) -> Millis | None:
         """Return before when newer weights were not named, None if none are."""
-        return self.rollout.weights.find_replaced(
-            model, version, self.clock.now(), self.engine_clock.most
+        return self.rollout.weights.find_replaced_at(
+            model, version, self.clock.now(), self.engine_clock.max_offset
         )
 
     def make_store_dependency(self, name: str) -> Dependency:
--- a/src/oleanderdyke/entry/hosted/dispatch.py
+++ b/src/oleanderdyke/entry/hosted/dispatch.py
@@ -44,9 +44,9 @@
         salt,
         demand.parts,
         data_centre=backend.record.data_centre,
-        relied_on=core.configuration_asked,
+        versions_read_at=core.configuration_asked,
         may_save=replaced is None,
         now=now,
     )
-    contexts.note_saves(salt, demand.parts, plan, now)
+    contexts.record_saves(salt, demand.parts, plan, now)
     return plan
--- a/src/oleanderdyke/entry/hosted/lessons.py
+++ b/src/oleanderdyke/entry/hosted/lessons.py
@@ -89,7 +89,7 @@
         until it is listed again.
         """
         core = self._core
-        later = core.rollout.weights.find_following(model, held)
+        later = core.rollout.weights.find_next(model, held)
         if held != sent.get(model):
             return
         if later > held:
--- a/src/oleanderdyke/entry/hosted/shell.py
+++ b/src/oleanderdyke/entry/hosted/shell.py
@@ -111,7 +111,9 @@
             last = now
             for running in tuple(core.running.values()):
                 running.check_attempt(now)
-            core.rollout.tick(now=now, shift=core.engine_clock.most)
+            core.rollout.tick(
+                now=now, clock_offset=core.engine_clock.max_offset
+            )
             fault = core.find_fault()
             if fault != told:
                 told = fault
--- a/src/oleanderdyke/entry/hosted/watch.py
+++ b/src/oleanderdyke/entry/hosted/watch.py
@@ -108,11 +108,13 @@
         core = self._core
         notices = await self._loads.read()
         if notices is None:
-            core.rollout.queue.forget()
+            core.rollout.queue.clear()
             return
         for notice in notices:
-            core.rollout.take(
-                notice, now=core.clock.now(), shift=core.engine_clock.most
+            core.rollout.apply(
+                notice,
+                now=core.clock.now(),
+                clock_offset=core.engine_clock.max_offset,
             )
             # The list tells the same up to two seconds later.
             backend = core.book.find(notice.server)
@@ -136,7 +138,7 @@
                 # An answer that comes late, or that a suspended entry finds
                 # once it goes on, tells nothing of the time in between.
                 core.configuration_read = asked_at + news.waited
-                core.rollout.weights.note_read(asked_at + news.waited)
+                core.rollout.weights.record_read(asked_at + news.waited)
                 core.configuration_asked = asked_at + min(news.waited, 0.0)
 
     async def _read_servers(self) -> None:
@@ -185,7 +187,7 @@
 
     def _name(self, named: NamedVersion) -> None:
         core = self._core
-        if not core.rollout.weights.name(named.model, named.version):
+        if not core.rollout.weights.add(named.model, named.version):
             return
         core.log.write(
             EventName.VERSION_NAMED, model=named.model, version=named.version
--- a/src/oleanderdyke/entry/sender.py
+++ b/src/oleanderdyke/entry/sender.py
@@ -20,7 +20,7 @@
     SendResume,
     Unsent,
 )
-from oleanderdyke.kernel.blocks import hint
+from oleanderdyke.kernel.blocks import make_hint
 from oleanderdyke.links.link import Link
 from oleanderdyke.links.messages import (
     BodyChunk,
@@ -182,7 +182,7 @@
     def _count_worthy(self) -> int:
         """Count one use of the prompt, however often it is sent."""
         exports = self._core.exports
-        hints = [hint(segment) for segment in self._call.segments]
+        hints = [make_hint(segment) for segment in self._call.segments]
         if not self._counted:
             exports.note_used(hints)
         self._counted = True
--- a/src/oleanderdyke/kernel/blocks.py
+++ b/src/oleanderdyke/kernel/blocks.py
@@ -27,7 +27,7 @@
     content: str
 
 
-def canonical_prompt(messages: Sequence[PromptMessage]) -> bytes:
+def encode_prompt(messages: Sequence[PromptMessage]) -> bytes:
     """Return the one byte form of a prompt; raise BAD_REQUEST if it has none.
 
     A NUL, or a line feed in a role, would let two conversations share a form.
@@ -62,7 +62,7 @@
     return tuple(_chain(namespace, prompt))
 
 
-def hint(segment: SegmentId) -> SegmentHint:
+def make_hint(segment: SegmentId) -> SegmentHint:
     """Return the short form of a segment's id."""
     return segment[:HINT_BYTES]
 
--- a/src/oleanderdyke/kernel/context_stores.py
+++ b/src/oleanderdyke/kernel/context_stores.py
@@ -22,7 +22,7 @@
 # Whoever writes to a store that came back empty, or frees parts, waits as
 # long, so that no fetch meets a part that is being written or freed. The view
 # is read every second; this bears two failed reads.
-VIEW_LIFE: Millis = 4 * SECOND
+VIEW_MAX_AGE: Millis = 4 * SECOND
 # A fetch of the longest prompts takes some 20 ms, queued behind others.
 _SHORTEST_FETCH: Millis = 500.0
 # A save that has not been told as complete by then has failed.
@@ -129,7 +129,9 @@
         self._save_from: Millis = 0.0
         self._saving: dict[tuple[str, str], _Save] = {}
 
-    def take(self, found: ContextEvents, asked_at: Millis, now: Millis) -> None:
+    def apply_events(
+        self, found: ContextEvents, asked_at: Millis, now: Millis
+    ) -> None:
         """Take events that were asked for at a moment of our clock."""
         if found.boot != self._boot:
             self._restart(found.boot, now)
@@ -140,7 +142,7 @@
         # The engines' clock was at least this when the answer came.
         self._clock = found.clock - now
 
-    def take_shared(
+    def apply_shared_events(
         self, found: ContextEvents, asked_at: Millis, now: Millis
     ) -> bool:
         """Take what a neighbour read, unless more is known here already.
@@ -157,10 +159,10 @@
             return False
         if known_at is not None and not is_later:
             asked_at = known_at
-        self.take(found, asked_at, now)
+        self.apply_events(found, asked_at, now)
         return True
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Trust nothing until the store has been read again."""
         self._asked_at = None
 
@@ -175,9 +177,9 @@
         asked_at = self._asked_at
         if asked_at is None:
             return False
-        return asked_at + VIEW_LIFE - now > _SHORTEST_FETCH
+        return asked_at + VIEW_MAX_AGE - now > _SHORTEST_FETCH
 
-    def find_until(self, other: Millis) -> Millis:
+    def find_deadline(self, other: Millis) -> Millis:
         """Return when a fetch has to end, on the engines' clock.
 
         `other` is when what else the fetch relies on was asked for.
@@ -185,7 +187,7 @@
         asked_at = self._asked_at
         if asked_at is None:
             return 0.0
-        return min(asked_at, other) + VIEW_LIFE + self._clock
+        return min(asked_at, other) + VIEW_MAX_AGE + self._clock
 
     def can_save(self, salt: str, part: PromptPart, now: Millis) -> bool:
         """Return whether a part has room and is not being saved."""
@@ -198,7 +200,7 @@
         room = self.traits.capacity_tokens * _FILL_SHARE - self._used
         return part.tokens + self._saving_tokens < room
 
-    def note_save(self, salt: str, part: PromptPart, now: Millis) -> None:
+    def record_save(self, salt: str, part: PromptPart, now: Millis) -> None:
         """Learn that a save was asked for."""
         save = _Save(part.tokens, now + _SAVE_LIMIT)
         self._saving[(salt, part.name)] = save
@@ -224,7 +226,7 @@
 
     def _restart(self, boot: int, now: Millis) -> None:
         """Begin with an empty store that others may still think full."""
-        self._save_from = now + VIEW_LIFE
+        self._save_from = now + VIEW_MAX_AGE
         self._boot = boot
         self.parts.clear()
         self._saving.clear()
@@ -311,15 +313,15 @@
         parts: Sequence[PromptPart],
         *,
         data_centre: str,
-        relied_on: Millis,
+        versions_read_at: Millis,
         may_save: bool,
         now: Millis,
     ) -> ContextPlan:
         """Plan the fetches and saves of one run.
 
-        `relied_on` is when the newest versions were asked for. The last part
-        belongs to the request alone and is not kept. An engine fetches only
-        what it lacks, and can't use a part that lacks one before it.
+        `versions_read_at` is when the newest versions were asked for. The last
+        part belongs to the request alone and is not kept. An engine fetches
+        only what it lacks, and can't use a part that lacks one before it.
         """
         shared = parts[:-1]
         sources: list[Source | None] = []
@@ -334,14 +336,14 @@
                 continue
             view, tokens = found
             sources.append(Source(view.traits.address, tokens))
-            until = min(until, view.find_until(relied_on))
+            until = min(until, view.find_deadline(versions_read_at))
         if not any(sources):
             until = 0.0
         sources += [None] * (len(parts) - len(shared))
         sinks += [''] * (len(parts) - len(shared))
         return ContextPlan(tuple(sources), tuple(sinks), until)
 
-    def note_saves(
+    def record_saves(
         self,
         salt: str,
         parts: Sequence[PromptPart],
@@ -351,7 +353,7 @@
         """Learn that a run was asked to save parts."""
         for part, sink in zip(parts, plan.sinks, strict=False):
             if sink in self.views:
-                self.views[sink].note_save(salt, part, now)
+                self.views[sink].record_save(salt, part, now)
 
     def _find_source(
         self, salt: str, part: PromptPart, data_centre: str, now: Millis
--- a/src/oleanderdyke/kernel/directory.py
+++ b/src/oleanderdyke/kernel/directory.py
@@ -49,7 +49,7 @@
     def __len__(self) -> int:
         return len(self._table)
 
-    def on_events(
+    def apply_events(
         self, agent: str, events: SegmentEvents, now: Millis
     ) -> SegmentListRequest | None:
         """Apply events; return a request where some are missing."""
@@ -64,7 +64,7 @@
         self._follow(source, events)
         return None
 
-    def forget(self, agent: str) -> None:
+    def remove_agent(self, agent: str) -> None:
         """Drop everything known about an agent."""
         source = self._sources.pop(agent, None)
         if source is not None:
@@ -104,7 +104,7 @@
         return source
 
     def _replace(self, agent: str, events: SegmentEvents) -> None:
-        self.forget(agent)
+        self.remove_agent(agent)
         source = self._open(agent)
         source.following = events.first
         for segment in events.added:
--- a/src/oleanderdyke/kernel/engine_clock.py
+++ b/src/oleanderdyke/kernel/engine_clock.py
@@ -16,14 +16,14 @@
         self._least: Millis | None = None
         self._most: Millis | None = None
 
-    def note(self, told: Millis, *, asked_at: Millis, now: Millis) -> None:
+    def update(self, told: Millis, *, asked_at: Millis, now: Millis) -> None:
         """Take a reading; 0 is none."""
         if told:
             self._least = told - now
             self._most = told - asked_at
 
     @property
-    def most(self) -> Millis | None:
+    def max_offset(self) -> Millis | None:
         """Return how far their clock may be before ours, None if unknown."""
         return self._most
 
--- a/src/oleanderdyke/kernel/eviction.py
+++ b/src/oleanderdyke/kernel/eviction.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from oleanderdyke.clock import Millis
-from oleanderdyke.kernel.blocks import SegmentId, hint
+from oleanderdyke.kernel.blocks import SegmentId, make_hint
 from oleanderdyke.kernel.demand import Keeper
 from oleanderdyke.kernel.pins import PinTable
 from oleanderdyke.kernel.sealed_entries import SealedEntries
@@ -58,7 +58,7 @@
     ) -> tuple[SegmentId, ...] | WriteRefusal:
         """Return whom to free for the missing bytes, or why nobody is."""
         own = self._keeper.worth(
-            hint(newcomer.segment), newcomer.length, newcomer.gap, now
+            make_hint(newcomer.segment), newcomer.length, newcomer.gap, now
         )
         ranked = self._rank(missing, now)
         count = 0
--- a/src/oleanderdyke/kernel/fetch_pace.py
+++ b/src/oleanderdyke/kernel/fetch_pace.py
@@ -5,7 +5,7 @@
 from oleanderdyke.clock import Millis
 
 # A pace is not known to within this.
-GRACE: Millis = 50.0
+PACE_TOLERANCE: Millis = 50.0
 
 
 class FetchPace:
@@ -33,7 +33,7 @@
         Call it once for each number of arrived segments, in order.
         """
         if arrived == 1:
-            self._from = now + GRACE
+            self._from = now + PACE_TOLERANCE
         steps = arrived or self._count
         wait = steps * self._step * max(1, sharing)
         return min(self._from + wait, self._limit)
--- a/src/oleanderdyke/kernel/gate.py
+++ b/src/oleanderdyke/kernel/gate.py
@@ -12,7 +12,7 @@
 from oleanderdyke.errors import ErrorKind, Ran
 from oleanderdyke.kernel.alone import AloneLane
 from oleanderdyke.kernel.claim_runs import ClaimRuns, RunAnswer, RunState
-from oleanderdyke.kernel.gate_terms import GateSettings, Loaded, Rights
+from oleanderdyke.kernel.gate_types import GateSettings, LoadedWeights, Rights
 from oleanderdyke.kernel.quarantine import Quarantine, Standing
 from oleanderdyke.links.messages import AgentPhase, Dispatch, Failed
 from oleanderdyke.links.messages.claims import (
@@ -22,11 +22,18 @@
     ClaimState,
 )
 
-__all__ = ['Admittance', 'Gate', 'GateSettings', 'Ignored', 'Loaded', 'Pass']
+__all__ = [
+    'Accepted',
+    'AdmitOutcome',
+    'Gate',
+    'GateSettings',
+    'Ignored',
+    'LoadedWeights',
+]
 
 
 @dataclass(frozen=True, slots=True)
-class Pass:
+class Accepted:
     """Let a dispatch run now; the gate counts it as running."""
 
 
@@ -35,7 +42,7 @@
     """Drop a duplicate without any answer; the first one is answered."""
 
 
-Admittance: TypeAlias = Pass | Failed | Ignored
+AdmitOutcome: TypeAlias = Accepted | Failed | Ignored
 
 
 _AttemptKey: TypeAlias = tuple[str, int]
@@ -58,11 +65,12 @@
 class Gate:
     """Admit dispatches to one backend server.
 
-    The agent calls `note_beat` with each heartbeat it sends, `finish` once
-    for each passed dispatch, `lose` where its connection broke, and `crash`
-    when its backend server is lost.
-    Nothing may reach the backend server but by `Pass`. After it, the agent says
-    `ran=no` only of what never reached the backend server, and calls `bar`.
+    The agent calls `record_heartbeat` with each heartbeat it sends, `finish`
+    once for each accepted dispatch, `finish_disconnected` where its connection
+    broke, and `finish_crashed` when its backend server is lost.
+    Nothing may reach the backend server but by `Accepted`. After it, the agent
+    says `ran=no` only of what never reached the backend server, and calls
+    `finish_unsent`.
     """
 
     def __init__(
@@ -82,7 +90,7 @@
         self._quarantine = quarantine
         self._rights = rights
         self._phase = AgentPhase.STARTING
-        self._loaded = Loaded()
+        self._loaded = LoadedWeights()
         self._beat = 0
         self._crashes = 0
         self._lost_at = -math.inf
@@ -111,11 +119,11 @@
         if self._phase is not AgentPhase.LEAVING:
             self._phase = phase
 
-    def set_loaded(self, loaded: Loaded) -> None:
+    def set_loaded(self, loaded: LoadedWeights) -> None:
         """Set which weights new dispatches must name."""
         self._loaded = loaded
 
-    def note_beat(self, sequence: int) -> None:
+    def record_heartbeat(self, sequence: int) -> None:
         """Learn the sequence number of the heartbeat just sent."""
         self._beat = max(self._beat, sequence)
         self._claims.note_beat(sequence)
@@ -124,7 +132,7 @@
         while self._seen_order and self._seen_order[0][0] < oldest:
             self._seen.discard(self._seen_order.popleft()[1])
 
-    def admit(self, dispatch: Dispatch, now: Millis) -> Admittance:
+    def admit(self, dispatch: Dispatch, now: Millis) -> AdmitOutcome:
         """Decide whether a dispatch may run now."""
         if self._is_repeated(dispatch):
             return Ignored()
@@ -137,7 +145,7 @@
         if self._must_be_alone(dispatch, now):
             self._lane.enter(dispatch.digest)
         self._running[dispatch.request, dispatch.attempt] = dispatch
-        return Pass()
+        return Accepted()
 
     def finish(
         self,
@@ -157,7 +165,9 @@
         if self._end(dispatch, answer) and served:
             self._quarantine.clear(dispatch.digest)
 
-    def lose(self, request: str, attempt: int, now: Millis) -> None:
+    def finish_disconnected(
+        self, request: str, attempt: int, now: Millis
+    ) -> None:
         """End a run whose connection broke; it may have been a crash."""
         dispatch = self._running.get((request, attempt))
         if dispatch is None:
@@ -169,7 +179,7 @@
             alone=self._end(dispatch, None),
         )
 
-    def bar(self, request: str, attempt: int) -> None:
+    def finish_unsent(self, request: str, attempt: int) -> None:
         """End a run of which nothing ever reached the backend server."""
         dispatch = self._running.get((request, attempt))
         if dispatch is None:
@@ -183,7 +193,7 @@
         self._remember((request, attempt))
         return (request, attempt) in self._running
 
-    def crash(self, now: Millis) -> tuple[Failed, ...]:
+    def finish_crashed(self, now: Millis) -> tuple[Failed, ...]:
         """End all runs because the backend server is lost.
 
         Send the returned messages after a heartbeat that tells the suspects.
@@ -203,7 +213,7 @@
         standing = self._quarantine.find_standing(digest, now)
         return standing is Standing.QUARANTINED
 
-    def answer(self, query: ClaimQuery) -> ClaimAnswer:
+    def answer_query(self, query: ClaimQuery) -> ClaimAnswer:
         """Tell what became of a claim; bar it where it never started."""
         if not self._is_own(query.claim):
             return ClaimAnswer(query.request, query.claim, ClaimState.UNKNOWN)
@@ -262,7 +272,7 @@
         if claim is None:
             return Ran.NO if self._is_remembered(dispatch.beat) else Ran.MAYBE
         query = ClaimQuery(dispatch.request, dispatch.team, claim)
-        barred = self.answer(query).state is ClaimState.BARRED
+        barred = self.answer_query(query).state is ClaimState.BARRED
         return Ran.NO if barred else Ran.MAYBE
 
     def _is_remembered(self, beat: int) -> bool:
@@ -316,7 +326,7 @@
     def _check_weights(
         self, dispatch: Dispatch, _now: Millis
     ) -> _Objection | None:
-        wanted = Loaded(
+        wanted = LoadedWeights(
             dispatch.model,
             dispatch.weight_version,
             dispatch.weight_digest,
--- a/src/oleanderdyke/kernel/gate_terms.py
+++ b/src/oleanderdyke/kernel/gate_types.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loaded:
+class LoadedWeights:
     """Name the weights that the backend server has loaded."""
 
     model: str = ''
--- a/src/oleanderdyke/kernel/links_meter.py
+++ b/src/oleanderdyke/kernel/link_meter.py
@@ -22,19 +22,19 @@
         """Return the bytes that are asked for and not carried yet."""
         return int(self._in_flight)
 
-    def read_rate(self, now: Millis) -> float:
+    def estimate_rate(self, now: Millis) -> float:
         """Return the bytes per second that the link carries when busy."""
         self._learn(now)
         return self._rate
 
-    def note_asked(self, count: int, now: Millis) -> None:
+    def record_requested(self, count: int, now: Millis) -> None:
         """Count bytes that a transfer will need."""
         if self._in_flight <= 0:
             self._since = now
             self._carried = 0.0
         self._in_flight += count
 
-    def note_carried(self, count: int, now: Millis) -> None:
+    def record_sent(self, count: int, now: Millis) -> None:
         """Count bytes that have left."""
         self._in_flight = max(0.0, self._in_flight - count)
         self._carried += count
@@ -42,7 +42,7 @@
             self._learn(now)
             self._since = None
 
-    def note_dropped(self, count: int, now: Millis) -> None:
+    def record_cancelled(self, count: int, now: Millis) -> None:
         """Take back bytes of a transfer that was cancelled."""
         self._learn(now)
         self._in_flight = max(0.0, self._in_flight - count)
--- a/src/oleanderdyke/kernel/load_queue.py
+++ b/src/oleanderdyke/kernel/load_queue.py
@@ -113,7 +113,7 @@
         if not math.isinf(limit):
             self._patience = limit * _STUCK_SHARE
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Drop all places: agents that still need one ask again."""
         self._places.clear()
         self._over.clear()
@@ -137,7 +137,7 @@
         most = max(self._fleet, len(self._places))
         self._fleet = most if self._places else 0
 
-    def judge(self, find_due: FindDue) -> None:
+    def update_due_times(self, find_due: FindDue) -> None:
         """Learn until when the weights of each place may serve."""
         for place in self._places.values():
             place.due = find_due(place.model, place.held)
@@ -160,7 +160,7 @@
                 place.since = now
         return tuple(stuck.values())
 
-    def waits(self, notice: LoadNotice) -> bool:
+    def is_pending(self, notice: LoadNotice) -> bool:
         """Return whether a request for a place is in force.
 
         A place for one model is none for another: each has its own time.
--- a/src/oleanderdyke/kernel/load_board.py
+++ b/src/oleanderdyke/kernel/load_table.py
@@ -30,7 +30,7 @@
     rate_limit: float | None = None
 
 
-class LoadBoard:
+class LoadTable:
     """Keep the newest load of each server, numbered as they came."""
 
     def __init__(self) -> None:
@@ -39,11 +39,11 @@
         self._count = 0
 
     @property
-    def last(self) -> int:
+    def last_number(self) -> int:
         """Return the number of the newest load."""
         return self._count
 
-    def note(self, told: TimedLoad) -> bool:
+    def update(self, told: TimedLoad) -> bool:
         """Take a load; tell whether it is newer than what is known."""
         known = self._loads.get(told.start)
         if known is not None and known.at >= told.at:
@@ -53,7 +53,7 @@
         self._numbers[told.start] = self._count
         return True
 
-    def list_later(self, number: int, now: Millis) -> Iterator[TimedLoad]:
+    def list_after(self, number: int, now: Millis) -> Iterator[TimedLoad]:
         """Yield the loads after a number that are young enough to count."""
         for start, told in tuple(self._loads.items()):
             if now - told.at > _LIFE:
--- a/src/oleanderdyke/kernel/membership.py
+++ b/src/oleanderdyke/kernel/membership.py
@@ -157,7 +157,7 @@
         known = self._agents.get(agent)
         if known is None or known.replica.incarnation != incarnation:
             return None
-        return self._directory.on_events(agent, events, now)
+        return self._directory.apply_events(agent, events, now)
 
     def on_link_down(self, agent: str, incarnation: str) -> None:
         """Take an agent out until it says hello again."""
@@ -289,7 +289,7 @@
         address = self._agents.pop(agent).replica.address
         if self._addresses.get(address) == agent:
             del self._addresses[address]
-        self._directory.forget(agent)
+        self._directory.remove_agent(agent)
 
     def _select_stores(self, service: str) -> tuple[str, ...]:
         if self._selected_at != self._catalog.offset:
--- a/src/oleanderdyke/kernel/pins.py
+++ b/src/oleanderdyke/kernel/pins.py
@@ -40,7 +40,7 @@
         self._counts[generation] += 1
         return pinned
 
-    def holds(self, pinned: Pinned, now: Millis) -> bool:
+    def is_valid(self, pinned: Pinned, now: Millis) -> bool:
         """Return whether a pin is still there and in time."""
         return pinned.number in self._pins and now < pinned.until
 
--- a/src/oleanderdyke/kernel/reading_turns.py
+++ b/src/oleanderdyke/kernel/read_backoff.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class ReadingTurns:
+class ReadBackoff:
     """Say how long one reader of a store reads and pauses.
 
     It learns from being turned away that there are more readers than places.
@@ -41,7 +41,7 @@
         """Return how long a read waits for something new."""
         return _SHORT_WAIT if self._pause else _LONG_WAIT
 
-    def note_crowded(self) -> Millis:
+    def record_rejection(self) -> Millis:
         """Learn that there was no place; return when to ask again."""
         longer = max(self._pause * _PAUSE_GROWTH, _FIRST_PAUSE)
         self._pause = min(longer, _LONGEST_PAUSE)
--- a/src/oleanderdyke/kernel/keeping.py
+++ b/src/oleanderdyke/kernel/reuse_model.py
@@ -24,14 +24,14 @@
     uses: int = 1
 
 
-class ReturnModel:
+class ReuseModel:
     """Estimate the rate of return from the gaps between uses."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
         self._returns: OrderedDict[bytes, _Returns] = OrderedDict()
 
-    def note_used(self, segment: bytes, now: Millis) -> None:
+    def record_use(self, segment: bytes, now: Millis) -> None:
         """Learn one use."""
         known = self._returns.get(segment)
         if known is None:
--- a/src/oleanderdyke/kernel/rollout.py
+++ b/src/oleanderdyke/kernel/rollout.py
@@ -8,7 +8,10 @@
 
 from oleanderdyke.clock import Millis
 from oleanderdyke.kernel.load_queue import LoadNotice, LoadQueue
-from oleanderdyke.kernel.named_weights import SEND_MARGIN, NamedWeights
+from oleanderdyke.kernel.weight_versions import (
+    FIRST_TOKEN_MARGIN,
+    WeightVersions,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,14 +28,14 @@
     clock: Millis = 0.0
     born: int | None = None
 
-    def is_other_start(self, before: EngineState) -> bool:
+    def has_restarted_since(self, before: EngineState) -> bool:
         """Return whether the engine has started anew since the report before.
 
         Each start counts its orders from none.
         """
         return self.born != before.born or self.orders < before.orders
 
-    def is_earlier_start(self, before: EngineState) -> bool:
+    def is_from_earlier_start(self, before: EngineState) -> bool:
         """Return whether a report is late, of a start that has ended."""
         if self.born is None:
             return before.born is not None
@@ -59,36 +62,45 @@
 class Rollout:
     """Judge who loads when by how old the news of weights is.
 
-    `shift` is how far the engines' clock may be before ours, where known.
+    `clock_offset` is the most by which the engines' clock is ahead of the
+    local one, None if unknown.
     """
 
     def __init__(self, limit: Millis) -> None:
-        self.weights = NamedWeights()
+        self.weights = WeightVersions()
         self.queue = LoadQueue(limit)
         self._limit = limit
 
-    def take(
-        self, notice: LoadNotice, *, now: Millis, shift: Millis | None
+    def apply(
+        self, notice: LoadNotice, *, now: Millis, clock_offset: Millis | None
     ) -> None:
         """Take a notice of the log: a place, and how old its news is."""
         told = notice.newest_at
-        is_ahead = told is not None and shift is not None and told - shift > now
+        is_ahead = (
+            told is not None
+            and clock_offset is not None
+            and told - clock_offset > now
+        )
         if told is not None and not is_ahead:
-            self.weights.note_newest(notice.model, notice.held, told)
+            self.weights.record_newest(notice.model, notice.held, told)
         self.queue.apply(notice)
-        self.tick(now=now, shift=shift)
+        self.tick(now=now, clock_offset=clock_offset)
 
-    def tick(self, *, now: Millis, shift: Millis | None) -> tuple[str, ...]:
+    def tick(
+        self, *, now: Millis, clock_offset: Millis | None
+    ) -> tuple[str, ...]:
         """Judge all places anew; return the engines that are passed over.
 
         A place may have been read before it was known how old its news is.
         """
 
         def find_due(model: str, held: int) -> Millis:
-            replaced = self.weights.find_replaced(model, held, now, shift)
+            replaced = self.weights.find_replaced_at(
+                model, held, now, clock_offset
+            )
             if replaced is None or math.isinf(self._limit):
                 return math.inf
-            return replaced + self._limit - SEND_MARGIN
+            return replaced + self._limit - FIRST_TOKEN_MARGIN
 
-        self.queue.judge(find_due)
+        self.queue.update_due_times(find_due)
         return self.queue.tick(now)
--- a/src/oleanderdyke/kernel/segment_log.py
+++ b/src/oleanderdyke/kernel/segment_log.py
@@ -52,7 +52,7 @@
         for new in sorted(wanted):
             self.add(new)
 
-    def take(self) -> tuple[SegmentEvents, ...]:
+    def drain(self) -> tuple[SegmentEvents, ...]:
         """Return the events since the last call."""
         events = tuple(self._unsent.items())
         self._unsent.clear()
--- a/src/oleanderdyke/kernel/shared_chunks.py
+++ b/src/oleanderdyke/kernel/shared_chunks.py
@@ -30,14 +30,14 @@
         return True
 
 
-class ChunkSharing:
+class SnapshotChunkCache:
     """Give the chunks of the present snapshot; kept only while in use."""
 
     def __init__(self, catalog: Catalog) -> None:
         self._catalog = catalog
         self._latest: ReferenceType[SharedChunks] | None = None
 
-    def share(self) -> SharedChunks:
+    def get(self) -> SharedChunks:
         """Return what others read already, if it is of the same offset."""
         latest = None if self._latest is None else self._latest()
         if latest is not None and latest.through == self._catalog.offset:
--- a/src/oleanderdyke/kernel/collect.py
+++ b/src/oleanderdyke/kernel/snapshot_detector.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptSnapshot:
+class CompleteSnapshot:
     """Remember a whole snapshot that the log holds."""
 
     start: int
@@ -45,7 +45,7 @@
         return chunk.last and self._digest.digest() == chunk.digest
 
 
-class SnapshotWatch:
+class SnapshotDetector:
     """Notice the whole snapshots among the records of the log.
 
     Several processes may append theirs at once, or stop half-way: every first
@@ -53,7 +53,7 @@
     """
 
     def __init__(self) -> None:
-        self.newest: KeptSnapshot | None = None
+        self.newest: CompleteSnapshot | None = None
         self._collectors: list[_Collector] = []
 
     def add(
@@ -71,7 +71,7 @@
         whole = [item for item in self._collectors if item.add(chunk)]
         if not whole:
             return None
-        self._keep_newest(KeptSnapshot(whole[0].start, chunk.through, at))
+        self._keep_newest(CompleteSnapshot(whole[0].start, chunk.through, at))
         self._collectors = [
             item for item in self._collectors if item.through != chunk.through
         ]
@@ -82,6 +82,6 @@
         self._collectors.append(_Collector(through, offset, wanted=wanted))
         del self._collectors[:-_PARTIAL_SNAPSHOTS]
 
-    def _keep_newest(self, kept: KeptSnapshot) -> None:
+    def _keep_newest(self, kept: CompleteSnapshot) -> None:
         if self.newest is None or kept.start > self.newest.start:
             self.newest = kept
--- a/src/oleanderdyke/kernel/spread.py
+++ b/src/oleanderdyke/kernel/spread.py
@@ -9,9 +9,9 @@
 
 from oleanderdyke.clock import MINUTE, SECOND, Millis
 from oleanderdyke.kernel.catalog import Catalog
-from oleanderdyke.kernel.collect import SnapshotWatch
 from oleanderdyke.kernel.records import SnapshotChunk, decode_record
-from oleanderdyke.kernel.shared_chunks import ChunkSharing, SharedChunks
+from oleanderdyke.kernel.shared_chunks import SharedChunks, SnapshotChunkCache
+from oleanderdyke.kernel.snapshot_detector import SnapshotDetector
 from oleanderdyke.kernel.snapshots import START_OFFSET, SnapshotLoader
 from oleanderdyke.links.messages import (
     ConfigurationDifference,
@@ -90,12 +90,12 @@
         self.catalog = Catalog() if catalog is None else catalog
         self._settings = settings or ReaderSettings()
         self._spread = 1 - _JITTER * random.random()
-        self._sharing = ChunkSharing(self.catalog)
+        self._sharing = SnapshotChunkCache(self.catalog)
         self._loaded = False
         self._scan = 0
         self._first = 0
         self._end = 0
-        self._watch = SnapshotWatch()
+        self._watch = SnapshotDetector()
         self._watched_since: Millis | None = None
         self._told_at: Millis | None = None
         self._from_peer: SnapshotLoader | None = None
@@ -179,7 +179,7 @@
             return _answer_records(request.after, START_OFFSET, ())
         records = self.catalog.difference(request.after)
         if records is None:
-            return _number_chunks(request.after, self._sharing.share())
+            return _number_chunks(request.after, self._sharing.get())
         return _answer_records(request.after, through, records)
 
     def readiness(self, now: Millis) -> Readiness:
--- a/src/oleanderdyke/kernel/store_index.py
+++ b/src/oleanderdyke/kernel/store_index.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from oleanderdyke.clock import SECOND, Millis
-from oleanderdyke.kernel.blocks import ID_BYTES, Namespace, SegmentId, hint
+from oleanderdyke.kernel.blocks import ID_BYTES, Namespace, SegmentId, make_hint
 from oleanderdyke.kernel.demand import Keeper
 from oleanderdyke.kernel.eviction import Evictor
 from oleanderdyke.kernel.pins import PinTable
@@ -23,9 +23,9 @@
 )
 from oleanderdyke.kernel.store_outcomes import (
     BeginOutcome,
+    PartAccepted,
     PartIgnored,
     PartOutcome,
-    PartTaken,
     Pinned,
     ReadRefusal,
     ReadRefused,
@@ -41,9 +41,9 @@
 
 __all__ = [
     'BeginOutcome',
+    'PartAccepted',
     'PartIgnored',
     'PartOutcome',
-    'PartTaken',
     'Pinned',
     'ReadRefusal',
     'ReadRefused',
@@ -77,7 +77,7 @@
     """Decide what a store's agent may write, show, read and delete.
 
     The shell stores a write's object, then its meta record, then calls
-    `seal`; it deletes what `take_deletions` names, in that order, before it
+    `seal`; it deletes what `drain_deletions` names, in that order, before it
     stores anything new.
     """
 
@@ -137,7 +137,7 @@
         if fault is not None:
             return self._drop_write(write, fault)
         if not write.is_verified:
-            return PartTaken()
+            return PartAccepted()
         meta_name = write.meta.object_name + META_SUFFIX
         return WriteVerified(meta_name, encode_meta(write.meta))
 
@@ -177,15 +177,15 @@
         pinned = self._pins.add(entry.meta, entry.generation, now)
         if pinned is None:
             return ReadRefused(ReadRefusal.BUSY)
-        self._keeper.note_used(hint(segment), now)
+        self._keeper.note_used(make_hint(segment), now)
         return pinned
 
-    def holds(self, pinned: Pinned, now: Millis) -> bool:
+    def is_pin_valid(self, pinned: Pinned, now: Millis) -> bool:
         """Tell, after the copy, whether the copied bytes may be used."""
         entry = self._entries.get(pinned.segment)
         if entry is None or entry.generation != pinned.generation:
             return False
-        return self._pins.holds(pinned, now)
+        return self._pins.is_valid(pinned, now)
 
     def unpin(self, pinned: Pinned) -> None:
         """End a reader's copy."""
@@ -197,13 +197,13 @@
         entry = self._entries.remove(segment)
         if entry is None:
             return
-        self.log.remove(hint(segment))
+        self.log.remove(make_hint(segment))
         name = entry.meta.object_name
         self._doomed[name] = entry.meta.length
         if not self._pins.is_pinned(entry.generation):
             self._delete_doomed(name)
 
-    def free_broken(self, pinned: Pinned) -> None:
+    def free_corrupt(self, pinned: Pinned) -> None:
         """Free the entry whose bytes failed verification, if still there."""
         entry = self._entries.get(pinned.segment)
         if entry is not None and entry.generation == pinned.generation:
@@ -218,13 +218,13 @@
             self._drop_write(each, WriteRefusal.TIMEOUT) for each in late
         )
 
-    def take_deletions(self) -> tuple[str, ...]:
+    def drain_deletions(self) -> tuple[str, ...]:
         """Return the names to delete from the store, meta records first."""
         names = tuple(self._deletions)
         self._deletions.clear()
         return names
 
-    def readmit(
+    def restore(
         self, meta_name: str, meta: bytes, stored: int | None, now: Millis
     ) -> bool:
         """Show an object of an earlier incarnation if its record matches.
@@ -303,8 +303,8 @@
     def _show(self, entry: SealedEntry, now: Millis) -> None:
         segment = entry.meta.segment
         self._entries.add(entry)
-        self._keeper.note_used(hint(segment), now)
-        self.log.add(hint(segment))
+        self._keeper.note_used(make_hint(segment), now)
+        self.log.add(make_hint(segment))
 
     def _delete_doomed(self, name: str) -> None:
         length = self._doomed.pop(name, None)
--- a/src/oleanderdyke/kernel/store_outcomes.py
+++ b/src/oleanderdyke/kernel/store_outcomes.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PartTaken:
+class PartAccepted:
     """Go on; the part is next in order."""
 
 
@@ -106,4 +106,6 @@
 
 
 BeginOutcome: TypeAlias = WriteBegun | WriteJoined | WritePresent | WriteFailed
-PartOutcome: TypeAlias = PartTaken | PartIgnored | WriteVerified | WriteFailed
+PartOutcome: TypeAlias = (
+    PartAccepted | PartIgnored | WriteVerified | WriteFailed
+)
--- a/src/oleanderdyke/kernel/named_weights.py
+++ b/src/oleanderdyke/kernel/weight_versions.py
@@ -10,10 +10,10 @@
 # Between the send of a request and its first token lies the engine's queue:
 # so long before the time of old weights is over, nothing more is sent to them.
 # First tokens took longer than this only where engines had been lost.
-SEND_MARGIN: Millis = 2 * SECOND
+FIRST_TOKEN_MARGIN: Millis = 2 * SECOND
 # What waits for its first token until then is taken back. A check each 50 ms
 # and a cancel that crosses the network have to fit.
-BEGIN_MARGIN: Millis = 250.0
+CANCEL_MARGIN: Millis = 250.0
 
 
 @dataclass(slots=True)
@@ -29,7 +29,7 @@
     told: dict[int, Millis] = field(default_factory=dict)
 
 
-class NamedWeights:
+class WeightVersions:
     """Keep when each model's weights were last known to be the newest.
 
     No process is told when newer weights were named. But a read that showed
@@ -42,11 +42,11 @@
         self._models: dict[str, _Model] = {}
         self._read_at: Millis | None = None
 
-    def note_read(self, asked_at: Millis) -> None:
+    def record_read(self, asked_at: Millis) -> None:
         """Learn that all that was named before a moment has been read."""
         self._read_at = asked_at
 
-    def name(self, model: str, version: int) -> bool:
+    def add(self, model: str, version: int) -> bool:
         """Take newly named weights; tell whether they are newer."""
         known = self._models.setdefault(model, _Model())
         known.named.add(version)
@@ -57,7 +57,7 @@
         known.newest = version
         return True
 
-    def note_newest(self, model: str, version: int, at: Millis) -> None:
+    def record_newest(self, model: str, version: int, at: Millis) -> None:
         """Learn from another process that weights were the newest then.
 
         `at` is a moment of the clock that all engines share.
@@ -70,7 +70,7 @@
         known = self._models.get(model)
         return 0 if known is None else known.newest
 
-    def find_following(self, model: str, version: int) -> int:
+    def find_next(self, model: str, version: int) -> int:
         """Return the weights that were named next after others, or those."""
         known = self._models.get(model)
         if known is None:
@@ -86,24 +86,24 @@
             if known.newest
         }
 
-    def find_replaced(
-        self, model: str, held: int, now: Millis, shift: Millis | None
+    def find_replaced_at(
+        self, model: str, held: int, now: Millis, clock_offset: Millis | None
     ) -> Millis | None:
         """Return before when weights newer than those held weren't named.
 
         None where the held ones are the newest, minus infinity where nothing
-        is known. `shift` is how far the engines' clock may be before ours; who
-        tells of a moment that is yet to come tells nothing.
+        is known. `clock_offset` is the most by which the engines' clock is
+        ahead of the local one; reported times in the future are ignored.
         """
         known = self._models.get(model)
         if known is None or held >= known.newest:
             return None
         moments = [at for version, at in known.seen.items() if version <= held]
-        if shift is not None:
+        if clock_offset is not None:
             moments += [
-                at - shift
+                at - clock_offset
                 for version, at in known.told.items()
-                if version <= held and at - shift <= now
+                if version <= held and at - clock_offset <= now
             ]
         return max(moments, default=-math.inf)
 
@@ -114,7 +114,7 @@
         *,
         within: Millis,
         now: Millis,
-        shift: Millis | None,
+        clock_offset: Millis | None,
     ) -> bool:
         """Return whether held weights were replaced at most `within` ago.
 
@@ -122,5 +122,5 @@
         """
         if math.isinf(within):
             return True
-        replaced = self.find_replaced(model, held or 0, now, shift)
+        replaced = self.find_replaced_at(model, held or 0, now, clock_offset)
         return replaced is None or now - replaced < within
--- a/src/oleanderdyke/links/news_desk.py
+++ b/src/oleanderdyke/links/news_desk.py
@@ -14,7 +14,7 @@
 from oleanderdyke.clock import SECOND, Clock, Millis
 from oleanderdyke.errors import OleanderError
 from oleanderdyke.kernel.context_stores import ContextEvent, ContextEvents
-from oleanderdyke.kernel.load_board import LoadBoard, TimedLoad
+from oleanderdyke.kernel.load_table import LoadTable, TimedLoad
 from oleanderdyke.kernel.neighbours import (
     RECORD_SOURCE,
     Neighbours,
@@ -104,8 +104,8 @@
     def __init__(self, neighbours: Neighbours, clock: Clock) -> None:
         self.note_urgent: Callable[[], None] = _ignore
         # What neighbours and this process were told of loads, and the latter.
-        self.loads = LoadBoard()
-        self.own_loads = LoadBoard()
+        self.loads = LoadTable()
+        self.own_loads = LoadTable()
         self._neighbours = neighbours
         self._clock = clock
         self._records: defaultdict[str, RecordTail] = defaultdict(RecordTail)
@@ -200,11 +200,11 @@
     ) -> None:
         arrived = self._clock.now()
         for each in decode_loads(asked.loads, arrived):
-            self.loads.note(each)
+            self.loads.update(each)
         until = arrived + asked.wait
         await anyio.sleep(min(_EVENTS_HOLD, asked.wait) / SECOND)
         while not self._has_events(asked.positions):
-            if self.loads.last > told.loads:
+            if self.loads.last_number > told.loads:
                 break
             now = self._clock.now()
             left = min(until - now, self._find_left(asked, now))
@@ -213,8 +213,8 @@
             await self._wait_change(left)
         now = self._clock.now()
         stores = tuple(self._list_news(asked.positions, asked.limit, now))
-        loads = encode_loads(self.loads.list_later(told.loads, now), now)
-        told.loads = self.loads.last
+        loads = encode_loads(self.loads.list_after(told.loads, now), now)
+        told.loads = self.loads.last_number
         answer = ContextAnswer(asked.number, now - arrived, stores, loads)
         with suppress(OleanderError):
             await link.send(answer)
--- a/src/oleanderdyke/links/news_reader.py
+++ b/src/oleanderdyke/links/news_reader.py
@@ -13,7 +13,7 @@
 from oleanderdyke.clock import SECOND, Clock, Millis
 from oleanderdyke.errors import OleanderError
 from oleanderdyke.kernel.context_stores import ContextEvent, ContextEvents
-from oleanderdyke.kernel.load_board import TimedLoad
+from oleanderdyke.kernel.load_table import TimedLoad
 from oleanderdyke.kernel.neighbours import RECORD_SOURCE, Neighbour, Neighbours
 from oleanderdyke.links.messages import Message
 from oleanderdyke.links.messages.news import (
--- a/src/oleanderdyke/policies/keeping.py
+++ b/src/oleanderdyke/policies/keeping.py
@@ -8,7 +8,7 @@
     Keeper,
     SegmentHint,
 )
-from oleanderdyke.kernel.keeping import ReturnModel
+from oleanderdyke.kernel.reuse_model import ReuseModel
 from oleanderdyke.policies.registries import KEEPERS
 from oleanderdyke.policies.settings import PolicySettings
 
@@ -17,7 +17,7 @@
     """Keep what saves most recomputed tokens for each byte and hour."""
 
     def __init__(self, settings: PolicySettings) -> None:
-        self._returns = ReturnModel(settings.gap_memory)
+        self._returns = ReuseModel(settings.gap_memory)
 
     def worth(
         self, segment: SegmentHint, length: int, gap: Millis, now: Millis
@@ -28,7 +28,7 @@
 
     def note_used(self, segment: SegmentHint, now: Millis) -> None:
         """Learn from a use of a segment."""
-        self._returns.note_used(segment, now)
+        self._returns.record_use(segment, now)
 
 
 class LeastRecentlyUsed:
--- a/tests/matrix/agent.py
+++ b/tests/matrix/agent.py
@@ -19,7 +19,7 @@
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 from oleanderdyke.kernel.catalog import Catalog
 from oleanderdyke.kernel.drain import DrainSettings
-from oleanderdyke.kernel.gate import GateSettings, Loaded
+from oleanderdyke.kernel.gate import GateSettings, LoadedWeights
 from oleanderdyke.kernel.quarantine import QuarantineSettings
 from oleanderdyke.kernel.segment_log import SegmentLog
 from oleanderdyke.kernel.stream_buffer import StreamLimits
@@ -139,7 +139,7 @@
         self.runs.set_forwarder(self.forwarder)
         self.role: Any = SimpleNamespace(
             segments=SegmentLog(),
-            loaded=Loaded(),
+            loaded=LoadedWeights(),
             measure=lambda: Load(running=self.gate.running, slots=8),
         )
         self.beats = Beats(
@@ -335,7 +335,7 @@
             Resume: self.readers.resume,
             Superseded: self._on_superseded,
             ClaimQuery: lambda outbox, query: outbox.put(
-                self.gate.answer(query)
+                self.gate.answer_query(query)
             ),
         }
 
--- a/tests/matrix/outside.py
+++ b/tests/matrix/outside.py
@@ -8,7 +8,7 @@
 from oleanderdyke.clients.log import LogPage, LogRecord, LogUnavailable
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.errors import Ran
-from oleanderdyke.kernel.gate import Loaded
+from oleanderdyke.kernel.gate import LoadedWeights
 from oleanderdyke.kernel.orders import Desired, Fence, Observed
 from oleanderdyke.links.messages import Dispatch
 from tests.matrix.loop import Later, Process, Scheduler
@@ -102,7 +102,7 @@
         self.content_type = content_type
         self.name = name
         self.checks = checks
-        self.loaded = Loaded()
+        self.loaded = LoadedWeights()
         self.fence: Fence | None = None
         self.crashes: list[frozenset[str]] = []
         self._running: dict[int, Dispatch] = {}
@@ -157,7 +157,7 @@
             return False
         if self.checks:
             self.fence = fence
-        self.loaded = Loaded(
+        self.loaded = LoadedWeights(
             desired.model, desired.version, desired.digest, desired.adapter
         )
         return True
--- a/tests/matrix/store.py
+++ b/tests/matrix/store.py
@@ -95,7 +95,7 @@
             if name.endswith(META_SUFFIX):
                 data = objects.get(name.removesuffix(META_SUFFIX))
                 stored = None if data is None else len(data)
-                index.readmit(name, objects[name], stored, self.now)
+                index.restore(name, objects[name], stored, self.now)
         self.index = index
         self._delete()
 
@@ -157,9 +157,9 @@
         await self.checkpoint()
         is_whole = self.kv.world.variants.is_whole
         if not is_whole(first + rest, pinned.length, pinned.digest):
-            index.free_broken(pinned)
+            index.free_corrupt(pinned)
             return
-        if self.index is index and index.holds(pinned, self.now):
+        if self.index is index and index.is_pin_valid(pinned, self.now):
             reader(_make_part(pinned, 0, first, last=False))
             reader(_make_part(pinned, HALF, rest, last=True))
 
@@ -228,7 +228,7 @@
 
     def _delete(self) -> None:
         if self.index is not None:
-            for name in self.index.take_deletions():
+            for name in self.index.drain_deletions():
                 self.kv.store.delete(name)
 
 
--- a/tests/matrix/world.py
+++ b/tests/matrix/world.py
@@ -13,7 +13,7 @@
 from oleanderdyke.kernel.catalog import Catalog
 from oleanderdyke.kernel.claims import ClaimTable
 from oleanderdyke.kernel.drain import Drain, DrainPhase
-from oleanderdyke.kernel.gate import Gate, Loaded
+from oleanderdyke.kernel.gate import Gate, LoadedWeights
 from oleanderdyke.kernel.membership import FleetState
 from oleanderdyke.kernel.objects import (
     Change,
@@ -104,8 +104,8 @@
     at: Millis
     agent: str
     incarnation: str
-    wanted: Loaded
-    loaded: Loaded
+    wanted: LoadedWeights
+    loaded: LoadedWeights
 
 
 class Watch:
@@ -219,7 +219,7 @@
                 body,
             )
         )
-        wanted = Loaded(
+        wanted = LoadedWeights(
             dispatch.model,
             dispatch.weight_version,
             dispatch.weight_digest,
@@ -358,7 +358,7 @@
             checks=layout.checks,
         )
         if layout.kind is BackendKind.ENGINE:
-            backend.loaded = Loaded('m', 'v1', 'd1', '')
+            backend.loaded = LoadedWeights('m', 'v1', 'd1', '')
         return backend
 
     def _make_agent(self, layout: Layout, name: str = '') -> ModelAgent:
--- a/tests/safety_model.py
+++ b/tests/safety_model.py
@@ -28,7 +28,7 @@
 from oleanderdyke.kernel.claim_runs import RunAnswer
 from oleanderdyke.kernel.claims import ClaimTable, Free
 from oleanderdyke.kernel.demand import Plan, Refusal, Replica
-from oleanderdyke.kernel.gate import Gate, GateSettings, Pass
+from oleanderdyke.kernel.gate import Accepted, Gate, GateSettings
 from oleanderdyke.kernel.quarantine import QuarantineSettings, make_quarantine
 from oleanderdyke.kernel.retries import RetryBudget, RetrySettings
 from oleanderdyke.links.messages import (
@@ -139,12 +139,12 @@
             rights=Anyone(),
         )
         self.gate.set_phase(AgentPhase.SERVING)
-        self.gate.note_beat(1)
+        self.gate.record_heartbeat(1)
 
     def receive(self, envelope: Envelope) -> None:
         message = envelope.message
         if isinstance(message, ClaimQuery):
-            answer = self.gate.answer(message)
+            answer = self.gate.answer_query(message)
             self._send(envelope.sender, ev.ClaimAnswered(answer))
         elif isinstance(message, Dispatch):
             self._admit(message, envelope.sender)
@@ -155,7 +155,7 @@
         result = self.gate.admit(dispatch, 0.0)
         if isinstance(result, Failed):
             self._send(sender, ev.Received(result))
-        elif isinstance(result, Pass):
+        elif isinstance(result, Accepted):
             body = f'{dispatch.team}/run-{len(self.world.runs)}/'.encode()
             self.world.note_run(dispatch, body)
             self.running.append((dispatch, body, sender))
@@ -197,14 +197,14 @@
     def tick(self, count: int) -> None:
         """Send heartbeats, which count as the agent's own time."""
         self.beat += count
-        self.gate.note_beat(self.beat)
+        self.gate.record_heartbeat(self.beat)
 
     def crash(self) -> None:
         senders = {
             (d.request, d.attempt): sender for d, _, sender in self.running
         }
         self.running.clear()
-        for failed in self.gate.crash(0.0):
+        for failed in self.gate.finish_crashed(0.0):
             sender = senders[failed.request, failed.attempt]
             self._send(sender, ev.Received(failed))
 
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loaded:
+class LoadedWeights:
     """Name the weights in an engine; an empty digest means none."""
 
     model: str = ''
@@ -82,7 +82,7 @@
         self._loading = False
         self._role = ''
         self._fence: Fence = None
-        self.loaded = Loaded()
+        self.loaded = LoadedWeights()
         self.stats = answers.Stats()
         self.cache = cache.SegmentCache(
             settings.cache_segments,
@@ -135,7 +135,7 @@
     async def _load_first(self) -> None:
         if self._settings.model and not self.loaded.digest:
             await self._load(
-                Loaded(self._settings.model, self._settings.version)
+                LoadedWeights(self._settings.model, self._settings.version)
             )
 
     async def _take_order(self, order: dict[str, Any]) -> web.Answer:
@@ -147,7 +147,9 @@
         self._role = order.get('role', '')
         self.stats.orders_taken += 1
         await self._load(
-            Loaded(order['model'], order['version'], order.get('adapter') or '')
+            LoadedWeights(
+                order['model'], order['version'], order.get('adapter') or ''
+            )
         )
         return web.answer_json(self._show_state())
 
@@ -156,23 +158,23 @@
             return False
         return not fence or bool(fence[0] < self._fence[0])
 
-    async def _load(self, wanted: Loaded) -> None:
+    async def _load(self, wanted: LoadedWeights) -> None:
         if self._loading or self._holds(wanted):
             return
         self._loading = True
-        self.loaded = Loaded()
+        self.loaded = LoadedWeights()
         self.cache.clear()
         try:
             await web.sleep(self._settings.load_ms)
             digest = await self._find_digest(wanted)
-            self.loaded = Loaded(
+            self.loaded = LoadedWeights(
                 wanted.model, wanted.version, wanted.adapter, digest
             )
             self.stats.loads += 1
         finally:
             self._loading = False
 
-    def _holds(self, wanted: Loaded) -> bool:
+    def _holds(self, wanted: LoadedWeights) -> bool:
         held = self.loaded
         return (held.model, held.version, held.adapter) == (
             wanted.model,
@@ -180,7 +182,7 @@
             wanted.adapter,
         )
 
-    async def _find_digest(self, wanted: Loaded) -> str:
+    async def _find_digest(self, wanted: LoadedWeights) -> str:
         url = (
             f'http://{self._settings.weights}/weights/'
             f'{wanted.model}/{wanted.version}'
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -664,7 +664,7 @@
     )
 
     def list_known() -> list[int]:
-        view.segments.take()
+        view.segments.drain()
         listed = view.segments.list_all()
         return sorted(seg[0] for each in listed for seg in each.added)
 
--- a/tests/test_blocks.py
+++ b/tests/test_blocks.py
@@ -7,9 +7,9 @@
 from oleanderdyke.errors import ErrorKind, OleanderError
 from oleanderdyke.kernel.blocks import (
     PromptMessage,
-    canonical_prompt,
     digest_segment,
-    hint,
+    encode_prompt,
+    make_hint,
     make_namespace,
     split_segments,
     verify_segment,
@@ -22,7 +22,7 @@
 
 def test_prompt_has_the_documented_form():
     messages = [PromptMessage('system', 'reglas'), PromptMessage('user', 'é')]
-    assert canonical_prompt(messages) == 'system\0reglas\nuser\0é\n'.encode()
+    assert encode_prompt(messages) == 'system\0reglas\nuser\0é\n'.encode()
 
 
 @pytest.mark.parametrize(
@@ -36,7 +36,7 @@
 )
 def test_prompt_that_could_be_taken_for_another_is_refused(message):
     with pytest.raises(OleanderError) as caught:
-        canonical_prompt([message])
+        encode_prompt([message])
     assert caught.value.kind is ErrorKind.BAD_REQUEST
 
 
@@ -74,7 +74,7 @@
     assert split_segments(NAMESPACE, prompt[:5000]) == whole[:4]
     other = make_namespace('other', *BASE[1:])
     assert not set(split_segments(other, prompt)) & set(whole)
-    assert [hint(each) for each in whole] == [each[:8] for each in whole]
+    assert [make_hint(each) for each in whole] == [each[:8] for each in whole]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_context_stores.py
+++ b/tests/test_context_stores.py
@@ -4,9 +4,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import initialize, rule
 
-from oleanderdyke.kernel import context_stores, outdated
+from oleanderdyke.kernel import context_stores, outdated_context
 from oleanderdyke.kernel.context_stores import (
-    VIEW_LIFE,
+    VIEW_MAX_AGE,
     ContextEvent,
     ContextEvents,
     ContextStores,
@@ -15,7 +15,7 @@
     decode_salt,
 )
 from oleanderdyke.kernel.deployment import StoreTraits
-from oleanderdyke.kernel.outdated import OutdatedContext
+from oleanderdyke.kernel.outdated_context import OutdatedContext
 from oleanderdyke.kernel.servers import PromptPart
 from tests.machines import CheckedMachine, assert_caught, assert_holds
 
@@ -44,12 +44,12 @@
     return stores
 
 
-def plan(stores, now, *, salt=SALT, may_save=True, relied_on=None):
+def plan(stores, now, *, salt=SALT, may_save=True, versions_read_at=None):
     return stores.plan(
         salt,
         PARTS,
         data_centre='hall',
-        relied_on=now if relied_on is None else relied_on,
+        versions_read_at=now if versions_read_at is None else versions_read_at,
         may_save=may_save,
         now=now,
     )
@@ -76,15 +76,15 @@
 def test_a_shared_part_is_saved_once_and_then_fetched():
     stores = make_stores()
     view = stores.views[ADDRESS]
-    view.take(make_events(), 0.0, 0.0)
-    later = VIEW_LIFE + 1
-    view.take(make_events(), later, later)
+    view.apply_events(make_events(), 0.0, 0.0)
+    later = VIEW_MAX_AGE + 1
+    view.apply_events(make_events(), later, later)
     first = plan(stores, later)
     assert first.sinks == (ADDRESS, '')
     assert first.sources == (None, None)
-    stores.note_saves(SALT, PARTS, first, later)
+    stores.record_saves(SALT, PARTS, first, later)
     assert plan(stores, later).sinks == ('', '')
-    view.take(make_events(added()), later + 10, later + 10)
+    view.apply_events(make_events(added()), later + 10, later + 10)
     second = plan(stores, later + 10)
     assert second.sources[0].tokens == 5_000
     assert second.sinks == ('', '')
@@ -93,70 +93,72 @@
 def test_a_save_that_failed_is_asked_for_again():
     stores = make_stores()
     view = stores.views[ADDRESS]
-    view.take(make_events(), 0.0, 0.0)
-    now = VIEW_LIFE + 1
-    view.take(make_events(), now, now)
-    stores.note_saves(SALT, PARTS, plan(stores, now), now)
+    view.apply_events(make_events(), 0.0, 0.0)
+    now = VIEW_MAX_AGE + 1
+    view.apply_events(make_events(), now, now)
+    stores.record_saves(SALT, PARTS, plan(stores, now), now)
     later = now + 6_000
-    view.take(make_events(), later, later)
+    view.apply_events(make_events(), later, later)
     assert plan(stores, later).sinks == (ADDRESS, '')
 
 
 def test_a_full_store_takes_nothing_more():
     stores = make_stores()
     view = stores.views[ADDRESS]
-    now = VIEW_LIFE + 1
-    view.take(make_events(added(part='x', tokens=95_000)), 0.0, 0.0)
-    view.take(make_events(), now, now)
+    now = VIEW_MAX_AGE + 1
+    view.apply_events(make_events(added(part='x', tokens=95_000)), 0.0, 0.0)
+    view.apply_events(make_events(), now, now)
     assert plan(stores, now).sinks == ('', '')
 
 
 def test_a_view_that_was_not_read_lately_is_not_used():
     stores = make_stores()
     view = stores.views[ADDRESS]
-    view.take(make_events(added()), 0.0, 0.0)
+    view.apply_events(make_events(added()), 0.0, 0.0)
     assert plan(stores, 100.0).sources[0]
-    assert not plan(stores, VIEW_LIFE).sources[0]
-    view.forget()
+    assert not plan(stores, VIEW_MAX_AGE).sources[0]
+    view.invalidate()
     assert not plan(stores, 100.0).sources[0]
 
 
 def test_a_fetch_ends_within_the_life_of_what_it_relies_on():
     stores = make_stores()
     view = stores.views[ADDRESS]
-    view.take(make_events(added(), clock=70_000.0), 0.0, 0.0)
-    assert plan(stores, 300.0).until == 70_000.0 + VIEW_LIFE
-    old = plan(stores, 300.0, relied_on=-2_000.0)
-    assert old.until == 70_000.0 + VIEW_LIFE - 2_000.0
+    view.apply_events(make_events(added(), clock=70_000.0), 0.0, 0.0)
+    assert plan(stores, 300.0).until == 70_000.0 + VIEW_MAX_AGE
+    old = plan(stores, 300.0, versions_read_at=-2_000.0)
+    assert old.until == 70_000.0 + VIEW_MAX_AGE - 2_000.0
 
 
 def test_a_store_that_came_back_is_not_written_to_at_once():
     stores = make_stores()
     view = stores.views[ADDRESS]
-    view.take(make_events(boot=1), 0.0, 0.0)
-    view.take(make_events(boot=2), 9_000.0, 9_000.0)
+    view.apply_events(make_events(boot=1), 0.0, 0.0)
+    view.apply_events(make_events(boot=2), 9_000.0, 9_000.0)
     assert plan(stores, 9_100.0).sinks == ('', '')
-    now = 9_000.0 + VIEW_LIFE + 1
-    view.take(make_events(boot=2), now, now)
+    now = 9_000.0 + VIEW_MAX_AGE + 1
+    view.apply_events(make_events(boot=2), now, now)
     assert plan(stores, now).sinks == (ADDRESS, '')
 
 
 def test_only_older_weights_are_outdated():
     view = StoreView(TRAITS)
     newer = Salt('m', 3).encode()
-    view.take(make_events(added(), added(newer), added('strange')), 0.0, 0.0)
+    view.apply_events(
+        make_events(added(), added(newer), added('strange')), 0.0, 0.0
+    )
     assert set(view.list_outdated({'m': 2})) == {(SALT, 'book')}
 
 
 def test_context_is_freed_only_once_no_engine_holds_its_weights():
     context = OutdatedContext()
-    context.note('m', 2, 1, 0.0)
-    assert context.list_settled(60_000.0) == {}
-    context.note('m', 2, 2, 60_000.0)
-    assert context.list_settled(60_000.0 + VIEW_LIFE) == {}
-    assert context.list_settled(70_000.0) == {'m': 2}
-    context.note('m', 2, None, 70_000.0)
-    assert context.list_settled(70_001.0) == {}
+    context.update('m', 2, 1, 0.0)
+    assert context.list_oldest_usable(60_000.0) == {}
+    context.update('m', 2, 2, 60_000.0)
+    assert context.list_oldest_usable(60_000.0 + VIEW_MAX_AGE) == {}
+    assert context.list_oldest_usable(70_000.0) == {'m': 2}
+    context.update('m', 2, None, 70_000.0)
+    assert context.list_oldest_usable(70_001.0) == {}
 
 
 def test_every_entry_names_the_same_store_for_a_part():
@@ -167,10 +169,10 @@
     chosen = []
     for order in (traits, traits[::-1]):
         stores = make_stores(*order)
-        now = VIEW_LIFE + 1
+        now = VIEW_MAX_AGE + 1
         for view in stores.views.values():
-            view.take(make_events(), 0.0, 0.0)
-            view.take(make_events(), now, now)
+            view.apply_events(make_events(), 0.0, 0.0)
+            view.apply_events(make_events(), now, now)
         chosen.append(plan(stores, now).sinks[0])
     assert chosen[0] == chosen[1]
 
@@ -226,7 +228,7 @@
         events = make_events(
             *self.log[start:], boot=self.boot, at=start, clock=self.now
         )
-        view.take(events, self.now, self.now)
+        view.apply_events(events, self.now, self.now)
 
     @rule(number=st.integers(0, 1))
     def read_platform(self, number):
@@ -267,7 +269,7 @@
             self.now,
             salt=salt,
             may_save=version >= entry['newest'],
-            relied_on=entry['asked'],
+            versions_read_at=entry['asked'],
         )
         if self.versions[engine] != version:
             return
@@ -293,8 +295,8 @@
         entry = self.entries[number]
         fresh = self.now - entry['listed_at'] < LIST_LAG
         oldest = min(entry['listed']) if fresh else None
-        entry['outdated'].note('m', entry['newest'], oldest, self.now)
-        settled = entry['outdated'].list_settled(self.now)
+        entry['outdated'].update('m', entry['newest'], oldest, self.now)
+        settled = entry['outdated'].list_oldest_usable(self.now)
         view = entry['stores'].views[ADDRESS]
         if view.boot != self.boot:
             return
@@ -321,13 +323,13 @@
 
 
 def test_the_check_of_frees_catches_one_without_a_wait(monkeypatch):
-    monkeypatch.setattr(outdated, 'VIEW_LIFE', -60_000.0)
-    monkeypatch.setattr(outdated, '_MARGIN', 0.0)
+    monkeypatch.setattr(outdated_context, 'VIEW_MAX_AGE', -60_000.0)
+    monkeypatch.setattr(outdated_context, '_MARGIN', 0.0)
     monkeypatch.setattr(
         OutdatedContext,
-        'note',
+        'update',
         lambda self, model, newest, oldest, now: self._settled.update(
-            {model: outdated._Settled(newest, now)}
+            {model: outdated_context._Settled(newest, now)}
         ),
     )
     assert_caught(World, 'a part was freed under a fetch')
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -20,8 +20,8 @@
 
 def make_directory() -> Directory:
     directory = Directory()
-    directory.on_events('x', SegmentEvents(0, added=(A, B)), 0)
-    directory.on_events('y', SegmentEvents(0, added=(B, C)), 0)
+    directory.apply_events('x', SegmentEvents(0, added=(A, B)), 0)
+    directory.apply_events('y', SegmentEvents(0, added=(B, C)), 0)
     return directory
 
 
@@ -31,7 +31,7 @@
     assert directory.count_leading('x', (A, B, C)) == 2
     assert directory.count_leading('y', (A, B, C), start=1) == 2
     assert directory.count_leading('nobody', (A,)) == 0
-    directory.on_events('x', SegmentEvents(2, removed=(B,)), 1)
+    directory.apply_events('x', SegmentEvents(2, removed=(B,)), 1)
     assert directory.holders(B) == ('y',)
     assert len(directory) == 3
 
@@ -39,63 +39,63 @@
 def test_gap_asks_for_what_is_missing_and_not_too_often():
     directory = make_directory()
     late = SegmentEvents(5, added=(D,))
-    assert directory.on_events('x', late, 0) == SegmentListRequest(2)
-    assert directory.on_events('x', late, 1_999) is None
-    assert directory.on_events('x', late, 2_000) == SegmentListRequest(2)
+    assert directory.apply_events('x', late, 0) == SegmentListRequest(2)
+    assert directory.apply_events('x', late, 1_999) is None
+    assert directory.apply_events('x', late, 2_000) == SegmentListRequest(2)
     assert not directory.holders(D)
     full = SegmentEvents(6, added=(C, D), full=True)
-    assert directory.on_events('x', full, 2_100) is None
+    assert directory.apply_events('x', full, 2_100) is None
     assert directory.count_leading('x', (C, D)) == 2
     assert not directory.holders(A)
-    assert directory.on_events('x', SegmentEvents(6, added=(A,)), 0) is None
+    assert directory.apply_events('x', SegmentEvents(6, added=(A,)), 0) is None
     assert directory.holders(A) == ('x',)
 
 
 def test_new_link_asks_at_once_for_what_came_meanwhile():
     directory = make_directory()
-    assert directory.on_events('x', SegmentEvents(2), 0) is None
-    directory.on_events('x', SegmentEvents(4, added=(D,)), 0)
-    asked = directory.on_events('x', SegmentEvents(5), 1)
+    assert directory.apply_events('x', SegmentEvents(2), 0) is None
+    directory.apply_events('x', SegmentEvents(4, added=(D,)), 0)
+    asked = directory.apply_events('x', SegmentEvents(5), 1)
     assert asked == SegmentListRequest(2)
-    directory.on_events('x', SegmentEvents(2, added=(C, D)), 2)
-    directory.on_events('x', SegmentEvents(4, removed=(C,)), 2)
-    assert directory.on_events('x', SegmentEvents(5), 3) is None
+    directory.apply_events('x', SegmentEvents(2, added=(C, D)), 2)
+    directory.apply_events('x', SegmentEvents(4, removed=(C,)), 2)
+    assert directory.apply_events('x', SegmentEvents(5), 3) is None
     assert directory.count_leading('x', (A, B, D)) == 3
-    directory.forget('x')
-    asked = directory.on_events('x', SegmentEvents(5), 4)
+    directory.remove_agent('x')
+    asked = directory.apply_events('x', SegmentEvents(5), 4)
     assert asked == SegmentListRequest(-1)
 
 
 def test_unknown_agent_in_the_middle_of_its_events_is_asked():
     events = SegmentEvents(3, added=(A,))
-    assert Directory().on_events('z', events, 0) == SegmentListRequest()
+    assert Directory().apply_events('z', events, 0) == SegmentListRequest()
 
 
 def test_repeated_events_change_nothing():
     directory = make_directory()
-    directory.on_events('x', SegmentEvents(2, removed=(A,)), 0)
-    directory.on_events('x', SegmentEvents(0, added=(A, B)), 1)
+    directory.apply_events('x', SegmentEvents(2, removed=(A,)), 0)
+    directory.apply_events('x', SegmentEvents(0, added=(A, B)), 1)
     assert not directory.holders(A)
 
 
 def test_what_a_gone_agent_left_is_hidden_at_once_and_freed_by_sweeps():
     directory = make_directory()
-    directory.forget('x')
+    directory.remove_agent('x')
     assert not directory.holders(A)
     assert directory.holders(B) == ('y',)
     assert len(directory) == 3
     for _ in range(100):
         directory.sweep()
     assert len(directory) == 2
-    directory.on_events('x', SegmentEvents(0, added=(D,)), 0)
+    directory.apply_events('x', SegmentEvents(0, added=(D,)), 0)
     assert not directory.holders(A)
 
 
 def report(directory: Directory, log: SegmentLog, now: float) -> None:
-    asked = [directory.on_events('x', item, now) for item in log.take()]
+    asked = [directory.apply_events('x', item, now) for item in log.drain()]
     for request in filter(None, asked):
         for events in log.list_after(request.after):
-            directory.on_events('x', events, now)
+            directory.apply_events('x', events, now)
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -111,9 +111,9 @@
         if step == 'report':
             report(directory, log, place * 5_000)
         elif step == 'lose':
-            log.take()
+            log.drain()
         elif step == 'restart':
-            directory.forget('x')
+            directory.remove_agent('x')
         else:
             held ^= {step}
             (log.add if step in held else log.remove)(hint(step))
--- a/tests/test_dispatches.py
+++ b/tests/test_dispatches.py
@@ -11,7 +11,7 @@
 from oleanderdyke.entry.inbox import Inbox
 from oleanderdyke.entry.sender import AttemptSender
 from oleanderdyke.kernel.attempt_events import SendDispatch
-from oleanderdyke.kernel.blocks import hint
+from oleanderdyke.kernel.blocks import make_hint
 from oleanderdyke.kernel.demand import Plan
 from oleanderdyke.kernel.objects import ServiceKind, ServiceSpec
 from oleanderdyke.links.messages import BackendKind, Dispatch
@@ -81,7 +81,7 @@
 
 async def test_what_the_store_holds_is_not_kept_again() -> None:
     edge = make_edge()
-    held = SegmentEvents(0, tuple(hint(each) for each in SEGMENTS[:3]))
+    held = SegmentEvents(0, tuple(make_hint(each) for each in SEGMENTS[:3]))
     now = edge.core.clock.now()
     edge.core.fleet.on_segments('agent-memoria', 'i1', held, now)
     await send(edge, SEGMENTS[:3])
--- a/tests/test_fetch.py
+++ b/tests/test_fetch.py
@@ -20,8 +20,8 @@
     wait_until,
 )
 from oleanderdyke.agent.settings import CacheSettings
-from oleanderdyke.kernel.blocks import hint, split_segments
-from oleanderdyke.kernel.fetch_pace import GRACE, FetchPace
+from oleanderdyke.kernel.blocks import make_hint, split_segments
+from oleanderdyke.kernel.fetch_pace import PACE_TOLERANCE, FetchPace
 from oleanderdyke.links.messages import BackendKind, Dispatch, FetchPlan
 from oleanderdyke.links.messages.segments import SegmentEvents
 from standins import cache, engine, server, store, web, weights
@@ -196,7 +196,7 @@
         gone = plan.segments[2]
         # What goes before it was told is never told, as nobody knows of it.
         await wait_until(
-            lambda: hint(gone) in list_told(place.watcher, 'added')
+            lambda: make_hint(gone) in list_told(place.watcher, 'added')
         )
         if how == 'evicted':
             place.keeper._role._store._index.free(gone)
@@ -207,7 +207,7 @@
         end = await place.ask('r', plan)
         assert end.recomputed_tokens == TOKENS - 2 * cache.SEGMENT_TOKENS
         await wait_until(
-            lambda: hint(gone) in list_told(place.watcher, 'removed')
+            lambda: make_hint(gone) in list_told(place.watcher, 'removed')
         )
 
 
@@ -300,9 +300,12 @@
     pace = FetchPace(10, step=10.0, limit=500.0, now=1_000.0)
     assert pace.find_deadline(0, 1_000.0) == 1_100.0
     assert pace.find_deadline(0, 1_000.0, sharing=3) == 1_300.0
-    assert pace.find_deadline(1, 1_090.0) == 1_090.0 + GRACE + 10.0
-    assert pace.find_deadline(2, 1_095.0) == 1_090.0 + GRACE + 20.0
-    assert pace.find_deadline(3, 1_100.0, sharing=2) == 1_090.0 + GRACE + 60.0
+    assert pace.find_deadline(1, 1_090.0) == 1_090.0 + PACE_TOLERANCE + 10.0
+    assert pace.find_deadline(2, 1_095.0) == 1_090.0 + PACE_TOLERANCE + 20.0
+    assert (
+        pace.find_deadline(3, 1_100.0, sharing=2)
+        == 1_090.0 + PACE_TOLERANCE + 60.0
+    )
     assert pace.find_deadline(40, 1_400.0) == 1_500.0
 
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -7,11 +7,11 @@
 from oleanderdyke.errors import ErrorKind, Ran
 from oleanderdyke.kernel.claim_runs import RunAnswer
 from oleanderdyke.kernel.gate import (
+    Accepted,
     Gate,
     GateSettings,
     Ignored,
-    Loaded,
-    Pass,
+    LoadedWeights,
 )
 from oleanderdyke.kernel.quarantine import (
     QuarantineSettings,
@@ -22,7 +22,7 @@
 from oleanderdyke.links.messages.claims import Claim, ClaimQuery, ClaimState
 
 BEAT = 100
-LOADED = Loaded('m', 'v1', 'digest-1', '')
+LOADED = LoadedWeights('m', 'v1', 'digest-1', '')
 ANSWER = RunAnswer(201, (('a', 'b'),), b'booked')
 
 
@@ -44,7 +44,7 @@
     )
     gate.set_phase(AgentPhase.SERVING)
     gate.set_loaded(LOADED)
-    gate.note_beat(BEAT)
+    gate.record_heartbeat(BEAT)
     return gate
 
 
@@ -82,7 +82,7 @@
 
 
 def ask(gate: Gate, claim: Claim, team: str = 'team-1') -> ClaimState:
-    return gate.answer(ClaimQuery('q', team, claim)).state
+    return gate.answer_query(ClaimQuery('q', team, claim)).state
 
 
 @pytest.mark.parametrize(
@@ -123,7 +123,7 @@
 
 def test_leaving_agent_admits_nothing_and_never_serves_again():
     gate = make_gate()
-    assert gate.admit(make_dispatch('before'), 0.0) == Pass()
+    assert gate.admit(make_dispatch('before'), 0.0) == Accepted()
     gate.set_phase(AgentPhase.LEAVING)
     gate.set_phase(AgentPhase.SERVING)
     assert refuse(gate, make_dispatch()) == (ErrorKind.LEAVING, Ran.NO)
@@ -133,7 +133,7 @@
 def test_running_work_keeps_its_weights_over_a_swap():
     gate = make_gate()
     gate.admit(make_dispatch('old'), 0.0)
-    gate.set_loaded(Loaded('m', 'v2', 'digest-2', ''))
+    gate.set_loaded(LoadedWeights('m', 'v2', 'digest-2', ''))
     assert gate.running == 1
     assert refuse(gate, make_dispatch('new'))[0] is ErrorKind.WRONG_VERSION
 
@@ -141,7 +141,7 @@
 def test_repeated_dispatch_is_ignored_whatever_became_of_the_first():
     gate = make_gate(concurrency=1)
     dispatch, late = make_dispatch(), make_dispatch('r2')
-    assert gate.admit(dispatch, 0.0) == Pass()
+    assert gate.admit(dispatch, 0.0) == Accepted()
     assert refuse(gate, late) == (ErrorKind.OVERLOADED, Ran.NO)
     assert gate.admit(dispatch, 0.0) == Ignored()
     gate.finish('r1', 1, None)
@@ -159,12 +159,12 @@
 
 def test_claim_runs_once_and_its_answer_is_kept():
     gate, claim = make_gate(), make_claim()
-    assert gate.admit(make_dispatch(claim=claim), 0.0) == Pass()
+    assert gate.admit(make_dispatch(claim=claim), 0.0) == Accepted()
     assert ask(gate, claim) is ClaimState.RUNNING
     again = make_dispatch('r2', claim=claim)
     assert refuse(gate, again) == (ErrorKind.STALE_CLAIM, Ran.MAYBE)
     gate.finish('r1', 1, ANSWER)
-    answer = gate.answer(ClaimQuery('q', 'team-1', claim))
+    answer = gate.answer_query(ClaimQuery('q', 'team-1', claim))
     assert (answer.state, answer.body) == (ClaimState.FINISHED, b'booked')
     assert ask(gate, claim, 'team-2') is ClaimState.UNKNOWN
 
@@ -174,7 +174,7 @@
     assert ask(gate, claim) is ClaimState.BARRED
     dispatch = make_dispatch(claim=claim)
     assert refuse(gate, dispatch) == (ErrorKind.STALE_CLAIM, Ran.NO)
-    gate.note_beat(BEAT + 100)
+    gate.record_heartbeat(BEAT + 100)
     late = make_dispatch('r2', claim=claim, beat=BEAT + 100)
     assert refuse(gate, late) == (ErrorKind.STALE_CLAIM, Ran.NO)
     assert ask(gate, claim) is ClaimState.BARRED
@@ -199,7 +199,7 @@
 def test_run_that_never_reached_the_server_is_barred():
     gate, claim = make_gate(), make_claim()
     gate.admit(make_dispatch(claim=claim), 0.0)
-    gate.bar('r1', 1)
+    gate.finish_unsent('r1', 1)
     assert gate.running == 0
     assert ask(gate, claim) is ClaimState.BARRED
     assert gate.admit(make_dispatch(claim=claim), 0.0) == Ignored()
@@ -215,17 +215,17 @@
 def run_claim(gate: Gate, number: int, beat: int) -> Claim:
     claim = make_claim(number, beat=beat)
     dispatch = make_dispatch(f'r{number}', claim=claim, beat=beat)
-    assert gate.admit(dispatch, 0.0) == Pass()
+    assert gate.admit(dispatch, 0.0) == Accepted()
     gate.finish(f'r{number}', 1, ANSWER)
     return claim
 
 
 def test_forgotten_claims_are_unknown_and_memory_is_bounded():
     gate = make_gate(claims=5)
-    gate.note_beat(BEAT)
+    gate.record_heartbeat(BEAT)
     first = run_claim(gate, 0, BEAT)
     for number in range(1, 200):
-        gate.note_beat(BEAT + 11 * number)
+        gate.record_heartbeat(BEAT + 11 * number)
         run_claim(gate, number, BEAT + 11 * number)
     assert ask(gate, first) is ClaimState.UNKNOWN
     assert ask(gate, make_claim(999, beat=BEAT)) is ClaimState.UNKNOWN
@@ -245,7 +245,7 @@
     gate = make_gate(answer_bytes=10)
     old = run_claim(gate, 1, BEAT)
     run_claim(gate, 2, BEAT)
-    answer = gate.answer(ClaimQuery('q', 'team-1', old))
+    answer = gate.answer_query(ClaimQuery('q', 'team-1', old))
     assert (answer.state, answer.status) == (ClaimState.FINISHED, 0)
 
 
@@ -253,7 +253,7 @@
     gate = make_gate()
     for request in ('bad', 'good'):
         gate.admit(make_dispatch(request), 0.0)
-    lost = gate.crash(0.0)
+    lost = gate.finish_crashed(0.0)
     assert {failed.request for failed in lost} == {'bad', 'good'}
     assert {failed.ran for failed in lost} == {Ran.MAYBE}
     gate.admit(make_dispatch('new'), 0.0)
@@ -262,29 +262,29 @@
     other = make_dispatch('other')
     assert refuse(gate, other) == (ErrorKind.OVERLOADED, Ran.NO)
     gate.finish('new', 1, None)
-    assert gate.admit(make_dispatch('good', attempt=3), 0.0) == Pass()
+    assert gate.admit(make_dispatch('good', attempt=3), 0.0) == Accepted()
     assert refuse(gate, make_dispatch('other', attempt=2))[1] is Ran.NO
     gate.finish('good', 3, ANSWER)
-    assert gate.admit(make_dispatch('other', attempt=3), 0.0) == Pass()
-    assert gate.admit(make_dispatch('good', attempt=4), 0.0) == Pass()
+    assert gate.admit(make_dispatch('other', attempt=3), 0.0) == Accepted()
+    assert gate.admit(make_dispatch('good', attempt=4), 0.0) == Accepted()
 
 
 def test_suspect_that_went_elsewhere_keeps_no_other_out():
     gate = make_gate()
     for request in ('bad', 'good'):
         gate.admit(make_dispatch(request), 0.0)
-    gate.crash(0.0)
+    gate.finish_crashed(0.0)
     gate.admit(make_dispatch('long'), 0.0)
     refuse(gate, make_dispatch('bad', attempt=2))
     for step in range(2, 7):
-        gate.note_beat(BEAT + step)
+        gate.record_heartbeat(BEAT + step)
         refuse(gate, make_dispatch('good', attempt=step))
         refuse(gate, make_dispatch('bad', attempt=step + 1))
     gate.finish('long', 1, None)
     good = make_dispatch('good', attempt=12)
     assert refuse(gate, good)[0] is ErrorKind.OVERLOADED
-    gate.note_beat(BEAT + 10)
-    assert gate.admit(make_dispatch('good', attempt=13), 0.0) == Pass()
+    gate.record_heartbeat(BEAT + 10)
+    assert gate.admit(make_dispatch('good', attempt=13), 0.0) == Accepted()
 
 
 def test_copies_lost_by_one_crash_count_once():
@@ -292,8 +292,8 @@
     gate = make_gate(quarantine=quarantine)
     for attempt in (1, 2):
         gate.admit(make_dispatch('hot', attempt=attempt), 0.0)
-    gate.lose('hot', 1, 50.0)
-    gate.crash(200.0)
+    gate.finish_disconnected('hot', 1, 50.0)
+    gate.finish_crashed(200.0)
     digest = make_dispatch('hot').digest
     assert quarantine.find_standing(digest, 200.0) is Standing.SUSPECT
 
@@ -301,8 +301,8 @@
 def test_second_crash_quarantines_what_ran_alone():
     quarantine = make_quarantine(QuarantineSettings())
     gate = make_gate(quarantine=quarantine)
-    assert gate.admit(make_dispatch('bad', alone=True), 0.0) == Pass()
-    gate.crash(0.0)
+    assert gate.admit(make_dispatch('bad', alone=True), 0.0) == Accepted()
+    gate.finish_crashed(0.0)
     digest = make_dispatch('bad').digest
     assert quarantine.find_standing(digest, 0.0) is Standing.QUARANTINED
     again = make_dispatch('bad', attempt=2, alone=True)
@@ -314,5 +314,5 @@
     gate.admit(make_dispatch('long'), 0.0)
     refuse(gate, make_dispatch('bad', alone=True))
     assert refuse(gate, make_dispatch('r1'))[0] is ErrorKind.OVERLOADED
-    gate.note_beat(BEAT + 3)
-    assert gate.admit(make_dispatch('r2'), 0.0) == Pass()
+    gate.record_heartbeat(BEAT + 3)
+    assert gate.admit(make_dispatch('r2'), 0.0) == Accepted()
--- a/tests/test_hosted_contexts.py
+++ b/tests/test_hosted_contexts.py
@@ -6,7 +6,7 @@
 import pytest
 
 from oleanderdyke.clock import SECOND
-from oleanderdyke.kernel.context_stores import VIEW_LIFE
+from oleanderdyke.kernel.context_stores import VIEW_MAX_AGE
 from tests.context_scene import SALT, SOURCE, ask_prompt, staging_contexts
 from tests.hosted import MODEL
 from tests.standins.contexts import ContextStore
@@ -33,7 +33,7 @@
         contexts.add(SALT, 'aa', 2_000)
         # An entry can't know whether a store that it first sees has just
         # restarted.
-        await anyio.sleep(VIEW_LIFE / SECOND + 0.3)
+        await anyio.sleep(VIEW_MAX_AGE / SECOND + 0.3)
         told = await ask_prompt(stage)
     assert told['oleanderdyke-cache-salt'] == SALT
     assert told[SOURCE] == f'{address}/2000,-,-'
--- a/tests/test_load_board.py
+++ b/tests/test_load_board.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from oleanderdyke.kernel.load_board import LoadBoard, TimedLoad
+from oleanderdyke.kernel.load_table import LoadTable, TimedLoad
 from oleanderdyke.kernel.servers import ServerLoad, ServerStart
 from oleanderdyke.links.codec import decode, encode
 from oleanderdyke.links.messages.news import ContextAnswer
@@ -25,34 +25,34 @@
 
 
 def test_only_newer_loads_are_taken():
-    board = LoadBoard()
-    assert board.note(make_told(100.0))
-    assert not board.note(make_told(90.0, running=9))
-    assert not board.note(make_told(100.0, running=9))
-    assert [each.load.running for each in board.list_later(0, 110.0)] == [1]
+    board = LoadTable()
+    assert board.update(make_told(100.0))
+    assert not board.update(make_told(90.0, running=9))
+    assert not board.update(make_told(100.0, running=9))
+    assert [each.load.running for each in board.list_after(0, 110.0)] == [1]
 
 
 def test_a_load_is_told_once_after_each_change():
-    board = LoadBoard()
-    board.note(make_told(100.0))
-    told = board.last
-    assert list(board.list_later(told, 110.0)) == []
-    board.note(make_told(120.0, running=2))
-    assert [each.load.running for each in board.list_later(told, 130.0)] == [2]
+    board = LoadTable()
+    board.update(make_told(100.0))
+    told = board.last_number
+    assert list(board.list_after(told, 110.0)) == []
+    board.update(make_told(120.0, running=2))
+    assert [each.load.running for each in board.list_after(told, 130.0)] == [2]
 
 
 def test_old_loads_are_dropped():
-    board = LoadBoard()
-    board.note(make_told(100.0))
-    assert list(board.list_later(0, 1_200.0)) == []
-    assert board.note(make_told(50.0, running=3))
+    board = LoadTable()
+    board.update(make_told(100.0))
+    assert list(board.list_after(0, 1_200.0)) == []
+    assert board.update(make_told(50.0, running=3))
 
 
 def test_starts_of_a_server_are_told_apart():
-    board = LoadBoard()
-    board.note(make_told(100.0, start=ServerStart('a', 1)))
-    board.note(make_told(101.0, start=ServerStart('a', 2)))
-    assert len(list(board.list_later(0, 110.0))) == 2
+    board = LoadTable()
+    board.update(make_told(100.0, start=ServerStart('a', 1)))
+    board.update(make_told(101.0, start=ServerStart('a', 2)))
+    assert len(list(board.list_after(0, 110.0))) == 2
 
 
 @pytest.mark.parametrize('entries', [17, 68, 200])
--- a/tests/test_load_pace.py
+++ b/tests/test_load_pace.py
@@ -37,7 +37,7 @@
             self.queue.apply(
                 LoadNotice(name, LoadStep.WAITS, f'side-{name}', MODEL, 1)
             )
-        self.queue.judge(lambda *_: due)
+        self.queue.update_due_times(lambda *_: due)
 
     def play(self, until):
         """Return the most that loaded at once."""
@@ -123,7 +123,7 @@
         queue.apply(
             LoadNotice(name, LoadStep.WAITS, f'side-{name}', MODEL, held)
         )
-    queue.judge(lambda _, held: 6_000.0 + 4_000.0 * held)
+    queue.update_due_times(lambda _, held: 6_000.0 + 4_000.0 * held)
     assert queue.list_loading(0.0) == ('b', 'd')
     assert queue.find_turns(0.0).following == ('a', 'c')
 
--- a/tests/test_load_waves.py
+++ b/tests/test_load_waves.py
@@ -69,7 +69,7 @@
         for now in range(0, int(until), STEP):
             if now == SECOND_NAME:
                 self.name_again()
-            self.queue.judge(find_due)
+            self.queue.update_due_times(find_due)
             self.queue.tick(now)
             turns = set(self.queue.list_loading(now))
             for engine in self.engines:
--- a/tests/test_named_weights.py
+++ b/tests/test_named_weights.py
@@ -6,76 +6,78 @@
 from hypothesis import strategies as st
 
 from oleanderdyke.kernel.engine_clock import EngineClock
-from oleanderdyke.kernel.named_weights import NamedWeights
+from oleanderdyke.kernel.weight_versions import WeightVersions
 
 LIMIT = 15_000.0
 
 
-def may_serve(weights, held, now, shift=None, within=LIMIT):
-    return weights.may_serve('m', held, within=within, now=now, shift=shift)
+def may_serve(weights, held, now, clock_offset=None, within=LIMIT):
+    return weights.may_serve(
+        'm', held, within=within, now=now, clock_offset=clock_offset
+    )
 
 
 def test_older_weights_serve_until_their_time_is_over():
-    weights = NamedWeights()
-    weights.note_read(1_000.0)
-    assert weights.name('m', 2)
+    weights = WeightVersions()
+    weights.record_read(1_000.0)
+    assert weights.add('m', 2)
     assert may_serve(weights, 1, 1_000.0 + LIMIT - 1)
     assert not may_serve(weights, 1, 1_000.0 + LIMIT)
     assert may_serve(weights, 2, 90_000.0)
 
 
 def test_each_version_is_judged_from_that_which_followed_it():
-    weights = NamedWeights()
-    weights.name('m', 1)
-    weights.note_read(1_000.0)
-    weights.name('m', 2)
-    weights.note_read(9_000.0)
-    weights.name('m', 3)
+    weights = WeightVersions()
+    weights.add('m', 1)
+    weights.record_read(1_000.0)
+    weights.add('m', 2)
+    weights.record_read(9_000.0)
+    weights.add('m', 3)
     assert not may_serve(weights, 1, 1_000.0 + LIMIT)
     assert may_serve(weights, 2, 1_000.0 + LIMIT)
     assert not may_serve(weights, 2, 9_000.0 + LIMIT)
 
 
 def test_weights_that_an_engine_does_not_tell_count_as_the_oldest():
-    weights = NamedWeights()
-    weights.name('m', 1)
-    weights.note_read(1_000.0)
-    weights.name('m', 2)
+    weights = WeightVersions()
+    weights.add('m', 1)
+    weights.record_read(1_000.0)
+    weights.add('m', 2)
     assert not may_serve(weights, None, 1_000.0)
 
 
 def test_what_was_named_before_the_first_read_may_be_old():
-    weights = NamedWeights()
-    weights.name('m', 2)
-    weights.note_read(1_000.0)
+    weights = WeightVersions()
+    weights.add('m', 2)
+    weights.record_read(1_000.0)
     assert not may_serve(weights, 1, 1_000.0)
     assert may_serve(weights, 2, 1_000.0)
 
 
 def test_another_process_tells_how_old_the_news_is():
-    weights = NamedWeights()
-    weights.name('m', 2)
-    weights.note_read(50.0)
-    weights.note_newest('m', 1, 7_000.0)
+    weights = WeightVersions()
+    weights.add('m', 2)
+    weights.record_read(50.0)
+    weights.record_newest('m', 1, 7_000.0)
     assert not may_serve(weights, 1, 100.0)
-    assert may_serve(weights, 1, 100.0, shift=6_900.0)
-    assert not may_serve(weights, 1, 100.0 + LIMIT, shift=6_900.0)
+    assert may_serve(weights, 1, 100.0, clock_offset=6_900.0)
+    assert not may_serve(weights, 1, 100.0 + LIMIT, clock_offset=6_900.0)
 
 
 def test_without_a_bound_any_weights_serve():
-    weights = NamedWeights()
-    weights.name('m', 2)
+    weights = WeightVersions()
+    weights.add('m', 2)
     assert may_serve(weights, 1, 100.0, within=math.inf)
 
 
 def test_the_clock_of_engines_errs_to_the_side_of_older_news():
     clock = EngineClock()
-    assert clock.most is None
+    assert clock.max_offset is None
     assert clock.convert(0.0) is None
-    clock.note(0.0, asked_at=0.0, now=1.0)
-    assert clock.most is None
-    clock.note(9_000.0, asked_at=1_000.0, now=1_500.0)
-    assert clock.most == 8_000.0
+    clock.update(0.0, asked_at=0.0, now=1.0)
+    assert clock.max_offset is None
+    clock.update(9_000.0, asked_at=1_000.0, now=1_500.0)
+    assert clock.max_offset == 8_000.0
     assert clock.convert(2_000.0) == 9_500.0
 
 
@@ -92,15 +94,15 @@
 def test_no_weights_serve_longer_than_they_may(reads, named, held, since):
     """Reads that are late or rare never make the news look younger."""
     moments = sorted(named)
-    weights, now, told = NamedWeights(), 0.0, 0
+    weights, now, told = WeightVersions(), 0.0, 0
     for pause, way, back in reads:
         asked_at = now + pause
         answered_at = asked_at + way
         now = answered_at + back
         while told < len(moments) and moments[told] <= answered_at:
             told += 1
-            weights.name('m', told)
-        weights.note_read(asked_at)
+            weights.add('m', told)
+        weights.record_read(asked_at)
     now += since
     if held < told and may_serve(weights, held, now):
         assert now - moments[held] < LIMIT
--- a/tests/test_neighbours.py
+++ b/tests/test_neighbours.py
@@ -146,26 +146,26 @@
 
 def test_a_view_takes_what_a_neighbour_read_further():
     view = make_view()
-    view.take(make_events(1, 1, make_event(1, 'a')), 100.0, 110.0)
+    view.apply_events(make_events(1, 1, make_event(1, 'a')), 100.0, 110.0)
     later = make_events(1, 2, make_event(2, 'b'))
-    assert view.take_shared(later, 120.0, 130.0)
+    assert view.apply_shared_events(later, 120.0, 130.0)
     assert set(view.parts) == {('1/m/', 'a'), ('1/m/', 'b')}
 
 
 def test_a_view_never_goes_back_by_what_a_neighbour_read():
     view = make_view()
-    view.take(make_events(2, 5, make_event(5, 'a')), 100.0, 110.0)
-    assert not view.take_shared(make_events(2, 4), 120.0, 130.0)
-    assert not view.take_shared(make_events(1, 9), 90.0, 130.0)
+    view.apply_events(make_events(2, 5, make_event(5, 'a')), 100.0, 110.0)
+    assert not view.apply_shared_events(make_events(2, 4), 120.0, 130.0)
+    assert not view.apply_shared_events(make_events(1, 9), 90.0, 130.0)
     assert (view.boot, view.position) == (2, 5)
-    assert view.take_shared(make_events(3, 1), 120.0, 130.0)
+    assert view.apply_shared_events(make_events(3, 1), 120.0, 130.0)
     assert view.boot == 3
 
 
 def test_a_view_is_no_older_for_older_news_and_no_younger():
     view, other = make_view(), make_view()
-    view.take(make_events(1, 1), 1_000.0, 1_000.0)
-    assert view.take_shared(make_events(1, 1), 500.0, 1_010.0)
+    view.apply_events(make_events(1, 1), 1_000.0, 1_000.0)
+    assert view.apply_shared_events(make_events(1, 1), 500.0, 1_010.0)
     assert view.is_fresh(4_400.0)
-    other.take_shared(make_events(1, 1), 500.0, 1_010.0)
+    other.apply_shared_events(make_events(1, 1), 500.0, 1_010.0)
     assert not other.is_fresh(4_400.0)
--- a/tests/test_prepare.py
+++ b/tests/test_prepare.py
@@ -14,7 +14,7 @@
 from oleanderdyke.agent.prepare import EnginePreparer
 from oleanderdyke.agent.run import Run
 from oleanderdyke.kernel.blocks import make_namespace
-from oleanderdyke.kernel.gate import Loaded
+from oleanderdyke.kernel.gate import LoadedWeights
 from oleanderdyke.kernel.routing import BACKGROUND_LAST, LONG_NEXT, SHORT_FIRST
 from oleanderdyke.links.messages import BodyChunk, Dispatch, FetchPlan
 from test_fetch import BODY, site
@@ -27,7 +27,7 @@
 
 
 class FakeEngine:
-    loaded = Loaded('m', 'v1', 'digest-1', '')
+    loaded = LoadedWeights('m', 'v1', 'digest-1', '')
 
     def estimate_prefill(self, segments: int) -> None:
         """Know no rate."""
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from oleanderdyke.kernel.gate import Gate, GateSettings, Pass
+from oleanderdyke.kernel.gate import Accepted, Gate, GateSettings
 from oleanderdyke.kernel.quarantine import (
     Quarantine,
     QuarantineSettings,
@@ -122,7 +122,7 @@
         )
         gate.set_phase(AgentPhase.SERVING)
         gate.set_loaded(LOADED)
-        gate.note_beat(100)
+        gate.record_heartbeat(100)
         return gate
 
     def send(self, name, entry, agent):
@@ -135,12 +135,12 @@
         dispatch = make_dispatch(
             name, attempt=self.sent, alone=standing is Standing.SUSPECT
         )
-        return self.gates[agent].admit(dispatch, 0.0) == Pass()
+        return self.gates[agent].admit(dispatch, 0.0) == Accepted()
 
     def crash(self, agent):
         """Crash a server; its agent and then the entries send a heartbeat."""
         self.crashes += 1
-        self.gates[agent].crash(0.0)
+        self.gates[agent].finish_crashed(0.0)
         for entry in self.entries:
             tell(self.agents[agent], entry)
         for entry in self.entries:
--- a/tests/test_reading_turns.py
+++ b/tests/test_reading_turns.py
@@ -18,19 +18,19 @@
 import anyio
 import pytest
 
-from oleanderdyke.kernel.context_stores import VIEW_LIFE
-from oleanderdyke.kernel.reading_turns import ReadingTurns
+from oleanderdyke.kernel.context_stores import VIEW_MAX_AGE
+from oleanderdyke.kernel.read_backoff import ReadBackoff
 from tests.context_scene import SALT, SOURCE, ask_prompt, staging_contexts
 from tests.standins.contexts import ContextStore
 
 # A fetch needs half a second of the time for which a view serves.
-FRESH = VIEW_LIFE - 500.0
+FRESH = VIEW_MAX_AGE - 500.0
 
 
 def play(readers, places, seed, length=30_000.0, settled=10_000.0):
     """Return the oldest that any view gets once the readers are settled."""
     random = Random(seed)
-    turns = [ReadingTurns(Random(random.random())) for _ in range(readers)]
+    turns = [ReadBackoff(Random(random.random())) for _ in range(readers)]
     asked = [0.0] * readers
     due = [(random.uniform(0, 100), number) for number in range(readers)]
     heapq.heapify(due)
@@ -40,7 +40,9 @@
         now, number = heapq.heappop(due)
         ends = [end for end in ends if end > now]
         if len(ends) >= places:
-            heapq.heappush(due, (now + turns[number].note_crowded(), number))
+            heapq.heappush(
+                due, (now + turns[number].record_rejection(), number)
+            )
             continue
         end = now + turns[number].wait
         ends.append(end)
@@ -61,7 +63,7 @@
 
 
 def test_where_there_is_a_place_for_all_they_wait_long_and_pause_seldom():
-    turns = ReadingTurns(Random(1))
+    turns = ReadBackoff(Random(1))
     assert turns.wait == 1_000.0
     pauses = [turns.find_pause() for _ in range(1_000)]
     assert max(pauses) <= 300.0
@@ -69,9 +71,9 @@
 
 
 def test_reads_stay_longer_than_those_that_are_charged_for():
-    turns = ReadingTurns(Random(1))
+    turns = ReadBackoff(Random(1))
     for _ in range(20):
-        turns.note_crowded()
+        turns.record_rejection()
     assert turns.wait >= 200.0
     assert turns.wait + turns.find_pause() < FRESH
 
--- a/tests/test_request_safety.py
+++ b/tests/test_request_safety.py
@@ -121,8 +121,8 @@
 class ForgetfulGate(Gate):
     """Deny a claim that it does not know, without barring it."""
 
-    def answer(self, query):
-        answer = super().answer(query)
+    def answer_query(self, query):
+        answer = super().answer_query(query)
         if answer.state is ClaimState.BARRED:
             claim = query.claim
             key = (claim.offset, claim.index, claim.key)
@@ -220,11 +220,11 @@
 class OpenGate(Gate):
     """Answer whoever asks about a claim."""
 
-    def answer(self, query):
+    def answer_query(self, query):
         runs = self._claims._runs
         run = runs.get((query.claim.offset, query.claim.index, query.claim.key))
         team = run.team if run else query.team
-        return super().answer(dataclasses.replace(query, team=team))
+        return super().answer_query(dataclasses.replace(query, team=team))
 
 
 def name_variant(value) -> str:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -5,13 +5,13 @@
 import pytest
 
 from oleanderdyke.kernel.load_queue import LoadNotice, LoadQueue, LoadStep
-from oleanderdyke.kernel.named_weights import SEND_MARGIN
 from oleanderdyke.kernel.rollout import (
     EngineState,
     Rollout,
     Target,
     find_target,
 )
+from oleanderdyke.kernel.weight_versions import FIRST_TOKEN_MARGIN
 
 MODEL = 'm'
 
@@ -59,7 +59,7 @@
 
 def ask(queue, agent, server, now=0.0, due=math.inf):
     queue.apply(LoadNotice(server, LoadStep.WAITS, agent=agent))
-    queue.judge(lambda *_: due)
+    queue.update_due_times(lambda *_: due)
     queue.tick(now)
 
 
@@ -69,10 +69,10 @@
         ask(queue, f'side-{name}', name)
     queue.apply(LoadNotice('a', LoadStep.LOST, agent='side-a'))
     assert queue.list_loading(0.0) == ('b', 'c')
-    assert not queue.waits(LoadNotice('a', LoadStep.WAITS, 'side-a'))
+    assert not queue.is_pending(LoadNotice('a', LoadStep.WAITS, 'side-a'))
     ask(queue, 'side-a', 'a-again')
     assert queue.list_loading(0.0) == ('a-again', 'b')
-    assert queue.waits(LoadNotice('a-again', LoadStep.WAITS, 'side-a'))
+    assert queue.is_pending(LoadNotice('a-again', LoadStep.WAITS, 'side-a'))
 
 
 def test_a_new_start_does_not_add_a_place():
@@ -96,7 +96,7 @@
 )
 def test_all_engines_are_done_before_old_weights_may_not_serve(engines, limit):
     queue, load = LoadQueue(limit), 2_500.0
-    due = limit - SEND_MARGIN
+    due = limit - FIRST_TOKEN_MARGIN
     for number in range(engines):
         ask(queue, f'side-{number}', f'{number}', due=due)
     begun = {}
@@ -132,7 +132,7 @@
     for held, names in ((1, 'ab'), (2, 'cdef')):
         for name in names:
             queue.apply(make_request(name, held=held))
-    queue.judge(lambda _, held: dues[held])
+    queue.update_due_times(lambda _, held: dues[held])
     assert queue.list_loading(0.0) == ('a', 'b')
 
 
@@ -145,41 +145,41 @@
 def test_one_engine_past_its_time_does_not_make_all_load_at_once():
     rollout = Rollout(15_000.0)
     for version, read_at in enumerate((1_000.0, 2_000.0, 11_000.0), start=1):
-        rollout.weights.note_read(read_at)
-        rollout.weights.name(MODEL, version)
+        rollout.weights.record_read(read_at)
+        rollout.weights.add(MODEL, version)
     now = 15_500.0
     for name in 'abcde':
-        rollout.take(make_request(name, held=2), now=now, shift=0.0)
-    rollout.take(make_request('late', held=1), now=now, shift=0.0)
+        rollout.apply(make_request(name, held=2), now=now, clock_offset=0.0)
+    rollout.apply(make_request('late', held=1), now=now, clock_offset=0.0)
     assert rollout.queue.list_loading(now) == ('late', 'a')
 
 
 def test_who_knows_better_when_weights_were_named_slows_all_down():
     rollout, now = Rollout(15_000.0), 20_000.0
-    rollout.weights.name(MODEL, 2)
+    rollout.weights.add(MODEL, 2)
     for name in 'abcdef':
-        rollout.take(make_request(name, 9_000.0), now=now, shift=0.0)
+        rollout.apply(make_request(name, 9_000.0), now=now, clock_offset=0.0)
     assert len(rollout.queue.list_loading(now)) == 6
-    rollout.take(make_request('f', 19_500.0), now=now, shift=0.0)
+    rollout.apply(make_request('f', 19_500.0), now=now, clock_offset=0.0)
     assert len(rollout.queue.list_loading(now)) == 2
 
 
 def test_places_that_were_read_before_the_clock_was_known_are_judged_anew():
     rollout, now = Rollout(15_000.0), 50_000.0
-    rollout.weights.name(MODEL, 2)
+    rollout.weights.add(MODEL, 2)
     for name in 'abcdef':
-        rollout.take(make_request(name, 149_000.0), now=now, shift=None)
+        rollout.apply(make_request(name, 149_000.0), now=now, clock_offset=None)
     assert len(rollout.queue.list_loading(now)) == 6
-    rollout.tick(now=now, shift=100_000.0)
+    rollout.tick(now=now, clock_offset=100_000.0)
     assert len(rollout.queue.list_loading(now)) == 2
 
 
 def test_a_moment_that_is_yet_to_come_tells_nothing():
     rollout, now = Rollout(15_000.0), 20_000.0
-    rollout.weights.name(MODEL, 2)
+    rollout.weights.add(MODEL, 2)
     for told in (19_000.0, 900_000.0):
-        rollout.take(make_request('a', told), now=now, shift=0.0)
-    assert rollout.weights.find_replaced(MODEL, 1, now, 0.0) == 19_000.0
+        rollout.apply(make_request('a', told), now=now, clock_offset=0.0)
+    assert rollout.weights.find_replaced_at(MODEL, 1, now, 0.0) == 19_000.0
 
 
 def test_a_place_that_lost_its_turn_is_not_passed_over():
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -7,7 +7,7 @@
 from bench.views import LateFleet
 from oleanderdyke.errors import ErrorKind
 from oleanderdyke.kernel.demand import Demand, Plan, Refusal, Replica
-from oleanderdyke.kernel.links_meter import LinkMeter
+from oleanderdyke.kernel.link_meter import LinkMeter
 from oleanderdyke.kernel.prediction import BacklogTracker
 from oleanderdyke.kernel.routing import (
     Costs,
@@ -211,8 +211,8 @@
 
 def test_meter_learns_a_degraded_link():
     meter = LinkMeter(1e9)
-    meter.note_asked(10**9, 0.0)
+    meter.record_requested(10**9, 0.0)
     for second in range(1, 9):
-        meter.note_carried(10**8, second * 1_000.0)
-    assert meter.read_rate(8_000.0) < 2e8
+        meter.record_sent(10**8, second * 1_000.0)
+    assert meter.estimate_rate(8_000.0) < 2e8
     assert meter.bytes_in_flight == 2 * 10**8
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -9,7 +9,7 @@
 
 from oleanderdyke.kernel.backend import Owed
 from oleanderdyke.kernel.backends import BackendBook
-from oleanderdyke.kernel.outdated import OutdatedContext
+from oleanderdyke.kernel.outdated_context import OutdatedContext
 from oleanderdyke.kernel.placement import CallDemand, choose_backend, is_usable
 from oleanderdyke.kernel.servers import (
     PromptPart,
@@ -261,8 +261,8 @@
 
 def test_context_is_kept_while_an_engine_is_back_on_older_weights():
     book, outdated = make_book(EARLIER, versions={'m': 2}), OutdatedContext()
-    outdated.note('m', 2, book.find_oldest_version('m'), 0.0)
-    assert outdated.list_settled(60_000.0) == {'m': 2}
+    outdated.update('m', 2, book.find_oldest_version('m'), 0.0)
+    assert outdated.list_oldest_usable(60_000.0) == {'m': 2}
     book.put(make_record(LATER, versions={'m': 1}), 60_000.0)
-    outdated.note('m', 2, book.find_oldest_version('m'), 60_000.0)
-    assert outdated.list_settled(120_000.0) == {}
+    outdated.update('m', 2, book.find_oldest_version('m'), 60_000.0)
+    assert outdated.list_oldest_usable(120_000.0) == {}
--- a/tests/test_starts_agent.py
+++ b/tests/test_starts_agent.py
@@ -46,13 +46,13 @@
     def report(orders, born):
         return EngineState({}, is_busy=False, orders=orders, born=born)
 
-    assert not report(2, None).is_other_start(report(1, None))
-    assert report(0, None).is_other_start(report(1, None))
-    assert report(1, LATER).is_other_start(report(1, EARLIER))
-    assert report(0, EARLIER).is_earlier_start(report(1, LATER))
-    assert report(0, None).is_earlier_start(report(1, LATER))
-    assert not report(0, LATER).is_earlier_start(report(1, EARLIER))
-    assert not report(0, LATER).is_earlier_start(report(1, None))
+    assert not report(2, None).has_restarted_since(report(1, None))
+    assert report(0, None).has_restarted_since(report(1, None))
+    assert report(1, LATER).has_restarted_since(report(1, EARLIER))
+    assert report(0, EARLIER).is_from_earlier_start(report(1, LATER))
+    assert report(0, None).is_from_earlier_start(report(1, LATER))
+    assert not report(0, LATER).is_from_earlier_start(report(1, EARLIER))
+    assert not report(0, LATER).is_from_earlier_start(report(1, None))
 
 
 async def test_a_start_under_the_same_name_gives_its_place_up_first(tmp_path):
--- a/tests/test_store_index.py
+++ b/tests/test_store_index.py
@@ -7,7 +7,7 @@
 import pytest
 
 from oleanderdyke.kernel import segment_log
-from oleanderdyke.kernel.blocks import HINT_BYTES, hint
+from oleanderdyke.kernel.blocks import HINT_BYTES, make_hint
 from oleanderdyke.kernel.sealed_entries import SealedEntries, SealedEntry
 from oleanderdyke.kernel.segment_log import SegmentLog
 from oleanderdyke.kernel.store_index import StoreIndex
@@ -89,10 +89,10 @@
     assert failed == [WriteFailed(reason, ('w',))]
     assert not any(isinstance(each, WriteVerified) for each in outcomes)
     assert isinstance(index.pin(SPACES[0], make_id(1), 0), ReadRefused)
-    assert index.log.take() == ()
+    assert index.log.drain() == ()
     assert index.used_bytes == 0
     names = (begun.object_name + META_SUFFIX, begun.object_name)
-    assert index.take_deletions() == names
+    assert index.drain_deletions() == names
 
 
 @pytest.mark.parametrize(
@@ -152,17 +152,17 @@
     for _ in range(3):
         store(index, 1)
         pinned = index.pin(SPACES[0], make_id(1), 0)
-        assert index.holds(pinned, 0)
+        assert index.is_pin_valid(pinned, 0)
         index.free(make_id(1))
-        assert not index.holds(pinned, 0)
+        assert not index.is_pin_valid(pinned, 0)
         store(index, 1)
-        assert not index.holds(pinned, 0)
-        assert index.take_deletions() == ()
+        assert not index.is_pin_valid(pinned, 0)
+        assert index.drain_deletions() == ()
         index.unpin(pinned)
         index.unpin(pinned)
-        assert pinned.object_name in index.take_deletions()
+        assert pinned.object_name in index.drain_deletions()
         index.free(make_id(1))
-        index.take_deletions()
+        index.drain_deletions()
         seen.add(pinned.generation)
     assert len(seen) == 3
     assert index.used_bytes == 0
@@ -174,8 +174,8 @@
     pins = [index.pin(SPACES[0], make_id(1), 0) for _ in range(4)]
     refused = index.pin(SPACES[0], make_id(1), 0)
     assert refused == ReadRefused(ReadRefusal.BUSY)
-    assert index.holds(pins[0], 19)
-    assert not index.holds(pins[0], 20)
+    assert index.is_pin_valid(pins[0], 19)
+    assert not index.is_pin_valid(pins[0], 20)
     index.expire(20)
     index.unpin(pins[0])
     assert isinstance(index.pin(SPACES[0], make_id(1), 20), Pinned)
@@ -185,10 +185,10 @@
     index = make_index()
     store(index, 1)
     stale = index.pin(SPACES[0], make_id(1), 0)
-    index.free_broken(stale)
+    index.free_corrupt(stale)
     assert isinstance(index.pin(SPACES[0], make_id(1), 0), ReadRefused)
     store(index, 1)
-    index.free_broken(stale)
+    index.free_corrupt(stale)
     assert isinstance(index.pin(SPACES[0], make_id(1), 0), Pinned)
 
 
@@ -324,11 +324,11 @@
         log.add(hints[0])
         log.add(hints[1])
         log.remove(hints[2])
-        sent = log.take()
+        sent = log.drain()
         log.remove(hints[3])
         is_lost = random.random() < 0.5
         follower.take(log.list_after(follower.next) if is_lost else sent)
-    log.take()
+    log.drain()
     follower.take(log.list_after(follower.next))
     whole.take(log.list_all())
     assert follower.held == whole.held
@@ -339,17 +339,17 @@
     log = SegmentLog()
     first, second, third = (bytes([each]) * HINT_BYTES for each in b'abc')
     log.replace([first, second])
-    log.take()
+    log.drain()
     log.replace([second, third])
-    (events,) = log.take()
+    (events,) = log.drain()
     assert events == SegmentEvents(2, (third,), (first,))
 
 
 def test_hints_come_and_go_with_what_is_visible():
     index = make_index()
     store(index, 1)
-    (events,) = index.log.take()
-    assert events.added == (hint(make_id(1)),)
+    (events,) = index.log.drain()
+    assert events.added == (make_hint(make_id(1)),)
     index.free(make_id(1))
-    (events,) = index.log.take()
-    assert events.removed == (hint(make_id(1)),)
+    (events,) = index.log.drain()
+    assert events.removed == (make_hint(make_id(1)),)
--- a/tests/test_store_index_safety.py
+++ b/tests/test_store_index_safety.py
@@ -16,7 +16,7 @@
     decode_meta,
 )
 from oleanderdyke.kernel.store_outcomes import (
-    PartTaken,
+    PartAccepted,
     Pinned,
     WriteBegun,
     WriteVerified,
@@ -92,7 +92,7 @@
             self.objects[name] = b''.join(sent)
             self.objects[outcome.meta_name] = outcome.meta
             self.index.seal(request, write.segment, self.now)
-        if not isinstance(outcome, PartTaken):
+        if not isinstance(outcome, PartAccepted):
             del self.writes[request]
         self.delete()
 
@@ -116,7 +116,7 @@
         number = sorted(self.reads)[pick % len(self.reads)]
         pinned, half = self.reads.pop(number)
         data = half + self.objects.get(pinned.object_name, b'')[SIZE // 2 :]
-        if self.index.holds(pinned, self.now):
+        if self.index.is_pin_valid(pinned, self.now):
             assert digest_segment(data) == pinned.digest, 'torn'
         self.index.unpin(pinned)
         self.delete()
@@ -125,7 +125,7 @@
     def free(self, number, is_broken, is_replaced):
         if is_broken and self.reads:
             pinned, _ = self.reads[min(self.reads)]
-            self.index.free_broken(pinned)
+            self.index.free_corrupt(pinned)
             number = pinned.segment[0]
         else:
             self.index.free(make_id(number))
@@ -159,11 +159,11 @@
                 data = self.objects.get(name.removesuffix(META_SUFFIX))
                 length = None if data is None else len(data)
                 meta = self.objects[name]
-                self.index.readmit(name, meta, length, self.now)
+                self.index.restore(name, meta, length, self.now)
         self.delete()
 
     def delete(self):
-        for name in self.index.take_deletions():
+        for name in self.index.drain_deletions():
             self.objects.pop(name, None)
         assert self.index.used_bytes <= WORLD_LIMITS.capacity_bytes, 'space'
 
@@ -195,7 +195,7 @@
         for name in tuple(self._doomed):
             self._delete_doomed(name)
 
-    def holds(self, pinned, now):
+    def is_pin_valid(self, pinned, now):
         return self._entries.get(pinned.segment) is not None
 
 
@@ -207,10 +207,10 @@
 
 
 class AdmitsUnmatched(StoreIndex):
-    def readmit(self, meta_name, meta, stored, now):
+    def restore(self, meta_name, meta, stored, now):
         record = decode_meta(meta)
         length = stored if record is None else record.length
-        return super().readmit(meta_name, meta, length, now)
+        return super().restore(meta_name, meta, length, now)
 
 
 def test_no_reader_uses_a_freed_or_partly_written_segment():
--- a/tests/test_store_restarts.py
+++ b/tests/test_store_restarts.py
@@ -35,7 +35,7 @@
     for part in make_parts(write, b'12345678'):
         outcome = index.add_part(part, 0)
     later = make_index(incarnation='i2')
-    assert later.readmit(outcome.meta_name, outcome.meta, SIZE, 0)
+    assert later.restore(outcome.meta_name, outcome.meta, SIZE, 0)
     assert decode_meta(outcome.meta).depth == known
 
 
@@ -50,9 +50,9 @@
 def test_a_restart_readmits_what_was_sealed():
     name, record = make_record(make_index())
     index = make_index(incarnation='i2')
-    assert index.readmit(record.meta_name, record.meta, SIZE, 0)
-    assert index.readmit(record.meta_name, record.meta, SIZE, 0)
-    assert index.take_deletions() == ()
+    assert index.restore(record.meta_name, record.meta, SIZE, 0)
+    assert index.restore(record.meta_name, record.meta, SIZE, 0)
+    assert index.drain_deletions() == ()
     pinned = index.pin(SPACES[0], make_id(1), 0)
     assert pinned.object_name == name
     assert index.used_bytes == SIZE
@@ -73,8 +73,8 @@
     _, record = make_record(make_index())
     index = make_index(incarnation='i2')
     meta_name = name or record.meta_name
-    assert not index.readmit(meta_name, record.meta[cut], stored, 0)
-    assert meta_name in index.take_deletions()
+    assert not index.restore(meta_name, record.meta[cut], stored, 0)
+    assert meta_name in index.drain_deletions()
     assert isinstance(index.pin(SPACES[0], make_id(1), 0), ReadRefused)
 
 
