--- a/src/oleanderdyke/kernel/context_stores.py
+++ b/src/oleanderdyke/kernel/context_stores.py
@@ -24,13 +24,13 @@
 # is read every second; this bears two failed reads.
 VIEW_MAX_AGE: Millis = 4 * SECOND
 # A fetch of the longest prompts takes some 20 ms, queued behind others.
-_SHORTEST_FETCH: Millis = 500.0
+_MIN_FETCH_TIME: Millis = 500.0
 # A save that has not been told as complete by then has failed.
-_SAVE_LIMIT: Millis = 5 * SECOND
+_SAVE_TIMEOUT: Millis = 5 * SECOND
 # A version of weights as this system writes it into a salt.
-_VERSION = re.compile('0|[1-9][0-9]{0,15}')
+_VERSION_PATTERN = re.compile('0|[1-9][0-9]{0,15}')
 # Space is given out in blocks, and other entries save at the same time.
-_FILL_SHARE = 0.97
+_MAX_FILL_SHARE = 0.97
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
 def decode_salt(text: str) -> Salt | None:
     """Read a salt that this system made, None for any other text."""
     version, *rest = text.split('/', 2)
-    if len(rest) != 2 or not _VERSION.fullmatch(version):
+    if len(rest) != 2 or not _VERSION_PATTERN.fullmatch(version):
         return None
     return Salt(rest[0], int(version), rest[1])
 
@@ -122,12 +122,12 @@
         self.position = 0
         self.parts: dict[tuple[str, str], int] = {}
         self._boot: int | None = None
-        self._saving_tokens = 0
-        self._used = 0
+        self._pending_tokens = 0
+        self._used_tokens = 0
         self._asked_at: Millis | None = None
-        self._clock: Millis = 0.0
-        self._save_from: Millis = 0.0
-        self._saving: dict[tuple[str, str], _Save] = {}
+        self._clock_offset: Millis = 0.0
+        self._saves_allowed_from: Millis = 0.0
+        self._pending_saves: dict[tuple[str, str], _PendingSave] = {}
 
     def apply_events(
         self, found: ContextEvents, asked_at: Millis, now: Millis
@@ -140,7 +140,7 @@
         self.position = found.next
         self._asked_at = asked_at
         # The engines' clock was at least this when the answer came.
-        self._clock = found.clock - now
+        self._clock_offset = found.clock - now
 
     def apply_shared_events(
         self, found: ContextEvents, asked_at: Millis, now: Millis
@@ -177,7 +177,7 @@
         asked_at = self._asked_at
         if asked_at is None:
             return False
-        return asked_at + VIEW_MAX_AGE - now > _SHORTEST_FETCH
+        return asked_at + VIEW_MAX_AGE - now > _MIN_FETCH_TIME
 
     def find_deadline(self, other: Millis) -> Millis:
         """Return when a fetch has to end, on the engines' clock.
@@ -187,24 +187,24 @@
         asked_at = self._asked_at
         if asked_at is None:
             return 0.0
-        return min(asked_at, other) + VIEW_MAX_AGE + self._clock
+        return min(asked_at, other) + VIEW_MAX_AGE + self._clock_offset
 
     def can_save(self, salt: str, part: PromptPart, now: Millis) -> bool:
         """Return whether a part has room and is not being saved."""
-        if not self.is_fresh(now) or now < self._save_from:
+        if not self.is_fresh(now) or now < self._saves_allowed_from:
             return False
         key = (salt, part.name)
-        self._drop_failed(now)
-        if key in self.parts or key in self._saving:
+        self._expire_saves(now)
+        if key in self.parts or key in self._pending_saves:
             return False
-        room = self.traits.capacity_tokens * _FILL_SHARE - self._used
-        return part.tokens + self._saving_tokens < room
+        room = self.traits.capacity_tokens * _MAX_FILL_SHARE - self._used_tokens
+        return part.tokens + self._pending_tokens < room
 
     def record_save(self, salt: str, part: PromptPart, now: Millis) -> None:
         """Learn that a save was asked for."""
-        save = _Save(part.tokens, now + _SAVE_LIMIT)
-        self._saving[(salt, part.name)] = save
-        self._saving_tokens += save.tokens
+        save = _PendingSave(part.tokens, now + _SAVE_TIMEOUT)
+        self._pending_saves[(salt, part.name)] = save
+        self._pending_tokens += save.tokens
 
     def list_outdated(
         self, versions: Mapping[str, int]
@@ -222,41 +222,41 @@
 
     def find_clock(self, now: Millis) -> Millis:
         """Return the engines' clock, or a little less."""
-        return now + self._clock
+        return now + self._clock_offset
 
     def _restart(self, boot: int, now: Millis) -> None:
         """Begin with an empty store that others may still think full."""
-        self._save_from = now + VIEW_MAX_AGE
+        self._saves_allowed_from = now + VIEW_MAX_AGE
         self._boot = boot
         self.parts.clear()
-        self._saving.clear()
-        self._saving_tokens = 0
-        self._used = 0
+        self._pending_saves.clear()
+        self._pending_tokens = 0
+        self._used_tokens = 0
 
     def _apply(self, event: ContextEvent) -> None:
         key = (event.salt, event.part)
-        self._used -= self.parts.pop(key, 0)
-        self._end_save(key)
+        self._used_tokens -= self.parts.pop(key, 0)
+        self._remove_save(key)
         if event.is_added:
             self.parts[key] = event.tokens
-            self._used += event.tokens
+            self._used_tokens += event.tokens
 
-    def _drop_failed(self, now: Millis) -> None:
+    def _expire_saves(self, now: Millis) -> None:
         """Forget saves that were never told as complete, oldest first."""
-        while self._saving:
-            key, save = next(iter(self._saving.items()))
+        while self._pending_saves:
+            key, save = next(iter(self._pending_saves.items()))
             if save.until > now:
                 return
-            self._end_save(key)
+            self._remove_save(key)
 
-    def _end_save(self, key: tuple[str, str]) -> None:
-        save = self._saving.pop(key, None)
+    def _remove_save(self, key: tuple[str, str]) -> None:
+        save = self._pending_saves.pop(key, None)
         if save is not None:
-            self._saving_tokens -= save.tokens
+            self._pending_tokens -= save.tokens
 
 
 @dataclass(frozen=True, slots=True)
-class _Save:
+class _PendingSave:
     """Hold how much room a save takes, and when it must be complete."""
 
     tokens: int
@@ -329,8 +329,10 @@
         until = float('inf')
         for part in shared:
             found = self._find_source(salt, part, data_centre, now)
-            is_wanted = may_save and found is None
-            sinks.append(self._find_sink(salt, part, now) if is_wanted else '')
+            should_save = may_save and found is None
+            sinks.append(
+                self._find_sink(salt, part, now) if should_save else ''
+            )
             if found is None:
                 sources.append(None)
                 continue
@@ -377,7 +379,7 @@
         """Return the first store with room, in an order all entries share."""
         ranked = sorted(
             self.views.values(),
-            key=lambda view: _rank(salt, part.name, view.traits),
+            key=lambda view: _score_store(salt, part.name, view.traits),
         )
         for view in ranked:
             if view.can_save(salt, part, now):
@@ -387,8 +389,8 @@
         return ''
 
 
-def _rank(salt: str, part: str, traits: StoreTraits) -> float:
+def _score_store(salt: str, part: str, traits: StoreTraits) -> float:
     """Order the stores of a part; larger ones come first more often."""
     text = f'{salt}/{part}/{traits.address}'.encode()
-    drawn = int.from_bytes(hashlib.blake2b(text, digest_size=6).digest())
-    return -math.log((drawn + 1) / 2**48) / max(traits.capacity_tokens, 1)
+    hashed = int.from_bytes(hashlib.blake2b(text, digest_size=6).digest())
+    return -math.log((hashed + 1) / 2**48) / max(traits.capacity_tokens, 1)
--- a/src/oleanderdyke/kernel/directory.py
+++ b/src/oleanderdyke/kernel/directory.py
@@ -13,21 +13,21 @@
     SegmentListRequest,
 )
 
-_ASK_AGAIN: Millis = 2 * SECOND
-_SWEPT_SHARDS = 64
+_REREQUEST_INTERVAL: Millis = 2 * SECOND
+_SHARDS_PER_SWEEP = 64
 _HINT_BYTES = 8
 
 
 @dataclass(slots=True)
-class _Source:
+class _AgentState:
     """Follow the numbered events of one agent.
 
     `following` is the number of the next event, None before the first list.
     """
 
     number: int
-    following: int | None = None
-    asked_at: Millis | None = None
+    next_number: int | None = None
+    requested_at: Millis | None = None
 
 
 class Directory:
@@ -40,11 +40,11 @@
 
     def __init__(self) -> None:
         self._table = HolderTable()
-        self._sources: dict[str, _Source] = {}
+        self._states: dict[str, _AgentState] = {}
         self._agents: dict[int, str] = {}
         self._numbers = 0
-        self._dirty = 0
-        self._swept = 0
+        self._unswept_shards = 0
+        self._next_shard = 0
 
     def __len__(self) -> int:
         return len(self._table)
@@ -53,89 +53,91 @@
         self, agent: str, events: SegmentEvents, now: Millis
     ) -> SegmentListRequest | None:
         """Apply events; return a request where some are missing."""
-        source = self._sources.get(agent)
-        if source is None:
-            source = self._open(agent)
+        state = self._states.get(agent)
+        if state is None:
+            state = self._add_agent(agent)
         if events.full:
             self._replace(agent, events)
             return None
-        if events.first > (source.following or 0):
-            return _ask(source, events, now)
-        self._follow(source, events)
+        if events.first > (state.next_number or 0):
+            return _request_missing(state, events, now)
+        self._apply_changes(state, events)
         return None
 
     def remove_agent(self, agent: str) -> None:
         """Drop everything known about an agent."""
-        source = self._sources.pop(agent, None)
-        if source is not None:
-            del self._agents[source.number]
-            self._dirty = SHARD_COUNT
+        state = self._states.pop(agent, None)
+        if state is not None:
+            del self._agents[state.number]
+            self._unswept_shards = SHARD_COUNT
 
     def holders(self, segment: SegmentHint) -> tuple[str, ...]:
         """Return the agents that hold a segment."""
         found = self._table.get(_to_key(segment))
         agents = self._agents
-        return tuple(agents[item] for item in found if item in agents)
+        return tuple(agents[number] for number in found if number in agents)
 
     def count_leading(
         self, agent: str, segments: Sequence[SegmentHint], start: int = 0
     ) -> int:
         """Count the segments from `start` on that an agent holds in a row."""
-        source = self._sources.get(agent)
-        if source is None:
+        state = self._states.get(agent)
+        if state is None:
             return 0
-        for place in range(start, len(segments)):
-            if source.number not in self._table.get(_to_key(segments[place])):
-                return place - start
+        for position in range(start, len(segments)):
+            if state.number not in self._table.get(_to_key(segments[position])):
+                return position - start
         return max(0, len(segments) - start)
 
     def sweep(self) -> None:
         """Free a share of what gone agents left behind; call it regularly."""
-        lives = self._agents.__contains__
-        for _ in range(min(_SWEPT_SHARDS, self._dirty)):
-            self._table.sweep(self._swept, lives)
-            self._swept = (self._swept + 1) % SHARD_COUNT
-            self._dirty -= 1
+        is_alive = self._agents.__contains__
+        for _ in range(min(_SHARDS_PER_SWEEP, self._unswept_shards)):
+            self._table.sweep(self._next_shard, is_alive)
+            self._next_shard = (self._next_shard + 1) % SHARD_COUNT
+            self._unswept_shards -= 1
 
-    def _open(self, agent: str) -> _Source:
+    def _add_agent(self, agent: str) -> _AgentState:
         self._numbers += 1
-        source = self._sources[agent] = _Source(self._numbers)
-        self._agents[source.number] = agent
-        return source
+        state = self._states[agent] = _AgentState(self._numbers)
+        self._agents[state.number] = agent
+        return state
 
     def _replace(self, agent: str, events: SegmentEvents) -> None:
         self.remove_agent(agent)
-        source = self._open(agent)
-        source.following = events.first
+        state = self._add_agent(agent)
+        state.next_number = events.first
         for segment in events.added:
-            self._table.add(_to_key(segment), source.number)
+            self._table.add(_to_key(segment), state.number)
 
-    def _follow(self, source: _Source, events: SegmentEvents) -> None:
+    def _apply_changes(self, state: _AgentState, events: SegmentEvents) -> None:
         # A message names a segment once, so that its part already known may
         # be applied again; of a message wholly known this is not true.
-        known = source.following or 0
-        following = events.first + len(events.added) + len(events.removed)
-        if following <= known:
+        known = state.next_number or 0
+        next_number = events.first + len(events.added) + len(events.removed)
+        if next_number <= known:
             return
         for segment in events.added:
-            self._table.add(_to_key(segment), source.number)
+            self._table.add(_to_key(segment), state.number)
         for segment in events.removed:
-            self._table.remove(_to_key(segment), source.number)
-        source.following = following
-        source.asked_at = None
+            self._table.remove(_to_key(segment), state.number)
+        state.next_number = next_number
+        state.requested_at = None
 
 
-def _ask(
-    source: _Source, events: SegmentEvents, now: Millis
+def _request_missing(
+    state: _AgentState, events: SegmentEvents, now: Millis
 ) -> SegmentListRequest | None:
-    asked_at = source.asked_at
-    greets = not (events.added or events.removed)
-    waits = asked_at is not None and now - asked_at < _ASK_AGAIN
+    requested_at = state.requested_at
+    is_greeting = not (events.added or events.removed)
+    is_waiting = (
+        requested_at is not None and now - requested_at < _REREQUEST_INTERVAL
+    )
     # An answer to what was asked on an earlier link may be lost.
-    if waits and not greets:
+    if is_waiting and not is_greeting:
         return None
-    source.asked_at = now
-    after = -1 if source.following is None else source.following
+    state.requested_at = now
+    after = -1 if state.next_number is None else state.next_number
     return SegmentListRequest(after)
 
 
--- a/src/oleanderdyke/kernel/engine_clock.py
+++ b/src/oleanderdyke/kernel/engine_clock.py
@@ -13,20 +13,20 @@
     """
 
     def __init__(self) -> None:
-        self._least: Millis | None = None
-        self._most: Millis | None = None
+        self._min_offset: Millis | None = None
+        self._max_offset: Millis | None = None
 
-    def update(self, told: Millis, *, asked_at: Millis, now: Millis) -> None:
+    def update(self, reading: Millis, *, asked_at: Millis, now: Millis) -> None:
         """Take a reading; 0 is none."""
-        if told:
-            self._least = told - now
-            self._most = told - asked_at
+        if reading:
+            self._min_offset = reading - now
+            self._max_offset = reading - asked_at
 
     @property
     def max_offset(self) -> Millis | None:
         """Return how far their clock may be before ours, None if unknown."""
-        return self._most
+        return self._max_offset
 
     def convert(self, at: Millis) -> Millis | None:
         """Return a moment of ours on their clock, or an earlier one."""
-        return None if self._least is None else at + self._least
+        return None if self._min_offset is None else at + self._min_offset
--- a/src/oleanderdyke/kernel/eviction.py
+++ b/src/oleanderdyke/kernel/eviction.py
@@ -16,11 +16,11 @@
 from oleanderdyke.kernel.store_outcomes import WriteRefusal
 
 # Up to so many entries all are ranked.
-_FEW = 64
+_FULL_SCAN_LIMIT = 64
 # The poorest of each sample are kept for the next choice, so that small samples
 # find poor entries; they are weighed again before they go.
-_SAMPLE = 16
-_POOL = 8
+_SAMPLE_SIZE = 16
+_POOL_SIZE = 8
 
 
 class _Candidate(NamedTuple):
@@ -30,10 +30,10 @@
     oldest goes first.
     """
 
-    worth: float
-    height: int
+    score: float
+    negative_depth: int
     generation: int
-    place: int
+    row: int
     length: int
 
 
@@ -54,66 +54,66 @@
         self._pool: list[_Candidate] = []
 
     def choose(
-        self, newcomer: SealedMeta, missing: int, now: Millis
+        self, incoming: SealedMeta, needed_bytes: int, now: Millis
     ) -> tuple[SegmentId, ...] | WriteRefusal:
         """Return whom to free for the missing bytes, or why nobody is."""
-        own = self._keeper.worth(
-            make_hint(newcomer.segment), newcomer.length, newcomer.gap, now
+        incoming_score = self._keeper.worth(
+            make_hint(incoming.segment), incoming.length, incoming.gap, now
         )
-        ranked = self._rank(missing, now)
+        ranked = self._rank(needed_bytes, now)
         count = 0
-        while missing > 0:
+        while needed_bytes > 0:
             if count == len(ranked):
                 return WriteRefusal.FULL
-            self._renew(ranked, count, now)
-            if ranked[count].worth >= own:
+            self._rescore(ranked, count, now)
+            if ranked[count].score >= incoming_score:
                 return WriteRefusal.NOT_WORTH_IT
-            missing -= ranked[count].length
+            needed_bytes -= ranked[count].length
             count += 1
-        self._pool = ranked[count : count + _POOL]
+        self._pool = ranked[count : count + _POOL_SIZE]
         return tuple(
-            self._entries.read_segment(each.place) for each in ranked[:count]
+            self._entries.read_segment(each.row) for each in ranked[:count]
         )
 
-    def _rank(self, missing: int, now: Millis) -> list[_Candidate]:
+    def _rank(self, needed_bytes: int, now: Millis) -> list[_Candidate]:
         found = self._sample(now)
-        if sum(each.length for each in found) < missing:
-            found = self._weigh(range(len(self._entries)), now)
+        if sum(each.length for each in found) < needed_bytes:
+            found = self._score_rows(range(len(self._entries)), now)
         found.sort()
         return found
 
     def _sample(self, now: Millis) -> list[_Candidate]:
-        if len(self._entries) <= _FEW:
-            return self._weigh(range(len(self._entries)), now)
-        known = [each for each in self._pool if self._is_left(each)]
-        places = set(self._entries.sample(self._random, _SAMPLE))
-        places.difference_update(each.place for each in known)
-        return known + self._weigh(places, now)
-
-    def _is_left(self, known: _Candidate) -> bool:
-        if not self._entries.is_at(known.place, known.generation):
+        if len(self._entries) <= _FULL_SCAN_LIMIT:
+            return self._score_rows(range(len(self._entries)), now)
+        pooled = [each for each in self._pool if self._is_evictable(each)]
+        rows = set(self._entries.sample(self._random, _SAMPLE_SIZE))
+        rows.difference_update(each.row for each in pooled)
+        return pooled + self._score_rows(rows, now)
+
+    def _is_evictable(self, pooled: _Candidate) -> bool:
+        if not self._entries.has_generation(pooled.row, pooled.generation):
             return False
-        return not self._pins.is_pinned(known.generation)
+        return not self._pins.is_pinned(pooled.generation)
 
-    def _renew(self, ranked: list[_Candidate], place: int, now: Millis) -> None:
+    def _rescore(self, ranked: list[_Candidate], row: int, now: Millis) -> None:
         """Let the next one be poorest by its present worth."""
         while True:
-            (renewed,) = self._weigh((ranked[place].place,), now)
-            if renewed.worth <= ranked[place].worth:
+            (rescored,) = self._score_rows((ranked[row].row,), now)
+            if rescored.score <= ranked[row].score:
                 return
-            del ranked[place]
-            insort(ranked, renewed, lo=place)
+            del ranked[row]
+            insort(ranked, rescored, lo=row)
 
-    def _weigh(self, places: Iterable[int], now: Millis) -> list[_Candidate]:
+    def _score_rows(self, rows: Iterable[int], now: Millis) -> list[_Candidate]:
         found = []
-        for place in places:
-            read = self._entries.read_worth(place)
+        for row in rows:
+            read = self._entries.read_ranking(row)
             if self._pins.is_pinned(read.generation):
                 continue
-            worth = self._keeper.worth(read.short, read.length, read.gap, now)
+            score = self._keeper.worth(read.hint, read.length, read.gap, now)
             found.append(
                 _Candidate(
-                    worth, -read.depth, read.generation, place, read.length
+                    score, -read.depth, read.generation, row, read.length
                 )
             )
         return found
--- a/src/oleanderdyke/kernel/fetch_pace.py
+++ b/src/oleanderdyke/kernel/fetch_pace.py
@@ -23,7 +23,7 @@
         self._count = count
         self._step = step
         self._limit = now + limit
-        self._from = now
+        self._start = now
 
     def find_deadline(
         self, arrived: int, now: Millis, *, sharing: int = 1
@@ -33,7 +33,7 @@
         Call it once for each number of arrived segments, in order.
         """
         if arrived == 1:
-            self._from = now + PACE_TOLERANCE
+            self._start = now + PACE_TOLERANCE
         steps = arrived or self._count
         wait = steps * self._step * max(1, sharing)
-        return min(self._from + wait, self._limit)
+        return min(self._start + wait, self._limit)
--- a/src/oleanderdyke/kernel/gate.py
+++ b/src/oleanderdyke/kernel/gate.py
@@ -47,14 +47,14 @@
 
 _AttemptKey: TypeAlias = tuple[str, int]
 
-_ALONE_RETRY: Millis = 250.0
-_BUSY_RETRY: Millis = 1_000.0
+_ALONE_RETRY_AFTER: Millis = 250.0
+_BUSY_RETRY_AFTER: Millis = 1_000.0
 # Connections lost within this time are taken as lost by one crash.
-_ONE_CRASH: Millis = 1_000.0
+_CRASH_WINDOW: Millis = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
-class _Objection:
+class _Refusal:
     """Hold why a dispatch may not run."""
 
     kind: ErrorKind
@@ -91,12 +91,12 @@
         self._rights = rights
         self._phase = AgentPhase.STARTING
         self._loaded = LoadedWeights()
-        self._beat = 0
+        self._heartbeat = 0
         self._crashes = 0
-        self._lost_at = -math.inf
+        self._last_loss_at = -math.inf
         self._running: dict[_AttemptKey, Dispatch] = {}
-        self._seen: set[_AttemptKey] = set()
-        self._seen_order: deque[tuple[int, _AttemptKey]] = deque()
+        self._seen_attempts: set[_AttemptKey] = set()
+        self._seen_by_heartbeat: deque[tuple[int, _AttemptKey]] = deque()
         self._lane = AloneLane(reserve_beats=settings.reserve_beats)
         self._claims = ClaimRuns(
             max_age=settings.max_age,
@@ -112,7 +112,7 @@
     @property
     def remembered(self) -> int:
         """Count the attempts and claims held in memory."""
-        return len(self._seen) + len(self._claims)
+        return len(self._seen_attempts) + len(self._claims)
 
     def set_phase(self, phase: AgentPhase) -> None:
         """Enter a phase; LEAVING is never left again."""
@@ -125,20 +125,22 @@
 
     def record_heartbeat(self, sequence: int) -> None:
         """Learn the sequence number of the heartbeat just sent."""
-        self._beat = max(self._beat, sequence)
+        self._heartbeat = max(self._heartbeat, sequence)
         self._claims.note_beat(sequence)
         self._lane.note_beat(sequence)
-        oldest = self._beat - self._settings.max_age
-        while self._seen_order and self._seen_order[0][0] < oldest:
-            self._seen.discard(self._seen_order.popleft()[1])
+        oldest = self._heartbeat - self._settings.max_age
+        while (
+            self._seen_by_heartbeat and self._seen_by_heartbeat[0][0] < oldest
+        ):
+            self._seen_attempts.discard(self._seen_by_heartbeat.popleft()[1])
 
     def admit(self, dispatch: Dispatch, now: Millis) -> AdmitOutcome:
         """Decide whether a dispatch may run now."""
         if self._is_repeated(dispatch):
             return Ignored()
-        objection = self._find_objection(dispatch, now)
-        if objection is not None:
-            return self._refuse(dispatch, objection)
+        refusal = self._find_refusal(dispatch, now)
+        if refusal is not None:
+            return self._refuse(dispatch, refusal)
         self._remember((dispatch.request, dispatch.attempt))
         if dispatch.claim is not None:
             self._claims.add(dispatch.claim, dispatch.team, RunState.RUNNING)
@@ -173,7 +175,7 @@
         if dispatch is None:
             return
         self._quarantine.note_crash(
-            self._name_crash(now),
+            self._make_crash_id(now),
             (dispatch.digest,),
             now,
             alone=self._end(dispatch, None),
@@ -201,12 +203,12 @@
         dispatches = tuple(self._running.values())
         was_alone = [self._end(dispatch, None) for dispatch in dispatches]
         self._quarantine.note_crash(
-            self._name_crash(now),
+            self._make_crash_id(now),
             {dispatch.digest for dispatch in dispatches},
             now,
             alone=any(was_alone),
         )
-        return tuple(_make_lost(dispatch) for dispatch in dispatches)
+        return tuple(_make_lost_failure(dispatch) for dispatch in dispatches)
 
     def is_quarantined(self, digest: str, now: Millis) -> bool:
         """Return whether a request's digest is refused for its crashes."""
@@ -219,11 +221,11 @@
             return ClaimAnswer(query.request, query.claim, ClaimState.UNKNOWN)
         return self._claims.answer(query)
 
-    def _name_crash(self, now: Millis) -> str:
+    def _make_crash_id(self, now: Millis) -> str:
         """Give what is lost at about the same time to the same crash."""
-        if now - self._lost_at > _ONE_CRASH:
+        if now - self._last_loss_at > _CRASH_WINDOW:
             self._crashes += 1
-        self._lost_at = now
+        self._last_loss_at = now
         return f'{self._incarnation}:{self._crashes}'
 
     def _end(self, dispatch: Dispatch, answer: RunAnswer | None) -> bool:
@@ -237,7 +239,7 @@
         return (
             claim.agent == self._agent
             and claim.incarnation == self._incarnation
-            and claim.beat <= self._beat
+            and claim.beat <= self._heartbeat
         )
 
     def _is_repeated(self, dispatch: Dispatch) -> bool:
@@ -245,26 +247,26 @@
 
         To refuse a repetition as not run would deny the first one's run.
         """
-        return (dispatch.request, dispatch.attempt) in self._seen
+        return (dispatch.request, dispatch.attempt) in self._seen_attempts
 
     def _remember(self, key: _AttemptKey) -> None:
-        if key not in self._seen:
-            self._seen.add(key)
-            self._seen_order.append((self._beat, key))
+        if key not in self._seen_attempts:
+            self._seen_attempts.add(key)
+            self._seen_by_heartbeat.append((self._heartbeat, key))
 
-    def _refuse(self, dispatch: Dispatch, objection: _Objection) -> Failed:
+    def _refuse(self, dispatch: Dispatch, refusal: _Refusal) -> Failed:
         """Refuse for good: this attempt and its claim never start later."""
         self._remember((dispatch.request, dispatch.attempt))
         return Failed(
             dispatch.request,
             dispatch.attempt,
-            objection.kind,
-            self._prove_ran(dispatch),
-            objection.detail,
-            objection.retry_after,
+            refusal.kind,
+            self._find_ran(dispatch),
+            refusal.detail,
+            refusal.retry_after,
         )
 
-    def _prove_ran(self, dispatch: Dispatch) -> Ran:
+    def _find_ran(self, dispatch: Dispatch) -> Ran:
         """Say no only where the gate would remember a run."""
         claim = dispatch.claim
         if dispatch.incarnation and dispatch.incarnation != self._incarnation:
@@ -277,12 +279,12 @@
 
     def _is_remembered(self, beat: int) -> bool:
         """Return whether a dispatch of this heartbeat is surely remembered."""
-        return 0 <= beat <= self._beat and not self._claims.is_too_old(beat)
+        return 0 <= beat <= self._heartbeat and not self._claims.is_too_old(
+            beat
+        )
 
-    def _find_objection(
-        self, dispatch: Dispatch, now: Millis
-    ) -> _Objection | None:
-        checks: tuple[Callable[[Dispatch, Millis], _Objection | None], ...] = (
+    def _find_refusal(self, dispatch: Dispatch, now: Millis) -> _Refusal | None:
+        checks: tuple[Callable[[Dispatch, Millis], _Refusal | None], ...] = (
             self._check_phase,
             self._check_protocol,
             self._check_team,
@@ -290,42 +292,40 @@
             self._check_age,
             self._check_claim,
             self._check_quarantine,
-            self._check_room,
+            self._check_capacity,
         )
         for check in checks:
-            objection = check(dispatch, now)
-            if objection is not None:
-                return objection
+            refusal = check(dispatch, now)
+            if refusal is not None:
+                return refusal
         return None
 
     def _check_phase(
         self, _dispatch: Dispatch, _now: Millis
-    ) -> _Objection | None:
+    ) -> _Refusal | None:
         if self._phase is AgentPhase.LEAVING:
-            return _Objection(ErrorKind.LEAVING, 'the agent is leaving', 0)
+            return _Refusal(ErrorKind.LEAVING, 'the agent is leaving', 0)
         if self._phase is AgentPhase.STARTING:
-            return _Objection(ErrorKind.NOT_READY, 'the agent is starting')
+            return _Refusal(ErrorKind.NOT_READY, 'the agent is starting')
         return None
 
     def _check_protocol(
         self, dispatch: Dispatch, _now: Millis
-    ) -> _Objection | None:
+    ) -> _Refusal | None:
         if dispatch.service != self._service:
-            return _Objection(ErrorKind.NOT_FOUND, 'another service')
+            return _Refusal(ErrorKind.NOT_FOUND, 'another service')
         if dispatch.attempt < 1 or not dispatch.request:
-            return _Objection(ErrorKind.PROTOCOL, 'no request or attempt')
+            return _Refusal(ErrorKind.PROTOCOL, 'no request or attempt')
         return None
 
-    def _check_team(
-        self, dispatch: Dispatch, _now: Millis
-    ) -> _Objection | None:
+    def _check_team(self, dispatch: Dispatch, _now: Millis) -> _Refusal | None:
         if self._rights.allows(dispatch.team, dispatch.service) is False:
-            return _Objection(ErrorKind.FORBIDDEN, 'not for this team')
+            return _Refusal(ErrorKind.FORBIDDEN, 'not for this team')
         return None
 
     def _check_weights(
         self, dispatch: Dispatch, _now: Millis
-    ) -> _Objection | None:
+    ) -> _Refusal | None:
         wanted = LoadedWeights(
             dispatch.model,
             dispatch.weight_version,
@@ -333,63 +333,63 @@
             dispatch.adapter,
         )
         if wanted != self._loaded:
-            return _Objection(ErrorKind.WRONG_VERSION, 'other weights', 0)
+            return _Refusal(ErrorKind.WRONG_VERSION, 'other weights', 0)
         return None
 
-    def _check_age(self, dispatch: Dispatch, _now: Millis) -> _Objection | None:
+    def _check_age(self, dispatch: Dispatch, _now: Millis) -> _Refusal | None:
         """Object to what names no recent heartbeat of this incarnation."""
         if dispatch.beat < 0 and dispatch.idempotent:
             return None
         if dispatch.incarnation != self._incarnation:
-            return _Objection(ErrorKind.STALE_CLAIM, 'another incarnation', 0)
+            return _Refusal(ErrorKind.STALE_CLAIM, 'another incarnation', 0)
         if self._claims.is_too_old(dispatch.beat):
-            return _Objection(ErrorKind.STALE_CLAIM, 'too old a dispatch', 0)
-        if dispatch.beat > self._beat:
-            return _Objection(ErrorKind.PROTOCOL, 'a heartbeat to come')
+            return _Refusal(ErrorKind.STALE_CLAIM, 'too old a dispatch', 0)
+        if dispatch.beat > self._heartbeat:
+            return _Refusal(ErrorKind.PROTOCOL, 'a heartbeat to come')
         return None
 
-    def _check_claim(
-        self, dispatch: Dispatch, _now: Millis
-    ) -> _Objection | None:
+    def _check_claim(self, dispatch: Dispatch, _now: Millis) -> _Refusal | None:
         claim = dispatch.claim
         if claim is None:
             return None
         if not self._is_own(claim):
-            return _Objection(ErrorKind.STALE_CLAIM, 'not of this agent', 0)
+            return _Refusal(ErrorKind.STALE_CLAIM, 'not of this agent', 0)
         if self._claims.is_too_old(claim.beat):
-            return _Objection(ErrorKind.STALE_CLAIM, 'too old a claim', 0)
+            return _Refusal(ErrorKind.STALE_CLAIM, 'too old a claim', 0)
         if self._claims.is_known(claim):
-            return _Objection(ErrorKind.STALE_CLAIM, 'used or barred', 0)
+            return _Refusal(ErrorKind.STALE_CLAIM, 'used or barred', 0)
         if not self._claims.has_room():
-            return _Objection(
-                ErrorKind.OVERLOADED, 'claim memory full', _BUSY_RETRY
+            return _Refusal(
+                ErrorKind.OVERLOADED, 'claim memory full', _BUSY_RETRY_AFTER
             )
         return None
 
     def _check_quarantine(
         self, dispatch: Dispatch, now: Millis
-    ) -> _Objection | None:
+    ) -> _Refusal | None:
         if self.is_quarantined(dispatch.digest, now):
-            return _Objection(ErrorKind.QUARANTINED, 'it crashed servers')
+            return _Refusal(ErrorKind.QUARANTINED, 'it crashed servers')
         return None
 
-    def _check_room(self, dispatch: Dispatch, now: Millis) -> _Objection | None:
+    def _check_capacity(
+        self, dispatch: Dispatch, now: Millis
+    ) -> _Refusal | None:
         if self._must_be_alone(dispatch, now):
             return self._check_alone(dispatch)
         if self._lane.is_closed():
-            return _Objection(
-                ErrorKind.OVERLOADED, 'a suspect runs alone', _ALONE_RETRY
+            return _Refusal(
+                ErrorKind.OVERLOADED, 'a suspect runs alone', _ALONE_RETRY_AFTER
             )
         limit = self._settings.concurrency
         if limit and len(self._running) >= limit:
-            return _Objection(ErrorKind.OVERLOADED, 'full', _BUSY_RETRY)
+            return _Refusal(ErrorKind.OVERLOADED, 'full', _BUSY_RETRY_AFTER)
         return None
 
-    def _check_alone(self, dispatch: Dispatch) -> _Objection | None:
+    def _check_alone(self, dispatch: Dispatch) -> _Refusal | None:
         if self._lane.request(dispatch.digest, len(self._running)):
             return None
-        return _Objection(
-            ErrorKind.OVERLOADED, 'waits to run alone', _ALONE_RETRY
+        return _Refusal(
+            ErrorKind.OVERLOADED, 'waits to run alone', _ALONE_RETRY_AFTER
         )
 
     def _must_be_alone(self, dispatch: Dispatch, now: Millis) -> bool:
@@ -397,7 +397,7 @@
         return dispatch.alone or standing is Standing.SUSPECT
 
 
-def _make_lost(dispatch: Dispatch) -> Failed:
+def _make_lost_failure(dispatch: Dispatch) -> Failed:
     return Failed(
         dispatch.request,
         dispatch.attempt,
--- a/src/oleanderdyke/kernel/hint_set.py
+++ b/src/oleanderdyke/kernel/hint_set.py
@@ -27,8 +27,8 @@
     def __contains__(self, hint: SegmentHint) -> bool:
         key = int.from_bytes(hint)
         shard = self._shards[key >> _SHIFT]
-        place = bisect_left(shard, key)
-        return place < len(shard) and shard[place] == key
+        position = bisect_left(shard, key)
+        return position < len(shard) and shard[position] == key
 
     def __iter__(self) -> Iterator[SegmentHint]:
         for shard in self._shards:
@@ -39,10 +39,10 @@
         """Add a hint; tell whether it is new."""
         key = int.from_bytes(hint)
         shard = self._shards[key >> _SHIFT]
-        place = bisect_left(shard, key)
-        if place < len(shard) and shard[place] == key:
+        position = bisect_left(shard, key)
+        if position < len(shard) and shard[position] == key:
             return False
-        shard.insert(place, key)
+        shard.insert(position, key)
         self._count += 1
         return True
 
@@ -50,9 +50,9 @@
         """Remove a hint; tell whether it was there."""
         key = int.from_bytes(hint)
         shard = self._shards[key >> _SHIFT]
-        place = bisect_left(shard, key)
-        if place == len(shard) or shard[place] != key:
+        position = bisect_left(shard, key)
+        if position == len(shard) or shard[position] != key:
             return False
-        del shard[place]
+        del shard[position]
         self._count -= 1
         return True
--- a/src/oleanderdyke/kernel/holders.py
+++ b/src/oleanderdyke/kernel/holders.py
@@ -13,15 +13,15 @@
 _SHARD_BITS = 12
 _SHARD_COUNT = 1 << _SHARD_BITS
 _SHIFT = 64 - _SHARD_BITS
-_FREE: tuple[int, ...] = ()
+_NO_HOLDERS: tuple[int, ...] = ()
 
 
-class _Groups:
+class _HolderSets:
     """Number the sets of holders, and reuse the numbers of unused ones."""
 
     def __init__(self) -> None:
-        self._members: list[tuple[int, ...]] = [_FREE]
-        self._uses: list[int] = [0]
+        self._members: list[tuple[int, ...]] = [_NO_HOLDERS]
+        self._use_counts: list[int] = [0]
         self._numbers: dict[tuple[int, ...], int] = {}
         self._unused: list[int] = []
 
@@ -29,26 +29,26 @@
         """Return the holders of a group."""
         return self._members[number]
 
-    def take(self, members: tuple[int, ...]) -> int:
+    def acquire(self, members: tuple[int, ...]) -> int:
         """Count one more use of a set and return its number."""
         number = self._numbers.get(members)
         if number is None:
             number = self._add(members)
-        self._uses[number] += 1
+        self._use_counts[number] += 1
         return number
 
-    def give_back(self, number: int) -> None:
+    def release(self, number: int) -> None:
         """Count one use less."""
-        self._uses[number] -= 1
-        if not self._uses[number]:
+        self._use_counts[number] -= 1
+        if not self._use_counts[number]:
             del self._numbers[self._members[number]]
-            self._members[number] = _FREE
+            self._members[number] = _NO_HOLDERS
             self._unused.append(number)
 
     def _add(self, members: tuple[int, ...]) -> int:
         if not self._unused:
-            self._members.append(_FREE)
-            self._uses.append(0)
+            self._members.append(_NO_HOLDERS)
+            self._use_counts.append(0)
             self._unused.append(len(self._members) - 1)
         number = self._unused.pop()
         self._members[number] = members
@@ -59,17 +59,17 @@
 class _Shard:
     """Hold a sorted part of the keys and the group of each."""
 
-    __slots__ = ('groups', 'keys')
+    __slots__ = ('keys', 'set_numbers')
 
     def __init__(self) -> None:
         self.keys = array('Q')
-        self.groups = array('I')
+        self.set_numbers = array('I')
 
     def find(self, key: int) -> int:
         """Return the place of a key, or -1."""
-        place = bisect_left(self.keys, key)
-        if place < len(self.keys) and self.keys[place] == key:
-            return place
+        position = bisect_left(self.keys, key)
+        if position < len(self.keys) and self.keys[position] == key:
+            return position
         return -1
 
 
@@ -78,7 +78,7 @@
 
     def __init__(self) -> None:
         self._shards: list[_Shard | None] = [None] * _SHARD_COUNT
-        self._groups = _Groups()
+        self._holder_sets = _HolderSets()
         self._count = 0
 
     def __len__(self) -> int:
@@ -88,9 +88,13 @@
         """Return the holders of a key in rising order."""
         shard = self._shards[key >> _SHIFT]
         if shard is None:
-            return _FREE
-        place = shard.find(key)
-        return _FREE if place < 0 else self._groups.get(shard.groups[place])
+            return _NO_HOLDERS
+        position = shard.find(key)
+        return (
+            _NO_HOLDERS
+            if position < 0
+            else self._holder_sets.get(shard.set_numbers[position])
+        )
 
     def add(self, key: int, holder: int) -> None:
         """Add a holder to a key."""
@@ -98,52 +102,56 @@
         shard = self._shards[index]
         if shard is None:
             shard = self._shards[index] = _Shard()
-        place = shard.find(key)
-        if place < 0:
+        position = shard.find(key)
+        if position < 0:
             self._insert(shard, key, holder)
             return
-        members = self._groups.get(shard.groups[place])
+        members = self._holder_sets.get(shard.set_numbers[position])
         if holder not in members:
-            self._regroup(shard, place, tuple(sorted((*members, holder))))
+            self._replace_holders(
+                shard, position, tuple(sorted((*members, holder)))
+            )
 
     def remove(self, key: int, holder: int) -> None:
         """Remove a holder from a key."""
         shard = self._shards[key >> _SHIFT]
-        place = -1 if shard is None else shard.find(key)
-        if shard is None or place < 0:
+        position = -1 if shard is None else shard.find(key)
+        if shard is None or position < 0:
             return
-        members = self._groups.get(shard.groups[place])
+        members = self._holder_sets.get(shard.set_numbers[position])
         if holder in members:
             rest = tuple(item for item in members if item != holder)
-            self._regroup(shard, place, rest)
+            self._replace_holders(shard, position, rest)
 
-    def sweep(self, index: int, lives: Callable[[int], bool]) -> None:
+    def sweep(self, index: int, is_alive: Callable[[int], bool]) -> None:
         """Drop the holders that no longer live from one shard."""
         shard = self._shards[index % _SHARD_COUNT]
         if shard is None:
             return
-        for place in range(len(shard.keys) - 1, -1, -1):
-            members = self._groups.get(shard.groups[place])
-            if not all(map(lives, members)):
-                self._regroup(shard, place, tuple(filter(lives, members)))
+        for position in range(len(shard.keys) - 1, -1, -1):
+            members = self._holder_sets.get(shard.set_numbers[position])
+            if not all(map(is_alive, members)):
+                self._replace_holders(
+                    shard, position, tuple(filter(is_alive, members))
+                )
 
     def _insert(self, shard: _Shard, key: int, holder: int) -> None:
-        place = bisect_left(shard.keys, key)
-        shard.keys.insert(place, key)
-        shard.groups.insert(place, self._groups.take((holder,)))
+        position = bisect_left(shard.keys, key)
+        shard.keys.insert(position, key)
+        shard.set_numbers.insert(position, self._holder_sets.acquire((holder,)))
         self._count += 1
 
-    def _regroup(
-        self, shard: _Shard, place: int, members: tuple[int, ...]
+    def _replace_holders(
+        self, shard: _Shard, position: int, members: tuple[int, ...]
     ) -> None:
-        old = shard.groups[place]
+        old = shard.set_numbers[position]
         if members:
-            shard.groups[place] = self._groups.take(members)
+            shard.set_numbers[position] = self._holder_sets.acquire(members)
         else:
-            del shard.keys[place]
-            del shard.groups[place]
+            del shard.keys[position]
+            del shard.set_numbers[position]
             self._count -= 1
-        self._groups.give_back(old)
+        self._holder_sets.release(old)
 
 
 SHARD_COUNT = _SHARD_COUNT
--- a/src/oleanderdyke/kernel/shared_values.py
+++ b/src/oleanderdyke/kernel/interned_values.py
@@ -8,20 +8,20 @@
 ValueT = TypeVar('ValueT', bound=Hashable)
 
 
-class SharedValues(Generic[ValueT]):
+class InternedValues(Generic[ValueT]):
     """Keep each value once, for as long as it is used."""
 
     def __init__(self) -> None:
         self._numbers: dict[ValueT, int] = {}
         self._values: dict[int, ValueT] = {}
-        self._uses: dict[int, int] = {}
+        self._use_counts: dict[int, int] = {}
         self._next = 0
 
     def get(self, number: int) -> ValueT:
         """Return the value of a number."""
         return self._values[number]
 
-    def take(self, value: ValueT) -> int:
+    def acquire(self, value: ValueT) -> int:
         """Count one more use of a value; return its number."""
         number = self._numbers.get(value)
         if number is None:
@@ -29,13 +29,13 @@
             self._next += 1
             self._numbers[value] = number
             self._values[number] = value
-            self._uses[number] = 0
-        self._uses[number] += 1
+            self._use_counts[number] = 0
+        self._use_counts[number] += 1
         return number
 
-    def give_back(self, number: int) -> None:
+    def release(self, number: int) -> None:
         """Count one use less."""
-        self._uses[number] -= 1
-        if not self._uses[number]:
+        self._use_counts[number] -= 1
+        if not self._use_counts[number]:
             del self._numbers[self._values.pop(number)]
-            del self._uses[number]
+            del self._use_counts[number]
--- a/src/oleanderdyke/kernel/load_pace.py
+++ b/src/oleanderdyke/kernel/load_concurrency.py
@@ -14,22 +14,22 @@
 
 # Until loads were seen, one is taken for this part of the time that old weights
 # may serve: whoever sets that leaves room for a few, one after the other.
-_FIRST_SHARE = 1 / 6
+_INITIAL_SHARE = 1 / 6
 # The same where no bound is set: runs end first, and a load takes a second or
 # two.
-_FIRST_TIME: Millis = 2.5 * SECOND
+_INITIAL_DURATION: Millis = 2.5 * SECOND
 # What ended sooner was over before this process read that it had begun.
-_LEAST_TIME: Millis = 0.5 * SECOND
+_MIN_DURATION: Millis = 0.5 * SECOND
 # Loads get longer where runs do. The middle of so many leaves out engines that
 # were slow or cut off, with which each round of loads ends.
-_REMEMBERED = 9
+_MAX_SAMPLES = 9
 
 # More than this part of the fleet at once leaves too few that serve, and loads
 # share the links that weights come over. An engine whose weights may serve no
 # longer is idle, as one that loads is: rather than that, some are late by so
 # much of a load.
-_MANY_SHARE = 1 / 3
-_LATE_SHARE = 0.5
+_MAX_FLEET_SHARE = 1 / 3
+_MAX_DELAY_SHARE = 0.5
 # Beside an engine that takes so much longer than others did one more goes; not
 # sooner, as on crowded engines loads spread by half.
 _OVERDUE_FACTOR = 1.5
@@ -42,38 +42,41 @@
     It has run for `begun`, or has not begun where that is None.
     """
 
-    left: Millis
-    begun: Millis | None = None
+    remaining: Millis
+    elapsed: Millis | None = None
 
 
-class LoadTimes:
+class LoadDurations:
     """Remember how long the last loads took."""
 
     def __init__(self, limit: Millis) -> None:
-        self._first = _FIRST_TIME
+        self._initial = _INITIAL_DURATION
         if not math.isinf(limit):
-            self._first = limit * _FIRST_SHARE
-        self._last: deque[Millis] = deque(maxlen=_REMEMBERED)
+            self._initial = limit * _INITIAL_SHARE
+        self._recent: deque[Millis] = deque(maxlen=_MAX_SAMPLES)
 
-    def note(self, duration: Millis) -> None:
+    def record(self, duration: Millis) -> None:
         """Learn how long an engine had its turn."""
-        if duration >= _LEAST_TIME:
-            self._last.append(duration)
+        if duration >= _MIN_DURATION:
+            self._recent.append(duration)
 
-    def find_time(self) -> Millis:
+    def estimate(self) -> Millis:
         """Return how long the next load likely takes."""
-        if not self._last:
-            return self._first
-        return statistics.median_high(self._last)
+        if not self._recent:
+            return self._initial
+        return statistics.median_high(self._recent)
 
     def is_overdue(self, duration: Millis) -> bool:
         """Return whether a load takes longer than others did."""
-        usual = max(self.find_time(), self._first)
+        usual = max(self.estimate(), self._initial)
         return duration > usual * _OVERDUE_FACTOR
 
 
-def count_at_once(
-    pending: Sequence[PendingLoad], time: Millis, least: int, fleet: int
+def count_concurrent_loads(
+    pending: Sequence[PendingLoad],
+    duration: Millis,
+    minimum: int,
+    fleet_size: int,
 ) -> int:
     """Count how many of a fleet have to load at once for all to be in time.
 
@@ -81,41 +84,49 @@
     context. What runs already counts with what is left of it. Where it takes
     many, as many as are needed for the last to be done soon after.
     """
-    in_time = _count(pending, time, least, late=0.0)
-    many = max(round(fleet * _MANY_SHARE), least)
-    if in_time <= many:
-        return in_time
-    soon_after = _count(pending, time, least, late=time * _LATE_SHARE)
-    return max(soon_after, many)
+    on_time = _find_minimum(pending, duration, minimum, delay=0.0)
+    ceiling = max(round(fleet_size * _MAX_FLEET_SHARE), minimum)
+    if on_time <= ceiling:
+        return on_time
+    delayed = _find_minimum(
+        pending, duration, minimum, delay=duration * _MAX_DELAY_SHARE
+    )
+    return max(delayed, ceiling)
 
 
-def _count(
-    pending: Sequence[PendingLoad], time: Millis, least: int, *, late: Millis
+def _find_minimum(
+    pending: Sequence[PendingLoad],
+    duration: Millis,
+    minimum: int,
+    *,
+    delay: Millis,
 ) -> int:
     """Count how many at once it takes for none to be late by more."""
-    counts = range(least, max(len(pending), least))
-    found = bisect_left(
-        counts, 1, key=lambda count: _are_done(pending, count, time, late)
+    counts = range(minimum, max(len(pending), minimum))
+    offset = bisect_left(
+        counts,
+        1,
+        key=lambda count: _meet_deadlines(pending, count, duration, delay),
     )
-    return least + found
+    return minimum + offset
 
 
-def _are_done(
-    pending: Sequence[PendingLoad], count: int, time: Millis, late: Millis
+def _meet_deadlines(
+    pending: Sequence[PendingLoad], count: int, duration: Millis, delay: Millis
 ) -> bool:
     """Return whether so many at once, in this order, are late by no more.
 
     What can't be in time any more is to load at once.
     """
-    begun = [each.begun for each in pending if each.begun is not None]
-    ends = [max(time - each, 0.0) for each in begun]
-    ends += [0.0] * max(count - len(begun), 0)
-    heapq.heapify(ends)
+    elapsed = [each.elapsed for each in pending if each.elapsed is not None]
+    slot_ends = [max(duration - each, 0.0) for each in elapsed]
+    slot_ends += [0.0] * max(count - len(elapsed), 0)
+    heapq.heapify(slot_ends)
     for load in pending:
-        if load.begun is not None:
+        if load.elapsed is not None:
             continue
-        end = ends[0] + time
-        heapq.heapreplace(ends, end)
-        if end > max(load.left + late, time):
+        end = slot_ends[0] + duration
+        heapq.heapreplace(slot_ends, end)
+        if end > max(load.remaining + delay, duration):
             return False
     return True
--- a/src/oleanderdyke/kernel/load_queue.py
+++ b/src/oleanderdyke/kernel/load_queue.py
@@ -10,23 +10,23 @@
 from typing import TypeAlias
 
 from oleanderdyke.clock import SECOND, Millis
-from oleanderdyke.kernel.load_pace import (
-    LoadTimes,
+from oleanderdyke.kernel.load_concurrency import (
+    LoadDurations,
     PendingLoad,
-    count_at_once,
+    count_concurrent_loads,
 )
 
 # So many load at once from the start: on old weights requests are worth less
 # the longer they serve, and the others have to serve meanwhile.
-_LEAST_AT_ONCE = 2
+_MIN_CONCURRENT_LOADS = 2
 # An agent looks at its engine each 100 ms, and orders what it has its turn for.
-_FIRM_AFTER: Millis = 300.0
+_ORDER_DELAY: Millis = 300.0
 # Whoever has its turn for this part of the time that old weights may serve no
 # longer holds up the others. An engine that is lost gives up its place at once;
 # this is for those whose agent is lost with it, and leaves two more rounds.
-_STUCK_SHARE = 1 / 3
+_TURN_LIMIT_SHARE = 1 / 3
 # The same where no bound is set.
-_STUCK_AFTER: Millis = 7 * SECOND
+_DEFAULT_TURN_LIMIT: Millis = 7 * SECOND
 
 
 # Gets a model and weights of it, returns until when they may serve.
@@ -78,7 +78,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Place:
+class _QueuedLoad:
     """Hold one engine's place; `since` is when its turn came.
 
     The weights of the model that it holds may serve until `due`.
@@ -88,7 +88,7 @@
     model: str
     held: int
     due: Millis = math.inf
-    since: Millis | None = None
+    turn_since: Millis | None = None
     is_lost: bool = False
 
 
@@ -103,96 +103,97 @@
     """
 
     def __init__(self, limit: Millis = math.inf) -> None:
-        self._places: dict[str, _Place] = {}
+        self._queued: dict[str, _QueuedLoad] = {}
         # Loads that have ended since the last tick.
-        self._over: list[_Place] = []
+        self._ended: list[_QueuedLoad] = []
         # The most places since there was none: how many engines a roll-out has.
-        self._fleet = 0
-        self._times = LoadTimes(limit)
-        self._patience = _STUCK_AFTER
+        self._fleet_size = 0
+        self._durations = LoadDurations(limit)
+        self._turn_limit = _DEFAULT_TURN_LIMIT
         if not math.isinf(limit):
-            self._patience = limit * _STUCK_SHARE
+            self._turn_limit = limit * _TURN_LIMIT_SHARE
 
     def clear(self) -> None:
         """Drop all places: agents that still need one ask again."""
-        self._places.clear()
-        self._over.clear()
-        self._fleet = 0
+        self._queued.clear()
+        self._ended.clear()
+        self._fleet_size = 0
 
     def apply(self, notice: LoadNotice) -> None:
         """Apply the next notice of the log."""
-        place = self._places.get(notice.holder)
-        if place is not None and _ends_load(notice, place):
-            self._over.append(place)
+        queued = self._queued.get(notice.holder)
+        if queued is not None and _ends_load(notice, queued):
+            self._ended.append(queued)
         if notice.step in {LoadStep.ENDED, LoadStep.STARTED}:
-            self._places.pop(notice.holder, None)
+            self._queued.pop(notice.holder, None)
         elif notice.step is LoadStep.LOST:
-            if place is not None:
-                place.is_lost = True
+            if queued is not None:
+                queued.is_lost = True
         else:
             # Under a key that is there already it keeps its turn.
-            self._places[notice.holder] = _Place(
+            self._queued[notice.holder] = _QueuedLoad(
                 notice.server, notice.model, notice.held
             )
-        most = max(self._fleet, len(self._places))
-        self._fleet = most if self._places else 0
+        largest = max(self._fleet_size, len(self._queued))
+        self._fleet_size = largest if self._queued else 0
 
     def update_due_times(self, find_due: FindDue) -> None:
         """Learn until when the weights of each place may serve."""
-        for place in self._places.values():
-            place.due = find_due(place.model, place.held)
+        for queued in self._queued.values():
+            queued.due = find_due(queued.model, queued.held)
 
     def tick(self, now: Millis) -> tuple[str, ...]:
         """Pass over engines that have had their time; return them."""
-        self._note_times(now)
-        stuck = {
-            holder: place.server
-            for holder, place in self._places.items()
-            if place.since is not None and now - place.since > self._patience
+        self._record_durations(now)
+        expired = {
+            holder: queued.server
+            for holder, queued in self._queued.items()
+            if queued.turn_since is not None
+            and now - queued.turn_since > self._turn_limit
         }
-        for holder in stuck:
-            del self._places[holder]
+        for holder in expired:
+            del self._queued[holder]
         turns = self._list_turns(now)
-        for place in self._places.values():
-            if place not in turns:
-                place.since = None
-            elif place.since is None:
-                place.since = now
-        return tuple(stuck.values())
+        for queued in self._queued.values():
+            if queued not in turns:
+                queued.turn_since = None
+            elif queued.turn_since is None:
+                queued.turn_since = now
+        return tuple(expired.values())
 
     def is_pending(self, notice: LoadNotice) -> bool:
         """Return whether a request for a place is in force.
 
         A place for one model is none for another: each has its own time.
         """
-        place = self._places.get(notice.holder)
-        if place is None or place.is_lost:
+        queued = self._queued.get(notice.holder)
+        if queued is None or queued.is_lost:
             return False
         asked = (notice.server, notice.model, notice.held)
-        return (place.server, place.model, place.held) == asked
+        return (queued.server, queued.model, queued.held) == asked
 
     def is_queued(self, holder: str) -> bool:
         """Return whether an agent has a place, its engine lost or not."""
-        return holder in self._places
+        return holder in self._queued
 
     def find_model(self, holder: str) -> str:
         """Return the model whose weights an agent waits for, or nothing."""
-        place = self._places.get(holder)
-        return '' if place is None else place.model
+        queued = self._queued.get(holder)
+        return '' if queued is None else queued.model
 
     def is_lost(self, holder: str) -> bool:
         """Return whether an agent that has a place told of a lost engine."""
-        place = self._places.get(holder)
-        return place is not None and place.is_lost
+        queued = self._queued.get(holder)
+        return queued is not None and queued.is_lost
 
     def may_load(self, holder: str, now: Millis) -> bool:
         """Return whether it is an agent's turn."""
-        place = self._places.get(holder)
-        return place is not None and place in self._list_turns(now)
+        queued = self._queued.get(holder)
+        return queued is not None and queued in self._list_turns(now)
 
     def list_loading(self, now: Millis) -> tuple[str, ...]:
         """Return the engines that may take new weights now."""
-        return tuple(place.server for place in self._list_turns(now))
+        return tuple(queued.server for queued in self._list_turns(now))
 
     def find_turns(self, now: Millis) -> LoadTurns:
         """Return the engines that likely take new weights now, and next.
@@ -200,66 +201,73 @@
         One that should be done may be tried: its agent may be cut off. If it
         still loads it refuses at once.
         """
-        if not self._places:
+        if not self._queued:
             return _NO_TURNS
         turns = self._list_turns(now)
         busy = [each for each in turns if not self._is_overdue(each, now)]
-        waiting = [each for each in self._list_able() if each not in turns]
+        waiting = [each for each in self._list_available() if each not in turns]
         return LoadTurns(
             tuple(each.server for each in busy),
             tuple(each.server for each in waiting[: len(turns)]),
         )
 
-    def _note_times(self, now: Millis) -> None:
-        for place in self._over:
-            if place.since is not None:
-                self._times.note(now - place.since)
-        self._over.clear()
+    def _record_durations(self, now: Millis) -> None:
+        for queued in self._ended:
+            if queued.turn_since is not None:
+                self._durations.record(now - queued.turn_since)
+        self._ended.clear()
 
-    def _list_able(self) -> list[_Place]:
-        able = [place for place in self._places.values() if not place.is_lost]
-        return sorted(able, key=attrgetter('due'))
+    def _list_available(self) -> list[_QueuedLoad]:
+        available = [
+            queued for queued in self._queued.values() if not queued.is_lost
+        ]
+        return sorted(available, key=attrgetter('due'))
 
-    def _list_turns(self, now: Millis) -> list[_Place]:
+    def _list_turns(self, now: Millis) -> list[_QueuedLoad]:
         """Return whose turn it is, those first who had it before.
 
         Whoever should be done holds up nobody: its agent may be cut off from
         the store, as one was for eight seconds of a roll-out of ten.
         """
-        able = self._list_able()
-        firm = [place for place in able if _is_firm(place, now)]
-        rest = [place for place in able if not _is_firm(place, now)]
-        busy = [each for each in firm if not self._is_overdue(each, now)]
+        available = self._list_available()
+        ordered = [queued for queued in available if _has_order(queued, now)]
+        rest = [queued for queued in available if not _has_order(queued, now)]
+        busy = [each for each in ordered if not self._is_overdue(each, now)]
         pending = [_make_pending(each, now) for each in busy]
         pending += [PendingLoad(each.due - now) for each in rest]
-        count = count_at_once(
-            pending, self._times.find_time(), _LEAST_AT_ONCE, self._fleet
+        count = count_concurrent_loads(
+            pending,
+            self._durations.estimate(),
+            _MIN_CONCURRENT_LOADS,
+            self._fleet_size,
         )
-        return firm + rest[: max(count - len(busy), 0)]
+        return ordered + rest[: max(count - len(busy), 0)]
 
-    def _is_overdue(self, place: _Place, now: Millis) -> bool:
+    def _is_overdue(self, queued: _QueuedLoad, now: Millis) -> bool:
         """Return whether an engine should have ended its load by now."""
-        if place.since is None:
+        if queued.turn_since is None:
             return False
-        return self._times.is_overdue(now - place.since)
+        return self._durations.is_overdue(now - queued.turn_since)
 
 
-def _ends_load(notice: LoadNotice, place: _Place) -> bool:
+def _ends_load(notice: LoadNotice, queued: _QueuedLoad) -> bool:
     """Return whether a load has ended: some ask for the next at once."""
     if notice.step is LoadStep.WAITS:
-        is_same = notice.server == place.server
-        return is_same and notice.held > place.held
-    return notice.step is LoadStep.ENDED and not place.is_lost
+        is_same = notice.server == queued.server
+        return is_same and notice.held > queued.held
+    return notice.step is LoadStep.ENDED and not queued.is_lost
 
 
-def _is_firm(place: _Place, now: Millis) -> bool:
+def _has_order(queued: _QueuedLoad, now: Millis) -> bool:
     """Return whether an engine has its order by now, so that it keeps its turn.
 
     Until then a notice with later news may show that there is more time.
     """
-    return place.since is not None and now - place.since > _FIRM_AFTER
+    return (
+        queued.turn_since is not None and now - queued.turn_since > _ORDER_DELAY
+    )
 
 
-def _make_pending(place: _Place, now: Millis) -> PendingLoad:
-    begun = None if place.since is None else now - place.since
-    return PendingLoad(place.due - now, begun)
+def _make_pending(queued: _QueuedLoad, now: Millis) -> PendingLoad:
+    elapsed = None if queued.turn_since is None else now - queued.turn_since
+    return PendingLoad(queued.due - now, elapsed)
--- a/src/oleanderdyke/kernel/load_table.py
+++ b/src/oleanderdyke/kernel/load_table.py
@@ -13,7 +13,7 @@
 from oleanderdyke.kernel.servers import ServerLoad, ServerStart
 
 # What was told longer ago is not passed on: requests come and go meanwhile.
-_LIFE: Millis = 1 * SECOND
+_MAX_AGE: Millis = 1 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,27 +36,27 @@
     def __init__(self) -> None:
         self._loads: dict[ServerStart, TimedLoad] = {}
         self._numbers: dict[ServerStart, int] = {}
-        self._count = 0
+        self._last = 0
 
     @property
     def last_number(self) -> int:
         """Return the number of the newest load."""
-        return self._count
+        return self._last
 
-    def update(self, told: TimedLoad) -> bool:
+    def update(self, timed_load: TimedLoad) -> bool:
         """Take a load; tell whether it is newer than what is known."""
-        known = self._loads.get(told.start)
-        if known is not None and known.at >= told.at:
+        current = self._loads.get(timed_load.start)
+        if current is not None and current.at >= timed_load.at:
             return False
-        self._count += 1
-        self._loads[told.start] = told
-        self._numbers[told.start] = self._count
+        self._last += 1
+        self._loads[timed_load.start] = timed_load
+        self._numbers[timed_load.start] = self._last
         return True
 
     def list_after(self, number: int, now: Millis) -> Iterator[TimedLoad]:
         """Yield the loads after a number that are young enough to count."""
-        for start, told in tuple(self._loads.items()):
-            if now - told.at > _LIFE:
+        for start, timed_load in tuple(self._loads.items()):
+            if now - timed_load.at > _MAX_AGE:
                 del self._loads[start], self._numbers[start]
             elif self._numbers[start] > number:
-                yield told
+                yield timed_load
--- a/src/oleanderdyke/kernel/outdated_context.py
+++ b/src/oleanderdyke/kernel/outdated_context.py
@@ -41,15 +41,15 @@
         if oldest is None or oldest < newest:
             self._settled.pop(model, None)
             return
-        known = self._settled.get(model)
-        if known is None or known.version != newest:
+        current = self._settled.get(model)
+        if current is None or current.version != newest:
             self._settled[model] = _Settled(newest, now)
 
     def list_oldest_usable(self, now: Millis) -> dict[str, int]:
         """Return for each model the weights before which all may be freed."""
-        before = now - VIEW_MAX_AGE - _MARGIN
+        cutoff = now - VIEW_MAX_AGE - _MARGIN
         return {
             model: settled.version
             for model, settled in self._settled.items()
-            if settled.since < before
+            if settled.since < cutoff
         }
--- a/src/oleanderdyke/kernel/read_backoff.py
+++ b/src/oleanderdyke/kernel/read_backoff.py
@@ -12,16 +12,16 @@
 _LONG_WAIT: Millis = 1 * SECOND
 # Now and then it leaves its place all the same: who reads on and on never
 # learns that others find none, and they never get one.
-_YIELD_SHARE = 0.3
+_YIELD_PROBABILITY = 0.3
 _YIELD_PAUSE: Millis = 300.0
 # Where there is not, it waits for a part of a second and leaves its place to
 # others for a while: a view serves for 3.5 s, so that a read in one to two is
 # enough, and a place serves five readers. Shorter reads are charged for.
 _SHORT_WAIT: Millis = 250.0
-_FIRST_PAUSE: Millis = 700.0
-_LONGEST_PAUSE: Millis = 1.2 * SECOND
+_MIN_PAUSE: Millis = 700.0
+_MAX_PAUSE: Millis = 1.2 * SECOND
 _PAUSE_GROWTH = 1.3
-_PAUSE_SPREAD = 0.5
+_PAUSE_JITTER = 0.5
 # Who finds no place asks again after this, and at most half as much more.
 _RETRY_PAUSE: Millis = 200.0
 
@@ -43,16 +43,16 @@
 
     def record_rejection(self) -> Millis:
         """Learn that there was no place; return when to ask again."""
-        longer = max(self._pause * _PAUSE_GROWTH, _FIRST_PAUSE)
-        self._pause = min(longer, _LONGEST_PAUSE)
-        return self._spread(_RETRY_PAUSE)
+        pause = max(self._pause * _PAUSE_GROWTH, _MIN_PAUSE)
+        self._pause = min(pause, _MAX_PAUSE)
+        return self._add_jitter(_RETRY_PAUSE)
 
     def find_pause(self) -> Millis:
         """Return how long to leave one's place to others after a read."""
         if self._pause:
-            return self._spread(self._pause)
-        is_yielding = self.random.random() < _YIELD_SHARE
+            return self._add_jitter(self._pause)
+        is_yielding = self.random.random() < _YIELD_PROBABILITY
         return _YIELD_PAUSE if is_yielding else 0.0
 
-    def _spread(self, pause: Millis) -> Millis:
-        return pause * self.random.uniform(1 - _PAUSE_SPREAD, 1 + _PAUSE_SPREAD)
+    def _add_jitter(self, pause: Millis) -> Millis:
+        return pause * self.random.uniform(1 - _PAUSE_JITTER, 1 + _PAUSE_JITTER)
--- a/src/oleanderdyke/kernel/reuse_model.py
+++ b/src/oleanderdyke/kernel/reuse_model.py
@@ -12,11 +12,11 @@
 _MIN_GAP = MINUTE
 # Two days in the middle of the gaps from minutes to days: what was used once
 # must not push out what returns daily.
-_FIRST_GAP = 48 * HOUR
+_DEFAULT_GAP = 48 * HOUR
 
 
 @dataclass(slots=True)
-class _Returns:
+class _UseHistory:
     """Hold what is known about the uses of one segment."""
 
     last: Millis
@@ -29,39 +29,39 @@
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
-        self._returns: OrderedDict[bytes, _Returns] = OrderedDict()
+        self._returns: OrderedDict[bytes, _UseHistory] = OrderedDict()
 
     def record_use(self, segment: bytes, now: Millis) -> None:
         """Learn one use."""
-        known = self._returns.get(segment)
-        if known is None:
-            self._returns[segment] = _Returns(now, 0.0)
+        history = self._returns.get(segment)
+        if history is None:
+            self._returns[segment] = _UseHistory(now, 0.0)
             if len(self._returns) > self._limit:
                 self._returns.popitem(last=False)
             return
         self._returns.move_to_end(segment)
-        gap = now - known.last
+        gap = now - history.last
         if gap < _MIN_GAP:
-            known.last = now
+            history.last = now
             return
-        known.gap = _smooth(known.gap, gap)
-        known.last = now
-        known.uses += 1
+        history.gap = _smooth(history.gap, gap)
+        history.last = now
+        history.uses += 1
 
     def estimate_rate(
         self, segment: bytes, expected_gap: Millis, now: Millis
     ) -> float:
         """Estimate the uses per millisecond from now on."""
-        known = self._returns.get(segment)
-        if known is None:
-            return 1.0 / max(_MIN_GAP, expected_gap or _FIRST_GAP)
-        gap = known.gap or expected_gap or _FIRST_GAP
-        age = now - known.last
+        history = self._returns.get(segment)
+        if history is None:
+            return 1.0 / max(_MIN_GAP, expected_gap or _DEFAULT_GAP)
+        gap = history.gap or expected_gap or _DEFAULT_GAP
+        age = now - history.last
         return 1.0 / max(_MIN_GAP, gap, age)
 
 
 def _smooth(old: Millis, new: Millis) -> Millis:
     if not old:
         return new
-    mixed = (1 - _SMOOTHING) * math.log(old) + _SMOOTHING * math.log(new)
-    return math.exp(mixed)
+    log_gap = (1 - _SMOOTHING) * math.log(old) + _SMOOTHING * math.log(new)
+    return math.exp(log_gap)
--- a/src/oleanderdyke/kernel/rollout.py
+++ b/src/oleanderdyke/kernel/rollout.py
@@ -28,18 +28,18 @@
     clock: Millis = 0.0
     born: int | None = None
 
-    def has_restarted_since(self, before: EngineState) -> bool:
+    def has_restarted_since(self, previous: EngineState) -> bool:
         """Return whether the engine has started anew since the report before.
 
         Each start counts its orders from none.
         """
-        return self.born != before.born or self.orders < before.orders
+        return self.born != previous.born or self.orders < previous.orders
 
-    def is_from_earlier_start(self, before: EngineState) -> bool:
+    def is_from_earlier_start(self, previous: EngineState) -> bool:
         """Return whether a report is late, of a start that has ended."""
         if self.born is None:
-            return before.born is not None
-        return self.born < (before.born or 0)
+            return previous.born is not None
+        return self.born < (previous.born or 0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,14 +75,14 @@
         self, notice: LoadNotice, *, now: Millis, clock_offset: Millis | None
     ) -> None:
         """Take a notice of the log: a place, and how old its news is."""
-        told = notice.newest_at
-        is_ahead = (
-            told is not None
+        newest_at = notice.newest_at
+        is_future = (
+            newest_at is not None
             and clock_offset is not None
-            and told - clock_offset > now
+            and newest_at - clock_offset > now
         )
-        if told is not None and not is_ahead:
-            self.weights.record_newest(notice.model, notice.held, told)
+        if newest_at is not None and not is_future:
+            self.weights.record_newest(notice.model, notice.held, newest_at)
         self.queue.apply(notice)
         self.tick(now=now, clock_offset=clock_offset)
 
--- a/src/oleanderdyke/kernel/segment_log.py
+++ b/src/oleanderdyke/kernel/segment_log.py
@@ -37,12 +37,12 @@
     def add(self, segment: SegmentHint) -> None:
         """Note that a segment is there."""
         if self._present.add(segment):
-            self._change(segment, present=True)
+            self._record_change(segment, present=True)
 
     def remove(self, segment: SegmentHint) -> None:
         """Note that a segment is gone."""
         if self._present.discard(segment):
-            self._change(segment, present=False)
+            self._record_change(segment, present=False)
 
     def replace(self, segments: Iterable[SegmentHint]) -> None:
         """Become another set, by the fewest events."""
@@ -81,7 +81,7 @@
         events.reverse()
         return tuple(_make_messages(number, events))
 
-    def _change(self, segment: SegmentHint, *, present: bool) -> None:
+    def _record_change(self, segment: SegmentHint, *, present: bool) -> None:
         # A change that undoes an unsent one leaves nothing to tell.
         if self._unsent.pop(segment, None) is None:
             self._unsent[segment] = present
--- a/src/oleanderdyke/kernel/segment_places.py
+++ b/src/oleanderdyke/kernel/segment_rows.py
@@ -13,7 +13,7 @@
 _SHIFT = 8 * HINT_BYTES - _SHARD_BITS
 
 
-class SegmentPlaces:
+class SegmentRows:
     """Map the hint of a segment to the places that may hold the segment.
 
     Two segments may share a hint, so the caller compares the whole ids.
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         shards = range(1 << _SHARD_BITS)
         self._keys = [array('Q') for _ in shards]
-        self._places = [array('I') for _ in shards]
+        self._rows = [array('I') for _ in shards]
 
     def find(self, segment: SegmentId) -> Sequence[int]:
         """Return the places to compare."""
@@ -30,28 +30,28 @@
         shard = key >> _SHIFT
         keys = self._keys[shard]
         start = bisect_left(keys, key)
-        return self._places[shard][start : bisect_right(keys, key, start)]
+        return self._rows[shard][start : bisect_right(keys, key, start)]
 
-    def add(self, segment: SegmentId, place: int) -> None:
+    def add(self, segment: SegmentId, row: int) -> None:
         """Note a new segment."""
         key = int.from_bytes(segment[:HINT_BYTES])
         index = bisect_left(self._keys[key >> _SHIFT], key)
         self._keys[key >> _SHIFT].insert(index, key)
-        self._places[key >> _SHIFT].insert(index, place)
+        self._rows[key >> _SHIFT].insert(index, row)
 
     def move(self, segment: SegmentId, old: int, new: int) -> None:
         """Note that a segment has another place."""
         shard, index = self._locate(segment, old)
-        self._places[shard][index] = new
+        self._rows[shard][index] = new
 
-    def remove(self, segment: SegmentId, place: int) -> None:
+    def remove(self, segment: SegmentId, row: int) -> None:
         """Forget a segment."""
-        shard, index = self._locate(segment, place)
+        shard, index = self._locate(segment, row)
         del self._keys[shard][index]
-        del self._places[shard][index]
+        del self._rows[shard][index]
 
-    def _locate(self, segment: SegmentId, place: int) -> tuple[int, int]:
+    def _locate(self, segment: SegmentId, row: int) -> tuple[int, int]:
         key = int.from_bytes(segment[:HINT_BYTES])
         shard = key >> _SHIFT
         start = bisect_left(self._keys[shard], key)
-        return shard, self._places[shard].index(place, start)
+        return shard, self._rows[shard].index(row, start)
--- a/src/oleanderdyke/kernel/segment_write.py
+++ b/src/oleanderdyke/kernel/segment_write.py
@@ -34,9 +34,9 @@
 
     def add(self, part: SegmentPart) -> WriteRefusal | None:
         """Take the next part; return what is wrong with it."""
-        fault = self._check(part)
-        if fault is not None:
-            return fault
+        refusal = self._check(part)
+        if refusal is not None:
+            return refusal
         self._digest.update(part.data)
         self._position += len(part.data)
         if not part.last:
--- a/src/oleanderdyke/kernel/shared_chunks.py
+++ b/src/oleanderdyke/kernel/shared_chunks.py
@@ -17,12 +17,12 @@
         self._chunks: list[bytes] = []
 
     def __iter__(self) -> Iterator[bytes]:
-        place = 0
-        while place < len(self._chunks) or self._encode():
-            yield self._chunks[place]
-            place += 1
+        index = 0
+        while index < len(self._chunks) or self._encode_next():
+            yield self._chunks[index]
+            index += 1
 
-    def _encode(self) -> bool:
+    def _encode_next(self) -> bool:
         chunk = next(self._source, None)
         if chunk is None:
             return False
--- a/src/oleanderdyke/kernel/snapshot_detector.py
+++ b/src/oleanderdyke/kernel/snapshot_detector.py
@@ -12,7 +12,7 @@
     make_digest,
 )
 
-_PARTIAL_SNAPSHOTS = 4
+_MAX_PARTIAL_SNAPSHOTS = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,10 +27,10 @@
 class _Collector:
     """Follow the chunks of one snapshot; load them only where wanted."""
 
-    def __init__(self, through: int, start: int, *, wanted: bool) -> None:
+    def __init__(self, through: int, start: int, *, should_load: bool) -> None:
         self.through = through
         self.start = start
-        self.loader = SnapshotLoader(through) if wanted else None
+        self.loader = SnapshotLoader(through) if should_load else None
         self._next = 0
         self._digest = make_digest(through)
 
@@ -57,7 +57,7 @@
         self._collectors: list[_Collector] = []
 
     def add(
-        self, offset: int, at: Millis, data: bytes, have: int
+        self, offset: int, at: Millis, data: bytes, loaded_offset: int
     ) -> LoadedSnapshot | None:
         """Take a record; return a snapshot that it completes.
 
@@ -67,21 +67,31 @@
         if not isinstance(chunk, SnapshotChunk) or chunk.through >= offset:
             return None
         if chunk.index == 0:
-            self._open(offset, chunk.through, wanted=chunk.through > have)
-        whole = [item for item in self._collectors if item.add(chunk)]
-        if not whole:
+            self._open(
+                offset, chunk.through, should_load=chunk.through > loaded_offset
+            )
+        complete = [
+            collector for collector in self._collectors if collector.add(chunk)
+        ]
+        if not complete:
             return None
-        self._keep_newest(CompleteSnapshot(whole[0].start, chunk.through, at))
+        self._update_newest(
+            CompleteSnapshot(complete[0].start, chunk.through, at)
+        )
         self._collectors = [
-            item for item in self._collectors if item.through != chunk.through
+            collector
+            for collector in self._collectors
+            if collector.through != chunk.through
         ]
-        loader = whole[0].loader
+        loader = complete[0].loader
         return None if loader is None else loader.loaded
 
-    def _open(self, offset: int, through: int, *, wanted: bool) -> None:
-        self._collectors.append(_Collector(through, offset, wanted=wanted))
-        del self._collectors[:-_PARTIAL_SNAPSHOTS]
+    def _open(self, offset: int, through: int, *, should_load: bool) -> None:
+        self._collectors.append(
+            _Collector(through, offset, should_load=should_load)
+        )
+        del self._collectors[:-_MAX_PARTIAL_SNAPSHOTS]
 
-    def _keep_newest(self, kept: CompleteSnapshot) -> None:
-        if self.newest is None or kept.start > self.newest.start:
-            self.newest = kept
+    def _update_newest(self, snapshot: CompleteSnapshot) -> None:
+        if self.newest is None or snapshot.start > self.newest.start:
+            self.newest = snapshot
--- a/src/oleanderdyke/kernel/store_index.py
+++ b/src/oleanderdyke/kernel/store_index.py
@@ -96,7 +96,7 @@
         self._writes: dict[SegmentId, OpenWrite] = {}
         self._pins = PinTable(limit=limits.pins, time=limits.pin_time)
         self._evictor = Evictor(self._entries, self._pins, keeper, random)
-        self._doomed: dict[str, int] = {}
+        self._pending_deletions: dict[str, int] = {}
         self._deletions: list[str] = []
         self._used = 0
         self.log = SegmentLog()
@@ -108,18 +108,18 @@
 
     def begin(self, write: SegmentWrite, now: Millis) -> BeginOutcome:
         """Open a write, or say why not."""
-        known = self._find_known(write)
-        if known is not None:
-            return known
+        existing = self._find_existing(write)
+        if existing is not None:
+            return existing
         if len(self._writes) >= self._limits.writes:
             return WriteFailed(WriteRefusal.BUSY, (write.request,))
         if not _has_ids(write.segment, write.digest):
             return WriteFailed(WriteRefusal.LENGTH, (write.request,))
         generation = next(self._generations)
-        meta = self._describe(write, generation)
-        fault = self._make_room(meta, now)
-        if fault is not None:
-            return WriteFailed(fault, (write.request,))
+        meta = self._make_meta(write, generation)
+        refusal = self._make_room(meta, now)
+        if refusal is not None:
+            return WriteFailed(refusal, (write.request,))
         self._used += meta.length
         self._writes[meta.segment] = OpenWrite(
             write.request, meta, generation, now + self._limits.write_time
@@ -132,10 +132,10 @@
         if write is None:
             return PartIgnored()
         if now >= write.until:
-            return self._drop_write(write, WriteRefusal.TIMEOUT)
-        fault = write.add(part)
-        if fault is not None:
-            return self._drop_write(write, fault)
+            return self._fail_write(write, WriteRefusal.TIMEOUT)
+        refusal = write.add(part)
+        if refusal is not None:
+            return self._fail_write(write, refusal)
         if not write.is_verified:
             return PartAccepted()
         meta_name = write.meta.object_name + META_SUFFIX
@@ -149,11 +149,11 @@
         if write is None:
             return WriteFailed(WriteRefusal.UNKNOWN)
         if now >= write.until:
-            return self._drop_write(write, WriteRefusal.TIMEOUT)
+            return self._fail_write(write, WriteRefusal.TIMEOUT)
         if not write.is_verified:
-            return self._drop_write(write, WriteRefusal.LENGTH)
+            return self._fail_write(write, WriteRefusal.LENGTH)
         del self._writes[segment]
-        self._show(SealedEntry(write.meta, write.generation), now)
+        self._publish(SealedEntry(write.meta, write.generation), now)
         return WriteSealed(write.requests)
 
     def abort(
@@ -163,7 +163,7 @@
         write = self._find_write(request, segment)
         if write is None:
             return WriteFailed(WriteRefusal.UNKNOWN)
-        return self._drop_write(write, reason)
+        return self._fail_write(write, reason)
 
     def pin(
         self, namespace: Namespace, segment: SegmentId, now: Millis
@@ -190,7 +190,7 @@
     def unpin(self, pinned: Pinned) -> None:
         """End a reader's copy."""
         if self._pins.remove(pinned):
-            self._delete_doomed(pinned.object_name)
+            self._delete_pending(pinned.object_name)
 
     def free(self, segment: SegmentId) -> None:
         """Hide a segment at once; delete its object when no pin is left."""
@@ -199,9 +199,9 @@
             return
         self.log.remove(make_hint(segment))
         name = entry.meta.object_name
-        self._doomed[name] = entry.meta.length
+        self._pending_deletions[name] = entry.meta.length
         if not self._pins.is_pinned(entry.generation):
-            self._delete_doomed(name)
+            self._delete_pending(name)
 
     def free_corrupt(self, pinned: Pinned) -> None:
         """Free the entry whose bytes failed verification, if still there."""
@@ -213,9 +213,9 @@
         """End writes and pins whose time is over."""
         for pinned in self._pins.list_expired(now):
             self.unpin(pinned)
-        late = [each for each in self._writes.values() if now >= each.until]
+        expired = [each for each in self._writes.values() if now >= each.until]
         return tuple(
-            self._drop_write(each, WriteRefusal.TIMEOUT) for each in late
+            self._fail_write(each, WriteRefusal.TIMEOUT) for each in expired
         )
 
     def drain_deletions(self) -> tuple[str, ...]:
@@ -233,16 +233,16 @@
         named for deletion otherwise.
         """
         record = decode_meta(meta)
-        if record is None or not self._fits(meta_name, record, stored):
-            self._name_deletions(meta_name.removesuffix(META_SUFFIX))
+        if record is None or not self._can_restore(meta_name, record, stored):
+            self._queue_deletions(meta_name.removesuffix(META_SUFFIX))
             return False
         if self._entries.get(record.segment) is not None:
-            return self._settle_twin(record)
+            return self._resolve_duplicate(record)
         self._used += record.length
-        self._show(SealedEntry(record, next(self._generations)), now)
+        self._publish(SealedEntry(record, next(self._generations)), now)
         return True
 
-    def _fits(
+    def _can_restore(
         self, meta_name: str, record: SealedMeta, stored: int | None
     ) -> bool:
         if meta_name != record.object_name + META_SUFFIX:
@@ -253,26 +253,26 @@
             return False
         return self._used + record.length <= self._limits.capacity_bytes
 
-    def _settle_twin(self, record: SealedMeta) -> bool:
+    def _resolve_duplicate(self, record: SealedMeta) -> bool:
         entry = self._entries.get(record.segment)
         if entry is not None and entry.meta == record:
             return True
-        self._name_deletions(record.object_name)
+        self._queue_deletions(record.object_name)
         return False
 
-    def _find_known(self, write: SegmentWrite) -> BeginOutcome | None:
-        opened = self._writes.get(write.segment)
+    def _find_existing(self, write: SegmentWrite) -> BeginOutcome | None:
+        open_write = self._writes.get(write.segment)
         entry = self._entries.get(write.segment)
-        known = opened or entry
-        if known is None:
+        existing = open_write or entry
+        if existing is None:
             return None
-        if known.meta.namespace != write.namespace:
+        if existing.meta.namespace != write.namespace:
             return WriteFailed(WriteRefusal.NAMESPACE, (write.request,))
-        if opened is None:
+        if open_write is None:
             return WritePresent()
-        if len(opened.joined) >= self._limits.writes:
+        if len(open_write.joined) >= self._limits.writes:
             return WriteFailed(WriteRefusal.BUSY, (write.request,))
-        opened.joined.append(write.request)
+        open_write.joined.append(write.request)
         return WriteJoined()
 
     def _find_write(self, request: str, segment: SegmentId) -> OpenWrite | None:
@@ -281,7 +281,7 @@
             return None
         return write
 
-    def _describe(self, write: SegmentWrite, generation: int) -> SealedMeta:
+    def _make_meta(self, write: SegmentWrite, generation: int) -> SealedMeta:
         name = f'{write.segment.hex()}-{self._incarnation}-{generation}'
         return SealedMeta(
             object_name=name,
@@ -293,38 +293,38 @@
             depth=max(0, min(write.depth, MAX_DEPTH)),
         )
 
-    def _drop_write(
+    def _fail_write(
         self, write: OpenWrite, reason: WriteRefusal
     ) -> WriteFailed:
         del self._writes[write.meta.segment]
         self._delete(write.meta.object_name, write.meta.length)
         return WriteFailed(reason, write.requests)
 
-    def _show(self, entry: SealedEntry, now: Millis) -> None:
+    def _publish(self, entry: SealedEntry, now: Millis) -> None:
         segment = entry.meta.segment
         self._entries.add(entry)
         self._keeper.note_used(make_hint(segment), now)
         self.log.add(make_hint(segment))
 
-    def _delete_doomed(self, name: str) -> None:
-        length = self._doomed.pop(name, None)
+    def _delete_pending(self, name: str) -> None:
+        length = self._pending_deletions.pop(name, None)
         if length is not None:
             self._delete(name, length)
 
     def _delete(self, name: str, length: int) -> None:
         self._used -= length
-        self._name_deletions(name)
+        self._queue_deletions(name)
 
-    def _name_deletions(self, name: str) -> None:
+    def _queue_deletions(self, name: str) -> None:
         self._deletions += [name + META_SUFFIX, name]
 
     def _make_room(self, meta: SealedMeta, now: Millis) -> WriteRefusal | None:
         if not 0 < meta.length <= self._limits.capacity_bytes:
             return WriteRefusal.FULL
-        missing = self._used + meta.length - self._limits.capacity_bytes
-        if missing <= 0:
+        needed_bytes = self._used + meta.length - self._limits.capacity_bytes
+        if needed_bytes <= 0:
             return None
-        victims = self._evictor.choose(meta, missing, now)
+        victims = self._evictor.choose(meta, needed_bytes, now)
         if isinstance(victims, WriteRefusal):
             return victims
         for segment in victims:
--- a/src/oleanderdyke/kernel/store_meta.py
+++ b/src/oleanderdyke/kernel/store_meta.py
@@ -16,7 +16,7 @@
 _META_VERSION = 2
 # Records of the first form lack the depth at their end.
 _FIRST_VERSION = 1
-_CHECK_BYTES = 32
+_CHECKSUM_BYTES = 32
 _FIELD_TYPES = (int, str, bytes, bytes, int, bytes, float, int)
 # Segments that are deeper in a prompt are equals.
 MAX_DEPTH = 65_535
@@ -49,13 +49,13 @@
             meta.depth,
         ]
     )
-    return _check(body) + body
+    return _checksum(body) + body
 
 
 def decode_meta(data: bytes) -> SealedMeta | None:
     """Read a stored meta record; None unless it is whole."""
-    check, body = data[:_CHECK_BYTES], data[_CHECK_BYTES:]
-    if not hmac.compare_digest(check, _check(body)):
+    checksum, body = data[:_CHECKSUM_BYTES], data[_CHECKSUM_BYTES:]
+    if not hmac.compare_digest(checksum, _checksum(body)):
         return None
     fields: object = cbor2.loads(body)
     if isinstance(fields, list) and fields[:1] == [_FIRST_VERSION]:
@@ -65,8 +65,8 @@
     return SealedMeta(*fields[1:])
 
 
-def _check(body: bytes) -> bytes:
-    return hashlib.blake2b(body, digest_size=_CHECK_BYTES).digest()
+def _checksum(body: bytes) -> bytes:
+    return hashlib.blake2b(body, digest_size=_CHECKSUM_BYTES).digest()
 
 
 def _is_record(
@@ -77,6 +77,6 @@
     if fields[0] != _META_VERSION:
         return False
     pairs = zip(fields, _FIELD_TYPES, strict=True)
-    if not all(type(value) is wanted for value, wanted in pairs):
+    if not all(type(value) is expected for value, expected in pairs):
         return False
     return bool(0 <= fields[-1] <= MAX_DEPTH)
--- a/src/oleanderdyke/kernel/weight_versions.py
+++ b/src/oleanderdyke/kernel/weight_versions.py
@@ -17,16 +17,16 @@
 
 
 @dataclass(slots=True)
-class _Model:
+class _ModelVersions:
     """Hold one model's newest weights, and when older ones were the newest.
 
     `seen` has moments of our clock by version, `told` of the engines' clock.
     """
 
     newest: int = 0
-    named: set[int] = field(default_factory=set)
-    seen: dict[int, Millis] = field(default_factory=dict)
-    told: dict[int, Millis] = field(default_factory=dict)
+    versions: set[int] = field(default_factory=set)
+    seen_newest_at: dict[int, Millis] = field(default_factory=dict)
+    reported_newest_at: dict[int, Millis] = field(default_factory=dict)
 
 
 class WeightVersions:
@@ -39,22 +39,22 @@
     """
 
     def __init__(self) -> None:
-        self._models: dict[str, _Model] = {}
-        self._read_at: Millis | None = None
+        self._models: dict[str, _ModelVersions] = {}
+        self._last_read_at: Millis | None = None
 
     def record_read(self, asked_at: Millis) -> None:
         """Learn that all that was named before a moment has been read."""
-        self._read_at = asked_at
+        self._last_read_at = asked_at
 
     def add(self, model: str, version: int) -> bool:
         """Take newly named weights; tell whether they are newer."""
-        known = self._models.setdefault(model, _Model())
-        known.named.add(version)
-        if version <= known.newest:
+        state = self._models.setdefault(model, _ModelVersions())
+        state.versions.add(version)
+        if version <= state.newest:
             return False
-        if self._read_at is not None:
-            known.seen[known.newest] = self._read_at
-        known.newest = version
+        if self._last_read_at is not None:
+            state.seen_newest_at[state.newest] = self._last_read_at
+        state.newest = version
         return True
 
     def record_newest(self, model: str, version: int, at: Millis) -> None:
@@ -62,28 +62,30 @@
 
         `at` is a moment of the clock that all engines share.
         """
-        known = self._models.setdefault(model, _Model())
-        known.told[version] = max(known.told.get(version, at), at)
+        state = self._models.setdefault(model, _ModelVersions())
+        state.reported_newest_at[version] = max(
+            state.reported_newest_at.get(version, at), at
+        )
 
     def find_newest(self, model: str) -> int:
         """Return the newest weights of a model, 0 where none are named."""
-        known = self._models.get(model)
-        return 0 if known is None else known.newest
+        state = self._models.get(model)
+        return 0 if state is None else state.newest
 
     def find_next(self, model: str, version: int) -> int:
         """Return the weights that were named next after others, or those."""
-        known = self._models.get(model)
-        if known is None:
+        state = self._models.get(model)
+        if state is None:
             return version
-        later = (each for each in known.named if each > version)
+        later = (each for each in state.versions if each > version)
         return min(later, default=version)
 
     def list_newest(self) -> dict[str, int]:
         """Return the newest weights of each model that has some named."""
         return {
-            model: known.newest
-            for model, known in self._models.items()
-            if known.newest
+            model: state.newest
+            for model, state in self._models.items()
+            if state.newest
         }
 
     def find_replaced_at(
@@ -95,14 +97,18 @@
         is known. `clock_offset` is the most by which the engines' clock is
         ahead of the local one; reported times in the future are ignored.
         """
-        known = self._models.get(model)
-        if known is None or held >= known.newest:
+        state = self._models.get(model)
+        if state is None or held >= state.newest:
             return None
-        moments = [at for version, at in known.seen.items() if version <= held]
+        moments = [
+            at
+            for version, at in state.seen_newest_at.items()
+            if version <= held
+        ]
         if clock_offset is not None:
             moments += [
                 at - clock_offset
-                for version, at in known.told.items()
+                for version, at in state.reported_newest_at.items()
                 if version <= held and at - clock_offset <= now
             ]
         return max(moments, default=-math.inf)
@@ -122,5 +128,5 @@
         """
         if math.isinf(within):
             return True
-        replaced = self.find_replaced_at(model, held or 0, now, clock_offset)
-        return replaced is None or now - replaced < within
+        replaced_at = self.find_replaced_at(model, held or 0, now, clock_offset)
+        return replaced_at is None or now - replaced_at < within
--- a/tests/test_context_stores.py
+++ b/tests/test_context_stores.py
@@ -338,9 +338,9 @@
 def _restart_unsafely(view: StoreView, boot: int) -> None:
     view._boot = boot
     view.parts.clear()
-    view._saving.clear()
-    view._saving_tokens = 0
-    view._used = 0
+    view._pending_saves.clear()
+    view._pending_tokens = 0
+    view._used_tokens = 0
 
 
 @pytest.mark.parametrize('missing', [0, 1])
--- a/tests/test_load_pace.py
+++ b/tests/test_load_pace.py
@@ -16,10 +16,10 @@
 
 import pytest
 
-from oleanderdyke.kernel.load_pace import (
-    LoadTimes,
+from oleanderdyke.kernel.load_concurrency import (
+    LoadDurations,
     PendingLoad,
-    count_at_once,
+    count_concurrent_loads,
 )
 from oleanderdyke.kernel.load_queue import LoadNotice, LoadQueue, LoadStep
 
@@ -86,33 +86,33 @@
 
 
 def test_what_runs_counts_with_what_is_left_of_it():
-    pending = [PendingLoad(5_900.0, begun=400.0)] * 2
+    pending = [PendingLoad(5_900.0, elapsed=400.0)] * 2
     pending += [PendingLoad(5_900.0)] * 2
-    assert count_at_once(pending, 3_000.0, 2, fleet=6) == 2
+    assert count_concurrent_loads(pending, 3_000.0, 2, fleet_size=6) == 2
 
 
 def test_loads_that_can_be_in_time_no_more_begin_at_once():
     pending = [PendingLoad(-1.0)] * 5
-    assert count_at_once(pending, 2_000.0, 2, fleet=5) == 5
+    assert count_concurrent_loads(pending, 2_000.0, 2, fleet_size=5) == 5
 
 
 def test_the_time_of_a_load_is_learned_and_one_slow_engine_changes_little():
-    times = LoadTimes(12_000.0)
-    assert times.find_time() == 2_000.0
+    times = LoadDurations(12_000.0)
+    assert times.estimate() == 2_000.0
     for duration in (1_000.0, 1_100.0, 9_000.0):
-        times.note(duration)
-    assert times.find_time() == 1_100.0
+        times.record(duration)
+    assert times.estimate() == 1_100.0
 
 
 def test_what_was_read_late_says_nothing_of_how_long_loads_take():
-    times = LoadTimes(math.inf)
-    first = times.find_time()
-    times.note(10.0)
-    assert times.find_time() == first
+    times = LoadDurations(math.inf)
+    first = times.estimate()
+    times.record(10.0)
+    assert times.estimate() == first
 
 
 def test_a_load_is_overdue_when_it_takes_half_as_long_again():
-    times = LoadTimes(12_000.0)
+    times = LoadDurations(12_000.0)
     assert not times.is_overdue(2_900.0)
     assert times.is_overdue(3_001.0)
 
--- a/tests/test_store_index_safety.py
+++ b/tests/test_store_index_safety.py
@@ -186,14 +186,14 @@
 
 
 class ReusesUnderPin(StoreIndex):
-    def _describe(self, write, generation):
-        meta = super()._describe(write, generation)
+    def _make_meta(self, write, generation):
+        meta = super()._make_meta(write, generation)
         return replace(meta, object_name=write.segment.hex())
 
     def free(self, segment):
         super().free(segment)
-        for name in tuple(self._doomed):
-            self._delete_doomed(name)
+        for name in tuple(self._pending_deletions):
+            self._delete_pending(name)
 
     def is_pin_valid(self, pinned, now):
         return self._entries.get(pinned.segment) is not None
