--- a/src/oleanderdyke/kernel/load_queue.py
+++ b/src/oleanderdyke/kernel/load_queue.py
@@ -20,7 +20,7 @@
 # the longer they serve, and the others have to serve meanwhile.
 _MIN_CONCURRENT_LOADS = 2
 # An agent looks at its engine each 100 ms, and orders what it has its turn for.
-_ORDER_DELAY: Millis = 300.0
+_COMMIT_DELAY: Millis = 300.0
 # Whoever has its turn for this part of the time that old weights may serve no
 # longer holds up the others. An engine that is lost gives up its place at once;
 # this is for those whose agent is lost with it, and leaves two more rounds.
@@ -230,9 +230,13 @@
         the store, as one was for eight seconds of a roll-out of ten.
         """
         available = self._list_available()
-        ordered = [queued for queued in available if _has_order(queued, now)]
-        rest = [queued for queued in available if not _has_order(queued, now)]
-        busy = [each for each in ordered if not self._is_overdue(each, now)]
+        committed = [
+            queued for queued in available if _is_committed(queued, now)
+        ]
+        rest = [
+            queued for queued in available if not _is_committed(queued, now)
+        ]
+        busy = [each for each in committed if not self._is_overdue(each, now)]
         pending = [_make_pending(each, now) for each in busy]
         pending += [PendingLoad(each.due - now) for each in rest]
         count = count_concurrent_loads(
@@ -241,7 +245,7 @@
             _MIN_CONCURRENT_LOADS,
             self._fleet_size,
         )
-        return ordered + rest[: max(count - len(busy), 0)]
+        return committed + rest[: max(count - len(busy), 0)]
 
     def _is_overdue(self, queued: _QueuedLoad, now: Millis) -> bool:
         """Return whether an engine should have ended its load by now."""
@@ -258,13 +262,14 @@
     return notice.step is LoadStep.ENDED and not queued.is_lost
 
 
-def _has_order(queued: _QueuedLoad, now: Millis) -> bool:
+def _is_committed(queued: _QueuedLoad, now: Millis) -> bool:
     """Return whether an engine has its order by now, so that it keeps its turn.
 
     Until then a notice with later news may show that there is more time.
     """
     return (
-        queued.turn_since is not None and now - queued.turn_since > _ORDER_DELAY
+        queued.turn_since is not None
+        and now - queued.turn_since > _COMMIT_DELAY
     )
 
 
--- a/src/oleanderdyke/kernel/weight_versions.py
+++ b/src/oleanderdyke/kernel/weight_versions.py
@@ -100,18 +100,18 @@
         state = self._models.get(model)
         if state is None or held >= state.newest:
             return None
-        moments = [
+        times = [
             at
             for version, at in state.seen_newest_at.items()
             if version <= held
         ]
         if clock_offset is not None:
-            moments += [
+            times += [
                 at - clock_offset
                 for version, at in state.reported_newest_at.items()
                 if version <= held and at - clock_offset <= now
             ]
-        return max(moments, default=-math.inf)
+        return max(times, default=-math.inf)
 
     def may_serve(
         self,
