--- a/src/oleanderdyke/kernel/engine_clock.py
+++ b/src/oleanderdyke/kernel/engine_clock.py
@@ -1,4 +1,4 @@
-"""Relate the clock that all engines share to our own."""
+"""Offset between the clock that all engines share and the local one."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class EngineClock:
-    """Bound the difference of both clocks by the latest reading of theirs.
+    """Bound the offset of the engine clock by its latest reading.
 
-    A reading was taken between the moment at which it was asked for and that
-    at which it came, so the difference lies between two bounds.
+    A reading is taken at some time between its request and its arrival, which
+    gives a lower and an upper bound of the offset.
     """
 
     def __init__(self) -> None:
@@ -17,16 +17,16 @@
         self._max_offset: Millis | None = None
 
     def update(self, reading: Millis, *, asked_at: Millis, now: Millis) -> None:
-        """Take a reading; 0 is none."""
+        """Store a reading of the engine clock in ms; 0 means no reading."""
         if reading:
             self._min_offset = reading - now
             self._max_offset = reading - asked_at
 
     @property
     def max_offset(self) -> Millis | None:
-        """Return how far their clock may be before ours, None if unknown."""
+        """Return the most that the engine clock is ahead, None if unknown."""
         return self._max_offset
 
     def convert(self, at: Millis) -> Millis | None:
-        """Return a moment of ours on their clock, or an earlier one."""
+        """Convert a local time to the earliest engine time that it can be."""
         return None if self._min_offset is None else at + self._min_offset
--- a/src/oleanderdyke/kernel/load_concurrency.py
+++ b/src/oleanderdyke/kernel/load_concurrency.py
@@ -1,4 +1,4 @@
-"""Find how few engines may load new weights at once, and be done in time."""
+"""Smallest number of concurrent weight loads that all end in time."""
 
 from __future__ import annotations
 
@@ -12,34 +12,35 @@
 
 from oleanderdyke.clock import SECOND, Millis
 
-# Until loads were seen, one is taken for this part of the time that old weights
-# may serve: whoever sets that leaves room for a few, one after the other.
+# Assumed load duration before any was measured, as a fraction of the time that
+# old weights may serve: operators set that limit to fit a few loads in a row.
 _INITIAL_SHARE = 1 / 6
-# The same where no bound is set: runs end first, and a load takes a second or
-# two.
+# The same where no limit is set: an engine finishes its running requests first,
+# and the load itself takes 1 to 2 s.
 _INITIAL_DURATION: Millis = 2.5 * SECOND
-# What ended sooner was over before this process read that it had begun.
+# Shorter durations are ignored: such loads had ended before this process read
+# that they had begun.
 _MIN_DURATION: Millis = 0.5 * SECOND
-# Loads get longer where runs do. The middle of so many leaves out engines that
-# were slow or cut off, with which each round of loads ends.
+# Number of durations for the median. Loads take longer when requests do; the
+# median ignores slow or disconnected engines, which end each round of loads.
 _MAX_SAMPLES = 9
 
-# More than this part of the fleet at once leaves too few that serve, and loads
-# share the links that weights come over. An engine whose weights may serve no
-# longer is idle, as one that loads is: rather than that, some are late by so
-# much of a load.
+# Fraction of the fleet to load at once at most: more leaves too few engines to
+# serve, and loads share the links that weights are fetched over. Where this is
+# not enough to end in time, loads may end late by `_MAX_DELAY_SHARE` of a load
+# duration, as an engine with expired weights is as idle as one that loads.
 _MAX_FLEET_SHARE = 1 / 3
 _MAX_DELAY_SHARE = 0.5
-# Beside an engine that takes so much longer than others did one more goes; not
-# sooner, as on crowded engines loads spread by half.
+# A load that takes this many times the usual duration is overdue, and another
+# may start beside it. Not less, as durations vary by half on loaded engines.
 _OVERDUE_FACTOR = 1.5
 
 
 @dataclass(frozen=True, slots=True)
 class PendingLoad:
-    """Describe a load that should end within `left`.
+    """Describe a load that should end within `remaining`.
 
-    It has run for `begun`, or has not begun where that is None.
+    `elapsed` is how long it has run, None if it has not started.
     """
 
     remaining: Millis
@@ -47,7 +48,7 @@
 
 
 class LoadDurations:
-    """Remember how long the last loads took."""
+    """Estimate the duration of a load from the latest ones."""
 
     def __init__(self, limit: Millis) -> None:
         self._initial = _INITIAL_DURATION
@@ -56,18 +57,18 @@
         self._recent: deque[Millis] = deque(maxlen=_MAX_SAMPLES)
 
     def record(self, duration: Millis) -> None:
-        """Learn how long an engine had its turn."""
+        """Add the time that an engine held its turn."""
         if duration >= _MIN_DURATION:
             self._recent.append(duration)
 
     def estimate(self) -> Millis:
-        """Return how long the next load likely takes."""
+        """Return the median of the latest durations, or the assumed one."""
         if not self._recent:
             return self._initial
         return statistics.median_high(self._recent)
 
     def is_overdue(self, duration: Millis) -> bool:
-        """Return whether a load takes longer than others did."""
+        """Return whether a load takes much longer than usual."""
         usual = max(self.estimate(), self._initial)
         return duration > usual * _OVERDUE_FACTOR
 
@@ -78,11 +79,11 @@
     minimum: int,
     fleet_size: int,
 ) -> int:
-    """Count how many of a fleet have to load at once for all to be in time.
+    """Return how many loads have to run at once for all to end in time.
 
-    Each engine that loads takes with it its share of what is served, and its
-    context. What runs already counts with what is left of it. Where it takes
-    many, as many as are needed for the last to be done soon after.
+    The fewest are best, as a loading engine neither serves nor keeps its cached
+    context. Running loads count with their remaining time. If more than
+    `_MAX_FLEET_SHARE` of the fleet were needed, loads may end slightly late.
     """
     on_time = _find_minimum(pending, duration, minimum, delay=0.0)
     ceiling = max(round(fleet_size * _MAX_FLEET_SHARE), minimum)
@@ -101,7 +102,7 @@
     *,
     delay: Millis,
 ) -> int:
-    """Count how many at once it takes for none to be late by more."""
+    """Return the smallest concurrency with no load later than `delay`."""
     counts = range(minimum, max(len(pending), minimum))
     offset = bisect_left(
         counts,
@@ -114,9 +115,10 @@
 def _meet_deadlines(
     pending: Sequence[PendingLoad], count: int, duration: Millis, delay: Millis
 ) -> bool:
-    """Return whether so many at once, in this order, are late by no more.
+    """Return whether no load ends later than `delay` after its deadline.
 
-    What can't be in time any more is to load at once.
+    Loads start in the given order, `count` at a time. One that can't meet its
+    deadline even if it starts now has to start now.
     """
     elapsed = [each.elapsed for each in pending if each.elapsed is not None]
     slot_ends = [max(duration - each, 0.0) for each in elapsed]
--- a/src/oleanderdyke/kernel/load_queue.py
+++ b/src/oleanderdyke/kernel/load_queue.py
@@ -1,4 +1,4 @@
-"""Let model engines take new weights in turn, in time for all of them."""
+"""Order in which model engines load new weights before the old expire."""
 
 from __future__ import annotations
 
@@ -16,25 +16,28 @@
     count_concurrent_loads,
 )
 
-# So many load at once from the start: on old weights requests are worth less
-# the longer they serve, and the others have to serve meanwhile.
+# Loads that may always run at the same time. Answers from old weights lose
+# value with time, so one at a time is too slow; the other engines have to serve
+# meanwhile.
 _MIN_CONCURRENT_LOADS = 2
-# An agent looks at its engine each 100 ms, and orders what it has its turn for.
+# An agent polls its engine every 100 ms and orders the load once it has a turn,
+# so the load is ordered by this time after the turn began.
 _COMMIT_DELAY: Millis = 300.0
-# Whoever has its turn for this part of the time that old weights may serve no
-# longer holds up the others. An engine that is lost gives up its place at once;
-# this is for those whose agent is lost with it, and leaves two more rounds.
+# Fraction of the serving limit of old weights after which a turn is revoked. A
+# lost engine gives up its turn at once; this limit covers engines that are lost
+# together with their agent, and leaves time for two more rounds of loads.
 _TURN_LIMIT_SHARE = 1 / 3
-# The same where no bound is set.
+# The turn limit where old weights may serve without limit.
 _DEFAULT_TURN_LIMIT: Millis = 7 * SECOND
 
 
-# Gets a model and weights of it, returns until when they may serve.
+# Maps a model and a version of its weights to the time until which they may
+# serve.
 FindDue: TypeAlias = Callable[[str, int], Millis]
 
 
 class LoadStep(enum.StrEnum):
-    """Say what an agent tells of its engine and the load of new weights."""
+    """Name the steps that an agent reports of its engine's weight load."""
 
     STARTED = 'started'
     WAITS = 'waits'
@@ -44,13 +47,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadNotice:
-    """One step of one engine's load, for all agents and entries.
+    """Report one step of one engine's load to all agents and entries.
 
-    `server` is the engine's start, `agent` the process that gives it orders.
-    One that has ended tells which weights of a model its engine holds by then.
-    An agent that waits tells which weights of a model its engine holds, and a
-    moment of the engines' clock at which those were the newest, where it knows
-    one: a process that starts later learns from that how old the news is.
+    `server` identifies the engine's start, `agent` the process that orders its
+    loads. WAITS and ENDED carry the version `held` of `model`. WAITS also
+    carries `newest_at`, a time on the engines' clock at which the held version
+    was the newest, if the agent knows one; processes that start later use it to
+    bound how long ago the held version was replaced.
     """
 
     server: str
@@ -62,13 +65,13 @@
 
     @property
     def holder(self) -> str:
-        """Return who holds the place; it outlives a start of the engine."""
+        """Return the queue key, which survives a restart of the engine."""
         return self.agent or self.server
 
 
 @dataclass(frozen=True, slots=True)
 class LoadTurns:
-    """Engines that take new weights now, and as many that follow."""
+    """List the engines that load new weights now, and as many next ones."""
 
     busy: tuple[str, ...] = ()
     following: tuple[str, ...] = ()
@@ -79,9 +82,10 @@
 
 @dataclass(slots=True, eq=False)
 class _QueuedLoad:
-    """Hold one engine's place; `since` is when its turn came.
+    """Hold one engine's queued load.
 
-    The weights of the model that it holds may serve until `due`.
+    `turn_since` is when its turn began, None while it waits. The held version
+    may serve until `due`.
     """
 
     server: str
@@ -93,20 +97,21 @@
 
 
 class LoadQueue:
-    """Let engines take new weights in the order of their notices.
+    """Schedule weight loads of engines, earliest due time first.
 
-    Every process applies the same notices in the order of the log, so nobody
-    has to lead. A place belongs to the agent, not to a start of its engine:
-    an engine that crashes keeps it, but holds up nobody until it is back.
-    As few load at once as it takes for all to be done in time, those first
-    whose weights may serve for the shortest time.
+    Loads with equal due times keep the order of their notices. Every process
+    applies the same notices in the order of the log, so no leader is needed. An
+    entry belongs to the agent, not to one start of its engine: a crashed engine
+    keeps its entry, but blocks no other load until it is back. The number of
+    concurrent loads is the smallest that lets all loads end in time.
     """
 
     def __init__(self, limit: Millis = math.inf) -> None:
         self._queued: dict[str, _QueuedLoad] = {}
-        # Loads that have ended since the last tick.
+        # Loads that ended since the last tick.
         self._ended: list[_QueuedLoad] = []
-        # The most places since there was none: how many engines a roll-out has.
+        # Largest queue length since the queue was last empty: the number of
+        # engines in the rollout.
         self._fleet_size = 0
         self._durations = LoadDurations(limit)
         self._turn_limit = _DEFAULT_TURN_LIMIT
@@ -114,7 +119,7 @@
             self._turn_limit = limit * _TURN_LIMIT_SHARE
 
     def clear(self) -> None:
-        """Drop all places: agents that still need one ask again."""
+        """Drop all queued loads; agents that need one request it again."""
         self._queued.clear()
         self._ended.clear()
         self._fleet_size = 0
@@ -130,7 +135,7 @@
             if queued is not None:
                 queued.is_lost = True
         else:
-            # Under a key that is there already it keeps its turn.
+            # Replacing the value of an existing key keeps its queue position.
             self._queued[notice.holder] = _QueuedLoad(
                 notice.server, notice.model, notice.held
             )
@@ -138,12 +143,12 @@
         self._fleet_size = largest if self._queued else 0
 
     def update_due_times(self, find_due: FindDue) -> None:
-        """Learn until when the weights of each place may serve."""
+        """Set until when the held weights of each queued load may serve."""
         for queued in self._queued.values():
             queued.due = find_due(queued.model, queued.held)
 
     def tick(self, now: Millis) -> tuple[str, ...]:
-        """Pass over engines that have had their time; return them."""
+        """Update the turns; drop and return engines past the turn limit."""
         self._record_durations(now)
         expired = {
             holder: queued.server
@@ -162,9 +167,10 @@
         return tuple(expired.values())
 
     def is_pending(self, notice: LoadNotice) -> bool:
-        """Return whether a request for a place is in force.
+        """Return whether the load that a notice requests is queued.
 
-        A place for one model is none for another: each has its own time.
+        The model and the held version have to match too, as each has its own
+        due time.
         """
         queued = self._queued.get(notice.holder)
         if queued is None or queued.is_lost:
@@ -173,21 +179,21 @@
         return (queued.server, queued.model, queued.held) == asked
 
     def is_queued(self, holder: str) -> bool:
-        """Return whether an agent has a place, its engine lost or not."""
+        """Return whether an agent has a queued load, its engine lost or not."""
         return holder in self._queued
 
     def find_model(self, holder: str) -> str:
-        """Return the model whose weights an agent waits for, or nothing."""
+        """Return the model whose weights an agent waits for, '' if none."""
         queued = self._queued.get(holder)
         return '' if queued is None else queued.model
 
     def is_lost(self, holder: str) -> bool:
-        """Return whether an agent that has a place told of a lost engine."""
+        """Return whether a queued agent has reported its engine as lost."""
         queued = self._queued.get(holder)
         return queued is not None and queued.is_lost
 
     def may_load(self, holder: str, now: Millis) -> bool:
-        """Return whether it is an agent's turn."""
+        """Return whether an agent may order its engine to load now."""
         queued = self._queued.get(holder)
         return queued is not None and queued in self._list_turns(now)
 
@@ -196,10 +202,11 @@
         return tuple(queued.server for queued in self._list_turns(now))
 
     def find_turns(self, now: Millis) -> LoadTurns:
-        """Return the engines that likely take new weights now, and next.
+        """Return the engines that probably load new weights now, and next.
 
-        One that should be done may be tried: its agent may be cut off. If it
-        still loads it refuses at once.
+        Overdue engines are left out, so that they get requests: their agent may
+        be disconnected from the log. An engine that still loads refuses a
+        request at once.
         """
         if not self._queued:
             return _NO_TURNS
@@ -224,10 +231,10 @@
         return sorted(available, key=attrgetter('due'))
 
     def _list_turns(self, now: Millis) -> list[_QueuedLoad]:
-        """Return whose turn it is, those first who had it before.
+        """Return the loads that have a turn, committed ones first.
 
-        Whoever should be done holds up nobody: its agent may be cut off from
-        the store, as one was for eight seconds of a roll-out of ten.
+        Overdue loads do not count against the concurrency: their agent may be
+        disconnected from the store, as seen for 8 s of a 10 s rollout.
         """
         available = self._list_available()
         committed = [
@@ -248,14 +255,17 @@
         return committed + rest[: max(count - len(busy), 0)]
 
     def _is_overdue(self, queued: _QueuedLoad, now: Millis) -> bool:
-        """Return whether an engine should have ended its load by now."""
+        """Return whether a load has run longer than loads usually take."""
         if queued.turn_since is None:
             return False
         return self._durations.is_overdue(now - queued.turn_since)
 
 
 def _ends_load(notice: LoadNotice, queued: _QueuedLoad) -> bool:
-    """Return whether a load has ended: some ask for the next at once."""
+    """Return whether a notice ends the queued load of its holder.
+
+    An agent may request the next load without reporting the end of this one.
+    """
     if notice.step is LoadStep.WAITS:
         is_same = notice.server == queued.server
         return is_same and notice.held > queued.held
@@ -263,9 +273,10 @@
 
 
 def _is_committed(queued: _QueuedLoad, now: Millis) -> bool:
-    """Return whether an engine has its order by now, so that it keeps its turn.
+    """Return whether a load must have been ordered by now and keeps its turn.
 
-    Until then a notice with later news may show that there is more time.
+    Before that, a notice with a later `newest_at` may still show that fewer
+    concurrent loads are enough.
     """
     return (
         queued.turn_since is not None
--- a/src/oleanderdyke/kernel/load_table.py
+++ b/src/oleanderdyke/kernel/load_table.py
@@ -1,7 +1,8 @@
-"""Share among neighbours what backend servers told of their load.
+"""Loads of backend servers, as shared between neighbouring entries.
 
-Each entry gets one answer in dozens, so that what it heard itself of most
-servers is seconds old, and all that see one as the emptiest send to it.
+An entry gets only one in dozens of a server's answers, so its own load data is
+seconds old for most servers, and entries with the same old data all send to the
+server that it shows as least loaded.
 """
 
 from __future__ import annotations
@@ -12,16 +13,16 @@
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.kernel.servers import ServerLoad, ServerStart
 
-# What was told longer ago is not passed on: requests come and go meanwhile.
+# Older loads are not shared, as requests begin and end within this time.
 _MAX_AGE: Millis = 1 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class TimedLoad:
-    """Hold what a start of a server told, and when.
+    """Hold the load that one start of a server reported at `at`.
 
-    `rate_limit` is how many requests a second it accepts from all entries
-    together, None where it has never named a limit.
+    `rate_limit` is the number of requests per second that it accepts from all
+    entries together, None if it never reported a limit.
     """
 
     start: ServerStart
@@ -31,7 +32,7 @@
 
 
 class LoadTable:
-    """Keep the newest load of each server, numbered as they came."""
+    """Keep the latest load of each server, numbered in order of arrival."""
 
     def __init__(self) -> None:
         self._loads: dict[ServerStart, TimedLoad] = {}
@@ -40,11 +41,11 @@
 
     @property
     def last_number(self) -> int:
-        """Return the number of the newest load."""
+        """Return the number of the load that was added last, 0 if none."""
         return self._last
 
     def update(self, timed_load: TimedLoad) -> bool:
-        """Take a load; tell whether it is newer than what is known."""
+        """Store a load if it is newer than the known one; return whether."""
         current = self._loads.get(timed_load.start)
         if current is not None and current.at >= timed_load.at:
             return False
@@ -54,7 +55,7 @@
         return True
 
     def list_after(self, number: int, now: Millis) -> Iterator[TimedLoad]:
-        """Yield the loads after a number that are young enough to count."""
+        """Yield the loads with a higher number; drop those that are too old."""
         for start, timed_load in tuple(self._loads.items()):
             if now - timed_load.at > _MAX_AGE:
                 del self._loads[start], self._numbers[start]
--- a/src/oleanderdyke/kernel/outdated_context.py
+++ b/src/oleanderdyke/kernel/outdated_context.py
@@ -1,4 +1,4 @@
-"""Know which kept context no engine can be using any more."""
+"""Weight versions whose stored context no engine can still use."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.kernel.context_stores import VIEW_MAX_AGE
 
-# The list of servers is read every half second, and a read may fail.
+# The list of servers is read every 0.5 s, and reads may fail.
 _MARGIN: Millis = 2 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class _Settled:
-    """Hold since when every engine has some weights or newer ones."""
+    """Hold since when all engines hold at least this version."""
 
     version: int
     since: Millis
 
 
 class OutdatedContext:
-    """Tell before which weights context may be freed.
+    """Find the version below which stored context may be freed.
 
-    An engine fetches context only under the weights that it holds, and under
-    a view that is no older than VIEW_MAX_AGE. So once no engine has held older
-    weights for longer than that, no fetch under those can be running. An
-    engine that comes back on older weights must not use stores at all.
+    An engine fetches context only for the weights that it holds, and by a view
+    no older than VIEW_MAX_AGE. Once no engine has held older weights for longer
+    than that, no fetch for them can be running. An engine that comes back with
+    older weights must not use stores at all.
     """
 
     def __init__(self) -> None:
@@ -34,9 +34,9 @@
     def update(
         self, model: str, newest: int, oldest: int | None, now: Millis
     ) -> None:
-        """Learn the newest weights, and the oldest that an engine holds.
+        """Update the newest version, and the oldest that any engine holds.
 
-        `oldest` is None where that is not known now.
+        `oldest` is None if it is currently unknown.
         """
         if oldest is None or oldest < newest:
             self._settled.pop(model, None)
@@ -46,7 +46,7 @@
             self._settled[model] = _Settled(newest, now)
 
     def list_oldest_usable(self, now: Millis) -> dict[str, int]:
-        """Return for each model the weights before which all may be freed."""
+        """Return the oldest version of each model that may still be in use."""
         cutoff = now - VIEW_MAX_AGE - _MARGIN
         return {
             model: settled.version
--- a/src/oleanderdyke/kernel/rollout.py
+++ b/src/oleanderdyke/kernel/rollout.py
@@ -1,4 +1,4 @@
-"""Decide when a model engine takes newly named weights."""
+"""Rollout of new weights: when each model engine loads them."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """Hold what an engine reports; `orders` counts those it accepted.
+    """Hold the state that an engine reports.
 
-    `clock` is the reading of the clock that all engines share, `born` the
-    Unix millisecond of the engine's start where it tells that.
+    `orders` counts the load orders that it accepted since it started, `clock`
+    is a reading of the clock that all engines share in ms, `born` the time of
+    the engine's start in Unix ms, None if it does not report it.
     """
 
     versions: Mapping[str, int]
@@ -29,14 +30,14 @@
     born: int | None = None
 
     def has_restarted_since(self, previous: EngineState) -> bool:
-        """Return whether the engine has started anew since the report before.
+        """Return whether the engine restarted after the previous report.
 
-        Each start counts its orders from none.
+        A restart resets `orders` to 0.
         """
         return self.born != previous.born or self.orders < previous.orders
 
     def is_from_earlier_start(self, previous: EngineState) -> bool:
-        """Return whether a report is late, of a start that has ended."""
+        """Return whether this is a late report of a start that has ended."""
         if self.born is None:
             return previous.born is not None
         return self.born < (previous.born or 0)
@@ -44,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Name the newest weights of a model."""
+    """Name a model and the newest version of its weights."""
 
     model: str
     version: int
 
 
 def find_target(state: EngineState, targets: Iterable[Target]) -> Target | None:
-    """Return newer weights of a model that the engine holds."""
+    """Return the first target that is newer than what the engine holds."""
     for target in targets:
         held = state.versions.get(target.model)
         if held is not None and held < target.version:
@@ -60,7 +61,7 @@
 
 
 class Rollout:
-    """Judge who loads when by how old the news of weights is.
+    """Schedule loads by the time at which held weights were replaced.
 
     `clock_offset` is the most by which the engines' clock is ahead of the
     local one, None if unknown.
@@ -74,7 +75,7 @@
     def apply(
         self, notice: LoadNotice, *, now: Millis, clock_offset: Millis | None
     ) -> None:
-        """Take a notice of the log: a place, and how old its news is."""
+        """Apply a notice of the log to the queue and the known versions."""
         newest_at = notice.newest_at
         is_future = (
             newest_at is not None
@@ -89,9 +90,10 @@
     def tick(
         self, *, now: Millis, clock_offset: Millis | None
     ) -> tuple[str, ...]:
-        """Judge all places anew; return the engines that are passed over.
+        """Recompute all due times; return engines past their turn limit.
 
-        A place may have been read before it was known how old its news is.
+        A notice may have been read before the time of the replacement or the
+        clock offset was known.
         """
 
         def find_due(model: str, held: int) -> Millis:
--- a/src/oleanderdyke/kernel/weight_versions.py
+++ b/src/oleanderdyke/kernel/weight_versions.py
@@ -1,4 +1,4 @@
-"""Know which weights are named, and which older ones may still serve."""
+"""Announced weight versions, and which older ones may still serve."""
 
 from __future__ import annotations
 
@@ -7,20 +7,23 @@
 
 from oleanderdyke.clock import SECOND, Millis
 
-# Between the send of a request and its first token lies the engine's queue:
-# so long before the time of old weights is over, nothing more is sent to them.
-# First tokens took longer than this only where engines had been lost.
+# Requests are not sent to old weights within this time of their expiry, since
+# a request waits in the engine's queue before its first token. First tokens
+# took longer than this only where engines had been lost.
 FIRST_TOKEN_MARGIN: Millis = 2 * SECOND
-# What waits for its first token until then is taken back. A check each 50 ms
-# and a cancel that crosses the network have to fit.
+# Requests on old weights that still have no first token this long before the
+# expiry are cancelled. The margin covers the 50 ms check interval and the
+# network latency of the cancel.
 CANCEL_MARGIN: Millis = 250.0
 
 
 @dataclass(slots=True)
 class _ModelVersions:
-    """Hold one model's newest weights, and when older ones were the newest.
+    """Hold the announced versions of one model.
 
-    `seen` has moments of our clock by version, `told` of the engines' clock.
+    `seen_newest_at` maps a version to the last time at which this process read
+    it as the newest (local clock); `reported_newest_at` does so for times that
+    other processes reported (engine clock).
     """
 
     newest: int = 0
@@ -30,12 +33,12 @@
 
 
 class WeightVersions:
-    """Keep when each model's weights were last known to be the newest.
+    """Keep when each weight version was last known to be the newest.
 
-    No process is told when newer weights were named. But a read that showed
-    none puts that moment after the read was asked for: a bound that holds
-    whatever is slow, lost or starts anew. Without one, older weights may have
-    been replaced long ago.
+    Announcements carry no time. A read that returned no newer version proves
+    that any replacement came after that read was requested; this lower bound
+    holds regardless of delays, losses and restarts. Without such a read, older
+    weights may have been replaced at any time in the past.
     """
 
     def __init__(self) -> None:
@@ -43,11 +46,11 @@
         self._last_read_at: Millis | None = None
 
     def record_read(self, asked_at: Millis) -> None:
-        """Learn that all that was named before a moment has been read."""
+        """Record that all versions announced by `asked_at` have been read."""
         self._last_read_at = asked_at
 
     def add(self, model: str, version: int) -> bool:
-        """Take newly named weights; tell whether they are newer."""
+        """Add an announced version; return whether it is the newest so far."""
         state = self._models.setdefault(model, _ModelVersions())
         state.versions.add(version)
         if version <= state.newest:
@@ -58,9 +61,9 @@
         return True
 
     def record_newest(self, model: str, version: int, at: Millis) -> None:
-        """Learn from another process that weights were the newest then.
+        """Record another process's report that a version was newest at `at`.
 
-        `at` is a moment of the clock that all engines share.
+        `at` is a time on the clock that all engines share.
         """
         state = self._models.setdefault(model, _ModelVersions())
         state.reported_newest_at[version] = max(
@@ -68,12 +71,12 @@
         )
 
     def find_newest(self, model: str) -> int:
-        """Return the newest weights of a model, 0 where none are named."""
+        """Return the newest version of a model, 0 if none was announced."""
         state = self._models.get(model)
         return 0 if state is None else state.newest
 
     def find_next(self, model: str, version: int) -> int:
-        """Return the weights that were named next after others, or those."""
+        """Return the next announced version after `version`, or itself."""
         state = self._models.get(model)
         if state is None:
             return version
@@ -81,7 +84,7 @@
         return min(later, default=version)
 
     def list_newest(self) -> dict[str, int]:
-        """Return the newest weights of each model that has some named."""
+        """Return the newest version of each model with announced versions."""
         return {
             model: state.newest
             for model, state in self._models.items()
@@ -91,11 +94,11 @@
     def find_replaced_at(
         self, model: str, held: int, now: Millis, clock_offset: Millis | None
     ) -> Millis | None:
-        """Return before when weights newer than those held weren't named.
+        """Return the earliest time at which held weights can be replaced.
 
-        None where the held ones are the newest, minus infinity where nothing
-        is known. `clock_offset` is the most by which the engines' clock is
-        ahead of the local one; reported times in the future are ignored.
+        None if the held version is the newest, minus infinity if no bound is
+        known. `clock_offset` is the most by which the engines' clock is ahead
+        of the local one; reported times in the future are ignored.
         """
         state = self._models.get(model)
         if state is None or held >= state.newest:
@@ -122,9 +125,10 @@
         now: Millis,
         clock_offset: Millis | None,
     ) -> bool:
-        """Return whether held weights were replaced at most `within` ago.
+        """Return whether held weights were replaced less than `within` ago.
 
-        Weights that an engine doesn't tell count as the oldest.
+        `held` is None if the engine does not report its version; it then counts
+        as the oldest.
         """
         if math.isinf(within):
             return True
