--- a/src/oleanderdyke/kernel/blocks.py
+++ b/src/oleanderdyke/kernel/blocks.py
@@ -1,4 +1,4 @@
-"""Name the segments of a prompt and prove their content."""
+"""Ids of prompt segments, and digests of their cached bytes."""
 
 from __future__ import annotations
 
@@ -21,32 +21,37 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptMessage:
-    """Hold one message of a conversation."""
+    """Hold the role and the text of one message of a conversation."""
 
     role: str
     content: str
 
 
 def encode_prompt(messages: Sequence[PromptMessage]) -> bytes:
-    """Return the one byte form of a prompt; raise BAD_REQUEST if it has none.
+    """Return the canonical bytes of a prompt.
 
-    A NUL, or a line feed in a role, would let two conversations share a form.
+    Raises BAD_REQUEST for a NUL, or a line feed in a role: with these, two
+    conversations could have the same encoding.
     """
     if any(_is_ambiguous(message) for message in messages):
-        raise OleanderError(ErrorKind.BAD_REQUEST, 'NUL in a message')
+        raise OleanderError(
+            ErrorKind.BAD_REQUEST,
+            'a message has a NUL, or a line feed in its role',
+        )
     text = ''.join(f'{each.role}\0{each.content}\n' for each in messages)
     try:
         return text.encode()
     except UnicodeEncodeError:
         raise OleanderError(
-            ErrorKind.BAD_REQUEST, 'a message is not valid Unicode'
+            ErrorKind.BAD_REQUEST,
+            'a message has a lone surrogate, which UTF-8 cannot encode',
         ) from None
 
 
 def make_namespace(
     team: str, service: str, model: str, weight_digest: str, adapter: str
 ) -> Namespace:
-    """Return the namespace that separates teams and weights."""
+    """Return the namespace within which segments may be shared."""
     digest = hashlib.blake2b(digest_size=ID_BYTES)
     for part in (team, service, model, weight_digest, adapter):
         data = part.encode()
@@ -63,17 +68,17 @@
 
 
 def make_hint(segment: SegmentId) -> SegmentHint:
-    """Return the short form of a segment's id."""
+    """Return the first HINT_BYTES bytes of a segment's id."""
     return segment[:HINT_BYTES]
 
 
 def digest_segment(data: bytes) -> bytes:
-    """Return the digest that seals a segment's cached bytes."""
+    """Return the BLAKE2b digest of a segment's cached bytes."""
     return hashlib.blake2b(data, digest_size=ID_BYTES).digest()
 
 
 def verify_segment(data: bytes, length: int, digest: bytes) -> bool:
-    """Return whether cached bytes are exactly the sealed ones."""
+    """Return whether cached bytes match their length and digest."""
     if len(data) != length:
         return False
     return hmac.compare_digest(digest_segment(data), digest)
--- a/src/oleanderdyke/kernel/gate.py
+++ b/src/oleanderdyke/kernel/gate.py
@@ -1,4 +1,4 @@
-"""Check at the agent, at the moment of use, whether a dispatch may run."""
+"""Gate of an agent: whether a dispatch may run at its arrival."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """Let a dispatch run now; the gate counts it as running."""
+    """Permit a dispatch to run now; the gate counts it as running."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ignored:
-    """Drop a duplicate without any answer; the first one is answered."""
+    """Drop a duplicate without an answer; the first one gets the answer."""
 
 
 AdmitOutcome: TypeAlias = Accepted | Failed | Ignored
@@ -49,13 +49,13 @@
 
 _ALONE_RETRY_AFTER: Millis = 250.0
 _BUSY_RETRY_AFTER: Millis = 1_000.0
-# Connections lost within this time are taken as lost by one crash.
+# Connections that are lost within this time count as lost by one crash.
 _CRASH_WINDOW: Millis = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class _Refusal:
-    """Hold why a dispatch may not run."""
+    """Hold the reason for which a dispatch may not run."""
 
     kind: ErrorKind
     detail: str
@@ -65,12 +65,13 @@
 class Gate:
     """Admit dispatches to one backend server.
 
-    The agent calls `record_heartbeat` with each heartbeat it sends, `finish`
-    once for each accepted dispatch, `finish_disconnected` where its connection
-    broke, and `finish_crashed` when its backend server is lost.
-    Nothing may reach the backend server but by `Accepted`. After it, the agent
-    says `ran=no` only of what never reached the backend server, and calls
-    `finish_unsent`.
+    The agent calls `record_heartbeat` with each heartbeat that it sends, and
+    ends each accepted dispatch by one call: `finish`, `finish_disconnected` if
+    the connection to the backend server broke, or `finish_unsent`. It calls
+    `finish_crashed` when the backend server is lost.
+    Only accepted dispatches may reach the backend server. The agent may report
+    `ran=no` for one only if nothing of it reached the backend server, and then
+    calls `finish_unsent`.
     """
 
     def __init__(
@@ -106,25 +107,25 @@
 
     @property
     def running(self) -> int:
-        """Count the running dispatches."""
+        """Return the number of running dispatches."""
         return len(self._running)
 
     @property
     def remembered(self) -> int:
-        """Count the attempts and claims held in memory."""
+        """Return the number of attempts and claims held in memory."""
         return len(self._seen_attempts) + len(self._claims)
 
     def set_phase(self, phase: AgentPhase) -> None:
-        """Enter a phase; LEAVING is never left again."""
+        """Set the phase; LEAVING is final."""
         if self._phase is not AgentPhase.LEAVING:
             self._phase = phase
 
     def set_loaded(self, loaded: LoadedWeights) -> None:
-        """Set which weights new dispatches must name."""
+        """Set the weights that new dispatches have to name."""
         self._loaded = loaded
 
     def record_heartbeat(self, sequence: int) -> None:
-        """Learn the sequence number of the heartbeat just sent."""
+        """Record a sent heartbeat; forget attempts older than `max_age`."""
         self._heartbeat = max(self._heartbeat, sequence)
         self._claims.note_beat(sequence)
         self._lane.note_beat(sequence)
@@ -157,9 +158,9 @@
         *,
         served: bool = True,
     ) -> None:
-        """End a run; None tells that its answer is not known whole.
+        """End a run; `answer` is None if it is not completely known.
 
-        A suspect is cleared by a run alone only where it was served.
+        A suspect that ran alone is cleared only if it was served.
         """
         dispatch = self._running.get((request, attempt))
         if dispatch is None:
@@ -170,7 +171,7 @@
     def finish_disconnected(
         self, request: str, attempt: int, now: Millis
     ) -> None:
-        """End a run whose connection broke; it may have been a crash."""
+        """End a run whose connection broke, possibly by a crash."""
         dispatch = self._running.get((request, attempt))
         if dispatch is None:
             return
@@ -182,7 +183,7 @@
         )
 
     def finish_unsent(self, request: str, attempt: int) -> None:
-        """End a run of which nothing ever reached the backend server."""
+        """End a run of which nothing reached the backend server."""
         dispatch = self._running.get((request, attempt))
         if dispatch is None:
             return
@@ -191,14 +192,15 @@
         self._end(dispatch, None)
 
     def cancel(self, request: str, attempt: int) -> bool:
-        """Bar an attempt that never came; tell whether it is running."""
+        """Return whether an attempt is running; refuse it if it comes later."""
         self._remember((request, attempt))
         return (request, attempt) in self._running
 
     def finish_crashed(self, now: Millis) -> tuple[Failed, ...]:
         """End all runs because the backend server is lost.
 
-        Send the returned messages after a heartbeat that tells the suspects.
+        The returned messages have to be sent after a heartbeat that lists the
+        suspects.
         """
         dispatches = tuple(self._running.values())
         was_alone = [self._end(dispatch, None) for dispatch in dispatches]
@@ -211,25 +213,25 @@
         return tuple(_make_lost_failure(dispatch) for dispatch in dispatches)
 
     def is_quarantined(self, digest: str, now: Millis) -> bool:
-        """Return whether a request's digest is refused for its crashes."""
+        """Return whether a request's digest is refused due to crashes."""
         standing = self._quarantine.find_standing(digest, now)
         return standing is Standing.QUARANTINED
 
     def answer_query(self, query: ClaimQuery) -> ClaimAnswer:
-        """Tell what became of a claim; bar it where it never started."""
+        """Return the state of a claim; bar it if it has not started."""
         if not self._is_own(query.claim):
             return ClaimAnswer(query.request, query.claim, ClaimState.UNKNOWN)
         return self._claims.answer(query)
 
     def _make_crash_id(self, now: Millis) -> str:
-        """Give what is lost at about the same time to the same crash."""
+        """Return a crash id, shared by losses within `_CRASH_WINDOW`."""
         if now - self._last_loss_at > _CRASH_WINDOW:
             self._crashes += 1
         self._last_loss_at = now
         return f'{self._incarnation}:{self._crashes}'
 
     def _end(self, dispatch: Dispatch, answer: RunAnswer | None) -> bool:
-        """End a run; tell whether it was that of a suspect alone."""
+        """End a run; return whether it was a suspect that ran alone."""
         del self._running[dispatch.request, dispatch.attempt]
         if dispatch.claim is not None:
             self._claims.finish(dispatch.claim, answer)
@@ -243,9 +245,9 @@
         )
 
     def _is_repeated(self, dispatch: Dispatch) -> bool:
-        """Return whether an answer to this very dispatch is given already.
+        """Return whether this attempt was admitted, refused or cancelled.
 
-        To refuse a repetition as not run would deny the first one's run.
+        A duplicate may not be refused as not run, as the first one may run.
         """
         return (dispatch.request, dispatch.attempt) in self._seen_attempts
 
@@ -255,7 +257,7 @@
             self._seen_by_heartbeat.append((self._heartbeat, key))
 
     def _refuse(self, dispatch: Dispatch, refusal: _Refusal) -> Failed:
-        """Refuse for good: this attempt and its claim never start later."""
+        """Refuse a dispatch; its attempt and its claim can't start later."""
         self._remember((dispatch.request, dispatch.attempt))
         return Failed(
             dispatch.request,
@@ -267,7 +269,7 @@
         )
 
     def _find_ran(self, dispatch: Dispatch) -> Ran:
-        """Say no only where the gate would remember a run."""
+        """Return NO only if the gate would remember a run, else MAYBE."""
         claim = dispatch.claim
         if dispatch.incarnation and dispatch.incarnation != self._incarnation:
             return Ran.NO
@@ -278,7 +280,7 @@
         return Ran.NO if barred else Ran.MAYBE
 
     def _is_remembered(self, beat: int) -> bool:
-        """Return whether a dispatch of this heartbeat is surely remembered."""
+        """Return whether dispatches of this heartbeat are still remembered."""
         return 0 <= beat <= self._heartbeat and not self._claims.is_too_old(
             beat
         )
@@ -313,14 +315,20 @@
         self, dispatch: Dispatch, _now: Millis
     ) -> _Refusal | None:
         if dispatch.service != self._service:
-            return _Refusal(ErrorKind.NOT_FOUND, 'another service')
+            return _Refusal(
+                ErrorKind.NOT_FOUND, 'service not offered by this agent'
+            )
         if dispatch.attempt < 1 or not dispatch.request:
-            return _Refusal(ErrorKind.PROTOCOL, 'no request or attempt')
+            return _Refusal(
+                ErrorKind.PROTOCOL, 'request id empty or attempt below 1'
+            )
         return None
 
     def _check_team(self, dispatch: Dispatch, _now: Millis) -> _Refusal | None:
         if self._rights.allows(dispatch.team, dispatch.service) is False:
-            return _Refusal(ErrorKind.FORBIDDEN, 'not for this team')
+            return _Refusal(
+                ErrorKind.FORBIDDEN, 'service not allowed for this team'
+            )
         return None
 
     def _check_weights(
@@ -333,19 +341,27 @@
             dispatch.adapter,
         )
         if wanted != self._loaded:
-            return _Refusal(ErrorKind.WRONG_VERSION, 'other weights', 0)
+            return _Refusal(
+                ErrorKind.WRONG_VERSION, 'other weights are loaded', 0
+            )
         return None
 
     def _check_age(self, dispatch: Dispatch, _now: Millis) -> _Refusal | None:
-        """Object to what names no recent heartbeat of this incarnation."""
+        """Refuse dispatches without a recent heartbeat of this incarnation."""
         if dispatch.beat < 0 and dispatch.idempotent:
             return None
         if dispatch.incarnation != self._incarnation:
-            return _Refusal(ErrorKind.STALE_CLAIM, 'another incarnation', 0)
+            return _Refusal(
+                ErrorKind.STALE_CLAIM, 'for another agent incarnation', 0
+            )
         if self._claims.is_too_old(dispatch.beat):
-            return _Refusal(ErrorKind.STALE_CLAIM, 'too old a dispatch', 0)
+            return _Refusal(
+                ErrorKind.STALE_CLAIM, 'dispatch heartbeat too old', 0
+            )
         if dispatch.beat > self._heartbeat:
-            return _Refusal(ErrorKind.PROTOCOL, 'a heartbeat to come')
+            return _Refusal(
+                ErrorKind.PROTOCOL, 'dispatch names a future heartbeat'
+            )
         return None
 
     def _check_claim(self, dispatch: Dispatch, _now: Millis) -> _Refusal | None:
@@ -353,14 +369,16 @@
         if claim is None:
             return None
         if not self._is_own(claim):
-            return _Refusal(ErrorKind.STALE_CLAIM, 'not of this agent', 0)
+            return _Refusal(ErrorKind.STALE_CLAIM, 'claim of another agent', 0)
         if self._claims.is_too_old(claim.beat):
-            return _Refusal(ErrorKind.STALE_CLAIM, 'too old a claim', 0)
+            return _Refusal(ErrorKind.STALE_CLAIM, 'claim heartbeat too old', 0)
         if self._claims.is_known(claim):
-            return _Refusal(ErrorKind.STALE_CLAIM, 'used or barred', 0)
+            return _Refusal(
+                ErrorKind.STALE_CLAIM, 'claim already used or barred', 0
+            )
         if not self._claims.has_room():
             return _Refusal(
-                ErrorKind.OVERLOADED, 'claim memory full', _BUSY_RETRY_AFTER
+                ErrorKind.OVERLOADED, 'claim limit reached', _BUSY_RETRY_AFTER
             )
         return None
 
@@ -368,7 +386,9 @@
         self, dispatch: Dispatch, now: Millis
     ) -> _Refusal | None:
         if self.is_quarantined(dispatch.digest, now):
-            return _Refusal(ErrorKind.QUARANTINED, 'it crashed servers')
+            return _Refusal(
+                ErrorKind.QUARANTINED, 'request crashed backend servers'
+            )
         return None
 
     def _check_capacity(
@@ -378,18 +398,24 @@
             return self._check_alone(dispatch)
         if self._lane.is_closed():
             return _Refusal(
-                ErrorKind.OVERLOADED, 'a suspect runs alone', _ALONE_RETRY_AFTER
+                ErrorKind.OVERLOADED,
+                'another request has to run alone',
+                _ALONE_RETRY_AFTER,
             )
         limit = self._settings.concurrency
         if limit and len(self._running) >= limit:
-            return _Refusal(ErrorKind.OVERLOADED, 'full', _BUSY_RETRY_AFTER)
+            return _Refusal(
+                ErrorKind.OVERLOADED,
+                'concurrency limit reached',
+                _BUSY_RETRY_AFTER,
+            )
         return None
 
     def _check_alone(self, dispatch: Dispatch) -> _Refusal | None:
         if self._lane.request(dispatch.digest, len(self._running)):
             return None
         return _Refusal(
-            ErrorKind.OVERLOADED, 'waits to run alone', _ALONE_RETRY_AFTER
+            ErrorKind.OVERLOADED, 'request has to run alone', _ALONE_RETRY_AFTER
         )
 
     def _must_be_alone(self, dispatch: Dispatch, now: Millis) -> bool:
--- a/src/oleanderdyke/kernel/gate_types.py
+++ b/src/oleanderdyke/kernel/gate_types.py
@@ -1,4 +1,4 @@
-"""Say what the gate is told and how it is bounded."""
+"""Types and settings of the gate."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class Rights(Protocol):
-    """Tell from the agent's copy of the catalog who may use the service."""
+    """Look up access rights in the agent's copy of the catalog."""
 
     def allows(self, team: str, service: str) -> bool | None:
-        """Return whether a team may; None where there is no catalog copy."""
+        """Return whether a team may use a service, None without a copy."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,10 +25,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GateSettings:
-    """Bound what the gate lets run and remembers.
+    """Limit what the gate admits and remembers.
 
-    `max_age` counts the agent's own heartbeats: a dispatch that was built
-    from an older heartbeat never starts.
+    `max_age` counts the agent's own heartbeats: a dispatch that is based on an
+    older heartbeat is refused. A `concurrency` of 0 means no limit.
     """
 
     max_age: int = 60
