--- a/src/oleanderdyke/kernel/context_stores.py
+++ b/src/oleanderdyke/kernel/context_stores.py
@@ -1,4 +1,4 @@
-"""Know what the stores of kept context hold, and plan its use."""
+"""Views of the context stores, and plans to fetch and save context."""
 
 from __future__ import annotations
 
@@ -18,24 +18,26 @@
 from oleanderdyke.kernel.deployment import StoreTraits
 from oleanderdyke.kernel.servers import PromptPart
 
-# A fetch under a view of a store must end so long after that view was read.
-# Whoever writes to a store that came back empty, or frees parts, waits as
-# long, so that no fetch meets a part that is being written or freed. The view
-# is read every second; this bears two failed reads.
+# A fetch must end within this time after the view of the store that it is based
+# on was read. Writes to a store that restarted empty, and frees of parts, are
+# delayed by the same time, so that no fetch meets a part that is being written
+# or freed. Views are read every second; this tolerates two failed reads.
 VIEW_MAX_AGE: Millis = 4 * SECOND
-# A fetch of the longest prompts takes some 20 ms, queued behind others.
+# Time that a fetch needs at least. Fetching the longest prompts takes about
+# 20 ms, after waiting in a queue behind others.
 _MIN_FETCH_TIME: Millis = 500.0
-# A save that has not been told as complete by then has failed.
+# A save that the store has not reported as complete by then has failed.
 _SAVE_TIMEOUT: Millis = 5 * SECOND
-# A version of weights as this system writes it into a salt.
+# A weight version in a salt.
 _VERSION_PATTERN = re.compile('0|[1-9][0-9]{0,15}')
-# Space is given out in blocks, and other entries save at the same time.
+# Stores are filled to this fraction at most: they allocate space in blocks, and
+# other entries save at the same time.
 _MAX_FILL_SHARE = 0.97
 
 
 @dataclass(frozen=True, slots=True)
 class Salt:
-    """Name under which context is kept: never shared across any of these.
+    """Identify the scope within which stored context may be shared.
 
     `team` is empty for teams that share context with others.
     """
@@ -45,12 +47,12 @@
     team: str = ''
 
     def encode(self) -> str:
-        """Return the text that engines and stores get."""
+        """Return the text form that engines and stores use."""
         return f'{self.version}/{self.model}/{self.team}'
 
 
 def decode_salt(text: str) -> Salt | None:
-    """Read a salt that this system made, None for any other text."""
+    """Parse the text form of a salt, None if it has another form."""
     version, *rest = text.split('/', 2)
     if len(rest) != 2 or not _VERSION_PATTERN.fullmatch(version):
         return None
@@ -59,9 +61,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ContextEvent:
-    """A part was kept whole, or is gone from a store.
+    """Report that a part was saved completely or removed from a store.
 
-    `number` is its place among the events of one start of the store.
+    `number` counts the events of one start of the store.
     """
 
     is_added: bool
@@ -73,10 +75,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ContextEvents:
-    """Hold what changed at a store; `clock` is the engines' in ms.
+    """Hold a page of a store's events.
 
-    `boot` changes when the store restarts, empty. `has_gap` tells that events
-    before these were lost.
+    `boot` changes when the store restarts, empty. `next` is the position to
+    read from next. `has_gap` is set if events before these were lost. `clock`
+    is a reading of the engines' clock in ms.
     """
 
     boot: int
@@ -88,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Source:
-    """Fetch so many tokens of a part from an address."""
+    """Name the store to fetch a part from, and how many of its tokens."""
 
     address: str
     tokens: int
@@ -96,9 +99,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ContextPlan:
-    """Say for each part of a prompt where it comes from and is kept at.
+    """Hold for each part of a prompt its source and where to save it.
 
-    `until` is when a fetch must have ended, on the engines' clock in ms.
+    `sinks` are addresses of stores, '' for parts that are not saved. `until` is
+    the deadline of the fetches on the engines' clock in ms.
     """
 
     sources: tuple[Source | None, ...] = ()
@@ -107,7 +111,7 @@
 
     @property
     def fetched_tokens(self) -> int:
-        """Count the tokens that are to be fetched."""
+        """Return the number of tokens to fetch."""
         return sum(source.tokens for source in self.sources if source)
 
 
@@ -115,7 +119,7 @@
 
 
 class StoreView:
-    """Follow one store by its events."""
+    """Track the content of one store by its events."""
 
     def __init__(self, traits: StoreTraits) -> None:
         self.traits = traits
@@ -132,23 +136,24 @@
     def apply_events(
         self, found: ContextEvents, asked_at: Millis, now: Millis
     ) -> None:
-        """Take events that were asked for at a moment of our clock."""
+        """Apply events that were requested at `asked_at` (local clock)."""
         if found.boot != self._boot:
             self._restart(found.boot, now)
         for event in found.events:
             self._apply(event)
         self.position = found.next
         self._asked_at = asked_at
-        # The engines' clock was at least this when the answer came.
+        # A lower bound, as the reading is older than the arrival of the page.
         self._clock_offset = found.clock - now
 
     def apply_shared_events(
         self, found: ContextEvents, asked_at: Millis, now: Millis
     ) -> bool:
-        """Take what a neighbour read, unless more is known here already.
+        """Apply events that a neighbour read; return whether they were newer.
 
-        `asked_at` is when it asked, or earlier. What it read of another start
-        of the store counts only where it surely asked later.
+        `asked_at` is at most the time of the neighbour's read. Events of
+        another start of the store are applied only if that read was certainly
+        later than the one here.
         """
         known_at = self._asked_at
         is_later = known_at is None or asked_at > known_at
@@ -163,26 +168,26 @@
         return True
 
     def invalidate(self) -> None:
-        """Trust nothing until the store has been read again."""
+        """Use nothing of this view until the store has been read again."""
         self._asked_at = None
 
     def find(self, salt: str, part: PromptPart, now: Millis) -> int:
-        """Return how many tokens of a part can be fetched."""
+        """Return how many tokens of a part can be fetched, 0 if none."""
         if not self.is_fresh(now):
             return 0
         return min(self.parts.get((salt, part.name), 0), part.tokens)
 
     def is_fresh(self, now: Millis) -> bool:
-        """Return whether a fetch under the present view has time to end."""
+        """Return whether a fetch based on this view has enough time."""
         asked_at = self._asked_at
         if asked_at is None:
             return False
         return asked_at + VIEW_MAX_AGE - now > _MIN_FETCH_TIME
 
     def find_deadline(self, other: Millis) -> Millis:
-        """Return when a fetch has to end, on the engines' clock.
+        """Return the deadline of a fetch on the engines' clock.
 
-        `other` is when what else the fetch relies on was asked for.
+        `other` is the read time of the other data that the fetch relies on.
         """
         asked_at = self._asked_at
         if asked_at is None:
@@ -190,7 +195,7 @@
         return min(asked_at, other) + VIEW_MAX_AGE + self._clock_offset
 
     def can_save(self, salt: str, part: PromptPart, now: Millis) -> bool:
-        """Return whether a part has room and is not being saved."""
+        """Return whether a part fits and is neither stored nor being saved."""
         if not self.is_fresh(now) or now < self._saves_allowed_from:
             return False
         key = (salt, part.name)
@@ -201,7 +206,7 @@
         return part.tokens + self._pending_tokens < room
 
     def record_save(self, salt: str, part: PromptPart, now: Millis) -> None:
-        """Learn that a save was asked for."""
+        """Record that an engine was asked to save a part here."""
         save = _PendingSave(part.tokens, now + _SAVE_TIMEOUT)
         self._pending_saves[(salt, part.name)] = save
         self._pending_tokens += save.tokens
@@ -209,7 +214,7 @@
     def list_outdated(
         self, versions: Mapping[str, int]
     ) -> Iterator[tuple[str, str]]:
-        """Yield the parts of weights older than those given by model."""
+        """Yield the parts of weights older than `versions` has by model."""
         for salt_text, part in self.parts:
             salt = decode_salt(salt_text)
             if salt is not None and salt.version < versions.get(salt.model, 0):
@@ -217,15 +222,18 @@
 
     @property
     def boot(self) -> int | None:
-        """Return which start of the store the view belongs to."""
+        """Return the store start that this view shows, None before a read."""
         return self._boot
 
     def find_clock(self, now: Millis) -> Millis:
-        """Return the engines' clock, or a little less."""
+        """Convert a local time to a lower bound on the engines' clock."""
         return now + self._clock_offset
 
     def _restart(self, boot: int, now: Millis) -> None:
-        """Begin with an empty store that others may still think full."""
+        """Reset the view of a store that restarted empty.
+
+        Other entries may still fetch by views of the previous start.
+        """
         self._saves_allowed_from = now + VIEW_MAX_AGE
         self._boot = boot
         self.parts.clear()
@@ -242,7 +250,7 @@
             self._used_tokens += event.tokens
 
     def _expire_saves(self, now: Millis) -> None:
-        """Forget saves that were never told as complete, oldest first."""
+        """Drop saves that timed out; the oldest come first."""
         while self._pending_saves:
             key, save = next(iter(self._pending_saves.items()))
             if save.until > now:
@@ -257,7 +265,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingSave:
-    """Hold how much room a save takes, and when it must be complete."""
+    """Hold the size of a save and the time at which it counts as failed."""
 
     tokens: int
     until: Millis
@@ -265,12 +273,12 @@
 
 @dataclass
 class ContextStores:
-    """Hold the views of all stores by their addresses."""
+    """Hold the views of the configured stores by address."""
 
     views: dict[str, StoreView] = field(default_factory=dict)
 
     def configure(self, stores: Iterable[StoreTraits]) -> None:
-        """Follow just these stores."""
+        """Track these stores alone; keep the views of known ones."""
         listed = {traits.address: traits for traits in stores}
         for address in set(self.views) - set(listed):
             del self.views[address]
@@ -279,12 +287,12 @@
                 self.views[address] = StoreView(traits)
 
     def are_read(self, stores: Iterable[StoreTraits]) -> bool:
-        """Return whether all these stores have told what they hold."""
+        """Return whether each of these stores has been read once."""
         views = (self.views.get(traits.address) for traits in stores)
         return all(view is not None and view.boot is not None for view in views)
 
     def restrict(self, data_centres: Collection[str]) -> ContextStores:
-        """Return the views of the stores in some data centres."""
+        """Return the views of the stores in the given data centres."""
         found = {
             address: view
             for address, view in self.views.items()
@@ -295,7 +303,7 @@
     def count_available(
         self, salt: str, parts: Sequence[PromptPart], now: Millis
     ) -> int:
-        """Count the leading tokens of a prompt that stores hold."""
+        """Count the leading tokens of a prompt that can be fetched."""
         count = 0
         for part in parts:
             found = max(
@@ -319,9 +327,10 @@
     ) -> ContextPlan:
         """Plan the fetches and saves of one run.
 
-        `versions_read_at` is when the newest versions were asked for. The last
-        part belongs to the request alone and is not kept. An engine fetches
-        only what it lacks, and can't use a part that lacks one before it.
+        `versions_read_at` is when the read of the newest versions was
+        requested. The last part belongs to the request alone and is not saved.
+        An engine fetches only what it lacks, and can't use a part that follows
+        a missing one.
         """
         shared = parts[:-1]
         sources: list[Source | None] = []
@@ -352,7 +361,7 @@
         plan: ContextPlan,
         now: Millis,
     ) -> None:
-        """Learn that a run was asked to save parts."""
+        """Record the saves that an engine was asked for by a plan."""
         for part, sink in zip(parts, plan.sinks, strict=False):
             if sink in self.views:
                 self.views[sink].record_save(salt, part, now)
@@ -376,7 +385,7 @@
         )
 
     def _find_sink(self, salt: str, part: PromptPart, now: Millis) -> str:
-        """Return the first store with room, in an order all entries share."""
+        """Return the first store with room, in the order all entries use."""
         ranked = sorted(
             self.views.values(),
             key=lambda view: _score_store(salt, part.name, view.traits),
@@ -390,7 +399,7 @@
 
 
 def _score_store(salt: str, part: str, traits: StoreTraits) -> float:
-    """Order the stores of a part; larger ones come first more often."""
+    """Return a sort key by weighted rendezvous hashing on the capacity."""
     text = f'{salt}/{part}/{traits.address}'.encode()
     hashed = int.from_bytes(hashlib.blake2b(text, digest_size=6).digest())
     return -math.log((hashed + 1) / 2**48) / max(traits.capacity_tokens, 1)
--- a/src/oleanderdyke/kernel/directory.py
+++ b/src/oleanderdyke/kernel/directory.py
@@ -1,4 +1,4 @@
-"""Know which agents hold which cached segments, as hints."""
+"""Directory of the agents that hold cached segments, by hints."""
 
 from __future__ import annotations
 
@@ -20,9 +20,10 @@
 
 @dataclass(slots=True)
 class _AgentState:
-    """Follow the numbered events of one agent.
+    """Hold the position in the numbered events of one agent.
 
-    `following` is the number of the next event, None before the first list.
+    `next_number` is the number of the next event, None before the first full
+    list. `requested_at` is when missing events were last requested.
     """
 
     number: int
@@ -31,11 +32,11 @@
 
 
 class Directory:
-    """Map segments to agents from numbered events.
+    """Map segments to agents by the agents' numbered events.
 
-    A message with `full` holds the effect of every event before its `first`;
-    the next event then has the number `first`. Numbering starts at 0. One
-    without any event tells, on a new link, which number comes next.
+    Events are numbered from 0. A message with `full` lists the state before its
+    number `first`, which is the number of the next event. A message without
+    events is a greeting on a new link and carries the next number.
     """
 
     def __init__(self) -> None:
@@ -52,7 +53,7 @@
     def apply_events(
         self, agent: str, events: SegmentEvents, now: Millis
     ) -> SegmentListRequest | None:
-        """Apply events; return a request where some are missing."""
+        """Apply events; return a request if earlier ones are missing."""
         state = self._states.get(agent)
         if state is None:
             state = self._add_agent(agent)
@@ -65,14 +66,14 @@
         return None
 
     def remove_agent(self, agent: str) -> None:
-        """Drop everything known about an agent."""
+        """Remove an agent; `sweep` frees its entries later."""
         state = self._states.pop(agent, None)
         if state is not None:
             del self._agents[state.number]
             self._unswept_shards = SHARD_COUNT
 
     def holders(self, segment: SegmentHint) -> tuple[str, ...]:
-        """Return the agents that hold a segment."""
+        """Return the known agents that hold a segment."""
         found = self._table.get(_to_key(segment))
         agents = self._agents
         return tuple(agents[number] for number in found if number in agents)
@@ -90,7 +91,7 @@
         return max(0, len(segments) - start)
 
     def sweep(self) -> None:
-        """Free a share of what gone agents left behind; call it regularly."""
+        """Free some entries of removed agents; call it regularly."""
         is_alive = self._agents.__contains__
         for _ in range(min(_SHARDS_PER_SWEEP, self._unswept_shards)):
             self._table.sweep(self._next_shard, is_alive)
@@ -111,8 +112,9 @@
             self._table.add(_to_key(segment), state.number)
 
     def _apply_changes(self, state: _AgentState, events: SegmentEvents) -> None:
-        # A message names a segment once, so that its part already known may
-        # be applied again; of a message wholly known this is not true.
+        # A message names each segment once, so applying the known events of a
+        # partly known message again is harmless. A message that is known in
+        # full may be outdated by later ones.
         known = state.next_number or 0
         next_number = events.first + len(events.added) + len(events.removed)
         if next_number <= known:
@@ -133,7 +135,7 @@
     is_waiting = (
         requested_at is not None and now - requested_at < _REREQUEST_INTERVAL
     )
-    # An answer to what was asked on an earlier link may be lost.
+    # A greeting starts a new link; a request on the previous one may be lost.
     if is_waiting and not is_greeting:
         return None
     state.requested_at = now
--- a/src/oleanderdyke/kernel/eviction.py
+++ b/src/oleanderdyke/kernel/eviction.py
@@ -1,4 +1,4 @@
-"""Choose the entries that make room for a better one."""
+"""Eviction of the least valuable entries of a store."""
 
 from __future__ import annotations
 
@@ -15,19 +15,20 @@
 from oleanderdyke.kernel.store_meta import SealedMeta
 from oleanderdyke.kernel.store_outcomes import WriteRefusal
 
-# Up to so many entries all are ranked.
+# Up to this many entries, all are ranked instead of a sample.
 _FULL_SCAN_LIMIT = 64
-# The poorest of each sample are kept for the next choice, so that small samples
-# find poor entries; they are weighed again before they go.
+# Entries ranked per sample, and the lowest of them that are kept as candidates
+# for the next choice, so that small samples find entries of low value. They are
+# scored again before eviction.
 _SAMPLE_SIZE = 16
 _POOL_SIZE = 8
 
 
 class _Candidate(NamedTuple):
-    """Rank an entry by its worth; of equals the deepest goes first.
+    """Hold the rank of an entry; the lowest tuple is evicted first.
 
-    What lies behind a gap in a prompt is of no use. Of equally deep ones the
-    oldest goes first.
+    Of equal scores the deepest segment goes first, as segments behind a gap in
+    a prompt can't be used; of equal depths the oldest entry.
     """
 
     score: float
@@ -38,7 +39,7 @@
 
 
 class Evictor:
-    """Rank unpinned entries by their worth per byte."""
+    """Rank unpinned entries by their value per byte."""
 
     def __init__(
         self,
@@ -56,7 +57,7 @@
     def choose(
         self, incoming: SealedMeta, needed_bytes: int, now: Millis
     ) -> tuple[SegmentId, ...] | WriteRefusal:
-        """Return whom to free for the missing bytes, or why nobody is."""
+        """Return the segments to free for `incoming`, or why it is refused."""
         incoming_score = self._keeper.worth(
             make_hint(incoming.segment), incoming.length, incoming.gap, now
         )
@@ -96,7 +97,7 @@
         return not self._pins.is_pinned(pooled.generation)
 
     def _rescore(self, ranked: list[_Candidate], row: int, now: Millis) -> None:
-        """Let the next one be poorest by its present worth."""
+        """Move entries whose score has risen until the next is up to date."""
         while True:
             (rescored,) = self._score_rows((ranked[row].row,), now)
             if rescored.score <= ranked[row].score:
--- a/src/oleanderdyke/kernel/fetch_pace.py
+++ b/src/oleanderdyke/kernel/fetch_pace.py
@@ -1,20 +1,22 @@
-"""Decide how long a fetch is worth its wait."""
+"""Deadlines of a fetch, by the cost of computing its segments."""
 
 from __future__ import annotations
 
 from oleanderdyke.clock import Millis
 
-# A pace is not known to within this.
+# Measurement error of the arrival times.
 PACE_TOLERANCE: Millis = 50.0
 
 
 class FetchPace:
-    """Compare a fetch, as measured, with computing what is left of it.
-
-    Until the first of `count` segments has come, all may take `step` each.
-    From then on the pace is known, and the fetch is worth its wait while the
-    others keep to `step`. An engine that would have to compute for several
-    fetches takes so many times longer. `limit` bounds the fetch in any case.
+    """Compare a running fetch with computing the rest of its segments.
+
+    `step` is the time to compute one segment. The first of `count` segments may
+    take as long as computing all of them. After it has arrived, the fetch is
+    worth waiting for while the others take no longer than `step` each on
+    average. An engine that would have to compute for several fetches
+    (`sharing`) takes that many times longer. `limit` bounds the fetch in any
+    case.
     """
 
     def __init__(
@@ -28,9 +30,10 @@
     def find_deadline(
         self, arrived: int, now: Millis, *, sharing: int = 1
     ) -> Millis:
-        """Return the time by which the segment after these must be there.
+        """Return the time by which the next segment has to arrive.
 
-        Call it once for each number of arrived segments, in order.
+        `arrived` counts the segments that have arrived. Call it once for each
+        count, in rising order.
         """
         if arrived == 1:
             self._start = now + PACE_TOLERANCE
--- a/src/oleanderdyke/kernel/hint_set.py
+++ b/src/oleanderdyke/kernel/hint_set.py
@@ -1,4 +1,4 @@
-"""Hold many 8-byte hints in little memory."""
+"""Compact set of 8-byte segment hints."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from oleanderdyke.kernel.demand import SegmentHint
 
-# Hints are spread evenly, so a shard is a short sorted array at any size.
+# Hints are spread evenly, so each shard is a short sorted array.
 _SHARD_BITS = 10
 _HINT_BYTES = 8
 _SHIFT = 8 * _HINT_BYTES - _SHARD_BITS
 
 
 class HintSet:
-    """Hold 8 bytes for each hint and no object."""
+    """Set of hints that takes 8 bytes for each."""
 
     def __init__(self) -> None:
         self._shards = [array('Q') for _ in range(1 << _SHARD_BITS)]
@@ -36,7 +36,7 @@
                 yield key.to_bytes(_HINT_BYTES)
 
     def add(self, hint: SegmentHint) -> bool:
-        """Add a hint; tell whether it is new."""
+        """Add a hint; return whether it is new."""
         key = int.from_bytes(hint)
         shard = self._shards[key >> _SHIFT]
         position = bisect_left(shard, key)
@@ -47,7 +47,7 @@
         return True
 
     def discard(self, hint: SegmentHint) -> bool:
-        """Remove a hint; tell whether it was there."""
+        """Remove a hint; return whether it was present."""
         key = int.from_bytes(hint)
         shard = self._shards[key >> _SHIFT]
         position = bisect_left(shard, key)
--- a/src/oleanderdyke/kernel/holders.py
+++ b/src/oleanderdyke/kernel/holders.py
@@ -1,7 +1,7 @@
-"""Map many 8-byte keys to small sets of numbers, compactly.
+"""Compact map from 8-byte keys to small sets of holder numbers.
 
-The keys are spread evenly, so that each shard is a short sorted array: about
-12 bytes for a key, and no long pause at any size.
+Keys are digests and thus spread evenly, so each shard is a short sorted array.
+A key takes about 12 bytes, and an insertion is fast at any size.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class _HolderSets:
-    """Number the sets of holders, and reuse the numbers of unused ones."""
+    """Intern sets of holders under numbers, with use counts."""
 
     def __init__(self) -> None:
         self._members: list[tuple[int, ...]] = [_NO_HOLDERS]
@@ -26,11 +26,11 @@
         self._unused: list[int] = []
 
     def get(self, number: int) -> tuple[int, ...]:
-        """Return the holders of a group."""
+        """Return the set with a number."""
         return self._members[number]
 
     def acquire(self, members: tuple[int, ...]) -> int:
-        """Count one more use of a set and return its number."""
+        """Add a use of a set and return its number."""
         number = self._numbers.get(members)
         if number is None:
             number = self._add(members)
@@ -38,7 +38,7 @@
         return number
 
     def release(self, number: int) -> None:
-        """Count one use less."""
+        """Remove a use; drop the set after the last one."""
         self._use_counts[number] -= 1
         if not self._use_counts[number]:
             del self._numbers[self._members[number]]
@@ -57,7 +57,7 @@
 
 
 class _Shard:
-    """Hold a sorted part of the keys and the group of each."""
+    """Hold a sorted range of keys, and the number of each one's set."""
 
     __slots__ = ('keys', 'set_numbers')
 
@@ -66,7 +66,7 @@
         self.set_numbers = array('I')
 
     def find(self, key: int) -> int:
-        """Return the place of a key, or -1."""
+        """Return the position of a key, or -1."""
         position = bisect_left(self.keys, key)
         if position < len(self.keys) and self.keys[position] == key:
             return position
@@ -74,7 +74,7 @@
 
 
 class HolderTable:
-    """Keep which numbers hold which key."""
+    """Map each key to the set of its holders."""
 
     def __init__(self) -> None:
         self._shards: list[_Shard | None] = [None] * _SHARD_COUNT
@@ -85,7 +85,7 @@
         return self._count
 
     def get(self, key: int) -> tuple[int, ...]:
-        """Return the holders of a key in rising order."""
+        """Return the holders of a key in ascending order."""
         shard = self._shards[key >> _SHIFT]
         if shard is None:
             return _NO_HOLDERS
@@ -97,7 +97,7 @@
         )
 
     def add(self, key: int, holder: int) -> None:
-        """Add a holder to a key."""
+        """Add a holder to a key, which may be new."""
         index = key >> _SHIFT
         shard = self._shards[index]
         if shard is None:
@@ -113,7 +113,7 @@
             )
 
     def remove(self, key: int, holder: int) -> None:
-        """Remove a holder from a key."""
+        """Remove a holder from a key, and the key after its last holder."""
         shard = self._shards[key >> _SHIFT]
         position = -1 if shard is None else shard.find(key)
         if shard is None or position < 0:
@@ -124,7 +124,7 @@
             self._replace_holders(shard, position, rest)
 
     def sweep(self, index: int, is_alive: Callable[[int], bool]) -> None:
-        """Drop the holders that no longer live from one shard."""
+        """Remove the holders from one shard that are not alive."""
         shard = self._shards[index % _SHARD_COUNT]
         if shard is None:
             return
--- a/src/oleanderdyke/kernel/interned_values.py
+++ b/src/oleanderdyke/kernel/interned_values.py
@@ -1,4 +1,4 @@
-"""Number values that many entries share."""
+"""Interned values with use counts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class InternedValues(Generic[ValueT]):
-    """Keep each value once, for as long as it is used."""
+    """Store each value once, under a number, while it is in use."""
 
     def __init__(self) -> None:
         self._numbers: dict[ValueT, int] = {}
@@ -18,11 +18,11 @@
         self._next = 0
 
     def get(self, number: int) -> ValueT:
-        """Return the value of a number."""
+        """Return the value with a number."""
         return self._values[number]
 
     def acquire(self, value: ValueT) -> int:
-        """Count one more use of a value; return its number."""
+        """Add a use of a value and return its number."""
         number = self._numbers.get(value)
         if number is None:
             number = self._next
@@ -34,7 +34,7 @@
         return number
 
     def release(self, number: int) -> None:
-        """Count one use less."""
+        """Remove a use; drop the value after the last one."""
         self._use_counts[number] -= 1
         if not self._use_counts[number]:
             del self._numbers[self._values.pop(number)]
--- a/src/oleanderdyke/kernel/link_meter.py
+++ b/src/oleanderdyke/kernel/link_meter.py
@@ -1,4 +1,4 @@
-"""Meter a store's link where its transfers meet."""
+"""Meter of the throughput of a store's network link."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class LinkMeter:
-    """Learn the rate of a shared link from the time that it was busy."""
+    """Estimate the rate of a shared link over the time that it is busy."""
 
     def __init__(self, bytes_per_second: float) -> None:
         self._rate = bytes_per_second
@@ -19,23 +19,23 @@
 
     @property
     def bytes_in_flight(self) -> int:
-        """Return the bytes that are asked for and not carried yet."""
+        """Return the bytes that are requested and not yet sent."""
         return int(self._in_flight)
 
     def estimate_rate(self, now: Millis) -> float:
-        """Return the bytes per second that the link carries when busy."""
+        """Return the bytes per second that the link sends when busy."""
         self._update_rate(now)
         return self._rate
 
     def record_requested(self, count: int, now: Millis) -> None:
-        """Count bytes that a transfer will need."""
+        """Add the bytes of a transfer that begins."""
         if self._in_flight <= 0:
             self._interval_start = now
             self._sent = 0.0
         self._in_flight += count
 
     def record_sent(self, count: int, now: Millis) -> None:
-        """Count bytes that have left."""
+        """Count bytes that were sent."""
         self._in_flight = max(0.0, self._in_flight - count)
         self._sent += count
         if self._in_flight <= 0:
@@ -43,7 +43,7 @@
             self._interval_start = None
 
     def record_cancelled(self, count: int, now: Millis) -> None:
-        """Take back bytes of a transfer that was cancelled."""
+        """Remove the unsent bytes of a cancelled transfer."""
         self._update_rate(now)
         self._in_flight = max(0.0, self._in_flight - count)
         if self._in_flight <= 0:
--- a/src/oleanderdyke/kernel/pins.py
+++ b/src/oleanderdyke/kernel/pins.py
@@ -1,4 +1,4 @@
-"""Count the readers that are copying an object."""
+"""Pins of objects that readers are copying."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class PinTable:
-    """Hold pins, bounded in number and time."""
+    """Hold pins; their number and lifetime are limited."""
 
     def __init__(self, *, limit: int, time: Millis) -> None:
         self._limit = limit
         self._time = time
         self._numbers = count(1)
-        # All pins live equally long, so the oldest comes first.
+        # All pins have the same lifetime, so they expire in insertion order.
         self._pins: dict[int, Pinned] = {}
         self._counts: Counter[int] = Counter()
 
     def add(
         self, meta: SealedMeta, generation: int, now: Millis
     ) -> Pinned | None:
-        """Return a new pin, or None while there are too many."""
+        """Return a new pin, or None if the limit is reached."""
         if len(self._pins) >= self._limit:
             return None
         pinned = Pinned(
@@ -41,7 +41,7 @@
         return pinned
 
     def is_valid(self, pinned: Pinned, now: Millis) -> bool:
-        """Return whether a pin is still there and in time."""
+        """Return whether a pin exists and has not expired."""
         return pinned.number in self._pins and now < pinned.until
 
     def is_pinned(self, generation: int) -> bool:
@@ -49,7 +49,7 @@
         return generation in self._counts
 
     def remove(self, pinned: Pinned) -> bool:
-        """End a pin; tell whether it was the last one of its object."""
+        """Remove a pin; return whether its object has none left."""
         if self._pins.pop(pinned.number, None) is None:
             return False
         self._counts[pinned.generation] -= 1
@@ -59,7 +59,7 @@
         return True
 
     def list_expired(self, now: Millis) -> tuple[Pinned, ...]:
-        """Return the pins whose time is over."""
+        """Return the expired pins."""
         expired = []
         for pinned in self._pins.values():
             if now < pinned.until:
--- a/src/oleanderdyke/kernel/read_backoff.py
+++ b/src/oleanderdyke/kernel/read_backoff.py
@@ -1,4 +1,4 @@
-"""Share the few places that a store of context has for readers."""
+"""Backoff for readers of a context store that limits its readers."""
 
 from __future__ import annotations
 
@@ -7,30 +7,31 @@
 
 from oleanderdyke.clock import SECOND, Millis
 
-# A read waits so long for something new where there is a place for all. It
-# returns at once when there is, so that a view is some milliseconds old.
+# Time that a read waits for new events while the store has room for all
+# readers. It returns with the first event, so views are milliseconds old.
 _LONG_WAIT: Millis = 1 * SECOND
-# Now and then it leaves its place all the same: who reads on and on never
-# learns that others find none, and they never get one.
+# Some reads are followed by a pause even then: a reader that never disconnects
+# is never rejected, and would keep the others out without noticing it.
 _YIELD_PROBABILITY = 0.3
 _YIELD_PAUSE: Millis = 300.0
-# Where there is not, it waits for a part of a second and leaves its place to
-# others for a while: a view serves for 3.5 s, so that a read in one to two is
-# enough, and a place serves five readers. Shorter reads are charged for.
+# After a rejection, reads wait for a shorter time and are followed by a pause
+# for other readers. A view can be used for 3.5 s, so one read in 1 to 2 s is
+# enough, and one slot of the store serves five readers. Shorter reads are
+# charged for.
 _SHORT_WAIT: Millis = 250.0
 _MIN_PAUSE: Millis = 700.0
 _MAX_PAUSE: Millis = 1.2 * SECOND
 _PAUSE_GROWTH = 1.3
 _PAUSE_JITTER = 0.5
-# Who finds no place asks again after this, and at most half as much more.
+# Mean time to a retry after a rejection, with jitter of up to half of it.
 _RETRY_PAUSE: Millis = 200.0
 
 
 @dataclass(slots=True)
 class ReadBackoff:
-    """Say how long one reader of a store reads and pauses.
+    """Choose the wait and the pause of one reader of a store.
 
-    It learns from being turned away that there are more readers than places.
+    A rejection by the store shows that there are more readers than slots.
     """
 
     random: Random
@@ -38,17 +39,17 @@
 
     @property
     def wait(self) -> Millis:
-        """Return how long a read waits for something new."""
+        """Return how long a read waits for new events."""
         return _SHORT_WAIT if self._pause else _LONG_WAIT
 
     def record_rejection(self) -> Millis:
-        """Learn that there was no place; return when to ask again."""
+        """Lengthen the pauses after a rejection; return the retry delay."""
         pause = max(self._pause * _PAUSE_GROWTH, _MIN_PAUSE)
         self._pause = min(pause, _MAX_PAUSE)
         return self._add_jitter(_RETRY_PAUSE)
 
     def find_pause(self) -> Millis:
-        """Return how long to leave one's place to others after a read."""
+        """Return how long to stay disconnected after a read."""
         if self._pause:
             return self._add_jitter(self._pause)
         is_yielding = self.random.random() < _YIELD_PROBABILITY
--- a/src/oleanderdyke/kernel/reuse_model.py
+++ b/src/oleanderdyke/kernel/reuse_model.py
@@ -1,4 +1,4 @@
-"""Learn when kept context is wanted again."""
+"""Estimates of how soon stored segments are used again."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 _SMOOTHING = 0.3
 _MIN_GAP = MINUTE
-# Two days in the middle of the gaps from minutes to days: what was used once
-# must not push out what returns daily.
+# Expected time to the second use. Gaps range from minutes to days; 2 days keep
+# a segment that was used once from displacing one that is used daily.
 _DEFAULT_GAP = 48 * HOUR
 
 
 @dataclass(slots=True)
 class _UseHistory:
-    """Hold what is known about the uses of one segment."""
+    """Hold the last use of a segment and the mean gap between uses."""
 
     last: Millis
     gap: Millis
@@ -25,14 +25,17 @@
 
 
 class ReuseModel:
-    """Estimate the rate of return from the gaps between uses."""
+    """Estimate the rate of reuse from the gaps between uses."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
         self._returns: OrderedDict[bytes, _UseHistory] = OrderedDict()
 
     def record_use(self, segment: bytes, now: Millis) -> None:
-        """Learn one use."""
+        """Record a use of a segment.
+
+        Uses within `_MIN_GAP` of the last one count as the same use.
+        """
         history = self._returns.get(segment)
         if history is None:
             self._returns[segment] = _UseHistory(now, 0.0)
@@ -51,7 +54,10 @@
     def estimate_rate(
         self, segment: bytes, expected_gap: Millis, now: Millis
     ) -> float:
-        """Estimate the uses per millisecond from now on."""
+        """Estimate the future uses per millisecond.
+
+        `expected_gap` is used until a gap was measured; 0 means unknown.
+        """
         history = self._returns.get(segment)
         if history is None:
             return 1.0 / max(_MIN_GAP, expected_gap or _DEFAULT_GAP)
--- a/src/oleanderdyke/kernel/sealed_entries.py
+++ b/src/oleanderdyke/kernel/sealed_entries.py
@@ -1,4 +1,4 @@
-"""Hold the sealed entries of a store for lookup and sampling."""
+"""Compact table of the sealed entries of a store."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SealedEntry:
-    """Pair a sealed object with its generation."""
+    """Hold a sealed object's record and its generation."""
 
     meta: SealedMeta
     generation: int
 
 
 class RankingFields(NamedTuple):
-    """Hold what an entry's worth comes from and what breaks ties."""
+    """Hold the fields by which entries are ranked for eviction."""
 
     hint: SegmentHint
     length: int
@@ -40,18 +40,18 @@
 
 
 class SealedEntries:
-    """Find entries by segment, and sample them without a scan.
+    """Look up entries by segment, and sample them without a scan.
 
-    The fields stand in columns, since an object for each of many entries
-    would take several times their memory. An entry has a place until another
-    one is removed.
+    Fields are stored in columns, as an object for each entry would take several
+    times the memory. The removal of an entry moves the last one to its row.
     """
 
     def __init__(self) -> None:
         self._rows = SegmentRows()
         self._segments = bytearray()
         self._digests = bytearray()
-        # Depths stand above the lengths, as one more column costs memory.
+        # The depth in the high bits and the length in the low ones, which saves
+        # the memory of another column.
         self._sizes = array('Q')
         self._gaps = array('d')
         self._generations = array('Q')
@@ -66,12 +66,12 @@
         return len(self._sizes)
 
     def get(self, segment: SegmentId) -> SealedEntry | None:
-        """Return the entry of a segment."""
+        """Return the entry of a segment, None if there is none."""
         row = self._find(segment)
         return None if row is None else self.read(row)
 
     def read(self, row: int) -> SealedEntry:
-        """Return the entry at a place."""
+        """Return the entry in a row."""
         segment = self._read_id(self._segments, row)
         meta = SealedMeta(
             object_name=self._make_name(segment, row),
@@ -85,11 +85,11 @@
         return SealedEntry(meta, self._generations[row])
 
     def has_generation(self, row: int, generation: int) -> bool:
-        """Return whether the entry of a generation is at a place."""
+        """Return whether a row exists and holds this generation."""
         return row < len(self) and self._generations[row] == generation
 
     def read_ranking(self, row: int) -> RankingFields:
-        """Return what decides about the entry at a place."""
+        """Return the ranking fields of the entry in a row."""
         start = row * ID_BYTES
         size = self._sizes[row]
         return RankingFields(
@@ -101,11 +101,11 @@
         )
 
     def read_segment(self, row: int) -> SegmentId:
-        """Return the segment at a place."""
+        """Return the segment in a row."""
         return self._read_id(self._segments, row)
 
     def add(self, entry: SealedEntry) -> None:
-        """Hold an entry whose segment has none."""
+        """Add an entry; its segment must not have one yet."""
         meta = entry.meta
         self._rows.add(meta.segment, len(self))
         origin, number = _split_name(meta)
@@ -121,7 +121,7 @@
         self._numbers.append(number)
 
     def remove(self, segment: SegmentId) -> SealedEntry | None:
-        """Return the entry of a segment after forgetting it."""
+        """Remove the entry of a segment and return it, None if missing."""
         row = self._find(segment)
         if row is None:
             return None
@@ -134,7 +134,7 @@
         return entry
 
     def sample(self, random: Random, size: int) -> Sequence[int]:
-        """Return about as many places, or all if there are fewer."""
+        """Return `size` random rows, with repeats, or all if no more exist."""
         count = len(self)
         if count <= size:
             return range(count)
@@ -154,7 +154,7 @@
         return f'{segment.hex()}-{origin}-{number}'
 
     def _move_entry(self, row: int, last: int) -> None:
-        """Move the last entry to a place that became free."""
+        """Move the last entry to the row of a removed one."""
         if row != last:
             self._rows.move(self._read_id(self._segments, last), last, row)
         for data in (self._segments, self._digests):
@@ -178,7 +178,10 @@
 
 
 def _split_name(meta: SealedMeta) -> tuple[str, int]:
-    """Split an object's name into what it was made of, if it was."""
+    """Split a generated object name into its origin and number.
+
+    Names of any other form are stored as text, marked by `_IRREGULAR_NAME`.
+    """
     start = f'{meta.segment.hex()}-'
     origin, _, digits = meta.object_name.removeprefix(start).rpartition('-')
     number = int(digits) if _is_number(digits) else _IRREGULAR_NAME
--- a/src/oleanderdyke/kernel/segment_log.py
+++ b/src/oleanderdyke/kernel/segment_log.py
@@ -1,4 +1,4 @@
-"""Number the changes of a set of cached segments."""
+"""Numbered log of the changes to a set of cached segments."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class SegmentLog:
-    """Hold a set of hints, its unsent changes and its recent changes.
+    """Hold a set of hints with its unsent and its recently sent changes.
 
-    Events count from 0; a message covers as many numbers as it has hints. A
-    full list replaces what its receiver knew, and its further messages are
-    numbered so that the last one ends at the present number; the first
-    number may be negative for that.
+    Events are numbered from 0; a message covers as many numbers as it has
+    hints. A full list replaces the receiver's state. It may take several
+    messages, which are numbered so that the last one ends at the current
+    number; the first number may therefore be negative.
     """
 
     def __init__(self, *, keep: int = RECENT_EVENTS) -> None:
@@ -35,17 +35,17 @@
         return self._next
 
     def add(self, segment: SegmentHint) -> None:
-        """Note that a segment is there."""
+        """Add a segment, if it is new."""
         if self._present.add(segment):
             self._record_change(segment, present=True)
 
     def remove(self, segment: SegmentHint) -> None:
-        """Note that a segment is gone."""
+        """Remove a segment, if it is in the set."""
         if self._present.discard(segment):
             self._record_change(segment, present=False)
 
     def replace(self, segments: Iterable[SegmentHint]) -> None:
-        """Become another set, by the fewest events."""
+        """Replace the set, with events for the difference only."""
         wanted = set(segments)
         for gone in [each for each in self._present if each not in wanted]:
             self.remove(gone)
@@ -53,7 +53,7 @@
             self.add(new)
 
     def drain(self) -> tuple[SegmentEvents, ...]:
-        """Return the events since the last call."""
+        """Return the unsent events, and count them as sent."""
         events = tuple(self._unsent.items())
         self._unsent.clear()
         first = self._next
@@ -62,7 +62,7 @@
         return tuple(_make_messages(first, events))
 
     def list_all(self) -> tuple[SegmentEvents, ...]:
-        """Return the whole set as it was last taken."""
+        """Return a full list of the set as of the last `drain`."""
         added = {each for each, present in self._unsent.items() if present}
         held = [each for each in self._present if each not in added]
         held.extend(each for each in self._unsent if each not in added)
@@ -73,7 +73,10 @@
         return (opening, *_make_messages(first, events))
 
     def list_after(self, number: int) -> tuple[SegmentEvents, ...]:
-        """Return the taken events from a number on, or the whole set."""
+        """Return the sent events from a number on, or a full list.
+
+        The full list is returned if events were dropped since that number.
+        """
         oldest = self._next - len(self._recent)
         if not oldest <= number <= self._next:
             return self.list_all()
@@ -82,7 +85,7 @@
         return tuple(_make_messages(number, events))
 
     def _record_change(self, segment: SegmentHint, *, present: bool) -> None:
-        # A change that undoes an unsent one leaves nothing to tell.
+        # A change that undoes an unsent one cancels out.
         if self._unsent.pop(segment, None) is None:
             self._unsent[segment] = present
 
@@ -92,7 +95,8 @@
 ) -> Iterator[SegmentEvents]:
     group: dict[SegmentHint, bool] = {}
     for segment, present in events:
-        # Within one message the order is lost, so a segment comes once.
+        # A message does not keep the order of its events, so each segment
+        # appears in it once.
         if segment in group or len(group) == MESSAGE_HINTS:
             yield _make_message(first, group)
             first += len(group)
--- a/src/oleanderdyke/kernel/segment_write.py
+++ b/src/oleanderdyke/kernel/segment_write.py
@@ -1,4 +1,4 @@
-"""Check the parts of one segment's write."""
+"""Verification of the parts of one segment's write."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class OpenWrite:
-    """Take the parts of a segment in order and verify the whole."""
+    """Check the parts of a segment in order, and the digest at the end."""
 
     def __init__(
         self, request: str, meta: SealedMeta, generation: int, until: Millis
@@ -29,11 +29,11 @@
 
     @property
     def requests(self) -> tuple[str, ...]:
-        """List the requests that wait for the outcome."""
+        """Return the requests that wait for the outcome."""
         return (self.request, *self.joined)
 
     def add(self, part: SegmentPart) -> WriteRefusal | None:
-        """Take the next part; return what is wrong with it."""
+        """Add the next part; return a reason if the write has to fail."""
         refusal = self._check(part)
         if refusal is not None:
             return refusal
--- a/src/oleanderdyke/kernel/shared_chunks.py
+++ b/src/oleanderdyke/kernel/shared_chunks.py
@@ -1,4 +1,4 @@
-"""Encode a snapshot once for all who read it at the same time."""
+"""Encoded snapshot chunks, shared between concurrent readers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class SharedChunks:
-    """Hold the chunks of one snapshot that were encoded so far."""
+    """Encode the chunks of one snapshot on demand, each of them once.
+
+    `through` is the log offset of the snapshot.
+    """
 
     def __init__(self, through: int, source: Iterator[bytes]) -> None:
         self.through = through
@@ -31,14 +34,14 @@
 
 
 class SnapshotChunkCache:
-    """Give the chunks of the present snapshot; kept only while in use."""
+    """Cache the chunks of the latest snapshot while a reader uses them."""
 
     def __init__(self, catalog: Catalog) -> None:
         self._catalog = catalog
         self._latest: ReferenceType[SharedChunks] | None = None
 
     def get(self) -> SharedChunks:
-        """Return what others read already, if it is of the same offset."""
+        """Return the cached chunks, or new ones if the offset has changed."""
         latest = None if self._latest is None else self._latest()
         if latest is not None and latest.through == self._catalog.offset:
             return latest
--- a/src/oleanderdyke/kernel/snapshot_detector.py
+++ b/src/oleanderdyke/kernel/snapshot_detector.py
@@ -1,4 +1,4 @@
-"""Put the chunks of snapshots together that the log holds."""
+"""Detection of complete snapshots in the log."""
 
 from __future__ import annotations
 
@@ -17,7 +17,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CompleteSnapshot:
-    """Remember a whole snapshot that the log holds."""
+    """Describe a complete snapshot in the log.
+
+    `start` is the offset of its first chunk, `through` the last offset that it
+    includes, `at` the time of its last record.
+    """
 
     start: int
     through: int
@@ -25,7 +29,7 @@
 
 
 class _Collector:
-    """Follow the chunks of one snapshot; load them only where wanted."""
+    """Collect the chunks of one snapshot; load them if asked to."""
 
     def __init__(self, through: int, start: int, *, should_load: bool) -> None:
         self.through = through
@@ -35,7 +39,7 @@
         self._digest = make_digest(through)
 
     def add(self, chunk: SnapshotChunk) -> bool:
-        """Take the next chunk; tell whether the snapshot is whole."""
+        """Add the next chunk; return whether the snapshot is complete."""
         if (chunk.through, chunk.index) != (self.through, self._next):
             return False
         self._next += 1
@@ -46,10 +50,10 @@
 
 
 class SnapshotDetector:
-    """Notice the whole snapshots among the records of the log.
+    """Detect complete snapshots among the records of the log.
 
-    Several processes may append theirs at once, or stop half-way: every first
-    chunk opens a collector, and each collector takes what follows it.
+    Several processes may append snapshots at once, or stop before the end. Each
+    first chunk starts a collector, which takes the chunks that follow in order.
     """
 
     def __init__(self) -> None:
@@ -59,9 +63,9 @@
     def add(
         self, offset: int, at: Millis, data: bytes, loaded_offset: int
     ) -> LoadedSnapshot | None:
-        """Take a record; return a snapshot that it completes.
+        """Process a record; return the loaded snapshot that it completes.
 
-        Only a snapshot that is ahead of the offset `have` is loaded for this.
+        Only snapshots beyond `loaded_offset` are loaded.
         """
         chunk = decode_record(data)
         if not isinstance(chunk, SnapshotChunk) or chunk.through >= offset:
--- a/src/oleanderdyke/kernel/store_index.py
+++ b/src/oleanderdyke/kernel/store_index.py
@@ -1,4 +1,4 @@
-"""Track which kept segments of a store are whole and may be read."""
+"""Index of a store: which segments are complete and may be read."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreLimits:
-    """Bound what a store's index holds."""
+    """Limit the size and the pending operations of a store's index."""
 
     capacity_bytes: int
     write_time: Millis = 30 * SECOND
@@ -74,11 +74,11 @@
 
 
 class StoreIndex:
-    """Decide what a store's agent may write, show, read and delete.
+    """Decide what a store's agent may write, list, read and delete.
 
-    The shell stores a write's object, then its meta record, then calls
-    `seal`; it deletes what `drain_deletions` names, in that order, before it
-    stores anything new.
+    The caller stores the object of a write, then its meta record, then calls
+    `seal`. It deletes the objects that `drain_deletions` returns, in that
+    order, before it stores anything new.
     """
 
     def __init__(
@@ -103,11 +103,11 @@
 
     @property
     def used_bytes(self) -> int:
-        """Return the bytes of objects kept, pinned or being written."""
+        """Return the bytes of objects that are stored or being written."""
         return self._used
 
     def begin(self, write: SegmentWrite, now: Millis) -> BeginOutcome:
-        """Open a write, or say why not."""
+        """Open a write, join one of the same segment, or refuse."""
         existing = self._find_existing(write)
         if existing is not None:
             return existing
@@ -127,7 +127,7 @@
         return WriteBegun(meta.object_name)
 
     def add_part(self, part: SegmentPart, now: Millis) -> PartOutcome:
-        """Check the next part of the write that its request opened."""
+        """Add the next part to the write that its request opened."""
         write = self._find_write(part.request, part.segment)
         if write is None:
             return PartIgnored()
@@ -159,7 +159,7 @@
     def abort(
         self, request: str, segment: SegmentId, reason: WriteRefusal
     ) -> WriteFailed:
-        """Give up a write; also when the store is full or has failed."""
+        """Fail a write, for instance when the store is full or has failed."""
         write = self._find_write(request, segment)
         if write is None:
             return WriteFailed(WriteRefusal.UNKNOWN)
@@ -168,7 +168,7 @@
     def pin(
         self, namespace: Namespace, segment: SegmentId, now: Millis
     ) -> Pinned | ReadRefused:
-        """Let one reader copy a segment; each pin needs one `unpin`."""
+        """Pin a segment for one reader's copy; `unpin` has to follow."""
         entry = self._entries.get(segment)
         if entry is None:
             return ReadRefused(ReadRefusal.MISSING)
@@ -181,19 +181,19 @@
         return pinned
 
     def is_pin_valid(self, pinned: Pinned, now: Millis) -> bool:
-        """Tell, after the copy, whether the copied bytes may be used."""
+        """Return whether bytes that were copied under a pin may be used."""
         entry = self._entries.get(pinned.segment)
         if entry is None or entry.generation != pinned.generation:
             return False
         return self._pins.is_valid(pinned, now)
 
     def unpin(self, pinned: Pinned) -> None:
-        """End a reader's copy."""
+        """Remove a pin; delete the object if it is freed and unpinned."""
         if self._pins.remove(pinned):
             self._delete_pending(pinned.object_name)
 
     def free(self, segment: SegmentId) -> None:
-        """Hide a segment at once; delete its object when no pin is left."""
+        """Remove a segment; delete its object once no pin is left."""
         entry = self._entries.remove(segment)
         if entry is None:
             return
@@ -210,7 +210,7 @@
             self.free(pinned.segment)
 
     def expire(self, now: Millis) -> tuple[WriteFailed, ...]:
-        """End writes and pins whose time is over."""
+        """Drop timed-out pins and writes; return the failed writes."""
         for pinned in self._pins.list_expired(now):
             self.unpin(pinned)
         expired = [each for each in self._writes.values() if now >= each.until]
@@ -219,7 +219,7 @@
         )
 
     def drain_deletions(self) -> tuple[str, ...]:
-        """Return the names to delete from the store, meta records first."""
+        """Return the names to delete, each record before its object."""
         names = tuple(self._deletions)
         self._deletions.clear()
         return names
@@ -227,10 +227,10 @@
     def restore(
         self, meta_name: str, meta: bytes, stored: int | None, now: Millis
     ) -> bool:
-        """Show an object of an earlier incarnation if its record matches.
+        """Add an object of an earlier incarnation if its record matches.
 
-        `stored` is the object's length in the store's list. Both objects are
-        named for deletion otherwise.
+        `stored` is the object's length in the store's list, None if missing.
+        The object and its record are queued for deletion otherwise.
         """
         record = decode_meta(meta)
         if record is None or not self._can_restore(meta_name, record, stored):
--- a/src/oleanderdyke/kernel/store_meta.py
+++ b/src/oleanderdyke/kernel/store_meta.py
@@ -1,4 +1,4 @@
-"""Encode the records that prove a store's objects whole."""
+"""Stored form of the records that describe complete objects."""
 
 from __future__ import annotations
 
@@ -14,17 +14,21 @@
 
 META_SUFFIX = '.meta'
 _META_VERSION = 2
-# Records of the first form lack the depth at their end.
+# Records of version 1 have no depth, which is the last field.
 _FIRST_VERSION = 1
 _CHECKSUM_BYTES = 32
 _FIELD_TYPES = (int, str, bytes, bytes, int, bytes, float, int)
-# Segments that are deeper in a prompt are equals.
+# Deeper positions in a prompt are stored as this depth.
 MAX_DEPTH = 65_535
 
 
 @dataclass(frozen=True, slots=True)
 class SealedMeta:
-    """Describe a whole object; stored beside it once it is verified."""
+    """Describe a verified object; stored beside it.
+
+    `gap` is the expected time until the next use, `depth` the position of the
+    segment in its prompt.
+    """
 
     object_name: str
     namespace: Namespace
@@ -36,7 +40,7 @@
 
 
 def encode_meta(meta: SealedMeta) -> bytes:
-    """Return the stored form of a meta record: its digest, then CBOR."""
+    """Return the stored form of a record: its digest, then CBOR."""
     body = cbor2.dumps(
         [
             _META_VERSION,
@@ -53,7 +57,7 @@
 
 
 def decode_meta(data: bytes) -> SealedMeta | None:
-    """Read a stored meta record; None unless it is whole."""
+    """Decode a stored record; None if it is damaged or of another form."""
     checksum, body = data[:_CHECKSUM_BYTES], data[_CHECKSUM_BYTES:]
     if not hmac.compare_digest(checksum, _checksum(body)):
         return None
--- a/src/oleanderdyke/kernel/store_outcomes.py
+++ b/src/oleanderdyke/kernel/store_outcomes.py
@@ -1,4 +1,4 @@
-"""Define what a store's index answers."""
+"""Outcomes of the operations on a store's index."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class WriteRefusal(enum.StrEnum):
-    """Say why a write left nothing visible."""
+    """Name the reason for which a write failed."""
 
     FULL = 'full'
     BUSY = 'busy'
@@ -28,7 +28,7 @@
 
 
 class ReadRefusal(enum.StrEnum):
-    """Say, for the log only, why a read found nothing."""
+    """Name the reason for which a read was refused, for the log only."""
 
     MISSING = 'missing'
     NAMESPACE = 'namespace'
@@ -37,24 +37,24 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteBegun:
-    """Let the parts come; the object gets this name in the store."""
+    """Report an open write, and the name of its object in the store."""
 
     object_name: str
 
 
 @dataclass(frozen=True, slots=True)
 class WriteJoined:
-    """Wait for the same segment's write that is under way."""
+    """Report that the request joined an open write of the same segment."""
 
 
 @dataclass(frozen=True, slots=True)
 class WritePresent:
-    """Answer at once; the segment is sealed already."""
+    """Report that the segment is sealed already; answer at once."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteFailed:
-    """Answer every request that waited; nothing is visible."""
+    """Report a failed write and the requests to answer."""
 
     reason: WriteRefusal
     requests: tuple[str, ...] = ()
@@ -62,17 +62,21 @@
 
 @dataclass(frozen=True, slots=True)
 class PartAccepted:
-    """Go on; the part is next in order."""
+    """Report that the part was added and more have to follow."""
 
 
 @dataclass(frozen=True, slots=True)
 class PartIgnored:
-    """Drop a part that belongs to no open write."""
+    """Report that the part belongs to no open write and was dropped."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteVerified:
-    """Store the object, then the meta record under `meta_name`, then seal."""
+    """Report that all parts are verified.
+
+    The caller stores the object, then the meta record under `meta_name`, and
+    then seals the write.
+    """
 
     meta_name: str
     meta: bytes
@@ -80,14 +84,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteSealed:
-    """Answer every request that waited; the segment is visible."""
+    """Report a segment that can be read now and the requests to answer."""
 
     requests: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Pinned:
-    """Allow one reader to copy an object for a bounded time."""
+    """Permit one reader to copy an object until a given time."""
 
     number: int
     segment: SegmentId
@@ -100,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRefused:
-    """Answer that the segment is missing, whatever the reason."""
+    """Report a refused read; the reader is told that nothing was found."""
 
     reason: ReadRefusal
 
