--- a/src/oleanderdyke/kernel/context_stores.py
+++ b/src/oleanderdyke/kernel/context_stores.py
@@ -134,20 +134,20 @@
         self._pending_saves: dict[tuple[str, str], _PendingSave] = {}
 
     def apply_events(
-        self, found: ContextEvents, asked_at: Millis, now: Millis
+        self, page: ContextEvents, asked_at: Millis, now: Millis
     ) -> None:
         """Apply events that were requested at `asked_at` (local clock)."""
-        if found.boot != self._boot:
-            self._restart(found.boot, now)
-        for event in found.events:
+        if page.boot != self._boot:
+            self._restart(page.boot, now)
+        for event in page.events:
             self._apply(event)
-        self.position = found.next
+        self.position = page.next
         self._asked_at = asked_at
         # A lower bound, as the reading is older than the arrival of the page.
-        self._clock_offset = found.clock - now
+        self._clock_offset = page.clock - now
 
     def apply_shared_events(
-        self, found: ContextEvents, asked_at: Millis, now: Millis
+        self, page: ContextEvents, asked_at: Millis, now: Millis
     ) -> bool:
         """Apply events that a neighbour read; return whether they were newer.
 
@@ -157,14 +157,14 @@
         """
         known_at = self._asked_at
         is_later = known_at is None or asked_at > known_at
-        if found.boot != self._boot:
+        if page.boot != self._boot:
             if self._boot is not None and not is_later:
                 return False
-        elif found.next < self.position:
+        elif page.next < self.position:
             return False
         if known_at is not None and not is_later:
             asked_at = known_at
-        self.apply_events(found, asked_at, now)
+        self.apply_events(page, asked_at, now)
         return True
 
     def invalidate(self) -> None:
@@ -184,15 +184,15 @@
             return False
         return asked_at + VIEW_MAX_AGE - now > _MIN_FETCH_TIME
 
-    def find_deadline(self, other: Millis) -> Millis:
+    def find_deadline(self, other_read_at: Millis) -> Millis:
         """Return the deadline of a fetch on the engines' clock.
 
-        `other` is the read time of the other data that the fetch relies on.
+        `other_read_at` is when the other data that the fetch needs was read.
         """
         asked_at = self._asked_at
         if asked_at is None:
             return 0.0
-        return min(asked_at, other) + VIEW_MAX_AGE + self._clock_offset
+        return min(asked_at, other_read_at) + VIEW_MAX_AGE + self._clock_offset
 
     def can_save(self, salt: str, part: PromptPart, now: Millis) -> bool:
         """Return whether a part fits and is neither stored nor being saved."""
--- a/src/oleanderdyke/kernel/eviction.py
+++ b/src/oleanderdyke/kernel/eviction.py
@@ -91,19 +91,21 @@
         rows.difference_update(each.row for each in pooled)
         return pooled + self._score_rows(rows, now)
 
-    def _is_evictable(self, pooled: _Candidate) -> bool:
-        if not self._entries.has_generation(pooled.row, pooled.generation):
+    def _is_evictable(self, entry: _Candidate) -> bool:
+        if not self._entries.has_generation(entry.row, entry.generation):
             return False
-        return not self._pins.is_pinned(pooled.generation)
+        return not self._pins.is_pinned(entry.generation)
 
-    def _rescore(self, ranked: list[_Candidate], row: int, now: Millis) -> None:
+    def _rescore(
+        self, ranked: list[_Candidate], index: int, now: Millis
+    ) -> None:
         """Move entries whose score has risen until the next is up to date."""
         while True:
-            (rescored,) = self._score_rows((ranked[row].row,), now)
-            if rescored.score <= ranked[row].score:
+            (rescored,) = self._score_rows((ranked[index].row,), now)
+            if rescored.score <= ranked[index].score:
                 return
-            del ranked[row]
-            insort(ranked, rescored, lo=row)
+            del ranked[index]
+            insort(ranked, rescored, lo=index)
 
     def _score_rows(self, rows: Iterable[int], now: Millis) -> list[_Candidate]:
         found = []
--- a/src/oleanderdyke/kernel/segment_log.py
+++ b/src/oleanderdyke/kernel/segment_log.py
@@ -47,8 +47,8 @@
     def replace(self, segments: Iterable[SegmentHint]) -> None:
         """Replace the set, with events for the difference only."""
         wanted = set(segments)
-        for gone in [each for each in self._present if each not in wanted]:
-            self.remove(gone)
+        for old in [each for each in self._present if each not in wanted]:
+            self.remove(old)
         for new in sorted(wanted):
             self.add(new)
 
