--- a/tests/context_scene.py
+++ b/tests/context_scene.py
@@ -1,4 +1,4 @@
-"""Run an entry before an engine and a store of context, and ask it."""
+"""Scene with an entry, an engine and a context store."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 async def staging_contexts(
     directory: pathlib.Path, contexts: ContextStore
 ) -> AsyncGenerator[tuple[Stage, str]]:
-    """Run them; yield the stage and the address of the store."""
+    """Run the scene; yield the stage and the address of the store."""
     async with (
         server.serving(contexts) as (address,),
         staging(
@@ -33,7 +33,7 @@
 
 
 async def ask_prompt(stage: Stage) -> dict[str, str]:
-    """Send a prompt of three parts; return what the engine was told."""
+    """Send a prompt of three parts; return the headers the engine got."""
     found = await stage.call(
         '/safe/1',
         oleanderdyke_model=MODEL,
--- a/tests/store_spaces.py
+++ b/tests/store_spaces.py
@@ -1,4 +1,4 @@
-"""Build small stores of context and what is written to them."""
+"""Builders of small store indexes and of writes to them."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class FlatKeeper:
-    """Find the worth in the gap that a write expects: short gaps first."""
+    """Value a segment by its expected gap; short gaps are worth more."""
 
     def worth(self, segment, length, gap, now):
         return -gap
--- a/tests/test_context_stores.py
+++ b/tests/test_context_stores.py
@@ -24,7 +24,7 @@
 PARTS = (SHARED, OWN)
 SALT = Salt('m', 1).encode()
 TRAITS = StoreTraits(ADDRESS, 'hall', 100_000, 58_000.0, is_managed=True)
-# The longest that a read of the list takes to follow what it tells.
+# Longest delay of the server list behind the state of the engines.
 LIST_LAG = 1_000.0
 
 
@@ -178,11 +178,11 @@
 
 
 class World(CheckedMachine):
-    """Let entries with stale views share one store that may restart.
+    """Simulate entries with stale views of one store that may restart.
 
-    Engines hold weights; the store's parts are absent, being written or
-    whole. No fetch may meet a part that is being written, and none may be
-    running when its part is freed.
+    A part of the store is absent, being written or complete. No fetch may meet
+    a part that is being written, and none may be running when its part is
+    freed.
     """
 
     def __init__(self):
@@ -250,7 +250,7 @@
 
     @rule(engine=st.integers(0, 1))
     def load_weights(self, engine):
-        # Runs end first, and with them their fetches.
+        # Running requests end first, and their fetches with them.
         old = Salt('m', self.versions[engine]).encode()
         self.fetches = [
             each
--- a/tests/test_load_board.py
+++ b/tests/test_load_board.py
@@ -1,8 +1,8 @@
-"""Entries learn from each other how loaded engines are.
+"""Check that entries share the loads of engines.
 
-One of 68 entries gets one answer in 68. What it heard itself of an engine was
-seconds old or nothing at all, and a few engines put aside what they had begun
-while others were idle.
+Each of 68 entries gets one answer in 68, so its own load data of an engine was
+seconds old or missing. A few engines then preempted requests while others were
+idle.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize('entries', [17, 68, 200])
 def test_a_load_that_is_passed_on_is_never_told_younger(entries):
-    """Each hop takes some ms, and the clocks of entries differ."""
+    """Each hop takes a few ms, and the clocks of entries differ."""
     told, now = make_told(1_000.0), 1_010.0
     for hop in range(entries):
         news = encode_loads([told], now)
--- a/tests/test_load_pace.py
+++ b/tests/test_load_pace.py
@@ -1,13 +1,8 @@
-"""Six engines loaded new weights all at once, and half of the work was refused.
+"""Guard against a fleet that loads new weights with all engines at once.
 
-What was seen: three engines were ordered to load, 0.4 s later the other three,
-while the first still loaded. For four seconds no engine served.
-
-How it came about: the time that was left, 5.9 s, holds one load of 3 s and not
-quite a second. So all that still waited had to begin at once, as if those that
-loaded already had not begun either.
-
-What proved it: the orders in the log of the agents, and the same queue here.
+Six engines had 5.9 s left for loads of 3 s. The remaining time of running loads
+was not counted, so all waiting engines started 0.4 s after the first three, and
+no engine served for 4 s.
 """
 
 from __future__ import annotations
@@ -27,7 +22,7 @@
 
 
 class Rollout:
-    """Play the queue of a fleet whose engines load in a given time."""
+    """Simulate a fleet with load durations by engine."""
 
     def __init__(self, engines, limit, due, times):
         self.queue, self.due, self.times = LoadQueue(limit), due, times
@@ -40,7 +35,7 @@
         self.queue.update_due_times(lambda *_: due)
 
     def play(self, until):
-        """Return the most that loaded at once."""
+        """Run until a time; return the most concurrent loads."""
         most = 0
         for now in range(0, int(until), 50):
             self.queue.tick(now)
--- a/tests/test_load_waves.py
+++ b/tests/test_load_waves.py
@@ -1,15 +1,10 @@
-"""Half of a large fleet of engines took new weights at once.
+"""Guard against half of a large fleet loading new weights at once.
 
-What was seen: weights were named, and again four seconds later. Ten of 48
-engines loaded at first, then 17, 24 and 16 together. Loads share the links that
-weights come over, so that each took twice as long; the engines that were left
-refused a quarter of what came.
-
-How it came about: the loads that a wave ends with are its slowest, and the
-middle of the last three was taken for all. With that nothing but all at once
-was in time, which made the next ones slower still.
-
-What proved it: the orders in the log of the agents, and the same queue here.
+Versions were announced 4 s apart to 48 engines; 10, 17, 24 and 16 loaded
+together. Loads share the network links, so each took twice as long, and the
+remaining engines refused a quarter of the requests. The estimate was the median
+of the last 3 durations, which are the slowest of a round: it called for more
+concurrent loads, which were slower still.
 """
 
 from __future__ import annotations
@@ -24,10 +19,10 @@
 MODEL = 'm'
 ENGINES = 48
 LIMIT = 20_000.0
-# What is sent to old weights has to begin before they may serve no longer, and
-# when they were replaced is known to the second.
+# Requests to old weights have to get their first token before the weights
+# expire, and the time of the replacement is known to the second.
 MARGIN = 3_500.0
-# So many loads share the links without being slower.
+# Loads that can share the links without slowing down.
 AT_ONCE = 19
 SECOND_NAME = 4_000.0
 STEP = 50
@@ -44,7 +39,7 @@
 
 @dataclass
 class Fleet:
-    """Play a fleet whose weights are named twice; loads share links."""
+    """Simulate a fleet with shared links and two announced versions."""
 
     seed: int
     most: int = 0
@@ -85,7 +80,7 @@
 
     def begin(self, engine, now):
         engine.begun = now
-        # Its runs end first, then it loads.
+        # An engine finishes its running requests before it loads.
         engine.left = self.random.uniform(1_000, 3_000) + 1_800
         engine.target = self.newest
 
@@ -121,5 +116,5 @@
     fleet.play(SECOND_NAME + 1.5 * LIMIT)
     assert fleet.most <= AT_ONCE
     assert [each.held for each in fleet.engines] == [3] * ENGINES
-    # The last to load is idle for no longer than the load of another.
+    # The last engine is idle for at most the duration of one other load.
     assert fleet.ended_at <= SECOND_NAME + LIMIT + 2_000.0
--- a/tests/test_named_weights.py
+++ b/tests/test_named_weights.py
@@ -92,7 +92,7 @@
     since=st.floats(0, 40_000),
 )
 def test_no_weights_serve_longer_than_they_may(reads, named, held, since):
-    """Reads that are late or rare never make the news look younger."""
+    """Late or rare reads never make a replacement seem more recent."""
     moments = sorted(named)
     weights, now, told = WeightVersions(), 0.0, 0
     for pause, way, back in reads:
--- a/tests/test_prepare.py
+++ b/tests/test_prepare.py
@@ -1,4 +1,4 @@
-"""Check with which priority an engine gets its requests."""
+"""Check the priority that an engine gets with its requests."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     loaded = LoadedWeights('m', 'v1', 'digest-1', '')
 
     def estimate_prefill(self, segments: int) -> None:
-        """Know no rate."""
+        """Return no estimate."""
 
 
 class FakeFetcher:
--- a/tests/test_reading_turns.py
+++ b/tests/test_reading_turns.py
@@ -1,13 +1,9 @@
-"""Entries that found no place at a store knew nothing of what it holds.
+"""Guard against entries that never get to read the events of a store.
 
-What was seen: with 24 entries a third of what was read had been read before by
-some engine, though the stores had room for all of it.
-
-How it came about: a store serves a dozen reads of its events at once and turns
-the others away. Each entry kept its place by reading again at once, and those
-turned away forgot what they knew and asked again after up to 5 s.
-
-What proved it: the same readers here, of which half never get a place.
+A store serves a dozen reads at once and rejects the others. Connected readers
+read again at once and kept their slots; rejected ones dropped their view and
+retried after up to 5 s. With 24 entries a third of the prefill was a repetition
+although the stores had room.
 """
 
 from __future__ import annotations
@@ -23,12 +19,12 @@
 from tests.context_scene import SALT, SOURCE, ask_prompt, staging_contexts
 from tests.standins.contexts import ContextStore
 
-# A fetch needs half a second of the time for which a view serves.
+# A fetch needs 0.5 s of the time for which a view can be used.
 FRESH = VIEW_MAX_AGE - 500.0
 
 
 def play(readers, places, seed, length=30_000.0, settled=10_000.0):
-    """Return the oldest that any view gets once the readers are settled."""
+    """Return the largest age of any view after the time `settled`."""
     random = Random(seed)
     turns = [ReadBackoff(Random(random.random())) for _ in range(readers)]
     asked = [0.0] * readers
--- a/tests/test_store_index.py
+++ b/tests/test_store_index.py
@@ -222,7 +222,7 @@
 
 
 def make_entry(random, number):
-    # Some ids share their hint, and some names were made by nobody here.
+    # Some ids share their hint, and some names have no generated form.
     segment = bytes([random.randrange(4)]) * HINT_BYTES + random.randbytes(24)
     name = f'{segment.hex()}-i{random.randrange(3)}-{number}'
     if number % 5 == 0:
@@ -270,7 +270,7 @@
     for number in range(200, 240):
         assert isinstance(store(index, number), WriteSealed)
         held = [each for each in range(200) if is_shown(index, each)]
-    # Reading all of them made them worth more than what came after.
+    # Reading them all made them more valuable than the later ones.
     assert len(held) > 160
     for number in range(240, 250):
         assert isinstance(store(index, number), WriteSealed)
@@ -278,7 +278,7 @@
 
 
 class UsedKeeper:
-    """Find the worth in the count of uses."""
+    """Value a segment by its number of uses."""
 
     def __init__(self):
         self.uses = Counter()
--- a/tests/test_store_index_safety.py
+++ b/tests/test_store_index_safety.py
@@ -31,7 +31,7 @@
     make_write,
 )
 
-# Segment ids are chained from their namespace: 10 and 11 are of the second.
+# Segment ids are chained from their namespace: 10 and 11 belong to the second.
 NUMBERS = st.sampled_from([0, 1, 10, 11])
 
 
@@ -41,8 +41,8 @@
 class StoreWorld(RuleBasedStateMachine):
     """Write, read and free with interleaved copies and a failing store.
 
-    Checks what may be used after a copy: `torn` bytes are not the sealed
-    ones, `foreign` ones belong to another namespace.
+    Checks the bytes that may be used after a copy: `torn` bytes differ from the
+    sealed ones, `foreign` ones belong to another namespace.
     """
 
     make_kind = StoreIndex
@@ -62,7 +62,7 @@
         data = bytes([content]) * SIZE
         request = f'w{next(self.numbers)}'
         space = SPACES[number // 10]
-        # Each newcomer is worth more than what is there.
+        # Each new segment is more valuable than the stored ones.
         gap = -float(next(self.numbers))
         write = make_write(request, number, data, space=space, gap=gap)
         outcome = self.index.begin(write, self.now)
@@ -147,7 +147,7 @@
     def restart(self):
         names = sorted(self.objects)
         if names:
-            # The store loses the end of one object, record or not.
+            # The store truncates one object or record.
             name = names[next(self.numbers) % len(names)]
             self.objects[name] = self.objects[name][:-1]
         incarnation = f'i{next(self.incarnations)}'
