--- a/bench/claims.py
+++ b/bench/claims.py
@@ -17,9 +17,9 @@
 from oleanderdyke.clock import HOUR
 from oleanderdyke.kernel import attempt_events as ev
 from oleanderdyke.kernel.attempts import (
-    MachineSettings,
+    AttemptSettings,
     RequestFacts,
-    RequestMachine,
+    RequestStateMachine,
 )
 from oleanderdyke.kernel.claim_records import (
     ClaimRecord,
@@ -114,7 +114,7 @@
     table = ClaimTable()
     for offset, data in enumerate(log.batches):
         table.apply(offset, float(offset), data)
-    table.note_end(len(log.batches))
+    table.set_catch_up_target(len(log.batches))
     return table
 
 
@@ -164,8 +164,8 @@
     table = read(make_log(_TIMED, 64, outcomes=True))
     key = make_key('team-1', 'taquilla', '77')
     _show('key of a claim', lambda: make_key('team-1', 'taquilla', '77'))
-    _show('verdict', lambda: table.verdict(key, 'x'))
-    _show('list 1,000 to carry', lambda: table.due_for_carry(1e18, 1_000))
+    _show('verdict', lambda: table.get_verdict(key, 'x'))
+    _show('list 1,000 to carry', lambda: table.list_due_renewals(1e18, 1_000))
     print(f'{"gate, one claimed run":24}: {_time_gate():8.1f} us')
     print(
         f'{"machine, claimed call":24}: {_time(_run_machines) / 1_000:8.1f} us'
@@ -252,9 +252,9 @@
     events: tuple[ev.Event, ...] = (
         ev.Routed(Plan('taquilla-0', ''), replica),
         ev.ClaimSettled('r.1', Owned(claim)),
-        ev.Received(AnswerHead('r', 1, 201, _HEADERS)),
-        ev.Received(AnswerChunk('r', 1, 0, _BODY)),
-        ev.Received(AnswerEnd('r', 1, 1, b'')),
+        ev.MessageReceived(AnswerHead('r', 1, 201, _HEADERS)),
+        ev.MessageReceived(AnswerChunk('r', 1, 0, _BODY)),
+        ev.MessageReceived(AnswerEnd('r', 1, 1, b'')),
         ev.OutcomeRecorded(),
     )
     facts = RequestFacts(
@@ -267,12 +267,12 @@
         key='ab' * 20,
     )
     for _ in range(1_000):
-        machine = RequestMachine(
-            facts, settings=MachineSettings(), budget=budget
+        machine = RequestStateMachine(
+            facts, settings=AttemptSettings(), budget=budget
         )
         machine.start(0.0, Free())
         for event in events:
-            machine.on(event, 0.0)
+            machine.handle_event(event, 0.0)
         if not machine.done:
             raise AssertionError('the machine is not done')
 
--- a/src/oleanderdyke/ctl/services.py
+++ b/src/oleanderdyke/ctl/services.py
@@ -8,7 +8,12 @@
 from typing import Any, TypeAlias
 
 from oleanderdyke.clock import Millis
-from oleanderdyke.kernel.targets import MISSED_COUNT, Counts, Target, is_met
+from oleanderdyke.kernel.targets import (
+    MAX_KEPT_MISSES,
+    Target,
+    TargetCounts,
+    is_met,
+)
 from oleanderdyke.metrics import MergedTiming, Timing
 
 Status: TypeAlias = Mapping[str, Any]
@@ -29,7 +34,7 @@
 
     target: str
     limit: float
-    counts: Counts
+    counts: TargetCounts
     met: bool
 
 
@@ -64,7 +69,7 @@
 
 
 def summarise(
-    statuses: Iterable[Status], missed: int = MISSED_COUNT
+    statuses: Iterable[Status], missed: int = MAX_KEPT_MISSES
 ) -> list[ServiceSummary]:
     """Merge the services of several entries by name.
 
@@ -124,7 +129,7 @@
 
 
 def _merge_target(name: str, group: Sequence[Status]) -> TargetSummary:
-    counts = Counts(
+    counts = TargetCounts(
         *_add(
             [standing['counts'] for standing in group],
             'judged',
--- a/src/oleanderdyke/ctl/status_views.py
+++ b/src/oleanderdyke/ctl/status_views.py
@@ -12,7 +12,7 @@
     ServiceSummary,
     TargetSummary,
 )
-from oleanderdyke.kernel.targets import OWED_SHARE, Target
+from oleanderdyke.kernel.targets import REQUIRED_SHARE, Target
 
 Shown: TypeAlias = Mapping[str, Any]
 
@@ -146,7 +146,7 @@
     else:
         share = (counts.judged - counts.missed) / max(counts.judged, 1)
         got = f'{share:.1%} in target' if counts.judged else _DASH
-        owed = f'{owed} for {OWED_SHARE:.0%}'
+        owed = f'{owed} for {REQUIRED_SHARE:.0%}'
     by = f'{counts.missed} of {counts.judged}'
     return service, item.target, owed, got, by, 'met' if item.met else 'MISSED'
 
--- a/src/oleanderdyke/entry/admin_status.py
+++ b/src/oleanderdyke/entry/admin_status.py
@@ -15,7 +15,7 @@
     StoredObject,
     Targets,
 )
-from oleanderdyke.kernel.targets import Missed, Standing
+from oleanderdyke.kernel.targets import MissedTarget, TargetStatus
 from oleanderdyke.links.messages import Load
 from oleanderdyke.metrics import Count, Timing
 
@@ -64,13 +64,13 @@
     kind: str
     requests: int
     targets: Targets
-    standings: tuple[Standing, ...]
+    standings: tuple[TargetStatus, ...]
     prompt_tokens: int
     recomputed_tokens: int
     link_bytes: int
     refusals: Mapping[str, int]
     missed: int
-    missed_requests: tuple[Missed, ...]
+    missed_requests: tuple[MissedTarget, ...]
     timings: Mapping[str, str]
 
 
@@ -170,7 +170,9 @@
         kind=spec.kind.value,
         requests=int(metrics.read_count(Count.REQUESTS, name)),
         targets=spec.targets,
-        standings=book.judge(spec.targets, core.clock.now()) if model else (),
+        standings=book.evaluate(spec.targets, core.clock.now())
+        if model
+        else (),
         prompt_tokens=int(metrics.read_count(Count.PROMPT_TOKENS, name)),
         recomputed_tokens=int(
             metrics.read_count(Count.RECOMPUTED_TOKENS, name)
--- a/src/oleanderdyke/entry/claims.py
+++ b/src/oleanderdyke/entry/claims.py
@@ -169,7 +169,7 @@
         """Append the claims whose latest record has half its time behind."""
         table = self._core.claims
         latest = max(table.time, self._core.clock.wall())
-        due = table.due_for_carry(latest - retention / 2, _CARRY_LIMIT)
+        due = table.list_due_renewals(latest - retention / 2, _CARRY_LIMIT)
         for start in range(0, len(due), self._settings.batch):
             records = due[start : start + self._settings.batch]
             self._add(_Pending(records, _ignore, _ignore))
@@ -245,7 +245,7 @@
         if watched is None:
             return
         table = self._core.claims
-        verdict = table.settle(claim_id, watched.key, watched.digest)
+        verdict = table.get_claim_verdict(claim_id, watched.key, watched.digest)
         read = (
             watched.offset is not None
             and table.caught_up
--- a/src/oleanderdyke/entry/core.py
+++ b/src/oleanderdyke/entry/core.py
@@ -11,7 +11,7 @@
 from oleanderdyke.clock import Clock
 from oleanderdyke.entry.settings import EntrySettings
 from oleanderdyke.events import EventName
-from oleanderdyke.kernel.attempts import MachineSettings
+from oleanderdyke.kernel.attempts import AttemptSettings
 from oleanderdyke.kernel.catalog import Catalog
 from oleanderdyke.kernel.claims import ClaimTable
 from oleanderdyke.kernel.demand import Admission, Admitted, Refusal, Router
@@ -29,7 +29,7 @@
     make_retry_budget,
 )
 from oleanderdyke.kernel.spread import ConfigurationReader, ReaderSettings
-from oleanderdyke.kernel.targets import TargetBooks
+from oleanderdyke.kernel.targets import TargetMonitors
 from oleanderdyke.links.link import Link
 from oleanderdyke.links.messages import PROTOCOL_VERSION, Hello, Message, Role
 from oleanderdyke.logs import EventLog, make_event_log
@@ -98,9 +98,9 @@
     admission: Admission
     exports: ExportChooser
     drain: Drain
-    machine: MachineSettings
+    machine: AttemptSettings
     running: dict[str, Running] = field(default_factory=dict)
-    targets: TargetBooks = field(default_factory=TargetBooks)
+    targets: TargetMonitors = field(default_factory=TargetMonitors)
     find_link: FindLink = _find_no_link
     # Cleared while the links of a new entry are being opened.
     settled: bool = True
@@ -177,7 +177,7 @@
         ),
         exports=ExportChooser(settings.policies),
         drain=Drain(settings.drain),
-        machine=MachineSettings(
+        machine=AttemptSettings(
             claim_wait=settings.claims.wait,
             max_attempts=settings.requests.attempts,
             replica_wait=settings.requests.replica_wait,
--- a/src/oleanderdyke/entry/effects.py
+++ b/src/oleanderdyke/entry/effects.py
@@ -32,7 +32,7 @@
     DeliverEnd,
     DeliverHead,
     Done,
-    NoteResumable,
+    MarkResumable,
     Refuse,
     Route,
     Routed,
@@ -152,7 +152,7 @@
             SendDispatch: self._dispatch,
             SendCancel: self._sender.cancel,
             SendResume: self._resume,
-            NoteResumable: self._note_resumable,
+            MarkResumable: self._note_resumable,
             DeliverHead: self._deliver_head,
             DeliverChunk: self._deliver_chunk,
             DeliverEnd: self._deliver_end,
@@ -195,7 +195,7 @@
         self.log(EventName.STREAM_RESUMED, attempt=action.attempt)
         await self._sender.resume(action)
 
-    async def _note_resumable(self, _: NoteResumable) -> None:
+    async def _note_resumable(self, _: MarkResumable) -> None:
         self._stopper.mark_resumable(self._call.request)
 
     async def _deliver_head(self, action: DeliverHead) -> None:
--- a/src/oleanderdyke/entry/hosted/app.py
+++ b/src/oleanderdyke/entry/hosted/app.py
@@ -65,7 +65,9 @@
         permit = find_permit(core, head)
         key = self._find_key(reply.request)
         route = permit.route
-        needs = core.durations.find_bound(route.name, route.timeout, started)
+        needs = core.durations.estimate_bound(
+            route.name, route.timeout, started
+        )
         self._stopper.begin(key, needs)
         core.durations.begin(key, route.name, started)
         try:
--- a/src/oleanderdyke/entry/hosted/attempt.py
+++ b/src/oleanderdyke/entry/hosted/attempt.py
@@ -32,7 +32,11 @@
 from oleanderdyke.entry.inbox import Inbox
 from oleanderdyke.errors import ErrorKind, Ran
 from oleanderdyke.events import EventName
-from oleanderdyke.kernel.attempt_events import Received, SendDispatch, Unsent
+from oleanderdyke.kernel.attempt_events import (
+    DispatchNotSent,
+    MessageReceived,
+    SendDispatch,
+)
 from oleanderdyke.kernel.backend import Backend, Owed
 from oleanderdyke.kernel.named_weights import BEGIN_MARGIN, SEND_MARGIN
 from oleanderdyke.kernel.servers import AnswerFacts, ServerStart
@@ -220,7 +224,7 @@
         end = AnswerEnd(
             self._call.request, self._number, self._sequence, digest=b''
         )
-        self._inbox.put(Received(end))
+        self._inbox.put(MessageReceived(end))
 
     def lose(self, reason: str) -> None:
         """Report that the answer broke off."""
@@ -347,7 +351,7 @@
     def _release(self) -> None:
         """Pass on the head and what was held of the body."""
         if self._head is not None:
-            self._inbox.put(Received(self._head))
+            self._inbox.put(MessageReceived(self._head))
             self._head = None
         held, self._held = self._held, None
         if held:
@@ -358,7 +362,7 @@
             self._call.request, self._number, self._sequence, data
         )
         self._sequence += 1
-        self._inbox.put(Received(chunk))
+        self._inbox.put(MessageReceived(chunk))
 
     def _note_heard(self) -> None:
         backend = self._core.book.find_start(self._start)
@@ -376,12 +380,12 @@
             self._splitter.restart()
         self._log_broken(ran, reason)
         failed = Failed(self._call.request, self._number, kind, ran, reason)
-        self._inbox.put(Received(failed))
+        self._inbox.put(MessageReceived(failed))
 
     def _report_unsent(self, reason: str) -> None:
         self._done = True
         self._log_broken(Ran.NO, reason)
-        self._inbox.put(Unsent(self._number))
+        self._inbox.put(DispatchNotSent(self._number))
 
     def _log_broken(self, ran: Ran, reason: str) -> None:
         self._core.log.write(
--- a/src/oleanderdyke/entry/hosted/core.py
+++ b/src/oleanderdyke/entry/hosted/core.py
@@ -21,7 +21,7 @@
 from oleanderdyke.kernel.context_stores import ContextStores
 from oleanderdyke.kernel.deployment import Deployment
 from oleanderdyke.kernel.drain import Drain, DrainSettings
-from oleanderdyke.kernel.durations import Durations
+from oleanderdyke.kernel.durations import DurationEstimator
 from oleanderdyke.kernel.engine_clock import EngineClock
 from oleanderdyke.kernel.load_board import TimedLoad
 from oleanderdyke.kernel.presence import EntryCount
@@ -77,7 +77,7 @@
     entries: EntryCount = field(default_factory=EntryCount)
     book: BackendBook = field(default_factory=BackendBook)
     deployment: Deployment | None = None
-    durations: Durations = field(default_factory=Durations)
+    durations: DurationEstimator = field(default_factory=DurationEstimator)
     rollout: Rollout = field(default_factory=lambda: Rollout(math.inf))
     contexts: ContextStores = field(default_factory=ContextStores)
     # Set once the stores of context were read, or were waited for in vain.
--- a/src/oleanderdyke/entry/hosted/driver.py
+++ b/src/oleanderdyke/entry/hosted/driver.py
@@ -39,9 +39,9 @@
     TimerFired,
 )
 from oleanderdyke.kernel.attempts import (
-    MachineSettings,
+    AttemptSettings,
     RequestFacts,
-    RequestMachine,
+    RequestStateMachine,
 )
 from oleanderdyke.kernel.backend import Backend
 from oleanderdyke.kernel.demand import Plan, Refusal, Replica
@@ -91,7 +91,7 @@
         self._peer: str | None = None
         self._pause = PAUSE
         self._placing = Placing(core, call)
-        self._machine = RequestMachine(
+        self._machine = RequestStateMachine(
             _make_facts(core, call),
             settings=_make_settings(call),
             budget=core.find_budget(call.service),
@@ -118,7 +118,7 @@
     def stop(self, *, hurry: bool) -> None:
         """Learn that the entry stops."""
         if hurry:
-            self._inbox.put(Stopping(hurry=True))
+            self._inbox.put(Stopping(immediate=True))
 
     def hand_over(self) -> None:
         """Do nothing: callers of the platform go on by themselves."""
@@ -154,7 +154,7 @@
             # Nothing but events of the machine comes here in this mode.
             event = cast('Event', await self._inbox.take())
             await self._carry_out(
-                self._machine.on(event, self._core.clock.now())
+                self._machine.handle_event(event, self._core.clock.now())
             )
 
     async def _carry_out(self, actions: tuple[Action, ...]) -> None:
@@ -281,7 +281,7 @@
     def _log_end(self) -> None:
         core, call = self._core, self._call
         duration = core.clock.now() - call.started
-        core.durations.note(call.route.name, duration)
+        core.durations.record(call.route.name, duration)
         core.metrics.time(Timing.REQUEST, duration, call.service)
         if self._first is not None:
             core.metrics.time(Timing.FIRST_TOKEN, self._first, call.service)
@@ -310,8 +310,8 @@
     )
 
 
-def _make_settings(call: HostedCall) -> MachineSettings:
-    return MachineSettings(
+def _make_settings(call: HostedCall) -> AttemptSettings:
+    return AttemptSettings(
         max_attempts=max(call.route.attempts, 1), max_refusals=_MAX_REFUSALS
     )
 
--- a/src/oleanderdyke/entry/receiver.py
+++ b/src/oleanderdyke/entry/receiver.py
@@ -4,8 +4,8 @@
 
 from oleanderdyke.entry.inbox import Inbox
 from oleanderdyke.errors import ErrorKind, Ran
-from oleanderdyke.kernel.attempt_events import ClaimAnswered, Received
-from oleanderdyke.kernel.streams import AnswerAssembler, Broken, Delivery
+from oleanderdyke.kernel.attempt_events import ClaimAnswered, MessageReceived
+from oleanderdyke.kernel.streams import AnswerAssembler, Broken, ReadyParts
 from oleanderdyke.links.messages import (
     AnswerChunk,
     AnswerEnd,
@@ -56,7 +56,7 @@
         if isinstance(message, AnswerHead | AnswerChunk | AnswerEnd):
             self._take_part(message)
         elif isinstance(message, Failed):
-            self._inbox.put(Received(message))
+            self._inbox.put(MessageReceived(message))
         elif isinstance(message, ClaimAnswer):
             self._inbox.put(ClaimAnswered(message))
 
@@ -65,12 +65,12 @@
             return
         if len(self._inbox) > _CHUNK_LIMIT:
             if not self._assembler.is_over:
-                self._assembler.lose()
+                self._assembler.mark_lost()
                 self._fail('more chunks than granted')
             return
         self._note_rest(message)
         start = self._assembler.next_sequence
-        self._put(self._assembler.take(message), start)
+        self._put(self._assembler.accept(message), start)
 
     def _note_rest(self, message: AnswerHead | AnswerChunk | AnswerEnd) -> None:
         """Tell the machine, but not the caller, of a resumed answer's head."""
@@ -78,23 +78,23 @@
             return
         if isinstance(message, AnswerHead):
             self._awaits_rest = False
-            self._inbox.put(Received(message))
+            self._inbox.put(MessageReceived(message))
 
-    def _put(self, delivery: Delivery, start: int) -> None:
+    def _put(self, delivery: ReadyParts, start: int) -> None:
         if delivery.head is not None:
-            self._inbox.put(Received(delivery.head))
+            self._inbox.put(MessageReceived(delivery.head))
         for sequence, data in enumerate(delivery.chunks, start):
             chunk = AnswerChunk(self._request, self._attempt, sequence, data)
-            self._inbox.put(Received(chunk))
+            self._inbox.put(MessageReceived(chunk))
         if isinstance(delivery.end, Broken):
             self._fail(f'answer not whole: {delivery.end.reason}')
         elif delivery.end is not None:
-            self._inbox.put(Received(delivery.end.end))
+            self._inbox.put(MessageReceived(delivery.end.end))
 
     def _fail(self, detail: str) -> None:
         """Tell of a failure; the assembler stays and forbids a splice."""
         self._inbox.put(
-            Received(
+            MessageReceived(
                 Failed(
                     self._request,
                     self._attempt,
--- a/src/oleanderdyke/entry/requests.py
+++ b/src/oleanderdyke/entry/requests.py
@@ -37,13 +37,13 @@
     DeliverChunk,
     IncarnationEnded,
     LinkUp,
-    Received,
+    MessageReceived,
     Stopping,
 )
-from oleanderdyke.kernel.attempts import RequestFacts, RequestMachine
+from oleanderdyke.kernel.attempts import RequestFacts, RequestStateMachine
 from oleanderdyke.kernel.claims import Verdict
 from oleanderdyke.kernel.demand import Admitted, Queued, Refusal
-from oleanderdyke.kernel.quarantine import Standing
+from oleanderdyke.kernel.quarantine import QuarantineStatus
 from oleanderdyke.links.link import Link
 from oleanderdyke.links.messages import (
     AnswerChunk,
@@ -103,7 +103,7 @@
             start_upload=self._start_upload,
             start_timer=self._start_timer,
         )
-        self._machine = RequestMachine(
+        self._machine = RequestStateMachine(
             _make_facts(core, call), settings=core.machine, budget=core.budget
         )
         self._tasks: TaskGroup | None = None
@@ -154,15 +154,18 @@
 
     def stop(self, *, hurry: bool) -> None:
         """Learn that the entry stops."""
-        self._inbox.put(Stopping(hurry=hurry))
+        self._inbox.put(Stopping(immediate=hurry))
 
     def _pass_on(self, item: Item) -> bool:
         """Pass on a chunk of a flowing answer without a turn of the loop."""
-        if type(item) is not Received or type(item.message) is not AnswerChunk:
+        if (
+            type(item) is not MessageReceived
+            or type(item.message) is not AnswerChunk
+        ):
             return False
         if not self._delivery.is_flowing:
             return False
-        actions = self._machine.on(item, self._core.clock.now())
+        actions = self._machine.handle_event(item, self._core.clock.now())
         for place, action in enumerate(actions):
             if not isinstance(action, DeliverChunk):
                 self._inbox.put(Decided(actions[place:]))
@@ -235,8 +238,8 @@
             return item.actions
         if isinstance(item, UploadFailed | Undeliverable):
             await self._fail(item)
-            return self._machine.on(CallerGone(), now)
-        return self._machine.on(item, now)
+            return self._machine.handle_event(CallerGone(), now)
+        return self._machine.handle_event(item, now)
 
     async def _fail(self, item: UploadFailed | Undeliverable) -> None:
         fault = item.fault
@@ -247,7 +250,7 @@
         await self._effects.fail(fault)
 
     def _log_item(self, item: Item) -> None:
-        if isinstance(item, Received):
+        if isinstance(item, MessageReceived):
             if isinstance(item.message, AnswerHead):
                 self._effects.log(
                     EventName.ANSWER_RECEIVED,
@@ -289,7 +292,7 @@
             raise OleanderError(
                 ErrorKind.NOT_READY, 'the claims log is being read', ran=Ran.NO
             )
-        return self._core.claims.verdict(call.key, call.digest)
+        return self._core.claims.get_verdict(call.key, call.digest)
 
     def _forget(self) -> None:
         for timer in self._timers:
@@ -303,8 +306,8 @@
 
 
 def _make_facts(core: Core, call: Call) -> RequestFacts:
-    standing = core.quarantine.find_standing(call.digest, core.clock.now())
-    if standing is Standing.QUARANTINED:
+    standing = core.quarantine.get_status(call.digest, core.clock.now())
+    if standing is QuarantineStatus.QUARANTINED:
         raise OleanderError(
             ErrorKind.QUARANTINED, 'this request crashed backend servers'
         )
@@ -317,7 +320,7 @@
         idempotent=call.idempotent,
         key=call.key,
         horizon=call.spec.horizon,
-        suspect=standing is Standing.SUSPECT,
+        suspect=standing is QuarantineStatus.SUSPECT,
     )
 
 
--- a/src/oleanderdyke/entry/resume.py
+++ b/src/oleanderdyke/entry/resume.py
@@ -28,7 +28,7 @@
     DeliverHead,
     IncarnationEnded,
     LinkLost,
-    Received,
+    MessageReceived,
     Stopping,
 )
 from oleanderdyke.kernel.demand import Admitted, Refusal
@@ -128,7 +128,7 @@
     def stop(self, *, hurry: bool) -> None:
         """Learn that the entry stops."""
         if hurry:
-            self._inbox.put(Stopping(hurry=True))
+            self._inbox.put(Stopping(immediate=True))
 
     async def _lead(self, link: Link) -> None:
         start = self._ask.position.chunk + 1
@@ -152,7 +152,7 @@
             if not self._inbox:
                 await self._flush()
             item = await self._inbox.take()
-            if isinstance(item, Received):
+            if isinstance(item, MessageReceived):
                 await self._parts[type(item.message)](item.message)
             else:
                 await self._end(item)
--- a/src/oleanderdyke/entry/sender.py
+++ b/src/oleanderdyke/entry/sender.py
@@ -13,12 +13,12 @@
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.attempt_events import (
     AskClaim,
+    DispatchNotSent,
     IncarnationEnded,
     LinkLost,
     SendCancel,
     SendDispatch,
     SendResume,
-    Unsent,
 )
 from oleanderdyke.kernel.blocks import hint
 from oleanderdyke.links.link import Link
@@ -63,7 +63,7 @@
         """Send the request; tell whether any of it was sent."""
         link = self._find(action.agent, action.incarnation)
         if link is None:
-            self._inbox.put(Unsent(action.attempt))
+            self._inbox.put(DispatchNotSent(action.attempt))
             return False
         self._link, self._attempt, self._ungranted = link, action.attempt, 0
         self._receiver.expect(action.attempt)
--- a/src/oleanderdyke/entry/shell.py
+++ b/src/oleanderdyke/entry/shell.py
@@ -111,7 +111,7 @@
         table = self._core.claims
         for record in page.records:
             table.apply(record.offset, record.at, record.data)
-        table.note_end(page.end)
+        table.set_catch_up_target(page.end)
         self._claims.settle_read()
 
     async def _tick(self) -> None:
--- a/src/oleanderdyke/entry/targets.py
+++ b/src/oleanderdyke/entry/targets.py
@@ -9,7 +9,7 @@
 from oleanderdyke.errors import ErrorKind
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.objects import ServiceKind
-from oleanderdyke.kernel.targets import CALLER_FAULTS, Served
+from oleanderdyke.kernel.targets import CALLER_FAULTS, ServedRequest
 from oleanderdyke.links.messages import AnswerEnd
 from oleanderdyke.metrics import Count
 
@@ -21,7 +21,7 @@
 ) -> None:
     """Judge a whole answer; only streams show when their tokens came."""
     streamed = delivery.is_stream
-    served = Served(
+    served = ServedRequest(
         call.request,
         delivery.first_token if streamed else None,
         delivery.between_tokens if streamed else None,
@@ -46,12 +46,12 @@
     core.targets.get(call.service).refusals[kind] += 1
     if delivery is not None and delivery.first_token is not None:
         times = delivery.first_token, delivery.between_tokens
-        _judge(core, call, Served(call.request, *times))
+        _judge(core, call, ServedRequest(call.request, *times))
     elif kind not in CALLER_FAULTS:
-        _judge(core, call, Served(call.request, duration, refused=kind))
+        _judge(core, call, ServedRequest(call.request, duration, refused=kind))
 
 
-def _judge(core: Core, call: Call, served: Served) -> None:
+def _judge(core: Core, call: Call, served: ServedRequest) -> None:
     if call.background or call.spec.kind is not ServiceKind.MODEL:
         return
     book = core.targets.get(call.service)
--- a/src/oleanderdyke/kernel/attempt_core.py
+++ b/src/oleanderdyke/kernel/attempt_core.py
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MachineSettings:
+class AttemptSettings:
     """Bound the waits and tries of one request.
 
     `replica_wait` bounds, over all its tries, how long a request whose run was
@@ -108,7 +108,7 @@
         self,
         facts: RequestFacts,
         *,
-        settings: MachineSettings,
+        settings: AttemptSettings,
         budget: RetryBudget,
     ) -> None:
         self._facts = facts
@@ -225,7 +225,7 @@
         if self._has_paid:
             self._has_paid = False
             return True
-        return self._budget.take()
+        return self._budget.try_withdraw()
 
     def _may_run_again(self) -> bool:
         return (
--- a/src/oleanderdyke/kernel/attempt_events.py
+++ b/src/oleanderdyke/kernel/attempt_events.py
@@ -1,4 +1,4 @@
-"""Define what goes into and comes out of a `RequestMachine`."""
+"""Define what goes into and comes out of a `RequestStateMachine`."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Received:
+class MessageReceived:
     """Pass a message of an attempt, in order and checked for wholeness.
 
     A gap or a wrong digest is passed as `Failed(STREAM_BROKEN, maybe)`.
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unsent:
+class DispatchNotSent:
     """A dispatch was surely never written to a link."""
 
     attempt: int
@@ -145,9 +145,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Stopping:
-    """The entry stops; `hurry` means at once."""
+    """The entry stops; `immediate` means at once."""
 
-    hurry: bool = False
+    immediate: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -165,8 +165,8 @@
     | ClaimFailed
     | OutcomeRecorded
     | OutcomeFailed
-    | Received
-    | Unsent
+    | MessageReceived
+    | DispatchNotSent
     | LinkLost
     | LinkUp
     | IncarnationEnded
@@ -229,7 +229,7 @@
 class SendDispatch:
     """Send the request to one incarnation of an agent, at most once.
 
-    Report `Unsent` where no link to just this incarnation is open.
+    Report `DispatchNotSent` where no link to just this incarnation is open.
     """
 
     agent: str
@@ -255,7 +255,7 @@
 class SendResume:
     """Ask the same agent for the rest of a stream, over a new link.
 
-    The answer comes as `Received` under the given attempt.
+    The answer comes as `MessageReceived` under the given attempt.
     """
 
     agent: str
@@ -266,7 +266,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoteResumable:
+class MarkResumable:
     """Note that the answer can be resumed, also before its head goes out."""
 
 
@@ -333,7 +333,7 @@
     | SendDispatch
     | SendCancel
     | SendResume
-    | NoteResumable
+    | MarkResumable
     | DeliverHead
     | DeliverChunk
     | DeliverEnd
--- a/src/oleanderdyke/kernel/attempts.py
+++ b/src/oleanderdyke/kernel/attempts.py
@@ -9,8 +9,8 @@
 from oleanderdyke.errors import ErrorKind, Ran
 from oleanderdyke.kernel.attempt_core import (
     Actions,
+    AttemptSettings,
     Handler,
-    MachineSettings,
     RequestFacts,
     Stage,
     TimerHandler,
@@ -23,19 +23,19 @@
     DeliverChunk,
     DeliverEnd,
     DeliverHead,
+    DispatchNotSent,
     Event,
     IncarnationEnded,
     LinkLost,
     LinkUp,
+    MarkResumable,
+    MessageReceived,
     NoRoute,
-    NoteResumable,
-    Received,
     Routed,
     SendResume,
     Stopping,
     TimerFired,
     TimerKind,
-    Unsent,
 )
 from oleanderdyke.kernel.claimed_attempts import ClaimedAttempts
 from oleanderdyke.kernel.claims import Verdict
@@ -46,7 +46,7 @@
     Failed,
 )
 
-__all__ = ['MachineSettings', 'RequestFacts', 'RequestMachine']
+__all__ = ['AttemptSettings', 'RequestFacts', 'RequestStateMachine']
 
 _CRASH_LIMIT = 2
 
@@ -68,7 +68,7 @@
 _ASKED = frozenset({Stage.ASKING, Stage.POLLING})
 
 
-class RequestMachine(ClaimedAttempts):
+class RequestStateMachine(ClaimedAttempts):
     """Answer events of one request with actions.
 
     It is the only place that decides on retries, `ran` and the final answer.
@@ -78,12 +78,12 @@
 
     def start(self, _now: Millis, verdict: Verdict | None = None) -> Actions:
         """Begin; a keyed request gives `ClaimTable.verdict` of its key."""
-        self._budget.feed()
+        self._budget.deposit()
         if verdict is None or not self._facts.needs_claim:
             return self._route()
         return self._judge(verdict)
 
-    def on(self, event: Event, _now: Millis) -> Actions:
+    def handle_event(self, event: Event, _now: Millis) -> Actions:
         """Answer one event; late ones are answered by nothing."""
         if self.done:
             return ()
@@ -134,7 +134,7 @@
             return self._await_replica()
         return self._refuse(refusal.kind, refusal.retry_after, refusal.reason)
 
-    def _on_received(self, event: Received) -> Actions:
+    def _on_received(self, event: MessageReceived) -> Actions:
         message = event.message
         if message.attempt != self._attempt:
             return ()
@@ -165,7 +165,7 @@
         self._held_head = DeliverHead(
             message.status, message.headers, message.resume
         )
-        return (NoteResumable(),) if message.resume else ()
+        return (MarkResumable(),) if message.resume else ()
 
     def _release_head(self) -> Actions:
         """Pass on the held head, once, with what follows it."""
@@ -245,7 +245,7 @@
         if self._routed is not None:
             self._exclude(self._routed.replica.agent)
 
-    def _on_unsent(self, event: Unsent) -> Actions:
+    def _on_unsent(self, event: DispatchNotSent) -> Actions:
         if event.attempt != self._attempt or self._stage is not Stage.RUNNING:
             return ()
         self._prove_not_run()
@@ -340,7 +340,7 @@
 
     def _on_stopping(self, event: Stopping) -> Actions:
         self._stopping = True
-        if event.hurry or self._stage in _IDLE:
+        if event.immediate or self._stage in _IDLE:
             return self._end_early(ErrorKind.STOPPING)
         return ()
 
@@ -367,8 +367,8 @@
         **ClaimedAttempts.HANDLERS,
         Routed: _on_routed,
         NoRoute: _on_no_route,
-        Received: _on_received,
-        Unsent: _on_unsent,
+        MessageReceived: _on_received,
+        DispatchNotSent: _on_unsent,
         LinkLost: _on_link_lost,
         LinkUp: _on_link_up,
         IncarnationEnded: _on_incarnation_ended,
--- a/src/oleanderdyke/kernel/claim_records.py
+++ b/src/oleanderdyke/kernel/claim_records.py
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CarriedRecord:
+class RenewalRecord:
     """Repeat a live claim, with its place and time, before the log forgets it.
 
     `through` is the last offset that its appender had applied.
@@ -98,7 +98,7 @@
 
 
 ClaimsRecord: TypeAlias = (
-    ClaimRecord | ReleaseRecord | WithdrawRecord | OutcomeRecord | CarriedRecord
+    ClaimRecord | ReleaseRecord | WithdrawRecord | OutcomeRecord | RenewalRecord
 )
 
 
@@ -147,7 +147,7 @@
     ReleaseRecord: 2,
     WithdrawRecord: 3,
     OutcomeRecord: 4,
-    CarriedRecord: 5,
+    RenewalRecord: 5,
 }
 _TYPES: Mapping[int, type[Any]] = {tag: cls for cls, tag in _TAGS.items()}
 
--- a/src/oleanderdyke/kernel/claim_runs.py
+++ b/src/oleanderdyke/kernel/claim_runs.py
@@ -67,7 +67,7 @@
     def __len__(self) -> int:
         return len(self._runs)
 
-    def note_beat(self, sequence: int) -> None:
+    def record_heartbeat(self, sequence: int) -> None:
         """Learn the sequence number of the agent's latest heartbeat."""
         self._beat = max(self._beat, sequence)
 
@@ -75,7 +75,7 @@
         """Return whether a claim was used or barred."""
         return _make_key(claim) in self._runs
 
-    def has_room(self) -> bool:
+    def make_room(self) -> bool:
         """Make room for one claim, or tell that there is none."""
         if len(self._runs) < self._capacity:
             return True
@@ -92,7 +92,7 @@
         return beat < self._beat - self._max_age
 
     def add(self, claim: Claim, team: str, state: RunState) -> None:
-        """Remember a claim; call `has_room` first."""
+        """Remember a claim; call `make_room` first."""
         self._runs[_make_key(claim)] = _Run(claim.beat, team, state)
 
     def finish(self, claim: Claim, answer: RunAnswer | None) -> None:
@@ -132,7 +132,7 @@
             return ClaimState.UNKNOWN
         if self.is_too_old(claim.beat):
             return ClaimState.BARRED
-        if not self.has_room():
+        if not self.make_room():
             return ClaimState.UNKNOWN
         self.add(claim, query.team, RunState.BARRED)
         return ClaimState.BARRED
--- a/src/oleanderdyke/kernel/claims.py
+++ b/src/oleanderdyke/kernel/claims.py
@@ -9,12 +9,12 @@
 
 from oleanderdyke.clock import HOUR, Millis
 from oleanderdyke.kernel.claim_records import (
-    CarriedRecord,
     ClaimRecord,
     ClaimsRecord,
     OutcomeRecord,
     Place,
     ReleaseRecord,
+    RenewalRecord,
     WithdrawRecord,
     decode_batch,
     encode_batch,
@@ -135,7 +135,7 @@
         """Return the latest log time that was read."""
         return self._time
 
-    def note_end(self, end: int) -> None:
+    def set_catch_up_target(self, end: int) -> None:
         """Learn the log's next free offset, as each page names it."""
         if self._target is None:
             self._target = end
@@ -158,7 +158,7 @@
         self._time = max(self._time, at)
         self._forget_expired()
 
-    def verdict(self, key: str, digest: str) -> Verdict:
+    def get_verdict(self, key: str, digest: str) -> Verdict:
         """Tell what the key is to a request that has no claim of its own."""
         slot = self._slots.get(key)
         if slot is None or slot.expires <= self._time:
@@ -170,7 +170,9 @@
             return Finished(claim, _unpack_outcome(slot.outcome))
         return OwnedByOther(claim)
 
-    def settle(self, claim_id: str, key: str, digest: str) -> Verdict:
+    def get_claim_verdict(
+        self, claim_id: str, key: str, digest: str
+    ) -> Verdict:
         """Tell what became of an own claim.
 
         `Free` means that the claim is not in the log as far as it was read,
@@ -178,18 +180,18 @@
         """
         if not self.caught_up:
             return Free()
-        verdict = self.verdict(key, digest)
+        verdict = self.get_verdict(key, digest)
         if not isinstance(verdict, OwnedByOther):
             return verdict
         if self._slots[key].claim_id != claim_id:
             return verdict
         return Owned(verdict.claim)
 
-    def due_for_carry(
+    def list_due_renewals(
         self, before: Millis, limit: int
-    ) -> tuple[CarriedRecord, ...]:
+    ) -> tuple[RenewalRecord, ...]:
         """List live claims whose latest record is older than a log time."""
-        due: list[CarriedRecord] = []
+        due: list[RenewalRecord] = []
         for slot in self._slots.values():
             if slot.kept_at >= before or len(due) >= limit:
                 break
@@ -215,7 +217,7 @@
                 self._apply_withdrawal(record, at)
             case OutcomeRecord():
                 self._apply_outcome(record)
-            case CarriedRecord():
+            case RenewalRecord():
                 self._apply_carried(record, at)
 
     def _apply_claim(
@@ -254,7 +256,7 @@
         if slot.place == (record.offset, record.index):
             slot.finish(record)
 
-    def _apply_carried(self, record: CarriedRecord, at: Millis) -> None:
+    def _apply_carried(self, record: RenewalRecord, at: Millis) -> None:
         claim = record.claim
         place = Place(record.offset, record.index)
         if claim.claim_id in self._gone or place in self._gone:
@@ -267,7 +269,7 @@
         elif self._yields(slot, record):
             self._adopt(record, place, at)
 
-    def _yields(self, slot: _Slot | None, record: CarriedRecord) -> bool:
+    def _yields(self, slot: _Slot | None, record: RenewalRecord) -> bool:
         """Return whether a slot gives way to a carried claim.
 
         Where this reader has read everything after `through`, it would have
@@ -279,10 +281,10 @@
             return False
         return self._has_read_since(record)
 
-    def _has_read_since(self, record: CarriedRecord) -> bool:
+    def _has_read_since(self, record: RenewalRecord) -> bool:
         return record.through + 1 >= self._known_from
 
-    def _adopt(self, record: CarriedRecord, place: Place, at: Millis) -> None:
+    def _adopt(self, record: RenewalRecord, place: Place, at: Millis) -> None:
         slot = _make_slot(record.claim, place, record.at)
         slot.doubtful = not self._has_read_since(record)
         slot.kept_at = at
@@ -290,7 +292,7 @@
             slot.finish(record.outcome)
         self._put(slot)
 
-    def _renew(self, slot: _Slot, record: CarriedRecord, at: Millis) -> None:
+    def _renew(self, slot: _Slot, record: RenewalRecord, at: Millis) -> None:
         slot.kept_at = at
         slot.doubtful = slot.doubtful and not self._has_read_since(record)
         if slot.outcome is None and record.outcome is not None:
@@ -326,11 +328,11 @@
     def _is_over(self, at: Millis) -> bool:
         return at + MARGIN <= self._time
 
-    def _make_carried(self, slot: _Slot) -> CarriedRecord:
+    def _make_carried(self, slot: _Slot) -> RenewalRecord:
         outcome = None
         if slot.outcome is not None:
             outcome = _unpack_outcome(slot.outcome)
-        return CarriedRecord(
+        return RenewalRecord(
             claim=_make_record(slot),
             offset=slot.offset,
             index=slot.position,
--- a/src/oleanderdyke/kernel/durations.py
+++ b/src/oleanderdyke/kernel/durations.py
@@ -11,7 +11,7 @@
 _FADE = 0.99
 
 
-class Durations:
+class DurationEstimator:
     """Remember the longest duration of each kind, fading.
 
     What still runs counts with its age: where an engine is slow, the longest
@@ -32,12 +32,14 @@
         """Forget a request that runs no more."""
         self._running.pop(request, None)
 
-    def note(self, kind: str, duration: Millis) -> None:
+    def record(self, kind: str, duration: Millis) -> None:
         """Learn how long a request lasted."""
         faded = self._longest.get(kind, 0.0) * _FADE
         self._longest[kind] = max(faded, duration)
 
-    def find_bound(self, kind: str, otherwise: Millis, now: Millis) -> Millis:
+    def estimate_bound(
+        self, kind: str, otherwise: Millis, now: Millis
+    ) -> Millis:
         """Return how long one surely lasts; `otherwise` where none was seen."""
         known = self._longest.get(kind)
         if known is None:
--- a/src/oleanderdyke/kernel/gate.py
+++ b/src/oleanderdyke/kernel/gate.py
@@ -13,7 +13,7 @@
 from oleanderdyke.kernel.alone import AloneLane
 from oleanderdyke.kernel.claim_runs import ClaimRuns, RunAnswer, RunState
 from oleanderdyke.kernel.gate_terms import GateSettings, Loaded, Rights
-from oleanderdyke.kernel.quarantine import Quarantine, Standing
+from oleanderdyke.kernel.quarantine import Quarantine, QuarantineStatus
 from oleanderdyke.links.messages import AgentPhase, Dispatch, Failed
 from oleanderdyke.links.messages.claims import (
     Claim,
@@ -118,7 +118,7 @@
     def note_beat(self, sequence: int) -> None:
         """Learn the sequence number of the heartbeat just sent."""
         self._beat = max(self._beat, sequence)
-        self._claims.note_beat(sequence)
+        self._claims.record_heartbeat(sequence)
         self._lane.note_beat(sequence)
         oldest = self._beat - self._settings.max_age
         while self._seen_order and self._seen_order[0][0] < oldest:
@@ -162,7 +162,7 @@
         dispatch = self._running.get((request, attempt))
         if dispatch is None:
             return
-        self._quarantine.note_crash(
+        self._quarantine.record_crash(
             self._name_crash(now),
             (dispatch.digest,),
             now,
@@ -190,7 +190,7 @@
         """
         dispatches = tuple(self._running.values())
         was_alone = [self._end(dispatch, None) for dispatch in dispatches]
-        self._quarantine.note_crash(
+        self._quarantine.record_crash(
             self._name_crash(now),
             {dispatch.digest for dispatch in dispatches},
             now,
@@ -200,8 +200,8 @@
 
     def is_quarantined(self, digest: str, now: Millis) -> bool:
         """Return whether a request's digest is refused for its crashes."""
-        standing = self._quarantine.find_standing(digest, now)
-        return standing is Standing.QUARANTINED
+        standing = self._quarantine.get_status(digest, now)
+        return standing is QuarantineStatus.QUARANTINED
 
     def answer(self, query: ClaimQuery) -> ClaimAnswer:
         """Tell what became of a claim; bar it where it never started."""
@@ -350,7 +350,7 @@
             return _Objection(ErrorKind.STALE_CLAIM, 'too old a claim', 0)
         if self._claims.is_known(claim):
             return _Objection(ErrorKind.STALE_CLAIM, 'used or barred', 0)
-        if not self._claims.has_room():
+        if not self._claims.make_room():
             return _Objection(
                 ErrorKind.OVERLOADED, 'claim memory full', _BUSY_RETRY
             )
@@ -383,8 +383,8 @@
         )
 
     def _must_be_alone(self, dispatch: Dispatch, now: Millis) -> bool:
-        standing = self._quarantine.find_standing(dispatch.digest, now)
-        return dispatch.alone or standing is Standing.SUSPECT
+        standing = self._quarantine.get_status(dispatch.digest, now)
+        return dispatch.alone or standing is QuarantineStatus.SUSPECT
 
 
 def _make_lost(dispatch: Dispatch) -> Failed:
--- a/src/oleanderdyke/kernel/quarantine.py
+++ b/src/oleanderdyke/kernel/quarantine.py
@@ -12,7 +12,7 @@
 _SEPARATOR = '@'
 
 
-class Standing(enum.StrEnum):
+class QuarantineStatus(enum.StrEnum):
     """Name what is held against a request digest."""
 
     CLEAN = 'clean'
@@ -59,7 +59,7 @@
     def __len__(self) -> int:
         return len(self._records)
 
-    def note_crash(
+    def record_crash(
         self,
         crash: str,
         digests: Iterable[str],
@@ -80,14 +80,18 @@
         if record is not None and not record.quarantined:
             record.cleared = frozenset(record.crashes)
 
-    def find_standing(self, digest: str, now: Millis) -> Standing:
+    def get_status(self, digest: str, now: Millis) -> QuarantineStatus:
         """Tell what is held against a digest."""
         record = self._records.get(digest)
         if record is None or self._has_expired(record, now):
-            return Standing.CLEAN
+            return QuarantineStatus.CLEAN
         if record.quarantined:
-            return Standing.QUARANTINED
-        return Standing.SUSPECT if record.open_crashes else Standing.CLEAN
+            return QuarantineStatus.QUARANTINED
+        return (
+            QuarantineStatus.SUSPECT
+            if record.open_crashes
+            else QuarantineStatus.CLEAN
+        )
 
     def merge(
         self,
@@ -110,7 +114,7 @@
         return tuple(
             digest
             for digest in self._records
-            if self.find_standing(digest, now) is Standing.QUARANTINED
+            if self.get_status(digest, now) is QuarantineStatus.QUARANTINED
         )
 
     def list_suspects(self, now: Millis) -> tuple[str, ...]:
@@ -118,7 +122,7 @@
         return tuple(
             f'{digest}{_SEPARATOR}{crash}'
             for digest, record in self._records.items()
-            if self.find_standing(digest, now) is Standing.SUSPECT
+            if self.get_status(digest, now) is QuarantineStatus.SUSPECT
             for crash in sorted(record.open_crashes)
         )
 
--- a/src/oleanderdyke/kernel/retries.py
+++ b/src/oleanderdyke/kernel/retries.py
@@ -39,13 +39,13 @@
         self._settings = settings
         self._tokens = min(self._tokens, settings.burst)
 
-    def feed(self) -> None:
+    def deposit(self) -> None:
         """Count a fresh request."""
         self._tokens = min(
             self._settings.burst, self._tokens + self._settings.share
         )
 
-    def take(self) -> bool:
+    def try_withdraw(self) -> bool:
         """Spend one retry, or tell that none is left."""
         if self._tokens < 1:
             return False
--- a/src/oleanderdyke/kernel/streams.py
+++ b/src/oleanderdyke/kernel/streams.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class Complete:
     """End an answer that was passed on entirely."""
 
     end: AnswerEnd
@@ -39,15 +39,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Delivery:
+class ReadyParts:
     """Hold what may be passed on to the caller now, in this order."""
 
     head: AnswerHead | None = None
     chunks: tuple[bytes, ...] = ()
-    end: Whole | Broken | None = None
+    end: Complete | Broken | None = None
 
 
-_NOTHING = Delivery()
+_NOTHING = ReadyParts()
 
 
 def _make_digest() -> hashlib.blake2b:
@@ -82,7 +82,7 @@
         """Return whether the answer has ended, whole or broken."""
         return self._is_over
 
-    def take(self, message: AnswerMessage) -> Delivery:
+    def accept(self, message: AnswerMessage) -> ReadyParts:
         """Take a message and return what it completes."""
         if self._is_over or message.attempt != self._attempt:
             return _NOTHING
@@ -94,12 +94,12 @@
             return self._take_end(message)
         return self._take_head(message)
 
-    def lose(self) -> Delivery:
+    def mark_lost(self) -> ReadyParts:
         """End an unfinished answer whose link or backend is lost."""
         if self._is_over:
             return _NOTHING
         self._is_lost = True
-        return Delivery(end=self._break(BrokenReason.LOST))
+        return ReadyParts(end=self._break(BrokenReason.LOST))
 
     def start_over(self, attempt: int) -> bool:
         """Switch to another run; False once a chunk or whole was passed on.
@@ -131,7 +131,7 @@
         self._is_over = False
         self._is_lost = False
 
-    def _take_head(self, head: AnswerHead) -> Delivery:
+    def _take_head(self, head: AnswerHead) -> ReadyParts:
         if self._has_head:
             return _NOTHING
         self._has_head = True
@@ -140,7 +140,7 @@
         self._head = self._head or head
         return self._deliver(self._release(), head=shown)
 
-    def _take_chunk(self, chunk: AnswerChunk) -> Delivery:
+    def _take_chunk(self, chunk: AnswerChunk) -> ReadyParts:
         sequence = chunk.sequence
         if sequence < self._next or sequence in self._held:
             return _NOTHING
@@ -151,9 +151,9 @@
             return self._deliver((chunk.data,))
         return self._deliver((chunk.data, *self._release()))
 
-    def _hold(self, chunk: AnswerChunk) -> Delivery:
+    def _hold(self, chunk: AnswerChunk) -> ReadyParts:
         if chunk.sequence >= self._next + self._window:
-            return Delivery(end=self._break(BrokenReason.WINDOW))
+            return ReadyParts(end=self._break(BrokenReason.WINDOW))
         self._held[chunk.sequence] = chunk.data
         return self._deliver(())
 
@@ -169,20 +169,20 @@
         self._digest.update(data)
         self._next += 1
 
-    def _take_end(self, end: AnswerEnd) -> Delivery:
+    def _take_end(self, end: AnswerEnd) -> ReadyParts:
         if self._end is None:
             self._end = end
         return self._deliver(())
 
     def _deliver(
         self, chunks: tuple[bytes, ...], head: AnswerHead | None = None
-    ) -> Delivery:
+    ) -> ReadyParts:
         end = None if self._end is None else self._judge(self._end)
         if head is None and end is None and not chunks:
             return _NOTHING
-        return Delivery(head, chunks, end)
+        return ReadyParts(head, chunks, end)
 
-    def _judge(self, end: AnswerEnd) -> Whole | Broken | None:
+    def _judge(self, end: AnswerEnd) -> Complete | Broken | None:
         highest = max(self._held, default=self._next - 1)
         if highest >= end.count:
             return self._break(BrokenReason.COUNT)
@@ -194,7 +194,7 @@
             return self._break(BrokenReason.DIGEST)
         self._is_over = True
         self._is_whole = True
-        return Whole(end)
+        return Complete(end)
 
     def _break(self, reason: BrokenReason) -> Broken:
         self._is_over = True
--- a/src/oleanderdyke/kernel/targets.py
+++ b/src/oleanderdyke/kernel/targets.py
@@ -12,8 +12,8 @@
 from oleanderdyke.kernel.objects import Targets
 
 WINDOW: Millis = HOUR
-OWED_SHARE = 0.95
-MISSED_COUNT = 50
+REQUIRED_SHARE = 0.95
+MAX_KEPT_MISSES = 50
 _SLICES = 12
 _SERVICE_COUNT = 200
 
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Served:
+class ServedRequest:
     """Hold what one request got; None where nothing can be said.
 
     Between tokens is the mean over its answer. `refused` names the error of
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Missed:
+class MissedTarget:
     """Tell which target a request missed, when, and by how much."""
 
     request: str
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Counts:
+class TargetCounts:
     """Count the requests judged by a target, and their prompt tokens."""
 
     judged: int
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class TargetStatus:
     """Compare a target with the requests of the window.
 
     A time is owed to 95 in 100 of them. A recomputed share is owed over all
@@ -94,7 +94,7 @@
 
     target: Target
     limit: float
-    counts: Counts
+    counts: TargetCounts
     met: bool
 
 
@@ -107,19 +107,25 @@
     recomputed_tokens: int = 0
 
 
-class TargetBook:
+class TargetMonitor:
     """Judge the requests of one service over a sliding window."""
 
     def __init__(self) -> None:
         self.refusals: Counter[ErrorKind] = Counter()
         self._slices: deque[_Slice] = deque(maxlen=_SLICES)
         self._missed = {
-            target: deque[Missed](maxlen=MISSED_COUNT) for target in Target
+            target: deque[MissedTarget](maxlen=MAX_KEPT_MISSES)
+            for target in Target
         }
 
     def add(
-        self, served: Served, targets: Targets, *, now: Millis, wall: Millis
-    ) -> tuple[Missed, ...]:
+        self,
+        served: ServedRequest,
+        targets: Targets,
+        *,
+        now: Millis,
+        wall: Millis,
+    ) -> tuple[MissedTarget, ...]:
         """Judge a request; return the targets that it missed."""
         current = self._open_slice(now)
         current.prompt_tokens += served.prompt_tokens
@@ -131,18 +137,24 @@
             if value <= limit and served.refused is None:
                 continue
             refused = '' if served.refused is None else served.refused.value
-            missed = Missed(served.request, target, value, limit, wall, refused)
+            missed = MissedTarget(
+                served.request, target, value, limit, wall, refused
+            )
             current.missed[target] += 1
             self._missed[target].append(missed)
             found.append(missed)
         return tuple(found)
 
-    def judge(self, targets: Targets, now: Millis) -> tuple[Standing, ...]:
+    def evaluate(
+        self, targets: Targets, now: Millis
+    ) -> tuple[TargetStatus, ...]:
         """Compare every target with the requests of the window."""
         kept = [item for item in self._slices if _is_kept(item, now)]
         return tuple(_judge(kept, targets, target) for target in Target)
 
-    def list_missed(self, count: int = MISSED_COUNT) -> tuple[Missed, ...]:
+    def list_missed(
+        self, count: int = MAX_KEPT_MISSES
+    ) -> tuple[MissedTarget, ...]:
         """Return the last requests that missed each target, oldest first."""
         return tuple(
             missed
@@ -157,18 +169,18 @@
         return self._slices[-1]
 
 
-class TargetBooks:
+class TargetMonitors:
     """Keep one book for each service, for a bounded number of services."""
 
     def __init__(self) -> None:
-        self._books: dict[str, TargetBook] = {}
+        self._books: dict[str, TargetMonitor] = {}
 
-    def get(self, service: str) -> TargetBook:
+    def get(self, service: str) -> TargetMonitor:
         """Return the book of a service, a new one where there is none."""
         if service not in self._books:
             while len(self._books) >= _SERVICE_COUNT:
                 del self._books[next(iter(self._books))]
-            self._books[service] = TargetBook()
+            self._books[service] = TargetMonitor()
         return self._books[service]
 
 
@@ -182,7 +194,7 @@
     return limits[target]
 
 
-def _list_values(served: Served) -> Iterator[tuple[Target, float]]:
+def _list_values(served: ServedRequest) -> Iterator[tuple[Target, float]]:
     if served.first_token is not None:
         yield Target.FIRST_TOKEN, served.first_token
     if served.between_tokens is not None:
@@ -192,23 +204,25 @@
         yield Target.RECOMPUTED_SHARE, share
 
 
-def is_met(target: Target, limit: float, counts: Counts) -> bool:
+def is_met(target: Target, limit: float, counts: TargetCounts) -> bool:
     """Return whether counted requests got what is owed."""
     if target is Target.RECOMPUTED_SHARE:
         return counts.recomputed_tokens <= limit * counts.prompt_tokens
-    return counts.judged - counts.missed >= OWED_SHARE * counts.judged
+    return counts.judged - counts.missed >= REQUIRED_SHARE * counts.judged
 
 
-def _judge(kept: list[_Slice], targets: Targets, target: Target) -> Standing:
+def _judge(
+    kept: list[_Slice], targets: Targets, target: Target
+) -> TargetStatus:
     limit = find_limit(targets, target)
-    counts = Counts(
+    counts = TargetCounts(
         sum(item.judged[target] for item in kept),
         sum(item.missed[target] for item in kept),
         sum(item.prompt_tokens for item in kept),
         sum(item.recomputed_tokens for item in kept),
     )
     met = is_met(target, limit, counts)
-    return Standing(target, limit, counts, met)
+    return TargetStatus(target, limit, counts, met)
 
 
 def _number_slice(now: Millis) -> int:
--- a/tests/attempt_case.py
+++ b/tests/attempt_case.py
@@ -6,9 +6,9 @@
 
 from oleanderdyke.kernel import attempt_events as ev
 from oleanderdyke.kernel.attempts import (
-    MachineSettings,
+    AttemptSettings,
     RequestFacts,
-    RequestMachine,
+    RequestStateMachine,
 )
 from oleanderdyke.kernel.claim_records import (
     OutcomeRecord,
@@ -85,9 +85,9 @@
             key=key,
             resumable=resumable,
         )
-        self.machine = RequestMachine(
+        self.machine = RequestStateMachine(
             facts,
-            settings=MachineSettings(**settings),
+            settings=AttemptSettings(**settings),
             budget=budget or make_budget(burst),
         )
         if key and verdict is None:
@@ -96,7 +96,7 @@
         self.attempt = 0
 
     def on(self, event):
-        self.actions = self.machine.on(event, 0.0)
+        self.actions = self.machine.handle_event(event, 0.0)
         for action in self.actions:
             if isinstance(action, ev.SendDispatch | ev.SendResume):
                 self.attempt = action.attempt
@@ -111,17 +111,23 @@
         return self.on(settled)
 
     def fail(self, kind, ran):
-        return self.on(ev.Received(Failed('r1', self.attempt, kind, ran)))
+        return self.on(
+            ev.MessageReceived(Failed('r1', self.attempt, kind, ran))
+        )
 
     def head(self, resume=''):
         head = AnswerHead('r1', self.attempt, 201, (('a', 'b'),), resume)
-        return self.on(ev.Received(head))
+        return self.on(ev.MessageReceived(head))
 
     def chunk(self, data=b'booked'):
-        return self.on(ev.Received(AnswerChunk('r1', self.attempt, 0, data)))
+        return self.on(
+            ev.MessageReceived(AnswerChunk('r1', self.attempt, 0, data))
+        )
 
     def end(self):
-        return self.on(ev.Received(AnswerEnd('r1', self.attempt, 1, b'')))
+        return self.on(
+            ev.MessageReceived(AnswerEnd('r1', self.attempt, 1, b''))
+        )
 
     def answer(self, state, claim=MINE, status=201, body=b'booked'):
         answer = ClaimAnswer('r1', claim, state, status, (('a', 'b'),), body)
--- a/tests/edges.py
+++ b/tests/edges.py
@@ -108,7 +108,7 @@
         table = core.claims
         for offset in range(table.next_offset, len(self.batches)):
             table.apply(offset, 1_000.0, self.batches[offset])
-        table.note_end(len(self.batches))
+        table.set_catch_up_target(len(self.batches))
         claims.settle_read()
 
 
--- a/tests/matrix/drivers.py
+++ b/tests/matrix/drivers.py
@@ -15,7 +15,7 @@
 from oleanderdyke.entry.resume import ResumeAsk, ResumeDriver
 from oleanderdyke.entry.tokens import make_stream_gone
 from oleanderdyke.errors import OleanderError
-from oleanderdyke.kernel.attempt_events import DeadlinePassed, Received
+from oleanderdyke.kernel.attempt_events import DeadlinePassed, MessageReceived
 from oleanderdyke.links.messages import Resume
 from tests.matrix.loop import Process, drive
 
@@ -191,7 +191,7 @@
     async def _take(self, item: Item | None) -> None:
         if item is None:
             await self._flush()
-        elif isinstance(item, Received):
+        elif isinstance(item, MessageReceived):
             await self._parts[type(item.message)](item.message)
         else:
             await self._end(item)
--- a/tests/matrix/entry.py
+++ b/tests/matrix/entry.py
@@ -25,7 +25,7 @@
 )
 from oleanderdyke.entry.stopping import Stopper
 from oleanderdyke.errors import OleanderError
-from oleanderdyke.kernel.attempts import MachineSettings
+from oleanderdyke.kernel.attempts import AttemptSettings
 from oleanderdyke.kernel.drain import DrainSettings
 from oleanderdyke.kernel.quarantine import QuarantineSettings
 from oleanderdyke.kernel.retries import RetrySettings, make_retry_budget
@@ -231,7 +231,7 @@
             ),
             exports=ExportChooser(policies),
             drain=world.variants.drain(ENTRY_DRAIN),
-            machine=MachineSettings(claim_wait=settings.claims.wait),
+            machine=AttemptSettings(claim_wait=settings.claims.wait),
         )
 
     def _run(
@@ -309,7 +309,7 @@
         table = self.core.claims
         for record in page.records:
             table.apply(record.offset, record.at, record.data)
-        table.note_end(page.end)
+        table.set_catch_up_target(page.end)
         self.claim_log.settle_read()
 
     def _tick(self) -> None:
--- a/tests/matrix/unsafe.py
+++ b/tests/matrix/unsafe.py
@@ -8,7 +8,7 @@
 from oleanderdyke.kernel.catalog import Catalog
 from oleanderdyke.kernel.gate import Gate
 from oleanderdyke.kernel.membership import FleetState
-from oleanderdyke.kernel.quarantine import Quarantine, Standing
+from oleanderdyke.kernel.quarantine import Quarantine, QuarantineStatus
 from oleanderdyke.kernel.stream_table import StreamTable
 from oleanderdyke.links.messages import AgentPhase
 from tests.matrix.world import TEAMS
@@ -49,8 +49,8 @@
 class LenientQuarantine(Quarantine):
     """Hold nothing against a request."""
 
-    def find_standing(self, digest, now):
-        return Standing.CLEAN
+    def get_status(self, digest, now):
+        return QuarantineStatus.CLEAN
 
 
 class HoardingCatalog(Catalog):
--- a/tests/matrix/world.py
+++ b/tests/matrix/world.py
@@ -8,7 +8,7 @@
 
 from oleanderdyke.agent.segment_copy import SegmentCopy
 from oleanderdyke.clock import HOUR, SECOND, Millis
-from oleanderdyke.kernel.attempts import RequestMachine
+from oleanderdyke.kernel.attempts import RequestStateMachine
 from oleanderdyke.kernel.blocks import verify_segment
 from oleanderdyke.kernel.catalog import Catalog
 from oleanderdyke.kernel.claims import ClaimTable
@@ -59,7 +59,7 @@
 
     gate: type[Gate] = Gate
     table: type[ClaimTable] = ClaimTable
-    machine: type[RequestMachine] = RequestMachine
+    machine: type[RequestStateMachine] = RequestStateMachine
     catalog: type[Catalog] = Catalog
     streams: type[StreamTable] = StreamTable
     drain: type[Drain] = Drain
--- a/tests/safety_model.py
+++ b/tests/safety_model.py
@@ -16,9 +16,9 @@
 from oleanderdyke.errors import ErrorKind, Ran
 from oleanderdyke.kernel import attempt_events as ev
 from oleanderdyke.kernel.attempts import (
-    MachineSettings,
+    AttemptSettings,
     RequestFacts,
-    RequestMachine,
+    RequestStateMachine,
 )
 from oleanderdyke.kernel.claim_records import (
     ClaimsRecord,
@@ -112,7 +112,7 @@
 
     gate: type[Gate] = Gate
     table: type[ClaimTable] = ClaimTable
-    machine: type[RequestMachine] = RequestMachine
+    machine: type[RequestStateMachine] = RequestStateMachine
     make_key: Callable[[str, str, str], str] = make_key
 
 
@@ -154,7 +154,7 @@
     def _admit(self, dispatch: Dispatch, sender: tuple[str, int]) -> None:
         result = self.gate.admit(dispatch, 0.0)
         if isinstance(result, Failed):
-            self._send(sender, ev.Received(result))
+            self._send(sender, ev.MessageReceived(result))
         elif isinstance(result, Pass):
             body = f'{dispatch.team}/run-{len(self.world.runs)}/'.encode()
             self.world.note_run(dispatch, body)
@@ -168,10 +168,10 @@
             None if cut else RunAnswer(200, (), body + body),
         )
         events: list[ev.Event] = [
-            ev.Received(
+            ev.MessageReceived(
                 AnswerHead(dispatch.request, dispatch.attempt, 200, ())
             ),
-            ev.Received(
+            ev.MessageReceived(
                 AnswerChunk(dispatch.request, dispatch.attempt, 0, body)
             ),
         ]
@@ -182,13 +182,13 @@
                 ErrorKind.BACKEND_FAILED,
                 Ran.YES,
             )
-            events.append(ev.Received(failed))
+            events.append(ev.MessageReceived(failed))
         else:
             events += [
-                ev.Received(
+                ev.MessageReceived(
                     AnswerChunk(dispatch.request, dispatch.attempt, 1, body)
                 ),
-                ev.Received(
+                ev.MessageReceived(
                     AnswerEnd(dispatch.request, dispatch.attempt, 2, b'')
                 ),
             ]
@@ -206,7 +206,7 @@
         self.running.clear()
         for failed in self.gate.crash(0.0):
             sender = senders[failed.request, failed.attempt]
-            self._send(sender, ev.Received(failed))
+            self._send(sender, ev.MessageReceived(failed))
 
     def _send(self, sender: tuple[str, int], *events: ev.Event) -> None:
         """Send one bundle; within a link the order is kept."""
@@ -222,7 +222,7 @@
         self.name = name
         self.incarnation = incarnation
         self.table = world.variants.table()
-        self.machines: dict[str, RequestMachine] = {}
+        self.machines: dict[str, RequestStateMachine] = {}
         self.timers: list[tuple[str, ev.TimerFired]] = []
         self.claims: dict[str, tuple[str, str, str]] = {}
         self.view = {
@@ -248,17 +248,17 @@
                 key=key,
                 horizon=1e12,
             ),
-            settings=MachineSettings(max_asks=2),
+            settings=AttemptSettings(max_asks=2),
             budget=self.budget,
         )
         self.machines[call.request] = machine
-        verdict = self.table.verdict(key, digest) if key else None
+        verdict = self.table.get_verdict(key, digest) if key else None
         self._perform(call.request, machine.start(0.0, verdict))
 
     def tell(self, request: str, event: ev.Event) -> None:
         machine = self.machines.get(request)
         if machine is not None:
-            self._perform(request, machine.on(event, 0.0))
+            self._perform(request, machine.handle_event(event, 0.0))
 
     def tell_all(self, event: ev.Event) -> None:
         for request in list(self.machines):
@@ -268,16 +268,16 @@
         log = self.world.log
         if not log.up:
             return
-        self.table.note_end(log.end)
+        self.table.set_catch_up_target(log.end)
         start = max(self.table.next_offset, log.first)
         for offset in range(start, min(log.end, start + limit)):
             self.table.apply(offset, float(offset), log.records[offset])
-        self.table.note_end(log.end)
+        self.table.set_catch_up_target(log.end)
         self._settle()
 
     def _settle(self) -> None:
         for claim_id, (request, key, digest) in list(self.claims.items()):
-            verdict = self.table.settle(claim_id, key, digest)
+            verdict = self.table.get_claim_verdict(claim_id, key, digest)
             if not isinstance(verdict, Free):
                 del self.claims[claim_id]
                 self.tell(request, ev.ClaimSettled(claim_id, verdict))
@@ -514,7 +514,7 @@
         """Repeat every live claim, before the log forgets."""
         table = self.entries[entry].table
         if table.caught_up:
-            records = table.due_for_carry(float('inf'), 10_000)
+            records = table.list_due_renewals(float('inf'), 10_000)
             through = table.next_offset - 1
             append = Append(entry, '', tuple(records), through=through)
             self.appends.append(append)
@@ -561,7 +561,7 @@
 
 
 def find_request(event: ev.Event) -> str:
-    if isinstance(event, ev.Received):
+    if isinstance(event, ev.MessageReceived):
         return event.message.request
     assert isinstance(event, ev.ClaimAnswered)
     return event.answer.request
--- a/tests/safety_walk.py
+++ b/tests/safety_walk.py
@@ -172,7 +172,7 @@
     ev.CallerGone(),
     ev.DeadlinePassed(),
     ev.Stopping(),
-    ev.Stopping(hurry=True),
+    ev.Stopping(immediate=True),
 )
 
 
--- a/tests/standins/replica.py
+++ b/tests/standins/replica.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Received:
+class MessageReceived:
     """Hold one request as it came in, names in lower case."""
 
     method: str
@@ -29,7 +29,7 @@
 class Peer:
     """Give a script the way to answer one request."""
 
-    request: Received
+    request: MessageReceived
     writer: asyncio.StreamWriter
     reader: asyncio.StreamReader
 
@@ -62,7 +62,10 @@
 
 
 def make_answer(
-    request: Received, status: int = 200, body: bytes = b'done', **headers: str
+    request: MessageReceived,
+    status: int = 200,
+    body: bytes = b'done',
+    **headers: str,
 ) -> bytes:
     """Build a whole answer; underscores in names become dashes."""
     return (
@@ -71,7 +74,9 @@
     )
 
 
-def make_head(request: Received, status: int = 200, **headers: str) -> bytes:
+def make_head(
+    request: MessageReceived, status: int = 200, **headers: str
+) -> bytes:
     """Build the head of an answer."""
     named = {
         'oleanderdyke-request-id': request.headers['oleanderdyke-request-id'],
@@ -99,7 +104,7 @@
     """Run a script for each request and remember what came."""
 
     script: Script
-    received: list[Received] = field(default_factory=list)
+    received: list[MessageReceived] = field(default_factory=list)
     connections: int = 0
 
     async def serve(
@@ -135,7 +140,7 @@
 
 async def _read_request(
     parser: h11.Connection, reader: asyncio.StreamReader, number: int
-) -> Received | None:
+) -> MessageReceived | None:
     head: h11.Request | None = None
     body = bytearray()
     while True:
@@ -152,10 +157,12 @@
             return None
 
 
-def _make_received(head: h11.Request, body: bytes, number: int) -> Received:
+def _make_received(
+    head: h11.Request, body: bytes, number: int
+) -> MessageReceived:
     headers = {
         name.decode(): text.decode('latin-1') for name, text in head.headers
     }
-    return Received(
+    return MessageReceived(
         head.method.decode(), head.target.decode(), headers, body, number
     )
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -36,7 +36,7 @@
 
 
 def test_unsent_attempt_goes_elsewhere():
-    case = make_run().on(ev.Unsent(1)).fire()
+    case = make_run().on(ev.DispatchNotSent(1)).fire()
     assert case.find(ev.Route).exclude == {'agent-1'}
 
 
@@ -48,7 +48,7 @@
     ],
 )
 def test_what_may_have_run_is_not_sent_again(failure):
-    case = make_run().on(ev.Received(failure))
+    case = make_run().on(ev.MessageReceived(failure))
     assert case.refusal() == (failure.kind, failure.ran)
 
 
@@ -217,7 +217,7 @@
 @pytest.mark.parametrize('lose', LOSSES)
 def test_stream_lost_before_its_first_chunk_is_run_again(lose):
     case = make_run(idempotent=True).head('token')
-    assert case.actions == (ev.NoteResumable(),)
+    assert case.actions == (ev.MarkResumable(),)
     lose(case)
     assert case.machine.ran is Ran.MAYBE
     assert case.fire().find(ev.Route).exclude == {'agent-1'}
@@ -286,7 +286,7 @@
     assert case.actions == ()
     case.fail(ErrorKind.LEAVING, Ran.NO)
     assert case.refusal() == (ErrorKind.LEAVING, Ran.NO)
-    assert make_run().on(ev.Stopping(hurry=True)).refusal() == (
+    assert make_run().on(ev.Stopping(immediate=True)).refusal() == (
         ErrorKind.STOPPING,
         Ran.MAYBE,
     )
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -8,10 +8,10 @@
 
 from oleanderdyke.cbor import dump_cbor, load_cbor
 from oleanderdyke.kernel.claim_records import (
-    CarriedRecord,
     ClaimRecord,
     OutcomeRecord,
     ReleaseRecord,
+    RenewalRecord,
     WithdrawRecord,
     decode_batch,
     encode_batch,
@@ -54,13 +54,13 @@
     table = ClaimTable()
     for number, batch in enumerate(batches, start):
         table.apply(number, number * step, encode_batch(batch))
-    table.note_end(start + len(batches))
+    table.set_catch_up_target(start + len(batches))
     return table
 
 
 def find_owner(table: ClaimTable) -> str:
     for claim_id in 'abcd':
-        verdict = table.settle(claim_id, KEY, 'd')
+        verdict = table.get_claim_verdict(claim_id, KEY, 'd')
         if isinstance(verdict, Owned):
             return claim_id
     return ''
@@ -77,25 +77,25 @@
 def test_first_claim_in_log_order_owns_the_key():
     table = read_log([make_record('a'), make_record('b')], [make_record('c')])
     assert find_owner(table) == 'a'
-    verdict = table.settle('b', KEY, 'd')
+    verdict = table.get_claim_verdict('b', KEY, 'd')
     assert isinstance(verdict, OwnedByOther)
     assert (verdict.claim.offset, verdict.claim.index) == (0, 0)
 
 
 def test_another_request_under_the_key_conflicts():
     table = read_log([make_record('a')])
-    assert table.verdict(KEY, 'other') == Conflict()
+    assert table.get_verdict(KEY, 'other') == Conflict()
 
 
 def test_claim_that_was_not_read_is_not_owned():
-    assert read_log().settle('a', KEY, 'd') == Free()
+    assert read_log().get_claim_verdict('a', KEY, 'd') == Free()
 
 
 def test_claim_is_not_settled_before_the_log_was_read_to_its_end():
     table = ClaimTable()
-    table.note_end(5)
+    table.set_catch_up_target(5)
     table.apply(0, 0.0, encode_batch([make_record('a')]))
-    assert table.settle('a', KEY, 'd') == Free()
+    assert table.get_claim_verdict('a', KEY, 'd') == Free()
 
 
 @pytest.mark.parametrize(
@@ -117,7 +117,7 @@
 
 def test_claim_withdrawn_before_it_reached_the_log_owns_nothing():
     table = read_log([WithdrawRecord(KEY, 'a')], [make_record('a')])
-    assert table.verdict(KEY, 'd') == Free()
+    assert table.get_verdict(KEY, 'd') == Free()
 
 
 def test_first_outcome_of_the_owner_is_the_answer():
@@ -125,7 +125,7 @@
     table = read_log(
         [make_record('a')], [make_outcome(7)], [make_outcome(0)], [other]
     )
-    verdict = table.verdict(KEY, 'd')
+    verdict = table.get_verdict(KEY, 'd')
     assert isinstance(verdict, Finished)
     assert verdict.outcome == make_outcome(0)
 
@@ -169,8 +169,8 @@
     assert isinstance(items, list)
     table = ClaimTable()
     table.apply(0, 0.0, dump_cbor(['junk', items[0]]))
-    table.note_end(1)
-    verdict = table.settle('a', KEY, 'd')
+    table.set_catch_up_target(1)
+    verdict = table.get_claim_verdict('a', KEY, 'd')
     assert isinstance(verdict, Owned)
     assert verdict.claim.index == 1
 
@@ -182,15 +182,15 @@
     assert decode_batch(dump_cbor(items)) == (make_record('a'),)
 
 
-def carry(table: ClaimTable) -> list[CarriedRecord]:
-    return list(table.due_for_carry(float('inf'), 10))
+def carry(table: ClaimTable) -> list[RenewalRecord]:
+    return list(table.list_due_renewals(float('inf'), 10))
 
 
 def test_reader_after_the_log_forgot_learns_claims_from_carried_records():
     old = read_log([make_record('a')], [make_outcome(0)])
     new = read_log(carry(old), start=2)
-    assert isinstance(new.verdict(KEY, 'd'), Finished)
-    assert new.verdict(KEY, 'd') == old.verdict(KEY, 'd')
+    assert isinstance(new.get_verdict(KEY, 'd'), Finished)
+    assert new.get_verdict(KEY, 'd') == old.get_verdict(KEY, 'd')
 
 
 def test_carried_record_does_not_revive_a_released_claim():
@@ -207,14 +207,14 @@
     late = carry(read_log([make_record('a')]))
     release = ReleaseRecord(KEY, 0, 0, 'i1')
     table = read_log(late, [release, make_record('b')], start=5)
-    assert isinstance(table.settle('b', KEY, 'd'), OwnedByOther)
+    assert isinstance(table.get_claim_verdict('b', KEY, 'd'), OwnedByOther)
     assert carry(table) == []
 
 
 def test_gap_starts_the_table_anew():
     table = read_log([make_record('a')])
     table.apply(9, 9.0, encode_batch([]))
-    assert table.verdict(KEY, 'd') == Free()
+    assert table.get_verdict(KEY, 'd') == Free()
     assert not table.caught_up
 
 
@@ -222,7 +222,7 @@
     table = read_log(
         [make_record('a')], [make_record('b', key=make_key('t', 's', 'k2'))]
     )
-    due = table.due_for_carry(1.0, 10)
+    due = table.list_due_renewals(1.0, 10)
     assert [record.claim.claim_id for record in due] == ['a']
     table.apply(2, 2.0, encode_batch(due))
     assert carry(table)[0].claim.claim_id == 'b'
@@ -246,7 +246,7 @@
     st.binary(max_size=8),
 )
 carried = st.builds(
-    CarriedRecord,
+    RenewalRecord,
     claims,
     st.integers(0, 9),
     st.integers(0, 9),
--- a/tests/test_entry_claims.py
+++ b/tests/test_entry_claims.py
@@ -7,8 +7,8 @@
 
 from oleanderdyke.errors import Ran
 from oleanderdyke.kernel.claim_records import (
-    CarriedRecord,
     ClaimRecord,
+    RenewalRecord,
     decode_batch,
 )
 from oleanderdyke.links.messages import (
@@ -123,5 +123,5 @@
         edge.claims.append_due(1_000.0)
         await wait(lambda: len(edge.log.batches) == 3)
         (carried,) = decode_batch(edge.log.batches[2])
-        assert isinstance(carried, CarriedRecord)
+        assert isinstance(carried, RenewalRecord)
         assert carried.outcome is not None
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -15,7 +15,7 @@
 )
 from oleanderdyke.kernel.quarantine import (
     QuarantineSettings,
-    Standing,
+    QuarantineStatus,
     make_quarantine,
 )
 from oleanderdyke.links.messages import AgentPhase, Dispatch, Failed
@@ -295,7 +295,7 @@
     gate.lose('hot', 1, 50.0)
     gate.crash(200.0)
     digest = make_dispatch('hot').digest
-    assert quarantine.find_standing(digest, 200.0) is Standing.SUSPECT
+    assert quarantine.get_status(digest, 200.0) is QuarantineStatus.SUSPECT
 
 
 def test_second_crash_quarantines_what_ran_alone():
@@ -304,7 +304,7 @@
     assert gate.admit(make_dispatch('bad', alone=True), 0.0) == Pass()
     gate.crash(0.0)
     digest = make_dispatch('bad').digest
-    assert quarantine.find_standing(digest, 0.0) is Standing.QUARANTINED
+    assert quarantine.get_status(digest, 0.0) is QuarantineStatus.QUARANTINED
     again = make_dispatch('bad', attempt=2, alone=True)
     assert refuse(gate, again) == (ErrorKind.QUARANTINED, Ran.NO)
 
--- a/tests/test_hosted_safety.py
+++ b/tests/test_hosted_safety.py
@@ -137,7 +137,7 @@
     monkeypatch.setattr(
         driver,
         '_make_settings',
-        lambda _: driver.MachineSettings(max_attempts=2),
+        lambda _: driver.AttemptSettings(max_attempts=2),
     )
     _assert_caught(Ask('/once/', (Act.RESET,)))
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -6,7 +6,7 @@
 from oleanderdyke.kernel.quarantine import (
     Quarantine,
     QuarantineSettings,
-    Standing,
+    QuarantineStatus,
     make_quarantine,
 )
 from oleanderdyke.links.messages import AgentPhase
@@ -22,76 +22,76 @@
 
 def test_second_crash_anywhere_quarantines_everywhere():
     first, entry, second = (make_quarantine(SETTINGS) for _ in range(3))
-    assert first.note_crash('a:1', ['bad', 'good'], 0.0) == ()
+    assert first.record_crash('a:1', ['bad', 'good'], 0.0) == ()
     tell(first, entry)
     tell(entry, second)
-    assert second.find_standing('bad', 0.0) is Standing.SUSPECT
-    assert second.note_crash('b:1', ['bad'], 1.0) == ('bad',)
+    assert second.get_status('bad', 0.0) is QuarantineStatus.SUSPECT
+    assert second.record_crash('b:1', ['bad'], 1.0) == ('bad',)
     tell(second, entry, 1.0)
-    assert entry.find_standing('bad', 1.0) is Standing.QUARANTINED
-    assert entry.find_standing('good', 1.0) is Standing.SUSPECT
+    assert entry.get_status('bad', 1.0) is QuarantineStatus.QUARANTINED
+    assert entry.get_status('good', 1.0) is QuarantineStatus.SUSPECT
 
 
 def test_two_crashes_noted_apart_add_up_when_told():
     first, second = make_quarantine(SETTINGS), make_quarantine(SETTINGS)
-    first.note_crash('a:1', ['bad'], 0.0)
-    second.note_crash('b:1', ['bad'], 0.0)
+    first.record_crash('a:1', ['bad'], 0.0)
+    second.record_crash('b:1', ['bad'], 0.0)
     tell(first, second)
-    assert second.find_standing('bad', 0.0) is Standing.QUARANTINED
+    assert second.get_status('bad', 0.0) is QuarantineStatus.QUARANTINED
 
 
 def test_one_crash_told_by_many_counts_once():
     first, second = make_quarantine(SETTINGS), make_quarantine(SETTINGS)
-    first.note_crash('a:1', ['bad'], 0.0)
+    first.record_crash('a:1', ['bad'], 0.0)
     for _ in range(5):
         tell(first, second)
         tell(second, first)
-    assert first.find_standing('bad', 0.0) is Standing.SUSPECT
+    assert first.get_status('bad', 0.0) is QuarantineStatus.SUSPECT
 
 
 def test_crash_alone_is_proof():
     quarantine = make_quarantine(SETTINGS)
-    assert quarantine.note_crash('a:1', ['bad'], 0.0, alone=True) == ('bad',)
+    assert quarantine.record_crash('a:1', ['bad'], 0.0, alone=True) == ('bad',)
 
 
 def test_innocent_that_ran_alone_is_cleared_of_that_crash_only():
     first, second = make_quarantine(SETTINGS), make_quarantine(SETTINGS)
-    first.note_crash('a:1', ['good'], 0.0)
+    first.record_crash('a:1', ['good'], 0.0)
     tell(first, second)
     second.clear('good')
     tell(first, second)
-    assert second.find_standing('good', 0.0) is Standing.CLEAN
-    second.note_crash('b:1', ['good'], 1.0)
-    assert second.find_standing('good', 1.0) is Standing.SUSPECT
+    assert second.get_status('good', 0.0) is QuarantineStatus.CLEAN
+    second.record_crash('b:1', ['good'], 1.0)
+    assert second.get_status('good', 1.0) is QuarantineStatus.SUSPECT
 
 
 def test_quarantine_ends_although_heartbeats_keep_telling_it():
     first, second = make_quarantine(SETTINGS), make_quarantine(SETTINGS)
-    first.note_crash('a:1', ['bad'], 0.0, alone=True)
+    first.record_crash('a:1', ['bad'], 0.0, alone=True)
     tell(first, second, 50.0)
     for now in range(50, 400, 10):
         tell(first, second, float(now))
         tell(second, first, float(now))
-    assert first.find_standing('bad', 400.0) is Standing.CLEAN
-    assert second.find_standing('bad', 400.0) is Standing.CLEAN
+    assert first.get_status('bad', 400.0) is QuarantineStatus.CLEAN
+    assert second.get_status('bad', 400.0) is QuarantineStatus.CLEAN
 
 
 def test_new_crash_after_the_end_counts_again():
     quarantine = make_quarantine(SETTINGS)
-    quarantine.note_crash('a:1', ['bad'], 0.0, alone=True)
-    quarantine.note_crash('a:2', ['bad'], 150.0)
-    assert quarantine.find_standing('bad', 150.0) is Standing.SUSPECT
+    quarantine.record_crash('a:1', ['bad'], 0.0, alone=True)
+    quarantine.record_crash('a:2', ['bad'], 150.0)
+    assert quarantine.get_status('bad', 150.0) is QuarantineStatus.SUSPECT
 
 
 @pytest.mark.parametrize('alone', [True, False])
 def test_memory_is_bounded_and_drops_suspects_first(alone):
     quarantine = make_quarantine(SETTINGS)
-    quarantine.note_crash('a:0', ['bad'], 0.0, alone=True)
+    quarantine.record_crash('a:0', ['bad'], 0.0, alone=True)
     for number in range(20):
-        quarantine.note_crash(f'a:{number}', [f'd{number}'], 1.0, alone=alone)
+        quarantine.record_crash(f'a:{number}', [f'd{number}'], 1.0, alone=alone)
     assert len(quarantine) == 4
     if not alone:
-        assert quarantine.find_standing('bad', 1.0) is Standing.QUARANTINED
+        assert quarantine.get_status('bad', 1.0) is QuarantineStatus.QUARANTINED
 
 
 class SilentQuarantine(Quarantine):
@@ -129,11 +129,11 @@
         """Send a request through an entry; tell whether it was admitted."""
         self.sent += 1
         digest = make_dispatch(name).digest
-        standing = self.entries[entry].find_standing(digest, 0.0)
-        if standing is Standing.QUARANTINED:
+        standing = self.entries[entry].get_status(digest, 0.0)
+        if standing is QuarantineStatus.QUARANTINED:
             return False
         dispatch = make_dispatch(
-            name, attempt=self.sent, alone=standing is Standing.SUSPECT
+            name, attempt=self.sent, alone=standing is QuarantineStatus.SUSPECT
         )
         return self.gates[agent].admit(dispatch, 0.0) == Pass()
 
--- a/tests/test_receiver.py
+++ b/tests/test_receiver.py
@@ -8,7 +8,7 @@
 from oleanderdyke.entry.inbox import Inbox
 from oleanderdyke.entry.receiver import AnswerReceiver
 from oleanderdyke.errors import ErrorKind
-from oleanderdyke.kernel.attempt_events import Received
+from oleanderdyke.kernel.attempt_events import MessageReceived
 from oleanderdyke.kernel.streams import ANSWER_DIGEST_BYTES
 from oleanderdyke.links.messages import (
     AnswerChunk,
@@ -36,7 +36,9 @@
 
     async def _read(self) -> list[Message]:
         items = [await self._inbox.take() for _ in range(len(self._inbox))]
-        return [item.message for item in items if isinstance(item, Received)]
+        return [
+            item.message for item in items if isinstance(item, MessageReceived)
+        ]
 
 
 def make_run(attempt: int, *parts: bytes, digest: bytes = b'') -> list[Message]:
--- a/tests/test_request_safety.py
+++ b/tests/test_request_safety.py
@@ -19,7 +19,7 @@
 )
 
 from oleanderdyke.errors import ErrorKind, Ran
-from oleanderdyke.kernel.attempts import RequestMachine
+from oleanderdyke.kernel.attempts import RequestStateMachine
 from oleanderdyke.kernel.claim_records import make_key
 from oleanderdyke.kernel.claims import ClaimTable, Free, Owned, _make_slot
 from oleanderdyke.kernel.gate import Gate, Ignored
@@ -88,7 +88,7 @@
     assert find_unanswered(Variants()) == set()
 
 
-class DeafMachine(RequestMachine):
+class DeafMachine(RequestStateMachine):
     """Wait for ever for an agent's answer."""
 
     def _give_up_asking(self):
@@ -154,10 +154,10 @@
 class EagerTable(ClaimTable):
     """Believe in a claim before it is read back."""
 
-    def settle(self, claim_id, key, digest):
-        if isinstance(self.verdict(key, digest), Free):
+    def get_claim_verdict(self, claim_id, key, digest):
+        if isinstance(self.get_verdict(key, digest), Free):
             return Owned(Claim(self._next, 0, key, 'agent-1', '1', 1))
-        return super().settle(claim_id, key, digest)
+        return super().get_claim_verdict(claim_id, key, digest)
 
 
 class CarelessTable(ClaimTable):
@@ -167,7 +167,7 @@
         return True
 
 
-class StubbornMachine(RequestMachine):
+class StubbornMachine(RequestStateMachine):
     """Send again what may have run."""
 
     def _after_silence(self):
@@ -178,7 +178,7 @@
         return self._retry(failed.kind)
 
 
-class ImpatientMachine(RequestMachine):
+class ImpatientMachine(RequestStateMachine):
     """Take silence for a lapsed lease and release the claim."""
 
     def _give_up_asking(self):
@@ -186,7 +186,7 @@
         return self._reclaim()
 
 
-class HopefulMachine(RequestMachine):
+class HopefulMachine(RequestStateMachine):
     """Call a lost attempt not run."""
 
     @property
@@ -197,7 +197,7 @@
         self._in_doubt = False
 
 
-class SplicingMachine(RequestMachine):
+class SplicingMachine(RequestStateMachine):
     """Go on with another run where the first one broke off."""
 
     def _on_failed(self, failed):
@@ -205,7 +205,7 @@
         return self._retry(failed.kind)
 
 
-class MixingMachine(RequestMachine):
+class MixingMachine(RequestStateMachine):
     """Give later callers something else than the first."""
 
     def _open_recorded(self, outcome):
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -13,8 +13,8 @@
     budget = make_retry_budget(SETTINGS, Random(1))
     retries = 0
     for _ in range(1_000):
-        budget.feed()
-        while budget.take():
+        budget.deposit()
+        while budget.try_withdraw():
             retries += 1
     assert 95 <= retries <= 105
 
@@ -22,8 +22,8 @@
 def test_idle_time_earns_no_more_than_the_burst():
     budget = make_retry_budget(SETTINGS, Random(1))
     for _ in range(1_000):
-        budget.feed()
-    assert sum(budget.take() for _ in range(100)) == 5
+        budget.deposit()
+    assert sum(budget.try_withdraw() for _ in range(100)) == 5
 
 
 @pytest.mark.parametrize(('retry', 'ceiling'), [(1, 10), (2, 20), (9, 40)])
@@ -37,6 +37,6 @@
 def test_a_budget_that_is_shared_by_more_gives_less():
     budget = make_retry_budget(RetrySettings(burst=9.0), Random(1))
     budget.resize(RetrySettings(burst=2.0))
-    assert [budget.take() for _ in range(3)] == [True, True, False]
+    assert [budget.try_withdraw() for _ in range(3)] == [True, True, False]
     budget.resize(RetrySettings(burst=9.0))
-    assert not budget.take()
+    assert not budget.try_withdraw()
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -23,7 +23,7 @@
     AnswerAssembler,
     Broken,
     BrokenReason,
-    Whole,
+    Complete,
 )
 from oleanderdyke.links.messages import (
     AnswerChunk,
@@ -84,11 +84,11 @@
 )
 def test_an_answer_is_passed_on_whole_and_in_order(messages, passed, end):
     assembler = AnswerAssembler('r', 1, window=4)
-    deliveries = [assembler.take(message) for message in messages]
+    deliveries = [assembler.accept(message) for message in messages]
     assert b''.join(b''.join(each.chunks) for each in deliveries) == passed
     ends = [each.end for each in deliveries if each.end is not None]
     kinds = [
-        'whole' if isinstance(each, Whole) else each.reason for each in ends
+        'whole' if isinstance(each, Complete) else each.reason for each in ends
     ]
     assert kinds == ([] if end is None else [end])
     assert assembler.is_over is (end is not None)
@@ -96,37 +96,37 @@
 
 def test_another_run_takes_over_only_before_a_chunk_was_passed_on():
     assembler = AnswerAssembler('r', 1)
-    assembler.take(make_chunk(0))
-    assert assembler.lose().end == Broken(BrokenReason.LOST)
+    assembler.accept(make_chunk(0))
+    assert assembler.mark_lost().end == Broken(BrokenReason.LOST)
     assert assembler.start_over(2)
-    assert assembler.take(make_head(2)).head is not None
+    assert assembler.accept(make_head(2)).head is not None
     assert assembler.start_over(3)
-    assert assembler.take(make_chunk(0, 2)).chunks == ()
-    assert assembler.take(make_chunk(0, 3)).chunks == ()
-    shown = assembler.take(make_head(3, 'new'))
+    assert assembler.accept(make_chunk(0, 2)).chunks == ()
+    assert assembler.accept(make_chunk(0, 3)).chunks == ()
+    shown = assembler.accept(make_head(3, 'new'))
     assert shown.head == make_head(3, 'new')
     assert shown.chunks == (b'0',)
     assert not assembler.start_over(4)
-    assert assembler.take(make_chunk(1, 4)).chunks == ()
-    assert assembler.take(make_chunk(1, 3)).chunks == (b'1',)
+    assert assembler.accept(make_chunk(1, 4)).chunks == ()
+    assert assembler.accept(make_chunk(1, 3)).chunks == (b'1',)
 
 
 def test_no_run_takes_over_from_a_whole_answer_without_a_chunk():
     assembler = AnswerAssembler('r', 1)
-    assembler.take(HEAD)
-    assert isinstance(assembler.take(make_end(0, b'')).end, Whole)
+    assembler.accept(HEAD)
+    assert isinstance(assembler.accept(make_end(0, b'')).end, Complete)
     assert not assembler.start_over(2)
 
 
 def test_only_a_lost_answer_is_resumed():
     assembler = AnswerAssembler('r', 1)
-    assembler.take(HEAD)
-    assembler.take(make_chunk(0))
-    assembler.lose()
+    assembler.accept(HEAD)
+    assembler.accept(make_chunk(0))
+    assembler.mark_lost()
     assert assembler.resume(2)
-    assert assembler.take(make_head(2)).head is None
-    assert assembler.take(make_chunk(0, 2)).chunks == ()
-    assert assembler.take(make_end(1, b'x', 2)).end == Broken(
+    assert assembler.accept(make_head(2)).head is None
+    assert assembler.accept(make_chunk(0, 2)).chunks == ()
+    assert assembler.accept(make_end(1, b'x', 2)).end == Broken(
         BrokenReason.DIGEST
     )
     assert not assembler.resume(3)
@@ -200,13 +200,13 @@
     buffer.finish(TOTALS, 0)
     resumed = buffer.resume_from(start, Reader('other', 's', 7), 0)
     assembler = AnswerAssembler('s', 7, start=start)
-    deliveries = [assembler.take(each) for each in resumed.messages]
+    deliveries = [assembler.accept(each) for each in resumed.messages]
     assert deliveries[0].head.resume == 'secret'
-    assert isinstance(deliveries[-1].end, Whole)
+    assert isinstance(deliveries[-1].end, Complete)
     broken = AnswerAssembler('s', 7, start=start)
     head, first, *rest = resumed.messages
     altered = [head, replace(first, data=b'?'), *rest]
-    assert [broken.take(each) for each in altered][-1].end == Broken(
+    assert [broken.accept(each) for each in altered][-1].end == Broken(
         BrokenReason.DIGEST
     )
 
@@ -387,7 +387,7 @@
         self.late += self.wire
         self.wire = []
         self.buffer.detach('link', 0)
-        self.assembler.lose()
+        self.assembler.mark_lost()
         if is_rerun and self.assembler.start_over(self.attempt + 1):
             self.attempt += 1
             self.open_run()
@@ -399,12 +399,12 @@
             self.wire += resumed.messages if resumed else ()
 
     def accept(self, message):
-        delivery = self.assembler.take(message)
+        delivery = self.assembler.accept(message)
         self.passed += b''.join(delivery.chunks)
         if delivery.head is not None:
             self.head_attempt = delivery.head.attempt
         whole = b''.join(self.produced)
-        is_whole = isinstance(delivery.end, Whole)
+        is_whole = isinstance(delivery.end, Complete)
         if self.corrupt:
             assert not is_whole or self.passed == whole, 'short'
             return
@@ -422,14 +422,14 @@
 
 
 class TakesAnyAttempt(AnswerAssembler):
-    def take(self, message):
-        return super().take(replace(message, attempt=self._attempt))
+    def accept(self, message):
+        return super().accept(replace(message, attempt=self._attempt))
 
 
 class TrustsEnds(AnswerAssembler):
     def _judge(self, end):
         self._is_over = self._has_head
-        return Whole(end) if self._has_head else None
+        return Complete(end) if self._has_head else None
 
 
 class RepeatsChunks(AnswerAssembler):
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -25,12 +25,12 @@
     Targets,
 )
 from oleanderdyke.kernel.targets import (
-    MISSED_COUNT,
+    MAX_KEPT_MISSES,
     WINDOW,
-    Served,
+    ServedRequest,
     Target,
-    TargetBook,
-    TargetBooks,
+    TargetMonitor,
+    TargetMonitors,
 )
 from oleanderdyke.links.messages import AnswerEnd
 from oleanderdyke.logs import make_event_log, parse_line
@@ -45,28 +45,28 @@
 }
 
 
-def add(book: TargetBook, *times: float, now: float = 0.0) -> None:
+def add(book: TargetMonitor, *times: float, now: float = 0.0) -> None:
     for number, time in enumerate(times):
-        served = Served(f'r{number}', first_token=time)
+        served = ServedRequest(f'r{number}', first_token=time)
         book.add(served, OWED, now=now, wall=now)
 
 
-def judge(book: TargetBook, now: float = 0.0) -> dict[Target, bool]:
-    return {item.target: item.met for item in book.judge(OWED, now)}
+def judge(book: TargetMonitor, now: float = 0.0) -> dict[Target, bool]:
+    return {item.target: item.met for item in book.evaluate(OWED, now)}
 
 
 @pytest.mark.parametrize(('late', 'met'), [(5, True), (6, False)])
 def test_time_is_owed_to_95_in_100(late, met):
-    book = TargetBook()
+    book = TargetMonitor()
     add(book, *[600.0] * (100 - late), *[600.1] * late)
     assert judge(book)[Target.FIRST_TOKEN] is met
     assert len(book.list_missed()) == late
 
 
 def test_recomputed_share_is_owed_over_all_tokens():
-    book = TargetBook()
+    book = TargetMonitor()
     for request, prompt, recomputed in (('new', 100, 100), ('old', 300, 99)):
-        served = Served(
+        served = ServedRequest(
             request, prompt_tokens=prompt, recomputed_tokens=recomputed
         )
         book.add(served, OWED, now=0, wall=0)
@@ -76,7 +76,7 @@
 
 
 def test_window_forgets_but_the_missed_requests_stay():
-    book = TargetBook()
+    book = TargetMonitor()
     add(book, 700.0)
     assert not judge(book, WINDOW / 2)[Target.FIRST_TOKEN]
     assert judge(book, WINDOW)[Target.FIRST_TOKEN]
@@ -84,10 +84,10 @@
 
 
 def test_books_stay_bounded_with_18_models():
-    books = TargetBooks()
+    books = TargetMonitors()
     tracemalloc.start()
     for number in range(20_000):
-        served = Served(f'{number:032x}', 700.0, 50.0, 100, 100)
+        served = ServedRequest(f'{number:032x}', 700.0, 50.0, 100, 100)
         now = number * WINDOW / 5_000
         books.get(f'model-{number % 18}').add(served, OWED, now=now, wall=now)
     size, _ = tracemalloc.get_traced_memory()
@@ -96,9 +96,9 @@
         books.get(f'other-{number}')
     assert len(books.get('model-0').list_missed()) == 0
     assert size < 1024 * 1024
-    book = TargetBook()
-    add(book, *[700.0] * (3 * MISSED_COUNT))
-    assert len(book.list_missed()) == MISSED_COUNT
+    book = TargetMonitor()
+    add(book, *[700.0] * (3 * MAX_KEPT_MISSES))
+    assert len(book.list_missed()) == MAX_KEPT_MISSES
     assert len(book.list_missed(3)) == 3
 
 
