--- a/src/oleanderdyke/entry/claims.py
+++ b/src/oleanderdyke/entry/claims.py
@@ -168,7 +168,7 @@
     def append_due(self, retention: Millis) -> None:
         """Append the claims whose latest record has half its time behind."""
         table = self._core.claims
-        latest = max(table.time, self._core.clock.wall())
+        latest = max(table.log_time, self._core.clock.wall())
         due = table.list_due_renewals(latest - retention / 2, _CARRY_LIMIT)
         for start in range(0, len(due), self._settings.batch):
             records = due[start : start + self._settings.batch]
--- a/src/oleanderdyke/entry/core.py
+++ b/src/oleanderdyke/entry/core.py
@@ -178,7 +178,7 @@
         exports=ExportChooser(settings.policies),
         drain=Drain(settings.drain),
         machine=AttemptSettings(
-            claim_wait=settings.claims.wait,
+            claim_timeout=settings.claims.wait,
             max_attempts=settings.requests.attempts,
             replica_wait=settings.requests.replica_wait,
         ),
--- a/src/oleanderdyke/entry/sender.py
+++ b/src/oleanderdyke/entry/sender.py
@@ -12,10 +12,10 @@
 from oleanderdyke.errors import OleanderError
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.attempt_events import (
-    AskClaim,
     DispatchNotSent,
     IncarnationEnded,
     LinkLost,
+    QueryClaim,
     SendCancel,
     SendDispatch,
     SendResume,
@@ -121,7 +121,7 @@
         )
         await self._send(link, message)
 
-    async def ask(self, action: AskClaim) -> None:
+    async def ask(self, action: QueryClaim) -> None:
         """Ask an agent what became of a claim."""
         link = self._core.find_link(action.agent)
         if link is None:
--- a/src/oleanderdyke/kernel/attempt_core.py
+++ b/src/oleanderdyke/kernel/attempt_core.py
@@ -74,15 +74,15 @@
     proven not to have run; without it they count as attempts.
     """
 
-    claim_wait: Millis = 2 * SECOND
-    receipt_wait: Millis = 1 * SECOND
-    ask_wait: Millis = 1 * SECOND
-    poll_wait: Millis = 250.0
+    claim_timeout: Millis = 2 * SECOND
+    receipt_timeout: Millis = 1 * SECOND
+    query_timeout: Millis = 1 * SECOND
+    poll_interval: Millis = 250.0
     linger: Millis = 60 * SECOND
     replica_wait: Millis = 5 * SECOND
     max_attempts: int = 4
     max_claims: int = 6
-    max_asks: int = 4
+    max_queries: int = 4
     max_alone_tries: int = 40
     max_refusals: int | None = None
 
--- a/src/oleanderdyke/kernel/attempt_events.py
+++ b/src/oleanderdyke/kernel/attempt_events.py
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimAnswered:
-    """Pass an agent's answer to `AskClaim`."""
+    """Pass an agent's answer to `QueryClaim`."""
 
     answer: ClaimAnswer
 
@@ -218,7 +218,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskClaim:
+class QueryClaim:
     """Send `ClaimQuery` to the claim's agent, over a new link if needed."""
 
     agent: str
@@ -329,7 +329,7 @@
     | AppendClaim
     | AppendRelease
     | AppendOutcome
-    | AskClaim
+    | QueryClaim
     | SendDispatch
     | SendCancel
     | SendResume
--- a/src/oleanderdyke/kernel/attempts.py
+++ b/src/oleanderdyke/kernel/attempts.py
@@ -299,7 +299,7 @@
         """Ask the same agent for the rest of the same run, if it can."""
         routed = self._routed
         self._resumes += 1
-        may_resume = self._token and self._resumes <= self._settings.max_asks
+        may_resume = self._token and self._resumes <= self._settings.max_queries
         if routed is None or not may_resume:
             return self._after_silence()
         self._stage = Stage.RESUMING
@@ -311,7 +311,7 @@
             token=self._token,
             sequence=self._delivered,
         )
-        wait = self._settings.ask_wait
+        wait = self._settings.query_timeout
         return (resume, self._start_timer(TimerKind.RESUME, wait))
 
     def _on_timer(self, event: TimerFired) -> Actions:
--- a/src/oleanderdyke/kernel/claimed_attempts.py
+++ b/src/oleanderdyke/kernel/claimed_attempts.py
@@ -17,7 +17,6 @@
     AppendClaim,
     AppendOutcome,
     AppendRelease,
-    AskClaim,
     ClaimAnswered,
     ClaimFailed,
     ClaimSettled,
@@ -26,6 +25,7 @@
     DeliverHead,
     OutcomeFailed,
     OutcomeRecorded,
+    QueryClaim,
     StartTimer,
     TimerKind,
 )
@@ -80,7 +80,7 @@
             horizon=facts.horizon,
         )
         release, self._release = self._release, None
-        wait = self._settings.claim_wait
+        wait = self._settings.claim_timeout
         timer = self._start_timer(TimerKind.CLAIM, wait)
         return (AppendClaim(record, release), timer)
 
@@ -133,11 +133,11 @@
         if claim is None:
             return self._refuse(ErrorKind.INTERNAL)
         self._asks += 1
-        if self._asks > self._settings.max_asks:
+        if self._asks > self._settings.max_queries:
             return self._give_up_asking()
         self._stage = Stage.ASKING
-        timer = self._start_timer(TimerKind.ASK, self._settings.ask_wait)
-        return (AskClaim(claim.agent, claim), timer)
+        timer = self._start_timer(TimerKind.ASK, self._settings.query_timeout)
+        return (QueryClaim(claim.agent, claim), timer)
 
     def _give_up_asking(self) -> Actions:
         if self._is_running:
@@ -162,7 +162,9 @@
         self._stage = Stage.POLLING
         self._asks = 0
         self._is_running = True
-        return (self._start_timer(TimerKind.POLL, self._settings.poll_wait),)
+        return (
+            self._start_timer(TimerKind.POLL, self._settings.poll_interval),
+        )
 
     def _reclaim(self) -> Actions:
         """Go on after the agent has proven and barred."""
@@ -209,7 +211,7 @@
         self._known_ran = Ran.YES
         self._stage = Stage.RECORDING
         outcome = self._get_receipt().make_outcome(claim)
-        wait = self._settings.receipt_wait
+        wait = self._settings.receipt_timeout
         timer = self._start_timer(TimerKind.RECEIPT, wait)
         return (AppendOutcome(outcome), timer)
 
--- a/src/oleanderdyke/kernel/claims.py
+++ b/src/oleanderdyke/kernel/claims.py
@@ -131,7 +131,7 @@
         return self._target is not None and self._next >= self._target
 
     @property
-    def time(self) -> Millis:
+    def log_time(self) -> Millis:
         """Return the latest log time that was read."""
         return self._time
 
--- a/tests/matrix/entry.py
+++ b/tests/matrix/entry.py
@@ -231,7 +231,7 @@
             ),
             exports=ExportChooser(policies),
             drain=world.variants.drain(ENTRY_DRAIN),
-            machine=AttemptSettings(claim_wait=settings.claims.wait),
+            machine=AttemptSettings(claim_timeout=settings.claims.wait),
         )
 
     def _run(
--- a/tests/safety_model.py
+++ b/tests/safety_model.py
@@ -248,7 +248,7 @@
                 key=key,
                 horizon=1e12,
             ),
-            settings=AttemptSettings(max_asks=2),
+            settings=AttemptSettings(max_queries=2),
             budget=self.budget,
         )
         self.machines[call.request] = machine
@@ -351,7 +351,7 @@
             Append(self.name, request, records, claim_id, is_outcome)
         )
 
-    def _do_ask_claim(self, request: str, action: ev.AskClaim) -> None:
+    def _do_ask_claim(self, request: str, action: ev.QueryClaim) -> None:
         call = self.world.calls[request]
         query = ClaimQuery(request, call.team, action.claim)
         self._send(action.agent, action.claim.incarnation, query)
@@ -407,7 +407,7 @@
         ev.AppendClaim: _do_append_claim,
         ev.AppendRelease: _do_append_release,
         ev.AppendOutcome: _do_append_outcome,
-        ev.AskClaim: _do_ask_claim,
+        ev.QueryClaim: _do_ask_claim,
         ev.SendDispatch: _do_send_dispatch,
         ev.StartTimer: _do_start_timer,
         ev.DeliverChunk: _do_deliver_chunk,
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -179,13 +179,13 @@
 
 def test_claimed_answer_that_broke_on_its_way_is_never_cancelled():
     case = make_claimed_run().head()
-    case.fail(ErrorKind.STREAM_BROKEN, Ran.MAYBE).find(ev.AskClaim)
+    case.fail(ErrorKind.STREAM_BROKEN, Ran.MAYBE).find(ev.QueryClaim)
     case.on(ev.DeadlinePassed())
     assert not any(isinstance(x, ev.SendCancel) for x in case.actions)
 
 
 def test_resume_that_is_never_answered_ends_the_stream():
-    case = make_run(idempotent=True, max_asks=2).head('token').chunk()
+    case = make_run(idempotent=True, max_queries=2).head('token').chunk()
     case.on(ev.LinkLost('agent-1', 'i1')).fire().fire()
     assert case.refusal() == (ErrorKind.STREAM_BROKEN, Ran.MAYBE)
 
--- a/tests/test_claimed_attempts.py
+++ b/tests/test_claimed_attempts.py
@@ -96,7 +96,7 @@
 
 def test_lost_link_asks_the_agent():
     case = make_claimed_run().on(ev.LinkLost('agent-1', 'i1'))
-    assert case.find(ev.AskClaim).claim == MINE
+    assert case.find(ev.QueryClaim).claim == MINE
     case.answer(ClaimState.UNKNOWN)
     assert case.refusal() == (ErrorKind.OUTCOME_UNKNOWN, Ran.MAYBE)
 
@@ -138,9 +138,9 @@
 
 def test_second_call_joins_the_run():
     case = Case(key=KEY, verdict=OwnedByOther(OTHER))
-    assert case.find(ev.AskClaim).agent == 'agent-2'
+    assert case.find(ev.QueryClaim).agent == 'agent-2'
     case.answer(ClaimState.RUNNING, OTHER).fire()
-    assert case.find(ev.AskClaim)
+    assert case.find(ev.QueryClaim)
     case.answer(ClaimState.FINISHED, OTHER).on(ev.OutcomeRecorded())
     assert case.find(ev.DeliverChunk).data == b'booked'
 
--- a/tests/test_entry_streams.py
+++ b/tests/test_entry_streams.py
@@ -99,7 +99,7 @@
 async def test_stream_goes_on_over_a_new_link():
     async with bounded() as tasks:
         edge, link = make_model()
-        edge.core.machine = replace(edge.core.machine, ask_wait=20.0)
+        edge.core.machine = replace(edge.core.machine, query_timeout=20.0)
         edge.start(tasks)
         replies, dispatch = await start_chat(edge, link)
         request = dispatch.request
