--- a/src/oleanderdyke/entry/sender.py
+++ b/src/oleanderdyke/entry/sender.py
@@ -12,13 +12,13 @@
 from oleanderdyke.errors import OleanderError
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.attempt_events import (
-    AskClaim,
+    DispatchNotSent,
     IncarnationEnded,
     LinkLost,
+    QueryClaim,
     SendCancel,
     SendDispatch,
     SendResume,
-    Unsent,
 )
 from oleanderdyke.kernel.blocks import make_hint
 from oleanderdyke.links.link import Link
@@ -63,7 +63,7 @@
         """Send the request; tell whether any of it was sent."""
         link = self._find(action.agent, action.incarnation)
         if link is None:
-            self._inbox.put(Unsent(action.attempt))
+            self._inbox.put(DispatchNotSent(action.attempt))
             return False
         self._link, self._attempt, self._ungranted = link, action.attempt, 0
         self._receiver.expect(action.attempt)
@@ -121,7 +121,7 @@
         )
         await self._send(link, message)
 
-    async def ask(self, action: AskClaim) -> None:
+    async def ask(self, action: QueryClaim) -> None:
         """Ask an agent what became of a claim."""
         link = self._core.find_link(action.agent)
         if link is None:
