--- a/examples/hosted.py
+++ b/examples/hosted.py
@@ -20,7 +20,7 @@
     MODEL,
     OPERATOR,
     SERVERS,
-    Answered,
+    ReceivedAnswer,
     call,
     format_settings,
     make_record,
@@ -146,7 +146,7 @@
     return faults
 
 
-def _say(what: str, found: Answered, expected: int) -> int:
+def _say(what: str, found: ReceivedAnswer, expected: int) -> int:
     mark = 'as expected' if found.status == expected else f'not {expected}'
     print(f'{what}: {found.status}, {len(found.body)} bytes, {mark}')
     return int(found.status != expected)
--- a/src/oleanderdyke/entry/hosted/attempt.py
+++ b/src/oleanderdyke/entry/hosted/attempt.py
@@ -103,8 +103,8 @@
     async def start(self) -> None:
         """Send the request on a kept connection or a new one."""
         core = self._core
-        backend = core.book.find_start(self._start)
-        if backend is None or core.book.has_left(self._start):
+        backend = core.backends.find_start(self._start)
+        if backend is None or core.backends.has_left(self._start):
             self._report_unsent('the server has left')
             return
         address = self._address = backend.record.address
@@ -113,7 +113,7 @@
             if connection is None:
                 connection = await core.pool.open(address)
         except OSError as error:
-            core.book.note_failed(self._start, core.clock.now())
+            core.backends.note_failed(self._start, core.clock.now())
             core.pool.drop_idle(address)
             self._report_unsent(f'cannot connect: {type(error).__name__}')
             return
@@ -143,7 +143,7 @@
         """
         if self._done or not self._sent:
             return
-        if self._core.book.is_superseded(self._start):
+        if self._core.backends.is_superseded(self._start):
             self._close_failed(
                 ErrorKind.STREAM_BROKEN, Ran.MAYBE, 'its server started anew'
             )
@@ -163,7 +163,7 @@
 
     def find_silence(self, now: Millis) -> Millis:
         """Return for how long the server has owed bytes and sent none."""
-        backend = self._core.book.find_start(self._start)
+        backend = self._core.backends.find_start(self._start)
         if self._done or backend is None:
             return 0.0
         return backend.find_silence(now)
@@ -181,7 +181,7 @@
             self._lessons.take_refusal(facts, self._weights)
             self._report_failure(ErrorKind.OVERLOADED, Ran.NO, f'{status}')
         elif status >= _SERVER_ERROR and self._reserve_retry():
-            self._core.book.note_error(self._start)
+            self._core.backends.note_error(self._start)
             self._report_failure(ErrorKind.STREAM_BROKEN, Ran.YES, f'{status}')
         elif self._goes_on() and not is_rest(status, headers):
             reason = f'{status} instead of the rest of the stream'
@@ -215,7 +215,7 @@
             )
             return
         self._release()
-        self._core.book.note_good(self._start)
+        self._core.backends.note_good(self._start)
         self._finish()
         end = AnswerEnd(
             self._call.request, self._number, self._sequence, digest=b''
@@ -239,7 +239,7 @@
         each would cost one more request.
         """
         core = self._core
-        core.book.note_failed(self._start, core.clock.now())
+        core.backends.note_failed(self._start, core.clock.now())
         if not self._has_answered:
             core.pool.drop_idle(self._address)
 
@@ -249,7 +249,7 @@
         What was true when the server was chosen may have changed while the
         connection was opened, by 300 ms at most.
         """
-        if self._core.book.has_left(self._start):
+        if self._core.backends.has_left(self._start):
             return 'the server left while connecting'
         obstacle = self._core.limits.find_send_obstacle(
             backend, self._chosen_at, self._core.clock.now()
@@ -292,7 +292,7 @@
             self._memory,
             is_alone=not backend.waiting and not backend.count_waiting(now),
         )
-        core.book.note_sent(self._start, self._name, owed)
+        core.backends.note_sent(self._start, self._name, owed)
         core.limits.note_sent(backend, now)
         connection.send(head, call.body, self)
         core.log.write(
@@ -327,7 +327,7 @@
 
     def _learn(self, facts: AnswerFacts) -> None:
         core = self._core
-        core.book.note_heard(self._start, self._name, core.clock.now())
+        core.backends.note_heard(self._start, self._name, core.clock.now())
         if is_own_answer(facts, self._call.request, self.server):
             self._lessons.take_facts(facts)
         if self._connection is not None:
@@ -361,7 +361,7 @@
         self._inbox.put(Received(chunk))
 
     def _note_heard(self) -> None:
-        backend = self._core.book.find_start(self._start)
+        backend = self._core.backends.find_start(self._start)
         if backend is not None:
             backend.heard = self._core.clock.now()
 
@@ -396,4 +396,6 @@
     def _finish(self) -> None:
         self._done = True
         if self._sent:
-            self._core.book.note_ended(self._start, self._name, self._memory)
+            self._core.backends.note_ended(
+                self._start, self._name, self._memory
+            )
--- a/src/oleanderdyke/entry/hosted/contexts.py
+++ b/src/oleanderdyke/entry/hosted/contexts.py
@@ -216,7 +216,7 @@
         core = self._core
         now = core.clock.now()
         for model, newest in core.rollout.weights.list_newest().items():
-            oldest = core.book.find_oldest_version(model)
+            oldest = core.backends.find_oldest_version(model)
             known = None if core.is_stale else oldest
             self._outdated.note(model, newest, known, now)
 
--- a/src/oleanderdyke/entry/hosted/core.py
+++ b/src/oleanderdyke/entry/hosted/core.py
@@ -75,7 +75,7 @@
     news: SharedNews
     limits: SendLimits
     entries: EntryCount = field(default_factory=EntryCount)
-    book: BackendBook = field(default_factory=BackendBook)
+    backends: BackendBook = field(default_factory=BackendBook)
     deployment: Deployment | None = None
     durations: Durations = field(default_factory=Durations)
     rollout: Rollout = field(default_factory=lambda: Rollout(math.inf))
@@ -104,12 +104,12 @@
 
     def note_load(self, start: ServerStart, load: ServerLoad) -> None:
         """Take the load that a server told, and keep it for neighbours."""
-        backend = self.book.find_start(start)
+        backend = self.backends.find_start(start)
         rate_limit = None
         if backend is not None and backend.limit.was_named:
             rate_limit = backend.limit.per_second
         told = TimedLoad(start, load, self.clock.now(), rate_limit)
-        self.book.note_load(start, load, told.at)
+        self.backends.note_load(start, load, told.at)
         self.news.desk.loads.note(told)
         self.news.desk.own_loads.note(told)
 
@@ -117,11 +117,11 @@
         """Take the load that a server told a neighbour."""
         if not self.news.desk.loads.note(told):
             return
-        self.book.note_load(told.start, told.load, told.at)
+        self.backends.note_load(told.start, told.load, told.at)
         if told.rate_limit is not None:
-            self.note_limit(told.start, told.rate_limit, told_at=told.at)
+            self.record_rate_limit(told.start, told.rate_limit, told_at=told.at)
 
-    def note_limit(
+    def record_rate_limit(
         self,
         start: ServerStart,
         per_second: float,
@@ -136,7 +136,7 @@
         """
         now = self.clock.now()
         told_at = now if told_at is None else told_at
-        if not self.book.note_limit(start, per_second, told_at, now):
+        if not self.backends.note_limit(start, per_second, told_at, now):
             return
         self.log.write(
             EventName.BACKEND_LIMITED,
@@ -147,9 +147,9 @@
             age=round(now - told_at),
         )
 
-    def note_leaving(self, start: ServerStart, request: str) -> None:
+    def mark_leaving(self, start: ServerStart, request: str) -> None:
         """Send nothing more to a start whose answer to a request says so."""
-        if self.book.note_leaving(start):
+        if self.backends.note_leaving(start):
             self.log.write(
                 EventName.BACKEND_LEAVING,
                 peer=start.server,
@@ -157,11 +157,11 @@
                 request=request,
             )
 
-    def note_backoff(
+    def record_backoff(
         self, start: ServerStart, pause: Millis, request: str
     ) -> None:
         """Send nothing to a start that refused a request, for a pause."""
-        if self.book.note_backoff(start, pause, self.clock.now()):
+        if self.backends.note_backoff(start, pause, self.clock.now()):
             self.log.write(
                 EventName.BACKEND_BACKOFF,
                 peer=start.server,
--- a/src/oleanderdyke/entry/hosted/lessons.py
+++ b/src/oleanderdyke/entry/hosted/lessons.py
@@ -22,13 +22,13 @@
     def take_facts(self, facts: AnswerFacts) -> None:
         """Learn what an answer tells of its server."""
         if facts.is_leaving:
-            self._core.note_leaving(self._start, self._call.request)
+            self._core.mark_leaving(self._start, self._call.request)
         if facts.retry_after is not None:
-            self._core.note_backoff(
+            self._core.record_backoff(
                 self._start, facts.retry_after, self._call.request
             )
         if facts.rate_limit is not None:
-            self._core.note_limit(
+            self._core.record_rate_limit(
                 self._start, facts.rate_limit, request=self._call.request
             )
         self._log_malformed(facts)
@@ -36,14 +36,14 @@
             self._core.note_load(self._start, facts.load)
         demand = self._call.asked.demand
         if demand is not None and facts.weight_version is not None:
-            self._core.book.note_version(
+            self._core.backends.note_version(
                 self._start, demand.model, facts.weight_version
             )
 
     def _log_malformed(self, facts: AnswerFacts) -> None:
         core, start = self._core, self._start
         for found in facts.malformed:
-            if core.book.note_malformed(start, found.field):
+            if core.backends.note_malformed(start, found.field):
                 core.log.write(
                     EventName.RECORD_REFUSED,
                     name=found.field.value,
@@ -56,30 +56,30 @@
         """Learn why a call that was `sent` for some weights was not run."""
         core, demand = self._core, self._call.asked.demand
         if facts.server and facts.server != self._start.server:
-            core.book.note_replaced(self._start)
+            core.backends.note_replaced(self._start)
             return
         now = core.clock.now()
-        backend = core.book.find_start(self._start)
+        backend = core.backends.find_start(self._start)
         if demand is not None and backend is not None:
             held = backend.record.versions.get(demand.model, 0)
             if facts.is_misdirected and facts.server:
                 self._take_newer(demand.model, held, sent)
                 return
             if held < core.rollout.weights.find_newest(demand.model):
-                core.book.note_reloading(self._start, now)
+                core.backends.note_reloading(self._start, now)
                 return
-        core.book.note_refused(self._start, now)
+        core.backends.note_refused(self._start, now)
 
     def take_begun(self) -> None:
         """Learn that a server has read a prompt, and likely keeps its parts."""
         core, demand = self._core, self._call.asked.demand
-        backend = core.book.find_start(self._start)
+        backend = core.backends.find_start(self._start)
         deployment = core.deployment
         if demand is None or backend is None or deployment is None:
             return
         memory = deployment.find_memory(backend.record.service)
         if memory is not None:
-            core.book.note_kept(self._start, demand.parts, memory)
+            core.backends.note_kept(self._start, demand.parts, memory)
 
     def _take_newer(self, model: str, held: int, sent: Weights) -> None:
         """Learn that a server no longer holds the weights that it told.
@@ -93,6 +93,6 @@
         if held != sent.get(model):
             return
         if later > held:
-            core.book.note_version(self._start, model, later)
+            core.backends.note_version(self._start, model, later)
         else:
-            core.book.note_refused(self._start, core.clock.now())
+            core.backends.note_refused(self._start, core.clock.now())
--- a/src/oleanderdyke/entry/hosted/placing.py
+++ b/src/oleanderdyke/entry/hosted/placing.py
@@ -87,7 +87,7 @@
         not sent back for the crowd that it would join.
         """
         now = self._core.clock.now()
-        listed = self._core.book.list_service(self._call.service, now)
+        listed = self._core.backends.list_service(self._call.service, now)
         demand = make_demand(self._core, self._call, listed, tried)
         choice = choose_among(demand, listed, now)
         if choice is None:
--- a/src/oleanderdyke/entry/hosted/watch.py
+++ b/src/oleanderdyke/entry/hosted/watch.py
@@ -115,10 +115,10 @@
                 notice, now=core.clock.now(), shift=core.engine_clock.most
             )
             # The list tells the same up to two seconds later.
-            backend = core.book.find(notice.server)
+            backend = core.backends.find(notice.server)
             if backend is not None and notice.held:
                 start = backend.record.start
-                core.book.note_version(start, notice.model, notice.held)
+                core.backends.note_version(start, notice.model, notice.held)
         if notices and not self._long_loads.was_shared:
             await anyio.sleep(_LOADS_HOLD / SECOND)
 
@@ -148,14 +148,14 @@
         now = core.clock.now()
         # What a neighbour tells may be older than the way that it came.
         read_at = asked_at + news.waited if self._short.was_shared else now
-        core.book.note_answer(now, read_at)
-        _take_servers(core.book, news, now)
-        core.book.note_read(now, read_at)
-        self._roster.note(core.book, now, now - (core.servers_read or now))
+        core.backends.note_answer(now, read_at)
+        _take_servers(core.backends, news, now)
+        core.backends.note_read(now, read_at)
+        self._roster.note(core.backends, now, now - (core.servers_read or now))
         core.servers_read = now
         # Connections to a start that has ended may be dead without a sign, as
         # behind a cut; each would cost a request half a second.
-        for ended in core.book.take_superseded():
+        for ended in core.backends.take_superseded():
             core.pool.drop_idle(ended.address)
 
     async def _follow(
--- a/tests/hosted.py
+++ b/tests/hosted.py
@@ -55,7 +55,7 @@
     'resumable': True,
     'maxAttempts': 2,
 }
-LETTER_ROUTE = {
+UNRESUMABLE_ROUTE = {
     **STREAM_ROUTE,
     'name': 'r-letter',
     'pathPrefix': '/letter/',
@@ -64,7 +64,7 @@
 }
 CONFIGURATION: dict[str, Any] = {
     'version': 7,
-    'routes': [ROUTE, SAFE_ROUTE, STREAM_ROUTE, LETTER_ROUTE],
+    'routes': [ROUTE, SAFE_ROUTE, STREAM_ROUTE, UNRESUMABLE_ROUTE],
     'services': [{'name': 'desk', 'maxConnections': 96}],
     'limits': {
         'maxHeaderBytes': 16_384,
@@ -91,7 +91,7 @@
 
 
 @dataclass
-class Answered:
+class ReceivedAnswer:
     """Hold an answer as a caller saw it; `is_whole` tells how it ended."""
 
     status: int
@@ -113,7 +113,7 @@
 
     async def call(
         self, path: str, *, body: bytes = b'', **headers: str
-    ) -> Answered:
+    ) -> ReceivedAnswer:
         """Send a request of a caller and read its answer to the end."""
         return await call(self.address, path, body=body, **headers)
 
@@ -189,10 +189,10 @@
     """Let the other servers look worse, so that this one is tried first."""
     for other in range(len(stage.replicas)):
         if other != number:
-            stage.core.book.note_error(ServerStart(f'i-{other}'))
+            stage.core.backends.note_error(ServerStart(f'i-{other}'))
 
 
-def act_while_opening(stage: Stage, act: Callable[[], object]) -> None:
+def run_while_connecting(stage: Stage, act: Callable[[], object]) -> None:
     """Do something between the choice of a server and the send to it."""
     pool = stage.core.pool
     opened = pool.open
@@ -212,7 +212,7 @@
     method: str = 'POST',
     body: bytes = b'',
     **headers: str,
-) -> Answered:
+) -> ReceivedAnswer:
     """Send one request on a connection of its own."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(make_request(path, method=method, body=body, **headers))
@@ -242,7 +242,7 @@
     return f'{method} {path} HTTP/1.1\r\n{lines}\r\n'.encode() + body
 
 
-async def read_answer(reader: asyncio.StreamReader) -> Answered:
+async def read_answer(reader: asyncio.StreamReader) -> ReceivedAnswer:
     """Read one answer; it is whole only if its framing says so."""
     head = await reader.readuntil(b'\r\n\r\n')
     first, *lines = head.decode('latin-1').split('\r\n')
@@ -251,7 +251,7 @@
     )
     status = int(first.split()[1])
     body, is_whole = await _read_body(reader, headers)
-    return Answered(status, headers, body, is_whole)
+    return ReceivedAnswer(status, headers, body, is_whole)
 
 
 async def _read_body(
--- a/tests/hosted_runs.py
+++ b/tests/hosted_runs.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from tests.hosted import Answered
+from tests.hosted import ReceivedAnswer
 from tests.standins.replica import (
     Peer,
     make_answer,
@@ -157,7 +157,7 @@
     assert len(runs) <= most, f'{len(runs)} runs where {most} may be'
 
 
-def check_told(answered: Answered, runs: list[Run], path: str) -> None:
+def check_told(answered: ReceivedAnswer, runs: list[Run], path: str) -> None:
     """Check the answer of a caller who stayed against what ran."""
     if answered.status in _PROMISES or _tells_not_run(answered):
         assert not runs, 'told as not run, but it ran'
@@ -169,14 +169,14 @@
         assert answered.body in [run.told for run in runs], 'no run said that'
 
 
-def _tells_not_run(answered: Answered) -> bool:
+def _tells_not_run(answered: ReceivedAnswer) -> bool:
     # What the entry itself says is JSON, what servers say is not.
     if not answered.body.startswith(b'{'):
         return False
     return bool(json.loads(answered.body)['ran'] == 'no')
 
 
-def _check_events(answered: Answered) -> None:
+def _check_events(answered: ReceivedAnswer) -> None:
     whole = b''.join(make_event(number + 1) for number in range(_EVENTS))
     if answered.is_whole:
         assert answered.body == whole, 'events are missing, or there twice'
--- a/tests/test_hosted_entry.py
+++ b/tests/test_hosted_entry.py
@@ -237,7 +237,7 @@
 
 async def test_a_server_that_leaves_gets_nothing_more(tmp_path):
     async with staging(tmp_path, answer_well, answer_well) as stage:
-        address = stage.core.book.find('i-0').record.address
+        address = stage.core.backends.find('i-0').record.address
         leaving = make_record(address, state='draining')
         stage.store.put(SERVERS, 'i-0', leaving)
         await anyio.sleep(0.8)
@@ -248,7 +248,7 @@
 
 async def test_a_server_that_left_never_comes_back(tmp_path):
     async with staging(tmp_path, answer_well, answer_well) as stage:
-        address = stage.core.book.find('i-0').record.address
+        address = stage.core.backends.find('i-0').record.address
         leaving = make_record(address, state='draining')
         stage.store.put(SERVERS, 'i-0', leaving)
         await anyio.sleep(0.8)
--- a/tests/test_hosted_leaving.py
+++ b/tests/test_hosted_leaving.py
@@ -12,8 +12,8 @@
 from oleanderdyke.logs import parse_line
 from tests.hosted import (
     CONFIGURATION,
-    LETTER_ROUTE,
-    Answered,
+    UNRESUMABLE_ROUTE,
+    ReceivedAnswer,
     Stage,
     make_request,
     prefer,
@@ -74,7 +74,7 @@
         writer.close()
 
 
-async def _read(reader: asyncio.StreamReader) -> Answered:
+async def _read(reader: asyncio.StreamReader) -> ReceivedAnswer:
     with anyio.fail_after(_WAIT):
         return await read_answer(reader)
 
@@ -167,7 +167,7 @@
 
 async def test_a_letter_at_a_server_that_fell_silent_is_given_up(tmp_path):
     runs = Runs()
-    letter = {**LETTER_ROUTE, 'timeoutMs': 9_000}
+    letter = {**UNRESUMABLE_ROUTE, 'timeoutMs': 9_000}
     configuration = {**CONFIGURATION, 'routes': [letter]}
     async with (
         staging(
@@ -186,7 +186,7 @@
 ):
     """No silence ends an answer sooner than its caller or its deadline."""
     runs = Runs()
-    letter = {**LETTER_ROUTE, 'timeoutMs': 9_000}
+    letter = {**UNRESUMABLE_ROUTE, 'timeoutMs': 9_000}
     configuration = {**CONFIGURATION, 'routes': [letter]}
     async with staging(
         tmp_path, runs.make(1), configuration=configuration
@@ -200,7 +200,7 @@
 async def test_a_letter_at_a_server_that_sends_to_others_is_waited_for(
     tmp_path,
 ):
-    letter = {**LETTER_ROUTE, 'timeoutMs': 9_000}
+    letter = {**UNRESUMABLE_ROUTE, 'timeoutMs': 9_000}
     configuration = {**CONFIGURATION, 'routes': [letter]}
 
     async def take_turns(peer: Peer) -> None:
@@ -267,7 +267,7 @@
     tmp_path,
 ):
     """A server may put a run aside midway for more urgent ones."""
-    letter = {**LETTER_ROUTE, 'timeoutMs': 9_000}
+    letter = {**UNRESUMABLE_ROUTE, 'timeoutMs': 9_000}
 
     async def pause_midway(peer: Peer) -> None:
         await send_events(peer, 1, 1)
--- a/tests/test_hosted_limits.py
+++ b/tests/test_hosted_limits.py
@@ -13,8 +13,8 @@
     OPERATOR,
     SERVERS,
     Stage,
-    act_while_opening,
     make_record,
+    run_while_connecting,
     staging,
 )
 
@@ -45,7 +45,7 @@
 
 def move(stage: Stage, number: int, data_centre: str) -> None:
     """List a server in another data centre."""
-    backend = stage.core.book.find(f'i-{number}')
+    backend = stage.core.backends.find(f'i-{number}')
     record = make_record(backend.record.address, zone=data_centre, seq=2)
     stage.store.put(SERVERS, f'i-{number}', record)
 
@@ -53,7 +53,7 @@
 async def test_an_evacuation_keeps_requests_in_other_data_centres(tmp_path):
     async with staging(tmp_path, answer, answer) as stage:
         move(stage, 1, 'yard')
-        book = stage.core.book
+        book = stage.core.backends
         await wait_until(lambda: book.find('i-1').record.data_centre == 'yard')
         await evacuate(stage)
         for _ in range(4):
@@ -122,7 +122,7 @@
 async def test_an_evacuation_counts_while_a_connection_is_opened(tmp_path):
     async with staging(tmp_path, answer) as stage:
         evacuations = stage.core.limits.evacuations
-        act_while_opening(stage, lambda: evacuations.begin('hall'))
+        run_while_connecting(stage, lambda: evacuations.begin('hall'))
         assert (await stage.call('/once/x')).status == REFUSED
         assert count_received(stage) == [0]
 
@@ -138,7 +138,7 @@
     ) as stage:
         stage.core.limits.regions = {'hall': 'north', 'port': 'south'}
         move(stage, 1, 'port')
-        book = stage.core.book
+        book = stage.core.backends
         await wait_until(lambda: book.find('i-1').record.data_centre == 'port')
         for _ in range(3):
             assert (await stage.call('/safe/x')).status == ANSWERED
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -10,9 +10,9 @@
 from tests.hosted import (
     SERVERS,
     Stage,
-    act_while_opening,
     make_record,
     prefer,
+    run_while_connecting,
     staging,
 )
 from tests.standins.scripts import answer_well, naming
@@ -38,11 +38,11 @@
 
 async def list_again(stage: Stage, beat: int) -> None:
     """Have the first server listed as ready, and wait until that is read."""
-    backend = stage.core.book.find('i-0')
+    backend = stage.core.backends.find('i-0')
     record = make_record(backend.record.address, seq=beat)
     stage.store.put(SERVERS, 'i-0', record)
     with anyio.fail_after(5):
-        while stage.core.book.find('i-0').record.beat != beat:
+        while stage.core.backends.find('i-0').record.beat != beat:
             await anyio.sleep(0.01)
 
 
@@ -131,7 +131,7 @@
     script = naming(server_leaving='1')[kind]
     async with staging(tmp_path, script) as stage:
         await stage.call(path)
-        assert stage.core.book.find('i-0').record.is_leaving
+        assert stage.core.backends.find('i-0').record.is_leaving
 
 
 @pytest.mark.parametrize(
@@ -144,7 +144,7 @@
 
     async with staging(tmp_path, answer_for_another) as stage:
         await stage.call('/once/x')
-        assert not stage.core.book.find('i-0').record.is_leaving
+        assert not stage.core.backends.find('i-0').record.is_leaving
 
 
 @pytest.mark.anyio
@@ -153,8 +153,8 @@
 ):
     async with staging(tmp_path, answer_well) as stage:
         core = stage.core
-        act_while_opening(
-            stage, lambda: core.note_leaving(ServerStart('i-0'), 'another')
+        run_while_connecting(
+            stage, lambda: core.mark_leaving(ServerStart('i-0'), 'another')
         )
         assert (await stage.call('/once/x')).status == REFUSED
         assert not stage.replicas[0].received
--- a/tests/test_old_weights.py
+++ b/tests/test_old_weights.py
@@ -34,10 +34,10 @@
 from tests import hosted
 from tests.hosted import (
     CONFIGURATION,
-    LETTER_ROUTE,
     MODEL,
     OPERATOR,
     SERVERS,
+    UNRESUMABLE_ROUTE,
     make_record,
 )
 from tests.standins import server
@@ -48,7 +48,7 @@
 from tests.standins.scripts import answer_well, send_events
 
 LIMIT = 3_000.0
-LETTER = {**LETTER_ROUTE, 'timeoutMs': 9_000}
+LETTER = {**UNRESUMABLE_ROUTE, 'timeoutMs': 9_000}
 LETTERS = {**CONFIGURATION, 'routes': [LETTER]}
 OLD = [{'name': MODEL, 'version': 1, 'adapters': []}]
 
--- a/tests/test_other_writers.py
+++ b/tests/test_other_writers.py
@@ -396,7 +396,7 @@
 
 def list_usable(stage) -> list[str]:
     core = stage.core
-    listed = core.book.list_service('desk', core.clock.now())
+    listed = core.backends.list_service('desk', core.clock.now())
     return [backend.record.server for backend in listed]
 
 
@@ -454,7 +454,7 @@
             SERVERS, 'i-9', make_record('127.0.0.1:9', state='draining')
         )
         with anyio.fail_after(5):
-            while stage.core.book.find('i-9') is None:
+            while stage.core.backends.find('i-9') is None:
                 await anyio.sleep(0.05)
         assert list_usable(stage) == ['i-0']
     assert json.loads(GOOD) == foreign.GOOD
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -10,7 +10,7 @@
 
 from oleanderdyke.clock import SECOND, make_clock
 from oleanderdyke.kernel.servers import ServerStart
-from tests.hosted import Stage, act_while_opening, prefer, staging
+from tests.hosted import Stage, prefer, run_while_connecting, staging
 from tests.standins.scripts import answer_well, naming
 from tests.test_send_limits import Entries
 
@@ -103,7 +103,7 @@
     """Have an entry alone hear what its first server names."""
     settle(stage)
     assert (await stage.call('/safe/first')).status == ANSWERED
-    backend = stage.core.book.find('i-0')
+    backend = stage.core.backends.find('i-0')
     assert backend.limit.is_named
 
 
@@ -145,8 +145,8 @@
 async def test_a_limit_counts_while_a_connection_is_opened(tmp_path):
     async with staging(tmp_path, LimitedServer(2.0)) as stage:
         core = stage.core
-        act_while_opening(
-            stage, lambda: core.note_limit(ServerStart('i-0'), 2.0)
+        run_while_connecting(
+            stage, lambda: core.record_rate_limit(ServerStart('i-0'), 2.0)
         )
         assert (await stage.call('/once/x')).status == REFUSED
         assert not stage.replicas[0].received
@@ -159,7 +159,7 @@
     script = naming(server_limit='2.0')[kind]
     async with staging(tmp_path, script) as stage:
         await stage.call(path)
-        assert stage.core.book.find('i-0').limit.per_second == 2.0
+        assert stage.core.backends.find('i-0').limit.per_second == 2.0
 
 
 @pytest.mark.anyio
@@ -172,4 +172,4 @@
 
     async with staging(tmp_path, answer_for_another) as stage:
         await stage.call('/once/x')
-        assert not stage.core.book.find('i-0').limit.is_named
+        assert not stage.core.backends.find('i-0').limit.is_named
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -11,7 +11,7 @@
 from oleanderdyke.kernel.backends import BackendBook
 from oleanderdyke.kernel.send_limits import Obstacle
 from oleanderdyke.kernel.servers import ServerStart
-from tests.hosted import Stage, act_while_opening, prefer, staging
+from tests.hosted import Stage, prefer, run_while_connecting, staging
 from tests.standins.scripts import answer_well
 from tests.test_hosted_log import list_events
 from tests.test_send_limits import Entries, make_limits, make_record
@@ -79,8 +79,8 @@
     async with staging(tmp_path, answer_well) as stage:
         core = stage.core
         core.limits.entries = Entries(spare=math.inf)
-        core.note_limit(START, 2.0)
-        core.note_backoff(START, 3 * SECOND, 'another')
+        core.record_rate_limit(START, 2.0)
+        core.record_backoff(START, 3 * SECOND, 'another')
         found = await stage.call('/once/x')
         assert found.status == REFUSED
         assert math.isfinite(float(found.headers['retry-after']))
@@ -90,8 +90,8 @@
 async def test_a_pause_counts_while_a_connection_is_opened(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         core = stage.core
-        act_while_opening(
-            stage, lambda: core.note_backoff(START, 3 * SECOND, 'another')
+        run_while_connecting(
+            stage, lambda: core.record_backoff(START, 3 * SECOND, 'another')
         )
         assert (await stage.call('/once/x')).status == REFUSED
         assert not stage.replicas[0].received
@@ -114,7 +114,7 @@
             assert (await stage.call('/once/x')).status == REFUSED
         lines = list_events(stage.log, 'record_refused')
         assert [each['name'] for each in lines].count('retry after') == 1
-        assert stage.core.book.find('i-0').backoff_until == 0.0
+        assert stage.core.backends.find('i-0').backoff_until == 0.0
 
 
 A = ServerStart('a')
--- a/tests/test_starts_entry.py
+++ b/tests/test_starts_entry.py
@@ -50,11 +50,11 @@
 
 
 async def tell_start(stage, born, name='i-0'):
-    address = stage.core.book.find(name).record.address
+    address = stage.core.backends.find(name).record.address
     stage.store.put(SERVERS, name, make_record(address, born=born))
     start = ServerStart(name, born)
     with anyio.fail_after(_READ_LIMIT):
-        while stage.core.book.find_start(start) is None:
+        while stage.core.backends.find_start(start) is None:
             await anyio.sleep(0.01)
 
 
--- a/tests/test_store_restores.py
+++ b/tests/test_store_restores.py
@@ -254,7 +254,7 @@
     store = make_store()
     store.back_up()
     async with staging(tmp_path, answer, store=store) as stage:
-        book = stage.core.book
+        book = stage.core.backends
         record = make_record(book.find('i-0').record.address, seq=3)
         store.restore()
         await anyio.sleep(1)
--- a/tests/test_waiting_for_servers.py
+++ b/tests/test_waiting_for_servers.py
@@ -43,7 +43,7 @@
 async def drop(stage):
     stage.store.drop(SERVERS, 'i-0')
     with anyio.fail_after(5):
-        while stage.core.book.list_service('desk', stage.core.clock.now()):
+        while stage.core.backends.list_service('desk', stage.core.clock.now()):
             await anyio.sleep(0.02)
 
 
@@ -116,7 +116,7 @@
     old = [{'name': MODEL, 'version': 1, 'adapters': []}]
     async with staging(tmp_path, answer_well, models=old) as stage:
         core = stage.core
-        (engine,) = core.book.list_service('desk', core.clock.now())
+        (engine,) = core.backends.list_service('desk', core.clock.now())
         engine.reload_until = core.clock.now() + 400.0
         found, took = await ask(
             stage,
--- a/tests/test_weights_gate.py
+++ b/tests/test_weights_gate.py
@@ -11,14 +11,14 @@
 from oleanderdyke.kernel.backend import Delay
 from oleanderdyke.kernel.overload import LATE_RANK
 from tests import hosted
-from tests.hosted import CONFIGURATION, LETTER_ROUTE, MODEL, OPERATOR
+from tests.hosted import CONFIGURATION, MODEL, OPERATOR, UNRESUMABLE_ROUTE
 from tests.standins.replica import make_chunk, make_event, make_head
 from tests.standins.scripts import answer_well, send_events
 
 LIMIT = 3_000.0
 LETTERS = {
     **CONFIGURATION,
-    'routes': [{**LETTER_ROUTE, 'timeoutMs': 9_000}],
+    'routes': [{**UNRESUMABLE_ROUTE, 'timeoutMs': 9_000}],
 }
 OLD = [{'name': MODEL, 'version': 1, 'adapters': []}]
 
@@ -106,7 +106,7 @@
         await name_weights(stage)
         await anyio.sleep(1.0)
         now = stage.core.clock.now()
-        (backend,) = stage.core.book.list_service('desk', now)
+        (backend,) = stage.core.backends.list_service('desk', now)
         backend.delays[LATE_RANK] = Delay(3_900.0, now)
         assert (await ask(stage, wait='6000')).status == 503
         assert not stage.replicas[0].received
