--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -17,7 +17,7 @@
     SegmentHint,
 )
 from oleanderdyke.kernel.prediction import BacklogTracker
-from oleanderdyke.policies.candidates import fits
+from oleanderdyke.policies.candidates import is_eligible
 from oleanderdyke.policies.registries import ROUTERS
 from oleanderdyke.policies.settings import PolicySettings
 
@@ -51,7 +51,7 @@
         replicas = [
             each
             for each in fleet.replicas(demand.service)
-            if fits(each, demand, exclude)
+            if is_eligible(each, demand, exclude)
         ]
         if not replicas:
             return _NO_REPLICA
--- a/bench/history.py
+++ b/bench/history.py
@@ -12,7 +12,7 @@
 from bench.workload import DEPLOYMENTS, Deployment, Trace, Visit, Workload
 from oleanderdyke.clock import Millis
 from oleanderdyke.kernel.demand import SEGMENT_TOKENS, Keeper
-from oleanderdyke.policies.exports import ExportChooser
+from oleanderdyke.policies.exports import ExportPolicy
 from oleanderdyke.policies.registries import KEEPERS
 from oleanderdyke.policies.settings import PRESETS, PolicySettings
 
@@ -80,15 +80,15 @@
         count = len(segments)
         if self.chooser is not None:
             self.chooser.note_used(segments)
-            count = self.chooser.count_worthy(segments)
+            count = self.chooser.count_worth_exporting(segments)
         self.store.write(segments[:count], now)
 
 
 def make_chooser(
     system: System, settings: PolicySettings
-) -> ExportChooser | None:
+) -> ExportPolicy | None:
     """Build the chooser of a system that has one."""
-    return ExportChooser(settings) if system.exports == 'returning' else None
+    return ExportPolicy(settings) if system.exports == 'returning' else None
 
 
 @lru_cache(maxsize=32)
--- a/bench/oracle.py
+++ b/bench/oracle.py
@@ -18,14 +18,14 @@
     SegmentHint,
 )
 from oleanderdyke.kernel.routing import (
-    LONG_NEXT,
-    SHORT_FIRST,
+    LONG_PRIORITY,
+    SHORT_PRIORITY,
     LinkView,
-    Source,
-    Standing,
-    choose_source,
+    PrefillPlan,
+    ReplicaEstimate,
+    plan_prefill,
 )
-from oleanderdyke.policies.candidates import fits
+from oleanderdyke.policies.candidates import is_eligible
 from oleanderdyke.policies.pressure import CachePressure
 from oleanderdyke.policies.routing import make_costs
 
@@ -56,12 +56,12 @@
         options = [
             self._weigh(demand, each)
             for each in fleet.replicas(demand.service)
-            if fits(each, demand, exclude)
+            if is_eligible(each, demand, exclude)
             and self._world.agents[each.agent].engine.up
         ]
         if not options:
             return _NO_REPLICA
-        pushed = self._pressure.weigh(
+        pushed = self._pressure.estimate_displaced(
             {
                 plan.agent: demand.tokens
                 - (plan.cached + plan.joined) * SEGMENT_TOKENS
@@ -79,7 +79,7 @@
         """Count what a cache turns over, as the policy does."""
         cached = plan.cached + plan.joined
         brought = demand.tokens - cached * SEGMENT_TOKENS
-        self._pressure.note_brought(plan.agent, brought, now)
+        self._pressure.record_added(plan.agent, brought, now)
 
     def note_first_token(self, request: str, now: Millis) -> None:
         """Learn nothing."""
@@ -93,7 +93,9 @@
     def note_listed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
         """Learn nothing."""
 
-    def _weigh(self, demand: Demand, replica: Replica) -> tuple[Source, Plan]:
+    def _weigh(
+        self, demand: Demand, replica: Replica
+    ) -> tuple[PrefillPlan, Plan]:
         world = self._world
         agent = world.agents[replica.agent]
         engine = agent.engine
@@ -115,9 +117,9 @@
             world.deployment.latency,
         )
         fetching = agent.count_fetching(segments[held:joined])
-        standing = Standing(
-            wait=engine.count_tokens(LONG_NEXT) * SECOND / rate,
-            short_wait=engine.count_tokens(SHORT_FIRST) * SECOND / rate,
+        standing = ReplicaEstimate(
+            wait=engine.count_tokens(LONG_PRIORITY) * SECOND / rate,
+            short_wait=engine.count_tokens(SHORT_PRIORITY) * SECOND / rate,
             tokens_per_second=rate,
             tokens=demand.tokens,
             cached=reach,
@@ -125,7 +127,7 @@
             covered=covered,
             link=link,
         )
-        source = choose_source(self._costs, standing)
+        source = plan_prefill(self._costs, standing)
         joins = joined - held
         cached, fetched = reach, source.fetched
         if joins:
@@ -138,8 +140,8 @@
             fetched=fetched,
             predicted=source.time,
             joined=joins,
-            priority=SHORT_FIRST
+            priority=SHORT_PRIORITY
             if source.rest <= self._costs.short_tokens
-            else LONG_NEXT,
+            else LONG_PRIORITY,
         )
         return source, plan
--- a/bench/world.py
+++ b/bench/world.py
@@ -339,7 +339,7 @@
         count = len(segments)
         if self.chooser is not None:
             self.chooser.note_used(segments)
-            count = self.chooser.count_worthy(segments)
+            count = self.chooser.count_worth_exporting(segments)
         held = self.fleet.count_leading(STORE, segments)
         if held < count and self.store.up:
             agent = self.agents[request.engine]
--- a/src/oleanderdyke/agent/prepare.py
+++ b/src/oleanderdyke/agent/prepare.py
@@ -18,7 +18,7 @@
 from oleanderdyke.kernel.blocks import Namespace, SegmentId, make_namespace
 from oleanderdyke.kernel.demand import SEGMENT_TOKENS
 from oleanderdyke.kernel.gate import Loaded
-from oleanderdyke.kernel.routing import BACKGROUND_LAST, lower_priority
+from oleanderdyke.kernel.routing import BACKGROUND_PRIORITY, lower_priority
 from oleanderdyke.links.messages import Dispatch, FetchPlan, Headers
 
 _REQUEST_ID = 'x-request-id'
@@ -90,7 +90,7 @@
             fetched = await self._fetch(run, dispatch.fetch, namespace)
             priority = self._find_priority(dispatch, dispatch.fetch, fetched)
         if dispatch.background:
-            priority = BACKGROUND_LAST
+            priority = BACKGROUND_PRIORITY
         self._check_weights(dispatch)
         headers = _drop(_make_headers(dispatch), _LENGTH, _JSON[0])
         return Prepared(
--- a/src/oleanderdyke/entry/chat.py
+++ b/src/oleanderdyke/entry/chat.py
@@ -9,7 +9,7 @@
 
 from oleanderdyke.entry.documents import make_bad_request, parse_document
 from oleanderdyke.kernel.blocks import PromptMessage, canonical_prompt
-from oleanderdyke.kernel.routing import BACKGROUND_LAST, SHORT_FIRST
+from oleanderdyke.kernel.routing import BACKGROUND_PRIORITY, SHORT_PRIORITY
 
 # A prompt of another form would not match its segments.
 _PROMPT_FIELDS = ('tools', 'tool_choice', 'functions', 'function_call')
@@ -54,7 +54,7 @@
 
     def make_engine_body(self, model: str, namespace: bytes) -> bytes:
         """Return the engine's JSON; the namespace keeps its cache apart."""
-        priority = BACKGROUND_LAST if self.background else SHORT_FIRST
+        priority = BACKGROUND_PRIORITY if self.background else SHORT_PRIORITY
         document = self.extra | {
             'model': model,
             'messages': [
--- a/src/oleanderdyke/entry/core.py
+++ b/src/oleanderdyke/entry/core.py
@@ -34,7 +34,7 @@
 from oleanderdyke.links.messages import PROTOCOL_VERSION, Hello, Message, Role
 from oleanderdyke.logs import EventLog, make_event_log
 from oleanderdyke.metrics import Metrics
-from oleanderdyke.policies.exports import ExportChooser
+from oleanderdyke.policies.exports import ExportPolicy
 from oleanderdyke.policies.registries import ADMISSIONS, ROUTERS, TeamTerms
 
 _INCARNATION_BYTES = 8
@@ -96,7 +96,7 @@
     budget: RetryBudget
     router: Router
     admission: Admission
-    exports: ExportChooser
+    exports: ExportPolicy
     drain: Drain
     machine: MachineSettings
     running: dict[str, Running] = field(default_factory=dict)
@@ -175,7 +175,7 @@
         admission=ADMISSIONS.find(settings.plugins.admission)(
             settings.policies, find_terms
         ),
-        exports=ExportChooser(settings.policies),
+        exports=ExportPolicy(settings.policies),
         drain=Drain(settings.drain),
         machine=MachineSettings(
             claim_wait=settings.claims.wait,
--- a/src/oleanderdyke/entry/hosted/answers.py
+++ b/src/oleanderdyke/entry/hosted/answers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from oleanderdyke.kernel.servers import AnswerFacts
+from oleanderdyke.kernel.servers import AnswerMetadata
 from oleanderdyke.links.messages import Headers
 from oleanderdyke.platform.requests import PROMISES
 
@@ -10,13 +10,13 @@
 _SUCCESS = range(200, 300)
 
 
-def find_fault(status: int, facts: AnswerFacts, request: str) -> str:
+def find_fault(status: int, facts: AnswerMetadata, request: str) -> str:
     """Return why an answer can't be that of the server to this request."""
     if facts.request and facts.request != request:
         # Also a late refusal: believed, it would leave this run unclosed
         # beside the next one.
         return 'an answer to another request'
-    if facts.is_not_run:
+    if facts.is_not_executed:
         return ''
     if status in _SUCCESS and not facts.is_sealed:
         return 'a success without the mark of a server'
@@ -25,7 +25,7 @@
     return ''
 
 
-def is_own_answer(facts: AnswerFacts, request: str, server: str) -> bool:
+def is_own_answer(facts: AnswerMetadata, request: str, server: str) -> bool:
     """Return whether an answer is a server's own to a request, not a late one.
 
     A server that restarted may answer at the address of another.
--- a/src/oleanderdyke/entry/hosted/attempt.py
+++ b/src/oleanderdyke/entry/hosted/attempt.py
@@ -35,7 +35,7 @@
 from oleanderdyke.kernel.attempt_events import Received, SendDispatch, Unsent
 from oleanderdyke.kernel.backend import Backend, Owed
 from oleanderdyke.kernel.named_weights import BEGIN_MARGIN, SEND_MARGIN
-from oleanderdyke.kernel.servers import AnswerFacts, ServerStart
+from oleanderdyke.kernel.servers import AnswerMetadata, ServerStart
 from oleanderdyke.links.messages import (
     AnswerChunk,
     AnswerEnd,
@@ -104,7 +104,7 @@
         """Send the request on a kept connection or a new one."""
         core = self._core
         backend = core.book.find_start(self._start)
-        if backend is None or core.book.has_left(self._start):
+        if backend is None or core.book.is_leaving_or_gone(self._start):
             self._report_unsent('the server has left')
             return
         address = self._address = backend.record.address
@@ -113,7 +113,7 @@
             if connection is None:
                 connection = await core.pool.open(address)
         except OSError as error:
-            core.book.note_failed(self._start, core.clock.now())
+            core.book.record_failure(self._start, core.clock.now())
             core.pool.drop_idle(address)
             self._report_unsent(f'cannot connect: {type(error).__name__}')
             return
@@ -177,11 +177,11 @@
         fault = find_fault(status, facts, self._call.request)
         if fault:
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, fault)
-        elif facts.is_not_run:
+        elif facts.is_not_executed:
             self._lessons.take_refusal(facts, self._weights)
             self._report_failure(ErrorKind.OVERLOADED, Ran.NO, f'{status}')
         elif status >= _SERVER_ERROR and self._reserve_retry():
-            self._core.book.note_error(self._start)
+            self._core.book.record_error(self._start)
             self._report_failure(ErrorKind.STREAM_BROKEN, Ran.YES, f'{status}')
         elif self._goes_on() and not is_rest(status, headers):
             reason = f'{status} instead of the rest of the stream'
@@ -215,7 +215,7 @@
             )
             return
         self._release()
-        self._core.book.note_good(self._start)
+        self._core.book.record_success(self._start)
         self._finish()
         end = AnswerEnd(
             self._call.request, self._number, self._sequence, digest=b''
@@ -239,7 +239,7 @@
         each would cost one more request.
         """
         core = self._core
-        core.book.note_failed(self._start, core.clock.now())
+        core.book.record_failure(self._start, core.clock.now())
         if not self._has_answered:
             core.pool.drop_idle(self._address)
 
@@ -249,7 +249,7 @@
         What was true when the server was chosen may have changed while the
         connection was opened, by 300 ms at most.
         """
-        if self._core.book.has_left(self._start):
+        if self._core.book.is_leaving_or_gone(self._start):
             return 'the server left while connecting'
         obstacle = self._core.limits.find_send_obstacle(
             backend, self._chosen_at, self._core.clock.now()
@@ -292,8 +292,8 @@
             self._memory,
             is_alone=not backend.waiting and not backend.count_waiting(now),
         )
-        core.book.note_sent(self._start, self._name, owed)
-        core.limits.note_sent(backend, now)
+        core.book.record_sent(self._start, self._name, owed)
+        core.limits.record_sent(backend, now)
         connection.send(head, call.body, self)
         core.log.write(
             EventName.DISPATCH_SENT,
@@ -325,9 +325,9 @@
             last_event='' if last is None else str(last),
         )
 
-    def _learn(self, facts: AnswerFacts) -> None:
+    def _learn(self, facts: AnswerMetadata) -> None:
         core = self._core
-        core.book.note_heard(self._start, self._name, core.clock.now())
+        core.book.record_received(self._start, self._name, core.clock.now())
         if is_own_answer(facts, self._call.request, self.server):
             self._lessons.take_facts(facts)
         if self._connection is not None:
@@ -396,4 +396,4 @@
     def _finish(self) -> None:
         self._done = True
         if self._sent:
-            self._core.book.note_ended(self._start, self._name, self._memory)
+            self._core.book.record_ended(self._start, self._name, self._memory)
--- a/src/oleanderdyke/entry/hosted/call.py
+++ b/src/oleanderdyke/entry/hosted/call.py
@@ -161,7 +161,7 @@
         model=model,
         rank=call.priority,
         newest_version=newest or None,
-        drawn=core.random.random(),
+        random_value=core.random.random(),
         outdated=_list_outdated(core, call, held),
         fetchable=_count_fetchable(core, call, held),
         blocked=core.limits.find_blocked(listed, call.homes, now),
@@ -225,7 +225,7 @@
     """Return the stores where context of a call may be kept."""
     if not call.homes:
         return core.contexts
-    return core.contexts.restrict(core.limits.list_homes(call.homes))
+    return core.contexts.restrict(core.limits.list_data_centres(call.homes))
 
 
 def make_salt(call: HostedCall, version: int | None) -> str:
--- a/src/oleanderdyke/entry/hosted/core.py
+++ b/src/oleanderdyke/entry/hosted/core.py
@@ -16,7 +16,7 @@
 from oleanderdyke.entry.hosted.news import SharedNews
 from oleanderdyke.entry.stopping import StoppableRequest
 from oleanderdyke.events import EventName
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.cold_starts import ColdLimit
 from oleanderdyke.kernel.context_stores import ContextStores
 from oleanderdyke.kernel.deployment import Deployment
@@ -75,7 +75,7 @@
     news: SharedNews
     limits: SendLimits
     entries: EntryCount = field(default_factory=EntryCount)
-    book: BackendBook = field(default_factory=BackendBook)
+    book: BackendRegistry = field(default_factory=BackendRegistry)
     deployment: Deployment | None = None
     durations: Durations = field(default_factory=Durations)
     rollout: Rollout = field(default_factory=lambda: Rollout(math.inf))
@@ -109,7 +109,7 @@
         if backend is not None and backend.limit.was_named:
             rate_limit = backend.limit.per_second
         told = TimedLoad(start, load, self.clock.now(), rate_limit)
-        self.book.note_load(start, load, told.at)
+        self.book.record_load(start, load, told.at)
         self.news.desk.loads.note(told)
         self.news.desk.own_loads.note(told)
 
@@ -117,7 +117,7 @@
         """Take the load that a server told a neighbour."""
         if not self.news.desk.loads.note(told):
             return
-        self.book.note_load(told.start, told.load, told.at)
+        self.book.record_load(told.start, told.load, told.at)
         if told.rate_limit is not None:
             self.note_limit(told.start, told.rate_limit, told_at=told.at)
 
@@ -136,7 +136,7 @@
         """
         now = self.clock.now()
         told_at = now if told_at is None else told_at
-        if not self.book.note_limit(start, per_second, told_at, now):
+        if not self.book.record_rate_limit(start, per_second, told_at, now):
             return
         self.log.write(
             EventName.BACKEND_LIMITED,
@@ -149,7 +149,7 @@
 
     def note_leaving(self, start: ServerStart, request: str) -> None:
         """Send nothing more to a start whose answer to a request says so."""
-        if self.book.note_leaving(start):
+        if self.book.mark_leaving(start):
             self.log.write(
                 EventName.BACKEND_LEAVING,
                 peer=start.server,
@@ -161,7 +161,7 @@
         self, start: ServerStart, pause: Millis, request: str
     ) -> None:
         """Send nothing to a start that refused a request, for a pause."""
-        if self.book.note_backoff(start, pause, self.clock.now()):
+        if self.book.record_backoff(start, pause, self.clock.now()):
             self.log.write(
                 EventName.BACKEND_BACKOFF,
                 peer=start.server,
--- a/src/oleanderdyke/entry/hosted/driver.py
+++ b/src/oleanderdyke/entry/hosted/driver.py
@@ -200,7 +200,7 @@
         self._starts[record.server] = record.start
         core = self._core
         self._chosen_at = core.clock.now()
-        core.limits.note_sent(choice.backend, self._chosen_at)
+        core.limits.record_sent(choice.backend, self._chosen_at)
         self._told.tell_routed(choice)
         reason = f'{choice.score:.1f} ms of {choice.candidates}'
         plan = Plan(agent=record.server, reason=reason)
--- a/src/oleanderdyke/entry/hosted/lessons.py
+++ b/src/oleanderdyke/entry/hosted/lessons.py
@@ -6,7 +6,7 @@
 from oleanderdyke.entry.hosted.core import HostedCore
 from oleanderdyke.entry.hosted.weights import Weights
 from oleanderdyke.events import EventName
-from oleanderdyke.kernel.servers import AnswerFacts, ServerStart
+from oleanderdyke.kernel.servers import AnswerMetadata, ServerStart
 
 
 class Lessons:
@@ -19,7 +19,7 @@
         self._call = call
         self._start = start
 
-    def take_facts(self, facts: AnswerFacts) -> None:
+    def take_facts(self, facts: AnswerMetadata) -> None:
         """Learn what an answer tells of its server."""
         if facts.is_leaving:
             self._core.note_leaving(self._start, self._call.request)
@@ -36,14 +36,14 @@
             self._core.note_load(self._start, facts.load)
         demand = self._call.asked.demand
         if demand is not None and facts.weight_version is not None:
-            self._core.book.note_version(
+            self._core.book.record_version(
                 self._start, demand.model, facts.weight_version
             )
 
-    def _log_malformed(self, facts: AnswerFacts) -> None:
+    def _log_malformed(self, facts: AnswerMetadata) -> None:
         core, start = self._core, self._start
         for found in facts.malformed:
-            if core.book.note_malformed(start, found.field):
+            if core.book.record_malformed(start, found.field):
                 core.log.write(
                     EventName.RECORD_REFUSED,
                     name=found.field.value,
@@ -52,11 +52,11 @@
                     detail=f'found {found.text!r}; allowed: at least 0',
                 )
 
-    def take_refusal(self, facts: AnswerFacts, sent: Weights) -> None:
+    def take_refusal(self, facts: AnswerMetadata, sent: Weights) -> None:
         """Learn why a call that was `sent` for some weights was not run."""
         core, demand = self._core, self._call.asked.demand
         if facts.server and facts.server != self._start.server:
-            core.book.note_replaced(self._start)
+            core.book.mark_replaced(self._start)
             return
         now = core.clock.now()
         backend = core.book.find_start(self._start)
@@ -66,9 +66,9 @@
                 self._take_newer(demand.model, held, sent)
                 return
             if held < core.rollout.weights.find_newest(demand.model):
-                core.book.note_reloading(self._start, now)
+                core.book.record_reload(self._start, now)
                 return
-        core.book.note_refused(self._start, now)
+        core.book.record_refusal(self._start, now)
 
     def take_begun(self) -> None:
         """Learn that a server has read a prompt, and likely keeps its parts."""
@@ -79,7 +79,7 @@
             return
         memory = deployment.find_memory(backend.record.service)
         if memory is not None:
-            core.book.note_kept(self._start, demand.parts, memory)
+            core.book.record_kept(self._start, demand.parts, memory)
 
     def _take_newer(self, model: str, held: int, sent: Weights) -> None:
         """Learn that a server no longer holds the weights that it told.
@@ -93,6 +93,6 @@
         if held != sent.get(model):
             return
         if later > held:
-            core.book.note_version(self._start, model, later)
+            core.book.record_version(self._start, model, later)
         else:
-            core.book.note_refused(self._start, core.clock.now())
+            core.book.record_refusal(self._start, core.clock.now())
--- a/src/oleanderdyke/entry/hosted/placing.py
+++ b/src/oleanderdyke/entry/hosted/placing.py
@@ -11,7 +11,7 @@
 from oleanderdyke.entry.hosted.core import HostedCore
 from oleanderdyke.errors import ErrorKind
 from oleanderdyke.kernel.backend import Backend
-from oleanderdyke.kernel.overload import find_wait, should_refuse
+from oleanderdyke.kernel.overload import find_server_wait, should_refuse
 from oleanderdyke.kernel.placement import (
     CallDemand,
     Choice,
@@ -126,12 +126,12 @@
             for backend in listed
             if demand.blocked.get(backend.record.start) in _LONGEST_TURNS
         ]
-        return self._core.limits.find_first_turn(waited_for, now)
+        return self._core.limits.find_next_send_time(waited_for, now)
 
     def _may_wait(self, now: Millis) -> bool:
         """Return whether a server may still come that takes the call."""
         if self._wait_until is None:
-            self._wait_until = now + find_wait(self._call.deadline - now)
+            self._wait_until = now + find_server_wait(self._call.deadline - now)
         return now < self._wait_until
 
     def _is_crowded(self, choice: Choice) -> bool:
@@ -144,7 +144,7 @@
             waiting=choice.waiting,
             fill=choice.fill,
             size=choice.size,
-            drawn=self._core.random.random(),
+            random_value=self._core.random.random(),
         )
 
 
--- a/src/oleanderdyke/entry/hosted/roster.py
+++ b/src/oleanderdyke/entry/hosted/roster.py
@@ -8,7 +8,7 @@
 from oleanderdyke.clock import Millis
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.backend import Backend
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.servers import ServerStart
 from oleanderdyke.logs import EventLog
 
@@ -33,7 +33,7 @@
         self._log = log
         self._known: Mapping[ServerStart, Standing] = {}
 
-    def note(self, book: BackendBook, now: Millis, age: Millis) -> None:
+    def note(self, book: BackendRegistry, now: Millis, age: Millis) -> None:
         """Log what a read changed; `age` is how long before was the last."""
         present = find_standings(book, now)
         if present == self._known:
@@ -55,7 +55,7 @@
 
     def _tell(
         self,
-        book: BackendBook,
+        book: BackendRegistry,
         start: ServerStart,
         standing: Standing | None,
         age: Millis,
@@ -77,7 +77,7 @@
 
 
 def find_standings(
-    book: BackendBook, now: Millis
+    book: BackendRegistry, now: Millis
 ) -> Mapping[ServerStart, Standing]:
     """Return how each known start of a server stands."""
     return {
@@ -87,7 +87,7 @@
 
 
 def _find_standing(
-    book: BackendBook, backend: Backend, now: Millis
+    book: BackendRegistry, backend: Backend, now: Millis
 ) -> Standing:
     if backend.record.is_leaving:
         return Standing.LEAVING
--- a/src/oleanderdyke/entry/hosted/shell.py
+++ b/src/oleanderdyke/entry/hosted/shell.py
@@ -104,7 +104,7 @@
         while True:
             now = core.clock.now()
             if now - last > _STALL:
-                core.book.note_awake(now)
+                core.book.reset_silence(now)
                 core.log.write(
                     EventName.PROCESS_STALLED, duration=round(now - last)
                 )
--- a/src/oleanderdyke/entry/hosted/watch.py
+++ b/src/oleanderdyke/entry/hosted/watch.py
@@ -10,7 +10,7 @@
 from oleanderdyke.entry.hosted.core import HostedCore
 from oleanderdyke.entry.hosted.roster import Roster
 from oleanderdyke.events import EventName
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.deployment import Deployment
 from oleanderdyke.platform.documents import MalformedRecord, NamedVersion
 from oleanderdyke.platform.feed import (
@@ -118,7 +118,7 @@
             backend = core.book.find(notice.server)
             if backend is not None and notice.held:
                 start = backend.record.start
-                core.book.note_version(start, notice.model, notice.held)
+                core.book.record_version(start, notice.model, notice.held)
         if notices and not self._long_loads.was_shared:
             await anyio.sleep(_LOADS_HOLD / SECOND)
 
@@ -148,9 +148,9 @@
         now = core.clock.now()
         # What a neighbour tells may be older than the way that it came.
         read_at = asked_at + news.waited if self._short.was_shared else now
-        core.book.note_answer(now, read_at)
+        core.book.record_list_read(now, read_at)
         _take_servers(core.book, news, now)
-        core.book.note_read(now, read_at)
+        core.book.complete_read(now, read_at)
         self._roster.note(core.book, now, now - (core.servers_read or now))
         core.servers_read = now
         # Connections to a start that has ended may be dead without a sign, as
@@ -224,7 +224,7 @@
         if known is not None and deployment.version <= known.version:
             return
         self._core.deployment = deployment
-        self._core.limits.cold = self._core.find_cold_limits(deployment)
+        self._core.limits.cold_limits = self._core.find_cold_limits(deployment)
         self._core.log.write(
             EventName.CONFIGURATION_APPLIED,
             version=deployment.version,
@@ -232,10 +232,10 @@
         )
 
 
-def _take_servers(book: BackendBook, news: ServerNews, now: Millis) -> None:
+def _take_servers(book: BackendRegistry, news: ServerNews, now: Millis) -> None:
     """Take the whole list, or what has changed in it."""
     if news.is_restored:
-        book.note_restored(now)
+        book.record_restore(now)
     if news.is_whole:
         book.replace(news.listed, now, unread=news.unread)
         return
@@ -243,4 +243,4 @@
         book.remove(server, now)
     for record in news.listed:
         book.put(record, now)
-    book.note_unread(news.unread)
+    book.mark_unreadable(news.unread)
--- a/src/oleanderdyke/entry/sender.py
+++ b/src/oleanderdyke/entry/sender.py
@@ -186,7 +186,7 @@
         if not self._counted:
             exports.note_used(hints)
         self._counted = True
-        return exports.count_worthy(hints)
+        return exports.count_worth_exporting(hints)
 
     def _log(self, event: EventName) -> None:
         self._core.log.write(
--- a/src/oleanderdyke/kernel/backend.py
+++ b/src/oleanderdyke/kernel/backend.py
@@ -102,7 +102,7 @@
         """Learn from a first byte how long requests of its rank wait."""
         excess = max(self._find_excess(owed, now), 0.0)
         if owed.is_alone:
-            self.reading.note(owed.tokens, now - owed.since - _FIRST_BYTE)
+            self.reading.add_sample(owed.tokens, now - owed.since - _FIRST_BYTE)
         known = self.find_delay(owed.rank, now)
         shown = known + _DELAY_WEIGHT * (excess - known)
         self.delays[owed.rank] = Delay(shown, now)
--- a/src/oleanderdyke/kernel/backends.py
+++ b/src/oleanderdyke/kernel/backends.py
@@ -34,13 +34,13 @@
 _ERROR_WEIGHT = 0.2
 
 
-class BackendBook(ServerList):
+class BackendRegistry(ServerList):
     """Record what requests and answers show of the servers' present starts.
 
     What an earlier start showed changes nothing.
     """
 
-    def note_sent(
+    def record_sent(
         self,
         start: ServerStart,
         attempt: str,
@@ -53,12 +53,14 @@
             backend.running_tokens += owed.memory
             backend.waiting[attempt] = owed
 
-    def note_awake(self, now: Millis) -> None:
+    def reset_silence(self, now: Millis) -> None:
         """Blame nobody for a time in which this process read nothing."""
         for backend in self._backends.values():
             backend.heard = max(backend.heard, now)
 
-    def note_heard(self, start: ServerStart, attempt: str, now: Millis) -> None:
+    def record_received(
+        self, start: ServerStart, attempt: str, now: Millis
+    ) -> None:
         """Learn that bytes of an attempt came."""
         backend = self.find_start(start)
         if backend is not None:
@@ -67,7 +69,9 @@
             if owed is not None:
                 backend.note_first_byte(owed, now)
 
-    def note_ended(self, start: ServerStart, attempt: str, memory: int) -> None:
+    def record_ended(
+        self, start: ServerStart, attempt: str, memory: int
+    ) -> None:
         """Forget an attempt that was sent and the tokens it took."""
         backend = self.find_start(start)
         if backend is not None:
@@ -75,7 +79,7 @@
             backend.running_tokens = max(backend.running_tokens - memory, 0)
             backend.waiting.pop(attempt, None)
 
-    def note_good(self, start: ServerStart) -> None:
+    def record_success(self, start: ServerStart) -> None:
         """Learn that a server answered well."""
         backend = self.find_start(start)
         if backend is not None:
@@ -83,7 +87,7 @@
             backend.refusals = 0
             backend.errors *= 1 - _ERROR_WEIGHT
 
-    def note_failed(self, start: ServerStart, now: Millis) -> None:
+    def record_failure(self, start: ServerStart, now: Millis) -> None:
         """Learn that a server failed a request; leave it out for a while."""
         backend = self.find_start(start)
         if backend is None:
@@ -94,13 +98,13 @@
         until = now + min(pause, _LONGEST_EJECTION)
         backend.out_until = max(backend.out_until, until)
 
-    def note_error(self, start: ServerStart) -> None:
+    def record_error(self, start: ServerStart) -> None:
         """Learn that a server answered with an error of its own."""
         backend = self.find_start(start)
         if backend is not None:
             backend.errors += _ERROR_WEIGHT * (1 - backend.errors)
 
-    def note_refused(self, start: ServerStart, now: Millis) -> None:
+    def record_refusal(self, start: ServerStart, now: Millis) -> None:
         """Learn that a server refused a request without running it."""
         backend = self.find_start(start)
         if backend is None:
@@ -110,13 +114,13 @@
         until = now + min(pause, _LONGEST_REFUSAL_PAUSE)
         backend.out_until = max(backend.out_until, until)
 
-    def note_reloading(self, start: ServerStart, now: Millis) -> None:
+    def record_reload(self, start: ServerStart, now: Millis) -> None:
         """Learn that an engine refuses while it takes new weights."""
         backend = self.find_start(start)
         if backend is not None:
             backend.reload_until = now + _RELOAD_PAUSE
 
-    def note_load(
+    def record_load(
         self, start: ServerStart, load: ServerLoad, now: Millis
     ) -> None:
         """Take the load that a server told with an answer."""
@@ -125,7 +129,7 @@
             backend.load = load
             backend.load_at = now
 
-    def note_limit(
+    def record_rate_limit(
         self,
         start: ServerStart,
         per_second: float,
@@ -139,9 +143,9 @@
         backend = self.find_start(start)
         if backend is None:
             return False
-        return backend.limit.note(per_second, told_at, now)
+        return backend.limit.update(per_second, told_at, now)
 
-    def note_backoff(
+    def record_backoff(
         self, start: ServerStart, pause: Millis, now: Millis
     ) -> bool:
         """Send nothing for as long as a server asks; return whether it began.
@@ -156,7 +160,7 @@
         backend.backoff_until = max(backend.backoff_until, until)
         return not is_backing_off and backend.backoff_until > now
 
-    def note_malformed(self, start: ServerStart, named: AnswerField) -> bool:
+    def record_malformed(self, start: ServerStart, named: AnswerField) -> bool:
         """Learn that a field can't be read; return whether it is the first."""
         backend = self.find_start(start)
         if backend is None or named in backend.malformed:
@@ -164,7 +168,7 @@
         backend.malformed.add(named)
         return True
 
-    def note_version(
+    def record_version(
         self, start: ServerStart, model: str, version: int
     ) -> None:
         """Take newer weights that a server was shown to hold."""
@@ -179,7 +183,7 @@
         backend.reload_until = 0.0
         backend.forget_kept()
 
-    def note_kept(
+    def record_kept(
         self, start: ServerStart, parts: Sequence[PromptPart], capacity: int
     ) -> None:
         """Assume that a server keeps a prompt's parts, the latest ones."""
--- a/src/oleanderdyke/kernel/cold_starts.py
+++ b/src/oleanderdyke/kernel/cold_starts.py
@@ -27,7 +27,7 @@
     """
 
     per_second: float
-    lasts: Millis
+    duration: Millis
 
 
 def find_interval(
--- a/src/oleanderdyke/kernel/alone.py
+++ b/src/oleanderdyke/kernel/exclusive_slot.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class AloneLane:
+class ExclusiveSlot:
     """Keep a server for one suspect, from its first try until its end.
 
     Each try of the suspect renews its reservation, which lapses after some
--- a/src/oleanderdyke/kernel/gate.py
+++ b/src/oleanderdyke/kernel/gate.py
@@ -10,8 +10,8 @@
 
 from oleanderdyke.clock import Millis
 from oleanderdyke.errors import ErrorKind, Ran
-from oleanderdyke.kernel.alone import AloneLane
 from oleanderdyke.kernel.claim_runs import ClaimRuns, RunAnswer, RunState
+from oleanderdyke.kernel.exclusive_slot import ExclusiveSlot
 from oleanderdyke.kernel.gate_terms import GateSettings, Loaded, Rights
 from oleanderdyke.kernel.quarantine import Quarantine, Standing
 from oleanderdyke.links.messages import AgentPhase, Dispatch, Failed
@@ -89,7 +89,7 @@
         self._running: dict[_AttemptKey, Dispatch] = {}
         self._seen: set[_AttemptKey] = set()
         self._seen_order: deque[tuple[int, _AttemptKey]] = deque()
-        self._lane = AloneLane(reserve_beats=settings.reserve_beats)
+        self._lane = ExclusiveSlot(reserve_beats=settings.reserve_beats)
         self._claims = ClaimRuns(
             max_age=settings.max_age,
             capacity=settings.claims,
--- a/src/oleanderdyke/kernel/overload.py
+++ b/src/oleanderdyke/kernel/overload.py
@@ -65,7 +65,7 @@
     return RequestAge(max(timeout - left, 0.0), target)
 
 
-def find_wait(left: Millis) -> Millis:
+def find_server_wait(left: Millis) -> Millis:
     """Return how long a request waits for a server that takes anything.
 
     Sent back, most callers are back before there is one, and come no third
@@ -82,7 +82,7 @@
     waiting: int,
     fill: float,
     size: float,
-    drawn: float,
+    random_value: float,
 ) -> bool:
     """Return whether a request is better sent back than started now.
 
@@ -100,7 +100,7 @@
     if not waiting and delay < _NEGLIGIBLE_DELAY:
         fullness = 0.0
     share = max(crowd, fullness) * max(min(size, 1.0), _LEAST_SIZE_FACTOR)
-    if drawn < min(share, _MOST_SHED_SHARE):
+    if random_value < min(share, _MOST_SHED_SHARE):
         return True
     if not age.is_first_try:
         return False
--- a/src/oleanderdyke/kernel/placement.py
+++ b/src/oleanderdyke/kernel/placement.py
@@ -9,7 +9,7 @@
 
 from oleanderdyke.clock import Millis
 from oleanderdyke.kernel.backend import Backend
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.ranks import find_rank
 from oleanderdyke.kernel.send_limits import Obstacle
 from oleanderdyke.kernel.servers import ModelDemand, ServerStart
@@ -83,7 +83,7 @@
     outdated: frozenset[int | None] = frozenset()
     blocked: Mapping[ServerStart, Obstacle] = field(default_factory=dict)
     memory_tokens: int = 0
-    drawn: float = 0.0
+    random_value: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,7 +121,7 @@
 
 
 def choose_backend(
-    demand: CallDemand, book: BackendBook, now: Millis
+    demand: CallDemand, book: BackendRegistry, now: Millis
 ) -> Choice | None:
     """Return the server with the least expected time to the first byte."""
     return choose_among(demand, book.list_service(demand.service, now), now)
@@ -285,7 +285,7 @@
     return _Terms(
         homes=_find_homes(demand.model, usable),
         older=older,
-        old_cost=_OLD_WEIGHTS_COST if demand.drawn < share else 0.0,
+        old_cost=_OLD_WEIGHTS_COST if demand.random_value < share else 0.0,
     )
 
 
--- a/src/oleanderdyke/kernel/rate_limits.py
+++ b/src/oleanderdyke/kernel/rate_limits.py
@@ -65,7 +65,7 @@
         """Return whether the server has ever named a limit."""
         return self._named_at > -math.inf
 
-    def note(self, per_second: float, told_at: Millis, now: Millis) -> bool:
+    def update(self, per_second: float, told_at: Millis, now: Millis) -> bool:
         """Take what an answer named at a moment; return whether it is new.
 
         A neighbour may have been told earlier than now.
--- a/src/oleanderdyke/kernel/read_rate.py
+++ b/src/oleanderdyke/kernel/read_rate.py
@@ -30,7 +30,7 @@
     )
     _rate: float = _FIRST_RATE
 
-    def note(self, tokens: int, duration: Millis) -> None:
+    def add_sample(self, tokens: int, duration: Millis) -> None:
         """Learn from a prompt that was read with nothing known before it."""
         if tokens < _LEAST_TOKENS or duration <= 0:
             return
--- a/src/oleanderdyke/kernel/returns.py
+++ b/src/oleanderdyke/kernel/returns.py
@@ -35,7 +35,7 @@
         self._read_at: Millis | None = None
         self._lapse_until: Millis = 0.0
 
-    def note_answer(self, now: Millis, read_at: Millis) -> None:
+    def record_list_read(self, now: Millis, read_at: Millis) -> None:
         """Learn that the list was read, before what it says is taken.
 
         `read_at` is when, earlier than `now` where a neighbour did.
@@ -45,7 +45,7 @@
             self._lapse_until = now + _LAPSE
         self._read_at = read_at if last is None else max(read_at, last)
 
-    def note_restored(self, now: Millis) -> None:
+    def record_restore(self, now: Millis) -> None:
         """Learn that the list comes from a copy and may lack live servers."""
         self._lapse_until = now + _LAPSE
 
@@ -74,7 +74,7 @@
         if record.server not in self._removed:
             return False
         first = self._removed[record.server]
-        if first is not None and record.beat > first.record.beat:
+        if first is not None and record.revision > first.record.revision:
             del self._removed[record.server]
             return False
         if first is None:
--- a/src/oleanderdyke/kernel/routing.py
+++ b/src/oleanderdyke/kernel/routing.py
@@ -10,9 +10,9 @@
 
 # A prefix that is there costs little to finish, so it need not wait behind
 # one that is not.
-SHORT_FIRST = 0
-LONG_NEXT = 1
-BACKGROUND_LAST = 10
+SHORT_PRIORITY = 0
+LONG_PRIORITY = 1
+BACKGROUND_PRIORITY = 10
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class ReplicaEstimate:
     """Show how one replica stands towards one prompt.
 
     `cached` segments are there, or will be at `ready` from now; the next
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Source:
+class PrefillPlan:
     """Say how many segments to fetch and what that costs."""
 
     fetched: int
@@ -67,7 +67,7 @@
     cost: float
 
 
-def choose_source(costs: Costs, standing: Standing) -> Source:
+def plan_prefill(costs: Costs, standing: ReplicaEstimate) -> PrefillPlan:
     """Return the cheapest mix of fetching and recomputing."""
     return min(
         (_weigh(costs, standing, count) for count in _counts(costs, standing)),
@@ -75,11 +75,11 @@
     )
 
 
-def _get_cost(source: Source) -> float:
+def _get_cost(source: PrefillPlan) -> float:
     return source.cost
 
 
-def _counts(costs: Costs, standing: Standing) -> Iterator[int]:
+def _counts(costs: Costs, standing: ReplicaEstimate) -> Iterator[int]:
     yield 0
     if not standing.covered or standing.link is None:
         return
@@ -89,14 +89,18 @@
         yield fitting
 
 
-def _count_fitting(costs: Costs, standing: Standing, link: LinkView) -> int:
+def _count_fitting(
+    costs: Costs, standing: ReplicaEstimate, link: LinkView
+) -> int:
     """Count the segments that arrive while the request waits anyway."""
     idle = max(standing.wait, standing.ready) - link.latency
     carried = idle * link.bytes_per_second / SECOND - link.backlog_bytes
     return int(carried // (SEGMENT_TOKENS * costs.kv_bytes_per_token))
 
 
-def _weigh(costs: Costs, standing: Standing, fetched: int) -> Source:
+def _weigh(
+    costs: Costs, standing: ReplicaEstimate, fetched: int
+) -> PrefillPlan:
     present = (standing.cached + fetched) * SEGMENT_TOKENS
     rest = max(0, standing.tokens - present)
     short = rest <= costs.short_tokens
@@ -108,12 +112,12 @@
     time = standing.latency + start
     time += rest * SECOND / standing.tokens_per_second
     cost = weigh(costs, time=time, tokens=rest, link_bytes=link_bytes)
-    return Source(fetched, rest, time, cost)
+    return PrefillPlan(fetched, rest, time, cost)
 
 
 def lower_priority(priority: int, *, missing: int, short_tokens: int) -> int:
     """Let a request go behind short ones when too many tokens are missing."""
-    return max(priority, LONG_NEXT) if missing > short_tokens else priority
+    return max(priority, LONG_PRIORITY) if missing > short_tokens else priority
 
 
 def estimate_fetch(link: LinkView, link_bytes: float) -> Millis:
--- a/src/oleanderdyke/kernel/send_limits.py
+++ b/src/oleanderdyke/kernel/send_limits.py
@@ -61,7 +61,7 @@
     entries: EntryView
     regions: Mapping[str, str] = field(default_factory=dict)
     evacuations: Evacuations = field(default_factory=Evacuations)
-    cold: Mapping[str, ColdLimit] = field(default_factory=dict)
+    cold_limits: Mapping[str, ColdLimit] = field(default_factory=dict)
 
     def find_blocked(
         self, backends: Iterable[Backend], homes: Collection[str], now: Millis
@@ -84,7 +84,7 @@
         data_centre = backend.record.data_centre
         if data_centre in self.evacuations.active:
             return Obstacle.EVACUATED
-        if not self.is_home(data_centre, homes):
+        if not self.is_in_regions(data_centre, homes):
             return Obstacle.FOREIGN
         if self._is_used_up(backend, now):
             return Obstacle.COLD
@@ -107,7 +107,7 @@
             return Obstacle.LIMITED
         return None
 
-    def find_first_turn(
+    def find_next_send_time(
         self, backends: Iterable[Backend], now: Millis
     ) -> Millis:
         """Return when the first of some servers accepts a request again."""
@@ -116,14 +116,14 @@
             default=now,
         )
 
-    def is_home(self, data_centre: str, homes: Collection[str]) -> bool:
+    def is_in_regions(self, data_centre: str, homes: Collection[str]) -> bool:
         """Return whether a data centre lies in one of some regions.
 
         One whose region is not known lies in none.
         """
         return not homes or self.regions.get(data_centre) in homes
 
-    def list_homes(self, homes: Collection[str]) -> frozenset[str]:
+    def list_data_centres(self, homes: Collection[str]) -> frozenset[str]:
         """Return the data centres that lie in some regions."""
         return frozenset(
             data_centre
@@ -136,13 +136,13 @@
 
         Servers may restart unseen during an evacuation of their data centre.
         """
-        limit = self.cold.get(backend.record.service)
+        limit = self.cold_limits.get(backend.record.service)
         if limit is None:
             return False
         ended = self.evacuations.find_ended(backend.record.data_centre)
-        return now < max(backend.cold_until, ended + limit.lasts)
+        return now < max(backend.cold_until, ended + limit.duration)
 
-    def note_sent(self, backend: Backend, now: Millis) -> None:
+    def record_sent(self, backend: Backend, now: Millis) -> None:
         """Record that a request is sent to a server, or is about to be."""
         backend.sent_at = now
 
@@ -166,7 +166,7 @@
 
     def _is_used_up(self, backend: Backend, now: Millis) -> bool:
         """Return whether this entry's share of a cold server is used up."""
-        limit = self.cold.get(backend.record.service)
+        limit = self.cold_limits.get(backend.record.service)
         if limit is None or not self.is_cold(backend, now):
             return False
         interval = find_cold_interval(
--- a/src/oleanderdyke/kernel/server_list.py
+++ b/src/oleanderdyke/kernel/server_list.py
@@ -55,7 +55,7 @@
             return None
         return backend
 
-    def has_left(self, start: ServerStart) -> bool:
+    def is_leaving_or_gone(self, start: ServerStart) -> bool:
         """Return whether a start of a server leaves or is no longer known."""
         backend = self.find_start(start)
         if backend is None or backend.record.is_leaving:
@@ -90,20 +90,24 @@
             and self._is_server(backend)
         ]
 
-    def note_answer(self, now: Millis, read_at: Millis | None = None) -> None:
+    def record_list_read(
+        self, now: Millis, read_at: Millis | None = None
+    ) -> None:
         """Learn that the list was read, before what it says is taken.
 
         `read_at` is when, where a neighbour did it earlier.
         """
-        self._returning.note_answer(now, now if read_at is None else read_at)
+        self._returning.record_list_read(
+            now, now if read_at is None else read_at
+        )
 
-    def note_restored(self, now: Millis) -> None:
+    def record_restore(self, now: Millis) -> None:
         """Learn that the list comes from a copy and may lack live servers."""
-        self._returning.note_restored(now)
+        self._returning.record_restore(now)
 
-    def note_read(self, now: Millis, read_at: Millis | None = None) -> None:
+    def complete_read(self, now: Millis, read_at: Millis | None = None) -> None:
         """Learn that the platform's list has been read up to its end."""
-        self.note_answer(now, read_at)
+        self.record_list_read(now, read_at)
         for record in self._returning.take_proven(now):
             self.put(record, now)
         self._drop_missing(now)
@@ -122,7 +126,7 @@
         listed = {record.server: record for record in records}
         for record in listed.values():
             self.put(record, now)
-        self.note_unread(unread)
+        self.mark_unreadable(unread)
         present = listed.keys() | unread
         for server, backend in self._backends.items():
             if server not in present and backend.missing_since is None:
@@ -151,7 +155,7 @@
         _note_cold(known, now)
         self._at_address[record.address].add(record.server)
 
-    def note_unread(self, servers: Iterable[str]) -> None:
+    def mark_unreadable(self, servers: Iterable[str]) -> None:
         """Learn whose newest entries can't be read.
 
         They get no new work until a later one can. They are not gone: what
@@ -242,13 +246,13 @@
         ]
         return min(held, default=None)
 
-    def note_replaced(self, start: ServerStart) -> None:
+    def mark_replaced(self, start: ServerStart) -> None:
         """Learn that another server answers at the address of this one."""
         backend = self.find_start(start)
         if backend is not None:
             backend.record = replace(backend.record, is_leaving=True)
 
-    def note_leaving(self, start: ServerStart) -> bool:
+    def mark_leaving(self, start: ServerStart) -> bool:
         """Learn that a start gets no more work; return whether that is new.
 
         It is final, whatever the list tells later.
@@ -291,8 +295,8 @@
 
 def _note_cold(backend: Backend, now: Millis) -> None:
     """Take how much longer a server is cold, at most: it wrote that before."""
-    if backend.record.cold > 0:
-        until = now + min(backend.record.cold, _LONGEST_COLD)
+    if backend.record.cold_remaining > 0:
+        until = now + min(backend.record.cold_remaining, _LONGEST_COLD)
         backend.cold_until = max(backend.cold_until, until)
 
 
--- a/src/oleanderdyke/kernel/servers.py
+++ b/src/oleanderdyke/kernel/servers.py
@@ -40,9 +40,9 @@
     is_leaving: bool = False
     slots: int = 0
     versions: Mapping[str, int] = field(default_factory=dict)
-    beat: int = 0
+    revision: int = 0
     born: int | None = None
-    cold: Millis = 0.0
+    cold_remaining: Millis = 0.0
 
     @property
     def start(self) -> ServerStart:
@@ -103,7 +103,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerFacts:
+class AnswerMetadata:
     """Hold what the head of a backend server's answer tells.
 
     `is_not_run` is the server's promise that it has not run the request and
@@ -118,7 +118,7 @@
     """
 
     request: str = ''
-    is_not_run: bool = False
+    is_not_executed: bool = False
     is_misdirected: bool = False
     is_sealed: bool = False
     server: str = ''
--- a/src/oleanderdyke/platform/documents.py
+++ b/src/oleanderdyke/platform/documents.py
@@ -239,9 +239,9 @@
         slots=read_integer(found, 'slots'),
         versions=_read_versions(found),
         # The wire's `seq` counts what this start of a server has written.
-        beat=read_integer(found, 'seq'),
+        revision=read_integer(found, 'seq'),
         born=decode_born(found),
-        cold=read_number(found, 'coldRemainingMs'),
+        cold_remaining=read_number(found, 'coldRemainingMs'),
     )
 
 
--- a/src/oleanderdyke/platform/requests.py
+++ b/src/oleanderdyke/platform/requests.py
@@ -11,8 +11,8 @@
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.kernel.context_stores import NO_CONTEXTS, ContextPlan
 from oleanderdyke.kernel.servers import (
-    AnswerFacts,
     AnswerField,
+    AnswerMetadata,
     MalformedField,
     ModelDemand,
     PromptPart,
@@ -94,7 +94,7 @@
     return (*_keep(headers, dispatch), *_encode_dispatch(dispatch))
 
 
-def decode_answer(status: int, headers: Headers) -> AnswerFacts:
+def decode_answer(status: int, headers: Headers) -> AnswerMetadata:
     """Read the head of a backend server's answer."""
     found = dict(headers)
     is_misdirected = status == _MISDIRECTED
@@ -102,9 +102,9 @@
     rate_limit = math.inf if limit is None else _read_amount(limit)
     pause = found.get('retry-after') if status in _DEFERRING else None
     retry_after = None if pause is None else _read_amount(pause)
-    return AnswerFacts(
+    return AnswerMetadata(
         request=found.get(names.REQUEST_ID, ''),
-        is_not_run=names.NOT_RUN in found or is_misdirected,
+        is_not_executed=names.NOT_RUN in found or is_misdirected,
         is_misdirected=is_misdirected,
         is_sealed=names.SEAL in found,
         server=found.get(names.INSTANCE, ''),
--- a/src/oleanderdyke/policies/candidates.py
+++ b/src/oleanderdyke/policies/candidates.py
@@ -20,7 +20,9 @@
 _HOLDERS_SEEN = 8
 
 
-def fits(replica: Replica, demand: Demand, exclude: frozenset[str]) -> bool:
+def is_eligible(
+    replica: Replica, demand: Demand, exclude: frozenset[str]
+) -> bool:
     """Return whether a replica may run a request."""
     if replica.agent in exclude or replica.service != demand.service:
         return False
@@ -39,17 +41,17 @@
     """Return every replica of a small fleet, else holders and samples."""
     replicas = fleet.replicas(demand.service)
     if len(replicas) <= settings.scan_limit:
-        return [each for each in replicas if fits(each, demand, exclude)]
+        return [each for each in replicas if is_eligible(each, demand, exclude)]
     chosen: dict[str, Replica] = {}
     for agent in _find_holders(demand.segments, fleet, soon, random, settings):
         replica = fleet.find(agent)
-        if replica is not None and fits(replica, demand, exclude):
+        if replica is not None and is_eligible(replica, demand, exclude):
             chosen[agent] = replica
     for replica in _sample(replicas, demand, random, settings, exclude):
         chosen[replica.agent] = replica
     if chosen:
         return list(chosen.values())
-    return [each for each in replicas if fits(each, demand, exclude)]
+    return [each for each in replicas if is_eligible(each, demand, exclude)]
 
 
 def _sample(
@@ -62,7 +64,7 @@
     found = 0
     for _ in range(settings.samples * _TRIES_PER_SAMPLE):
         replica = replicas[int(random.random() * len(replicas))]
-        if not fits(replica, demand, exclude):
+        if not is_eligible(replica, demand, exclude):
             continue
         yield replica
         found += 1
--- a/src/oleanderdyke/policies/exports.py
+++ b/src/oleanderdyke/policies/exports.py
@@ -12,7 +12,7 @@
 _PRIOR_RETURNS = 0.3
 
 
-class ExportChooser:
+class ExportPolicy:
     """Export what is expected to return often enough to pay for its bytes."""
 
     def __init__(self, settings: PolicySettings) -> None:
@@ -29,7 +29,7 @@
         while len(uses) > self._limit:
             uses.popitem(last=False)
 
-    def count_worthy(self, segments: Sequence[SegmentHint]) -> int:
+    def count_worth_exporting(self, segments: Sequence[SegmentHint]) -> int:
         """Count the leading segments that are worth keeping."""
         for index, segment in enumerate(segments):
             if self._expect(segment) < self._needed:
--- a/src/oleanderdyke/policies/pressure.py
+++ b/src/oleanderdyke/policies/pressure.py
@@ -16,12 +16,12 @@
         self._sums: dict[str, float] = {}
         self._read: dict[str, Millis] = {}
 
-    def note_brought(self, agent: str, tokens: float, now: Millis) -> None:
+    def record_added(self, agent: str, tokens: float, now: Millis) -> None:
         """Count tokens that were not cached at an agent before."""
-        self._sums[agent] = self.read(agent, now) + tokens
+        self._sums[agent] = self.count_recent(agent, now) + tokens
         self._read[agent] = now
 
-    def weigh(
+    def estimate_displaced(
         self, brought: Mapping[str, float], now: Millis
     ) -> Mapping[str, float]:
         """Return what bringing tokens to each agent would push out.
@@ -29,14 +29,14 @@
         A cache that is turned over faster than the others loses more that
         would have been used again.
         """
-        read = {agent: self.read(agent, now) for agent in brought}
+        read = {agent: self.count_recent(agent, now) for agent in brought}
         mean = sum(read.values()) / max(1, len(read)) + 1.0
         return {
             agent: tokens * read[agent] / mean
             for agent, tokens in brought.items()
         }
 
-    def read(self, agent: str, now: Millis) -> float:
+    def count_recent(self, agent: str, now: Millis) -> float:
         """Return the tokens brought in lately."""
         known = self._sums.get(agent)
         if known is None:
--- a/src/oleanderdyke/policies/routing.py
+++ b/src/oleanderdyke/policies/routing.py
@@ -21,14 +21,14 @@
 )
 from oleanderdyke.kernel.prediction import BacklogTracker
 from oleanderdyke.kernel.routing import (
-    LONG_NEXT,
-    SHORT_FIRST,
+    LONG_PRIORITY,
+    SHORT_PRIORITY,
     Costs,
-    Source,
-    Standing,
-    choose_source,
+    PrefillPlan,
+    ReplicaEstimate,
+    plan_prefill,
 )
-from oleanderdyke.policies.candidates import find_candidates, fits
+from oleanderdyke.policies.candidates import find_candidates, is_eligible
 from oleanderdyke.policies.pressure import CachePressure
 from oleanderdyke.policies.registries import ROUTERS
 from oleanderdyke.policies.settings import PolicySettings
@@ -47,7 +47,7 @@
     replica: Replica
     store: str
     reach: Reach
-    source: Source
+    source: PrefillPlan
 
 
 class PredictedRouter:
@@ -95,13 +95,13 @@
         present = (plan.cached + plan.fetched) * SEGMENT_TOKENS
         tokens = max(0, demand.tokens - present)
         brought = demand.tokens - plan.cached * SEGMENT_TOKENS
-        self._pressure.note_brought(plan.agent, brought, now)
+        self._pressure.record_added(plan.agent, brought, now)
         self._backlog.note_sent(
             demand.request,
             plan.agent,
             tokens,
             now,
-            short=plan.priority == SHORT_FIRST,
+            short=plan.priority == SHORT_PRIORITY,
         )
         self._links.note_sent(demand.request, plan, now)
         self._soon.note_sent(demand, plan, now)
@@ -137,7 +137,7 @@
         held = fleet.count_leading(replica.agent, demand.segments)
         reach = self._soon.extend(replica.agent, demand.segments, held, now)
         store = stores.find(reach.cached)
-        standing = Standing(
+        standing = ReplicaEstimate(
             wait=self._backlog.estimate_wait(replica, now),
             short_wait=self._backlog.estimate_short_wait(replica, now),
             tokens_per_second=self._backlog.find_rate(replica),
@@ -148,13 +148,13 @@
             link=store.link,
             latency=self._find_latency(demand, replica),
         )
-        source = choose_source(self._costs, standing)
+        source = plan_prefill(self._costs, standing)
         return _Choice(replica, store.agent, reach, source)
 
     def _weigh_pressure(
         self, demand: Demand, choices: Sequence[_Choice], now: Millis
     ) -> _Choice:
-        pushed = self._pressure.weigh(
+        pushed = self._pressure.estimate_displaced(
             {
                 each.replica.agent: demand.tokens
                 - each.reach.cached * SEGMENT_TOKENS
@@ -201,7 +201,7 @@
         replicas = [
             each
             for each in fleet.replicas(demand.service)
-            if fits(each, demand, exclude)
+            if is_eligible(each, demand, exclude)
         ]
         if not replicas:
             return _NO_REPLICA
@@ -275,7 +275,7 @@
         fetched=source.fetched + reach.joined,
         predicted=source.time,
         joined=reach.joined,
-        priority=SHORT_FIRST if short else LONG_NEXT,
+        priority=SHORT_PRIORITY if short else LONG_PRIORITY,
     )
 
 
--- a/tests/hosted.py
+++ b/tests/hosted.py
@@ -189,7 +189,7 @@
     """Let the other servers look worse, so that this one is tried first."""
     for other in range(len(stage.replicas)):
         if other != number:
-            stage.core.book.note_error(ServerStart(f'i-{other}'))
+            stage.core.book.record_error(ServerStart(f'i-{other}'))
 
 
 def act_while_opening(stage: Stage, act: Callable[[], object]) -> None:
--- a/tests/matrix/entry.py
+++ b/tests/matrix/entry.py
@@ -31,7 +31,7 @@
 from oleanderdyke.kernel.retries import RetrySettings, make_retry_budget
 from oleanderdyke.kernel.spread import ConfigurationReader, ReaderSettings
 from oleanderdyke.links.messages import EntryBeat, Hello, Message
-from oleanderdyke.policies.exports import ExportChooser
+from oleanderdyke.policies.exports import ExportPolicy
 from oleanderdyke.policies.registries import ADMISSIONS, ROUTERS, TeamTerms
 from oleanderdyke.policies.settings import PolicySettings
 from tests.matrix.drivers import ModelRequest, ModelResume
@@ -229,7 +229,7 @@
             admission=ADMISSIONS.find(plugins.admission)(
                 policies, lambda _: TeamTerms()
             ),
-            exports=ExportChooser(policies),
+            exports=ExportPolicy(policies),
             drain=world.variants.drain(ENTRY_DRAIN),
             machine=MachineSettings(claim_wait=settings.claims.wait),
         )
--- a/tests/test_answer_heads.py
+++ b/tests/test_answer_heads.py
@@ -24,7 +24,7 @@
         ),
     )
     assert found.is_sealed
-    assert not found.is_not_run
+    assert not found.is_not_executed
     assert found.load == ServerLoad(3, 1, 8)
     assert found.weight_version == 4
     assert found.idle_timeout == 7_000
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize(
-    ('status', 'headers', 'is_not_run'),
+    ('status', 'headers', 'is_not_executed'),
     [
         (503, ((names.NOT_RUN, '1'),), True),
         (429, ((names.NOT_RUN, '1'),), True),
@@ -95,5 +95,5 @@
         (429, (), False),
     ],
 )
-def test_only_a_promise_counts_as_not_run(status, headers, is_not_run):
-    assert decode_answer(status, headers).is_not_run is is_not_run
+def test_only_a_promise_counts_as_not_run(status, headers, is_not_executed):
+    assert decode_answer(status, headers).is_not_executed is is_not_executed
--- a/tests/test_choice_cost.py
+++ b/tests/test_choice_cost.py
@@ -12,7 +12,7 @@
 
 from oleanderdyke.kernel import rate_limits
 from oleanderdyke.kernel.backend import Owed
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.placement import (
     SILENCE_LIMIT,
     CallDemand,
@@ -34,8 +34,8 @@
 )
 
 
-def make_engines(count: int) -> BackendBook:
-    book = BackendBook()
+def make_engines(count: int) -> BackendRegistry:
+    book = BackendRegistry()
     book.replace(
         [
             ServerRecord(
@@ -50,18 +50,18 @@
         ],
         0.0,
     )
-    book.note_read(0.0)
+    book.complete_read(0.0)
     for backend in book.list_known():
         start = backend.record.start
-        book.note_sent(start, 'one', Owed(NOW - 30, 500, 2, 900))
-        book.note_load(start, ServerLoad(5, 1, 16), NOW)
+        book.record_sent(start, 'one', Owed(NOW - 30, 500, 2, 900))
+        book.record_load(start, ServerLoad(5, 1, 16), NOW)
         backend.heard = NOW - 20
     return book
 
 
-def choose(book: BackendBook) -> None:
+def choose(book: BackendRegistry) -> None:
     """Choose as for each request of a model."""
-    limits = make_limits(entries=Entries(('front-1',)), cold={})
+    limits = make_limits(entries=Entries(('front-1',)), cold_limits={})
     listed = book.list_service('desk', NOW)
     blocked = limits.find_blocked(listed, (), NOW)
     demand = CallDemand('desk', 'hall', model=MODEL, blocked=blocked)
@@ -96,7 +96,7 @@
     book = make_engines(48)
     calls = count_calls(lambda: choose(book))
     assert calls[rate_limits.__file__] <= 48
-    assert book.note_limit(ServerStart('i-0'), 2.0, NOW, NOW)
+    assert book.record_rate_limit(ServerStart('i-0'), 2.0, NOW, NOW)
     assert count_calls(lambda: choose(book)).total() > calls.total()
 
 
@@ -112,6 +112,6 @@
     backend.waiting.clear()
     for number, ago in enumerate(sent):
         owed = Owed(NOW - ago, tokens, 2, 900)
-        book.note_sent(ServerStart('i-0'), f'{number}', owed)
+        book.record_sent(ServerStart('i-0'), f'{number}', owed)
     is_silent = backend.find_silence(NOW) >= SILENCE_LIMIT
     assert is_usable(backend, NOW) is not is_silent
--- a/tests/test_decoders.py
+++ b/tests/test_decoders.py
@@ -182,7 +182,7 @@
     host, port = found.address.rsplit(':', 1)
     assert host
     assert 0 < int(port) < 65_536
-    numbers = (found.slots, found.beat, *found.versions.values())
+    numbers = (found.slots, found.revision, *found.versions.values())
     assert all(type(each) is int and 0 <= each < 2**53 for each in numbers)
     assert type(found.is_leaving) is bool
 
--- a/tests/test_dispatches.py
+++ b/tests/test_dispatches.py
@@ -16,7 +16,7 @@
 from oleanderdyke.kernel.objects import ServiceKind, ServiceSpec
 from oleanderdyke.links.messages import BackendKind, Dispatch
 from oleanderdyke.links.messages.segments import SegmentEvents
-from oleanderdyke.policies.exports import ExportChooser
+from oleanderdyke.policies.exports import ExportPolicy
 from oleanderdyke.policies.settings import COUNCIL
 
 pytestmark = pytest.mark.anyio
@@ -33,7 +33,7 @@
     """Build an entry that exports what has come back, with one store."""
     edge = Edge()
     core = edge.core
-    core.exports = ExportChooser(COUNCIL)
+    core.exports = ExportPolicy(COUNCIL)
     edge.add_agent(MODEL, BackendKind.ENGINE)
     edge.add_agent('memoria', BackendKind.STORE)
     stores = [core.fleet.find('agent-memoria')]
--- a/tests/test_hosted_limits.py
+++ b/tests/test_hosted_limits.py
@@ -173,7 +173,7 @@
         coldRemainingMs=2_000,
     ) as stage:
         limit = ColdLimit(1.0, 3 * SECOND)
-        assert stage.core.limits.cold == {'desk': limit}
+        assert stage.core.limits.cold_limits == {'desk': limit}
         # One request a second is no whole share of any entry.
         with anyio.fail_after(0.9):
             found = await stage.call('/safe/x', oleanderdyke_deadline_ms='300')
--- a/tests/test_hosted_log.py
+++ b/tests/test_hosted_log.py
@@ -7,7 +7,7 @@
 
 from oleanderdyke.clock import ManualClock
 from oleanderdyke.entry.hosted.roster import Roster
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.servers import ServerRecord
 from oleanderdyke.logs import make_event_log, parse_line
 from tests.hosted import KEY, SERVERS, staging
@@ -25,7 +25,7 @@
 
 
 def note(path, steps):
-    book, clock = BackendBook(), ManualClock()
+    book, clock = BackendRegistry(), ManualClock()
     with path.open('w', buffering=1) as stream:
         roster = Roster(make_event_log('front-1', clock=clock, stream=stream))
         for records in steps:
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -6,7 +6,7 @@
 
 from bench.caches import StoreCache
 from oleanderdyke.clock import HOUR, MINUTE
-from oleanderdyke.policies.exports import ExportChooser, count_needed_returns
+from oleanderdyke.policies.exports import ExportPolicy, count_needed_returns
 from oleanderdyke.policies.keeping import make_expected_saving, make_lru
 from oleanderdyke.policies.settings import AGENCY, COUNCIL, PolicySettings
 
@@ -87,17 +87,17 @@
 
 
 def test_council_exports_only_what_has_returned():
-    chooser = ExportChooser(COUNCIL)
+    chooser = ExportPolicy(COUNCIL)
     chooser.note_used([b'a', b'b'])
-    assert chooser.count_worthy([b'a', b'b']) == 0
+    assert chooser.count_worth_exporting([b'a', b'b']) == 0
     chooser.note_used([b'a', b'c'])
-    assert chooser.count_worthy([b'a', b'b']) == 1
+    assert chooser.count_worth_exporting([b'a', b'b']) == 1
 
 
 def test_agency_exports_at_first_use():
-    chooser = ExportChooser(AGENCY)
+    chooser = ExportPolicy(AGENCY)
     chooser.note_used([b'a', b'b'])
-    assert chooser.count_worthy([b'a', b'b']) == 2
+    assert chooser.count_worth_exporting([b'a', b'b']) == 2
 
 
 def test_dear_link_needs_more_returns():
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.servers import ServerRecord, ServerStart
 from tests.hosted import (
     SERVERS,
@@ -36,13 +36,13 @@
     assert count_received(stage) == [1, 0]
 
 
-async def list_again(stage: Stage, beat: int) -> None:
+async def list_again(stage: Stage, revision: int) -> None:
     """Have the first server listed as ready, and wait until that is read."""
     backend = stage.core.book.find('i-0')
-    record = make_record(backend.record.address, seq=beat)
+    record = make_record(backend.record.address, seq=revision)
     stage.store.put(SERVERS, 'i-0', record)
     with anyio.fail_after(5):
-        while stage.core.book.find('i-0').record.beat != beat:
+        while stage.core.book.find('i-0').record.revision != revision:
             await anyio.sleep(0.01)
 
 
@@ -55,7 +55,7 @@
         for _ in range(4):
             assert (await stage.call('/once/x')).status == ANSWERED
         assert count_received(stage) == [1, 4]
-        await list_again(stage, beat=2)
+        await list_again(stage, revision=2)
         for _ in range(4):
             assert (await stage.call('/once/x')).status == ANSWERED
         assert count_received(stage) == [1, 8]
@@ -65,54 +65,54 @@
     return ServerRecord('a', 'desk', 'a:1', 'hall', born=born, **changes)
 
 
-def make_book(born=None) -> BackendBook:
-    book = BackendBook()
+def make_book(born=None) -> BackendRegistry:
+    book = BackendRegistry()
     book.replace([make_told_record(born)], 0.0)
-    book.note_read(0.0)
+    book.complete_read(0.0)
     return book
 
 
-def is_used(book: BackendBook, now: float) -> bool:
+def is_used(book: BackendRegistry, now: float) -> bool:
     return bool(book.list_service('desk', now))
 
 
 def test_a_list_that_lags_does_not_bring_a_leaving_server_back():
     book = make_book()
-    assert book.note_leaving(ServerStart('a'))
-    assert not book.note_leaving(ServerStart('a'))
-    for beat in range(2, 5):
-        book.put(make_told_record(beat=beat), beat * 600.0)
-        assert not is_used(book, beat * 600.0)
+    assert book.mark_leaving(ServerStart('a'))
+    assert not book.mark_leaving(ServerStart('a'))
+    for revision in range(2, 5):
+        book.put(make_told_record(revision=revision), revision * 600.0)
+        assert not is_used(book, revision * 600.0)
 
 
 def test_a_server_that_left_and_is_listed_late_gets_nothing():
     """A store that comes back after its entry lapsed may list it as ready."""
     book = make_book()
-    book.note_leaving(ServerStart('a'))
+    book.mark_leaving(ServerStart('a'))
     book.remove('a', 1_000.0)
     for now in (1_200.0, 1_800.0, 9_000.0):
-        book.note_read(now)
+        book.complete_read(now)
     assert book.find('a') is None
-    for beat in range(5, 8):
-        book.put(make_told_record(beat=beat), 9_000.0 + beat)
+    for revision in range(5, 8):
+        book.put(make_told_record(revision=revision), 9_000.0 + revision)
     assert book.find('a') is not None
     assert not is_used(book, 9_100.0)
 
 
 def test_a_new_start_of_a_server_that_left_is_used():
     book = make_book(born=1)
-    book.note_leaving(ServerStart('a', 1))
+    book.mark_leaving(ServerStart('a', 1))
     book.put(make_told_record(born=2), 600.0)
     assert is_used(book, 600.0)
 
 
 def test_servers_that_left_are_remembered_within_bounds():
-    book = BackendBook()
+    book = BackendRegistry()
     for born in range(3_000):
         book.put(make_told_record(born=born), 0.0)
-        book.note_leaving(ServerStart('a', born))
+        book.mark_leaving(ServerStart('a', born))
     assert len(book._left) < 2_000
-    book.put(make_told_record(born=2_999, beat=2), 600.0)
+    book.put(make_told_record(born=2_999, revision=2), 600.0)
     assert not is_used(book, 600.0)
 
 
--- a/tests/test_newest_weights.py
+++ b/tests/test_newest_weights.py
@@ -18,7 +18,7 @@
 import pytest
 
 from oleanderdyke.kernel.backend import Owed
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.placement import CallDemand, choose_backend
 from oleanderdyke.kernel.servers import ModelDemand, PromptPart, ServerRecord
 
@@ -28,7 +28,7 @@
 
 
 def make_book(newest):
-    book = BackendBook()
+    book = BackendRegistry()
     for number in range(ENGINES):
         version = 2 if number < newest else 1
         book.put(
@@ -52,10 +52,10 @@
         'hall',
         ModelDemand('m', 670, 40, parts),
         newest_version=2,
-        drawn=random.random(),
+        random_value=random.random(),
     )
     record = choose_backend(demand, book, 0.0).backend.record
-    book.note_sent(record.start, name, Owed(0.0, 670))
+    book.record_sent(record.start, name, Owed(0.0, 670))
     return record.versions['m']
 
 
--- a/tests/test_other_writers.py
+++ b/tests/test_other_writers.py
@@ -118,7 +118,7 @@
 def test_a_good_record_is_decoded_with_all_it_says():
     found = decode_server('i-1', GOOD)
     assert found.versions == {'m': 3}
-    assert (found.address, found.slots, found.beat) == ('10.0.0.2:80', 6, 1)
+    assert (found.address, found.slots, found.revision) == ('10.0.0.2:80', 6, 1)
 
 
 @each_broken
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -14,14 +14,16 @@
         'waiting': 0,
         'fill': 0.2,
         'size': 1.0,
-        'drawn': 0.5,
+        'random_value': 0.5,
         **changes,
     }
     return should_refuse(RequestAge(waited, 400.0), **facts)
 
 
 def test_nothing_is_refused_while_places_are_free():
-    assert not any(refuse(drawn=drawn / 100) for drawn in range(100))
+    assert not any(
+        refuse(random_value=random_value / 100) for random_value in range(100)
+    )
 
 
 def test_a_first_try_that_would_be_late_is_refused_and_a_second_is_not():
@@ -31,7 +33,10 @@
 
 def test_a_growing_part_is_refused_as_engines_fill():
     refused = [
-        sum(refuse(fill=fill, drawn=drawn / 100) for drawn in range(100))
+        sum(
+            refuse(fill=fill, random_value=random_value / 100)
+            for random_value in range(100)
+        )
         for fill in (0.8, 0.9, 1.0, 1.1, 2.0)
     ]
     assert refused == sorted(refused)
@@ -46,8 +51,8 @@
 
 
 def test_small_requests_are_refused_less_often():
-    assert refuse(fill=1.1, drawn=0.5, size=1.0)
-    assert not refuse(fill=1.1, drawn=0.5, size=0.1)
+    assert refuse(fill=1.1, random_value=0.5, size=1.0)
+    assert not refuse(fill=1.1, random_value=0.5, size=0.1)
 
 
 def test_how_long_a_caller_has_waited_follows_from_its_deadline():
--- a/tests/test_prepare.py
+++ b/tests/test_prepare.py
@@ -15,7 +15,11 @@
 from oleanderdyke.agent.run import Run
 from oleanderdyke.kernel.blocks import make_namespace
 from oleanderdyke.kernel.gate import Loaded
-from oleanderdyke.kernel.routing import BACKGROUND_LAST, LONG_NEXT, SHORT_FIRST
+from oleanderdyke.kernel.routing import (
+    BACKGROUND_PRIORITY,
+    LONG_PRIORITY,
+    SHORT_PRIORITY,
+)
 from oleanderdyke.links.messages import BodyChunk, Dispatch, FetchPlan
 from test_fetch import BODY, site
 from test_gate import make_dispatch
@@ -62,14 +66,18 @@
 @pytest.mark.parametrize(
     ('changes', 'whole', 'priority'),
     [
-        ({}, 0, SHORT_FIRST),
-        ({'priority': LONG_NEXT}, 0, LONG_NEXT),
-        ({'priority': LONG_NEXT, 'background': True}, 0, BACKGROUND_LAST),
-        ({'fetch': PLAN}, 6, SHORT_FIRST),
-        ({'fetch': PLAN}, 2, SHORT_FIRST),
-        ({'fetch': PLAN}, 1, LONG_NEXT),
-        ({'fetch': PLAN, 'priority': LONG_NEXT}, 6, LONG_NEXT),
-        ({'fetch': PLAN, 'background': True}, 0, BACKGROUND_LAST),
+        ({}, 0, SHORT_PRIORITY),
+        ({'priority': LONG_PRIORITY}, 0, LONG_PRIORITY),
+        (
+            {'priority': LONG_PRIORITY, 'background': True},
+            0,
+            BACKGROUND_PRIORITY,
+        ),
+        ({'fetch': PLAN}, 6, SHORT_PRIORITY),
+        ({'fetch': PLAN}, 2, SHORT_PRIORITY),
+        ({'fetch': PLAN}, 1, LONG_PRIORITY),
+        ({'fetch': PLAN, 'priority': LONG_PRIORITY}, 6, LONG_PRIORITY),
+        ({'fetch': PLAN, 'background': True}, 0, BACKGROUND_PRIORITY),
     ],
 )
 async def test_engine_gets_the_priority_that_its_context_deserves(
--- a/tests/test_rate_model.py
+++ b/tests/test_rate_model.py
@@ -17,7 +17,7 @@
 import pytest
 
 from oleanderdyke.clock import SECOND
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.send_limits import Obstacle, SendLimits
 from oleanderdyke.kernel.servers import ServerStart
 from tests.test_send_limits import choose, make_book, make_limits, make_record
@@ -73,7 +73,7 @@
 
     name: str
     limits: SendLimits
-    book: BackendBook
+    book: BackendRegistry
     told_at: float = math.inf
     heard: tuple[float, float] = (-math.inf, math.inf)
 
@@ -116,7 +116,7 @@
             return
         backend = entry.book.find(chosen)
         if self.reserves:
-            entry.limits.note_sent(backend, self.now)
+            entry.limits.record_sent(backend, self.now)
         is_slow = self.random.random() < self.slow_share
         delay = self.random.uniform(0, 300.0) if is_slow else 1.0
         self.plan(delay, self.send, entry, chosen, self.now)
@@ -126,7 +126,7 @@
         limits = entry.limits
         if limits.find_send_obstacle(backend, chosen_at, self.now):
             return
-        limits.note_sent(backend, self.now)
+        limits.record_sent(backend, self.now)
         if chosen == LIMITED.server:
             self.arrivals.append(self.now)
             if self.now - entry.told_at >= TOLD:
@@ -139,7 +139,7 @@
         self.plan(way, self.learn, entry, self.limit(self.now))
 
     def learn(self, entry: Entry, rate: float) -> None:
-        entry.book.note_limit(LIMITED, rate, self.now, self.now)
+        entry.book.record_rate_limit(LIMITED, rate, self.now, self.now)
         entry.heard = (self.now, rate)
         is_named = rate < math.inf
         entry.told_at = min(entry.told_at, self.now) if is_named else math.inf
@@ -152,7 +152,9 @@
             told_at, rate = max(entry.heard for entry in near)
             if self.now - told_at < SECOND:
                 for entry in near:
-                    entry.book.note_limit(LIMITED, rate, told_at, self.now)
+                    entry.book.record_rate_limit(
+                        LIMITED, rate, told_at, self.now
+                    )
 
     def find_excess(self) -> float:
         """Return by how much the worst window exceeds what is allowed."""
@@ -186,7 +188,7 @@
         is_old = number < count
         view = View(names[:count] if is_old else names, is_counted=is_old)
         book = make_book(make_record('a'), make_record('b', data_centre='x'))
-        limits = make_limits(name, view, cold={})
+        limits = make_limits(name, view, cold_limits={})
         entries.append(Entry(name, limits, book))
     return entries
 
--- a/tests/test_rate_shares.py
+++ b/tests/test_rate_shares.py
@@ -177,33 +177,33 @@
 
 def test_a_limit_holds_until_an_answer_names_none():
     limit = RateLimit()
-    assert limit.note(2.3, 1_000.0, 1_000.0)
-    assert not limit.note(2.3, 1_400.0, 1_400.0)
-    assert limit.note(1.7, 1_500.0, 1_500.0)
+    assert limit.update(2.3, 1_000.0, 1_000.0)
+    assert not limit.update(2.3, 1_400.0, 1_400.0)
+    assert limit.update(1.7, 1_500.0, 1_500.0)
     assert (limit.per_second, limit.since) == (1.7, 1_000.0)
-    assert limit.note(math.inf, 2_000.0, 2_000.0)
+    assert limit.update(math.inf, 2_000.0, 2_000.0)
     assert not limit.is_named
 
 
 def test_an_answer_that_was_overtaken_ends_no_limit():
     limit = RateLimit()
-    limit.note(2.3, 1_000.0, 1_000.0)
-    assert not limit.note(math.inf, 1_200.0, 1_200.0)
-    assert not limit.note(math.inf, 900.0, 900.0)
+    limit.update(2.3, 1_000.0, 1_000.0)
+    assert not limit.update(math.inf, 1_200.0, 1_200.0)
+    assert not limit.update(math.inf, 900.0, 900.0)
     assert limit.is_named
-    assert limit.note(math.inf, 1_250.0, 1_250.0)
+    assert limit.update(math.inf, 1_250.0, 1_250.0)
 
 
 def test_what_a_neighbour_heard_earlier_changes_nothing():
     limit = RateLimit()
-    limit.note(2.3, 1_000.0, 1_000.0)
-    limit.note(math.inf, 2_000.0, 2_000.0)
-    assert not limit.note(2.3, 1_900.0, 1_900.0)
+    limit.update(2.3, 1_000.0, 1_000.0)
+    limit.update(math.inf, 2_000.0, 2_000.0)
+    assert not limit.update(2.3, 1_900.0, 1_900.0)
     assert not limit.is_named
 
 
 def name_limit(book, rate: float, now: float) -> None:
-    assert book.note_limit(START, rate, now, now)
+    assert book.record_rate_limit(START, rate, now, now)
 
 
 def test_a_limited_server_gets_a_request_of_an_entry_each_interval():
@@ -212,7 +212,7 @@
     name_limit(book, 2.0, 0.0)
     assert choose(book, limits, now=499.0) is Obstacle.LIMITED
     assert choose(book, limits, now=500.0) == 'a'
-    limits.note_sent(book.find('a'), 500.0)
+    limits.record_sent(book.find('a'), 500.0)
     assert choose(book, limits, now=999.0) is Obstacle.LIMITED
     assert choose(book, limits, now=1_000.0) == 'a'
 
@@ -234,7 +234,7 @@
         found = choose(book, limits, now=9_000.0)
         chosen.append(found)
         if found == 'a':
-            limits.note_sent(book.find('a'), 9_000.0)
+            limits.record_sent(book.find('a'), 9_000.0)
     assert chosen == ['a', *[Obstacle.LIMITED] * 4]
 
 
@@ -251,7 +251,7 @@
 # sent beside all others that were made without knowing.
 def test_a_choice_made_before_a_neighbour_told_of_a_limit_is_not_sent():
     book = make_book(make_record('a'))
-    assert book.note_limit(START, 2.0, 100.0, 900.0)
+    assert book.record_rate_limit(START, 2.0, 100.0, 900.0)
     backend = book.find('a')
     found = make_limits().find_send_obstacle(backend, 500.0, 950.0)
     assert found is Obstacle.LIMITED
@@ -259,15 +259,15 @@
 
 def test_a_new_start_of_a_server_has_no_limit():
     book = make_book(make_record('a', born=1))
-    assert book.note_limit(ServerStart('a', 1), 2.0, 0.0, 0.0)
+    assert book.record_rate_limit(ServerStart('a', 1), 2.0, 0.0, 0.0)
     book.put(make_record('a', born=2), 100.0)
     assert not book.find('a').limit.is_named
-    assert not book.note_limit(ServerStart('a', 1), 3.0, 200.0, 200.0)
+    assert not book.record_rate_limit(ServerStart('a', 1), 3.0, 200.0, 200.0)
 
 
 def test_the_first_turn_of_several_servers_is_found():
     book = make_book(make_record('a'), make_record('b'))
     limits = make_limits(entries=KnownEntries(('front-1',), spare=0))
     name_limit(book, 2.0, 0.0)
-    book.note_limit(ServerStart('b'), 4.0, 0.0, 0.0)
-    assert limits.find_first_turn(book.list_known(), 100.0) == 250.0
+    book.record_rate_limit(ServerStart('b'), 4.0, 0.0, 0.0)
+    assert limits.find_next_send_time(book.list_known(), 100.0) == 250.0
--- a/tests/test_read_rate.py
+++ b/tests/test_read_rate.py
@@ -17,7 +17,7 @@
 import pytest
 
 from oleanderdyke.kernel.backend import Owed
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.placement import SILENCE_LIMIT, is_usable
 from oleanderdyke.kernel.read_rate import ReadRate
 from oleanderdyke.kernel.servers import ServerRecord, ServerStart
@@ -27,10 +27,10 @@
 
 
 def make_book():
-    book = BackendBook()
+    book = BackendRegistry()
     record = ServerRecord('a', 'lm', 'a:1', 'hall', versions={'m': 1})
     book.replace([record], 0.0)
-    book.note_read(0.0)
+    book.complete_read(0.0)
     return book
 
 
@@ -38,9 +38,9 @@
     """Let first bytes show how fast the engines read."""
     for number in range(20):
         owed = Owed(0.0, tokens, is_alone=True)
-        book.note_sent(START, f'{number}', owed)
-        book.note_heard(START, f'{number}', tokens / rate + FIRST_BYTE)
-        book.note_ended(START, f'{number}', 0)
+        book.record_sent(START, f'{number}', owed)
+        book.record_received(START, f'{number}', tokens / rate + FIRST_BYTE)
+        book.record_ended(START, f'{number}', 0)
     book.find('a').heard = 0.0
 
 
@@ -49,42 +49,42 @@
     book = make_book()
     teach(book, rate)
     tokens = int(rate * 900.0)
-    book.note_sent(START, 'x', Owed(0.0, tokens))
+    book.record_sent(START, 'x', Owed(0.0, tokens))
     assert is_usable(book.find('a'), 900.0 + SILENCE_LIMIT - 1.0)
     assert not is_usable(book.find('a'), 900.0 + SILENCE_LIMIT + 1.0)
 
 
 def test_an_engine_that_owes_no_reading_is_silent_as_soon_as_before():
     book = make_book()
-    book.note_sent(START, 'x', Owed(0.0, 0))
+    book.record_sent(START, 'x', Owed(0.0, 0))
     assert not is_usable(book.find('a'), SILENCE_LIMIT + 1.0)
 
 
 def test_an_engine_that_owes_much_is_silent_within_two_seconds():
     book = make_book()
     for number in range(30):
-        book.note_sent(START, f'{number}', Owed(0.0, 20_000))
+        book.record_sent(START, f'{number}', Owed(0.0, 20_000))
     assert not is_usable(book.find('a'), 2_001.0)
 
 
 def test_the_rate_is_that_of_most_prompts_that_nothing_waited_before():
     rate = ReadRate()
     for duration in (100.0, 100.0, 100.0, 5.0, 900.0):
-        rate.note(5_000, duration)
+        rate.add_sample(5_000, duration)
     assert rate.find_time(10_000) == pytest.approx(200.0)
 
 
 def test_short_prompts_and_no_time_tell_nothing():
     rate = ReadRate()
     first = rate.find_time(1_000)
-    rate.note(100, 1.0)
-    rate.note(5_000, 0.0)
+    rate.add_sample(100, 1.0)
+    rate.add_sample(5_000, 0.0)
     assert rate.find_time(1_000) == first
 
 
 def test_a_first_byte_behind_others_does_not_tell_the_rate():
     book = make_book()
     before = book.find('a').reading.find_time(1_000)
-    book.note_sent(START, 'x', Owed(0.0, 6_000))
-    book.note_heard(START, 'x', 5_000.0)
+    book.record_sent(START, 'x', Owed(0.0, 6_000))
+    book.record_received(START, 'x', 5_000.0)
     assert book.find('a').reading.find_time(1_000) == before
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -8,7 +8,7 @@
 import pytest
 
 from oleanderdyke.clock import SECOND, make_clock
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.send_limits import Obstacle
 from oleanderdyke.kernel.servers import ServerStart
 from tests.hosted import Stage, act_while_opening, prefer, staging
@@ -120,58 +120,58 @@
 A = ServerStart('a')
 
 
-def make_book(**changes) -> BackendBook:
-    book = BackendBook()
+def make_book(**changes) -> BackendRegistry:
+    book = BackendRegistry()
     book.replace([make_record('a', **changes)], 0.0)
-    book.note_read(0.0)
+    book.complete_read(0.0)
     return book
 
 
-def find_obstacle(book: BackendBook, now: float) -> Obstacle | None:
+def find_obstacle(book: BackendRegistry, now: float) -> Obstacle | None:
     return make_limits().find_obstacle(book.find('a'), (), now)
 
 
 def test_a_server_gets_nothing_until_the_end_and_no_longer():
     book = make_book()
-    assert book.note_backoff(A, 3_000.0, 100.0)
+    assert book.record_backoff(A, 3_000.0, 100.0)
     assert find_obstacle(book, 3_099.0) is Obstacle.BACKOFF
     assert find_obstacle(book, 3_100.0) is None
 
 
 def test_a_later_shorter_pause_does_not_end_one_sooner():
     book = make_book()
-    book.note_backoff(A, 3_000.0, 100.0)
-    assert not book.note_backoff(A, 500.0, 200.0)
+    book.record_backoff(A, 3_000.0, 100.0)
+    assert not book.record_backoff(A, 500.0, 200.0)
     assert find_obstacle(book, 3_099.0) is Obstacle.BACKOFF
-    assert not book.note_backoff(A, 3_000.0, 1_000.0)
+    assert not book.record_backoff(A, 3_000.0, 1_000.0)
     assert find_obstacle(book, 3_999.0) is Obstacle.BACKOFF
 
 
 @pytest.mark.parametrize('pause', [1e9, 1e300])
 def test_a_server_gets_nothing_for_minutes_at_most(pause):
     book = make_book()
-    book.note_backoff(A, pause, 0.0)
+    book.record_backoff(A, pause, 0.0)
     assert find_obstacle(book, 60_000.0) is Obstacle.BACKOFF
     assert find_obstacle(book, 3_600_000.0) is None
 
 
 def test_a_pause_of_no_time_changes_nothing():
     book = make_book()
-    assert not book.note_backoff(A, 0.0, 100.0)
+    assert not book.record_backoff(A, 0.0, 100.0)
     assert find_obstacle(book, 100.0) is None
 
 
 def test_a_new_start_of_a_server_asked_for_no_pause():
     book = make_book(born=1)
-    book.note_backoff(ServerStart('a', 1), 3_000.0, 0.0)
+    book.record_backoff(ServerStart('a', 1), 3_000.0, 0.0)
     book.put(make_record('a', born=2), 100.0)
     assert find_obstacle(book, 100.0) is None
 
 
 def test_a_server_with_a_limit_gets_requests_after_both_ends():
     book, limits = make_book(), make_limits()
-    book.note_limit(A, 1.0, 0.0, 0.0)
-    limits.note_sent(book.find('a'), 0.0)
-    book.note_backoff(A, 9_000.0, 0.0)
-    assert limits.find_first_turn([book.find('a')], 100.0) == 9_000.0
+    book.record_rate_limit(A, 1.0, 0.0, 0.0)
+    limits.record_sent(book.find('a'), 0.0)
+    book.record_backoff(A, 9_000.0, 0.0)
+    assert limits.find_next_send_time([book.find('a')], 100.0) == 9_000.0
     assert find_obstacle(book, 100.0) is Obstacle.BACKOFF
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -12,8 +12,8 @@
 from oleanderdyke.kernel.routing import (
     Costs,
     LinkView,
-    Standing,
-    choose_source,
+    ReplicaEstimate,
+    plan_prefill,
     should_drop_fetch,
 )
 from oleanderdyke.links.messages import AgentPhase, BackendKind, Load
@@ -101,9 +101,11 @@
 
 def test_part_is_fetched_while_the_request_waits_anyway():
     link = LinkView(0.0, 4e8)
-    source = choose_source(
+    source = plan_prefill(
         COSTS,
-        Standing(1_000, 1_000, 8_000.0, TOKENS, 0, covered=40, link=link),
+        ReplicaEstimate(
+            1_000, 1_000, 8_000.0, TOKENS, 0, covered=40, link=link
+        ),
     )
     assert 0 < source.fetched < 40
 
--- a/tests/test_send_limits.py
+++ b/tests/test_send_limits.py
@@ -15,7 +15,7 @@
 )
 
 from oleanderdyke.clock import SECOND
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.cold_starts import ColdLimit, find_interval
 from oleanderdyke.kernel.placement import (
     CallDemand,
@@ -25,7 +25,7 @@
 from oleanderdyke.kernel.send_limits import Obstacle, SendLimits
 from oleanderdyke.kernel.servers import ServerRecord, ServerStart
 
-LIMIT = ColdLimit(per_second=30.5, lasts=3 * SECOND)
+LIMIT = ColdLimit(per_second=30.5, duration=3 * SECOND)
 REGIONS = {'hall': 'north', 'yard': 'north', 'port': 'south'}
 
 
@@ -58,14 +58,14 @@
 
 def make_limits(entry='front-1', entries=None, **changes) -> SendLimits:
     entries = entries or Entries((entry,))
-    fields = {'regions': REGIONS, 'cold': {'desk': LIMIT}, **changes}
+    fields = {'regions': REGIONS, 'cold_limits': {'desk': LIMIT}, **changes}
     return SendLimits(entry, entries, **fields)
 
 
-def make_book(*records) -> BackendBook:
-    book = BackendBook()
+def make_book(*records) -> BackendRegistry:
+    book = BackendRegistry()
     book.replace(records or [make_record()], 0.0)
-    book.note_read(0.0)
+    book.complete_read(0.0)
     return book
 
 
@@ -116,19 +116,19 @@
 
 
 def test_a_cold_server_gets_one_request_of_each_of_many_entries_a_second():
-    book = make_book(make_record(cold=3_000.0))
+    book = make_book(make_record(cold_remaining=3_000.0))
     limits = make_limits(entries=Entries(tuple(f'e{n}' for n in range(27))))
     backend = book.find('a')
     assert choose(book, limits) == 'a'
-    limits.note_sent(backend, 0.0)
+    limits.record_sent(backend, 0.0)
     assert choose(book, limits, now=1_000.0) is Obstacle.COLD
     assert choose(book, limits, now=1_050.0) == 'a'
 
 
 def test_a_server_that_is_no_longer_cold_has_no_share():
-    book = make_book(make_record(cold=3_000.0))
+    book = make_book(make_record(cold_remaining=3_000.0))
     limits = make_limits(entries=Entries(tuple(f'e{n}' for n in range(27))))
-    limits.note_sent(book.find('a'), 2_999.0)
+    limits.record_sent(book.find('a'), 2_999.0)
     assert choose(book, limits, now=2_999.5) is Obstacle.COLD
     assert choose(book, limits, now=3_000.0) == 'a'
 
@@ -137,9 +137,9 @@
     book = make_book(make_record())
     limits = make_limits(entries=Entries(tuple(f'e{n}' for n in range(27))))
     backend = book.find('a')
-    limits.note_sent(backend, 9_000.0)
+    limits.record_sent(backend, 9_000.0)
     assert choose(book, limits, now=9_000.0) == 'a'
-    book.put(make_record(cold=2_500.0, beat=9), 9_100.0)
+    book.put(make_record(cold_remaining=2_500.0, revision=9), 9_100.0)
     assert choose(book, limits, now=9_100.0) is Obstacle.COLD
 
 
@@ -153,8 +153,8 @@
 
 
 def test_a_service_without_a_cold_rate_is_never_cold():
-    book = make_book(make_record(cold=3_000.0))
-    assert not make_limits(cold={}).is_cold(book.find('a'), 0.0)
+    book = make_book(make_record(cold_remaining=3_000.0))
+    assert not make_limits(cold_limits={}).is_cold(book.find('a'), 0.0)
 
 
 def test_without_a_count_of_entries_a_cold_server_gets_nothing():
@@ -163,7 +163,7 @@
     )
     assert math.isinf(interval)
     entries = Entries(spare=math.inf)
-    book = make_book(make_record(cold=3_000.0))
+    book = make_book(make_record(cold_remaining=3_000.0))
     assert choose(book, make_limits(entries=entries)) is Obstacle.COLD
 
 
@@ -302,7 +302,11 @@
         names = tuple(f'front-{number}' for number in range(5))
         entries = Entries(names, self.count_spare)
         self.readers = [
-            Reader(make_limits(name, entries, cold={'desk': ColdLimit(9, 3e3)}))
+            Reader(
+                make_limits(
+                    name, entries, cold_limits={'desk': ColdLimit(9, 3e3)}
+                )
+            )
             for name in names
         ]
         self.books = [
@@ -372,8 +376,8 @@
         record = make_record(
             server,
             data_centre=found.data_centre,
-            cold=3_000.0,
-            beat=self.beat,
+            cold_remaining=3_000.0,
+            revision=self.beat,
         )
         for book in self.books:
             book.put(record, self.now)
@@ -385,7 +389,7 @@
             chosen = choose(book, limits, now=self.now)
             if isinstance(chosen, Obstacle):
                 return
-            limits.note_sent(book.find(chosen), self.now)
+            limits.record_sent(book.find(chosen), self.now)
             self._arrive(self.servers[chosen])
 
     def _arrive(self, server: Server) -> None:
@@ -469,8 +473,8 @@
 
 
 def test_a_start_of_a_server_has_a_share_of_its_own():
-    book = make_book(make_record(cold=3_000.0, born=1))
+    book = make_book(make_record(cold_remaining=3_000.0, born=1))
     limits = make_limits(entries=Entries(tuple(f'e{n}' for n in range(27))))
-    limits.note_sent(book.find('a'), 0.0)
-    book.put(make_record(cold=3_000.0, born=2), 100.0)
+    limits.record_sent(book.find('a'), 0.0)
+    book.put(make_record(cold_remaining=3_000.0, born=2), 100.0)
     assert book.find_start(ServerStart('a', 2)).sent_at == -math.inf
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from oleanderdyke.kernel.backend import Owed
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.outdated import OutdatedContext
 from oleanderdyke.kernel.placement import CallDemand, choose_backend, is_usable
 from oleanderdyke.kernel.servers import (
@@ -35,10 +35,10 @@
     return ServerRecord(start.server, born=start.born, **fields)
 
 
-def make_book(*starts, **changes) -> BackendBook:
-    book = BackendBook()
+def make_book(*starts, **changes) -> BackendRegistry:
+    book = BackendRegistry()
     book.replace([make_record(each, **changes) for each in starts], 0.0)
-    book.note_read(0.0)
+    book.complete_read(0.0)
     return book
 
 
@@ -93,13 +93,13 @@
 
 def test_nothing_known_of_the_earlier_start_holds_for_the_later_one():
     book = make_book(EARLIER, versions={'m': 3})
-    book.note_sent(EARLIER, 'x', Owed(0.0, 10, memory=700))
-    book.note_heard(EARLIER, 'x', 900.0)
-    book.note_sent(EARLIER, 'y', Owed(0.0, 10, memory=700))
-    book.note_load(EARLIER, ServerLoad(5, 3, 6), 0.0)
-    book.note_kept(EARLIER, PARTS, 60_000)
-    book.note_failed(EARLIER, 0.0)
-    book.note_reloading(EARLIER, 0.0)
+    book.record_sent(EARLIER, 'x', Owed(0.0, 10, memory=700))
+    book.record_received(EARLIER, 'x', 900.0)
+    book.record_sent(EARLIER, 'y', Owed(0.0, 10, memory=700))
+    book.record_load(EARLIER, ServerLoad(5, 3, 6), 0.0)
+    book.record_kept(EARLIER, PARTS, 60_000)
+    book.record_failure(EARLIER, 0.0)
+    book.record_reload(EARLIER, 0.0)
     book.put(make_record(LATER, versions={'m': 1}), 10.0)
     found = book.find_start(LATER)
     assert found.record.versions == {'m': 1}
@@ -127,32 +127,32 @@
 
 def test_an_earlier_start_stays_ended_when_the_later_one_is_gone():
     book = make_book(LATER)
-    book.note_read(500.0)
+    book.complete_read(500.0)
     book.replace([], 500.0)
-    book.note_read(1_000.0)
+    book.complete_read(1_000.0)
     assert book.find('a') is None
     book.put(make_record(), 1_100.0)
-    book.put(make_record(beat=5), 1_200.0)
+    book.put(make_record(revision=5), 1_200.0)
     assert book.find('a') is None
 
 
 def test_late_results_of_the_earlier_start_change_nothing():
     book = make_book(EARLIER)
-    book.note_sent(EARLIER, 'x', Owed(0.0, 10, memory=700))
+    book.record_sent(EARLIER, 'x', Owed(0.0, 10, memory=700))
     book.put(make_record(LATER), 10.0)
-    book.note_sent(LATER, 'y', Owed(10.0, 10, memory=300))
-    book.note_failed(LATER, 10.0)
-    book.note_heard(EARLIER, 'x', 20.0)
-    book.note_ended(EARLIER, 'x', 700)
-    book.note_good(EARLIER)
-    book.note_error(EARLIER)
-    book.note_failed(EARLIER, 20.0)
-    book.note_refused(EARLIER, 20.0)
-    book.note_reloading(EARLIER, 20.0)
-    book.note_version(EARLIER, 'm', 7)
-    book.note_load(EARLIER, ServerLoad(5, 3, 6), 20.0)
-    book.note_kept(EARLIER, PARTS, 60_000)
-    book.note_replaced(EARLIER)
+    book.record_sent(LATER, 'y', Owed(10.0, 10, memory=300))
+    book.record_failure(LATER, 10.0)
+    book.record_received(EARLIER, 'x', 20.0)
+    book.record_ended(EARLIER, 'x', 700)
+    book.record_success(EARLIER)
+    book.record_error(EARLIER)
+    book.record_failure(EARLIER, 20.0)
+    book.record_refusal(EARLIER, 20.0)
+    book.record_reload(EARLIER, 20.0)
+    book.record_version(EARLIER, 'm', 7)
+    book.record_load(EARLIER, ServerLoad(5, 3, 6), 20.0)
+    book.record_kept(EARLIER, PARTS, 60_000)
+    book.mark_replaced(EARLIER)
     found = book.find_start(LATER)
     assert (found.running, found.running_tokens, found.heard) == (1, 300, 0.0)
     assert (found.failures, found.out_until, found.refusals) == (1, 510.0, 0)
@@ -164,25 +164,27 @@
 
 NOTES = {
     'record': lambda book, start: book.put(
-        make_record(start, versions={'m': 9}, beat=9), 5.0
+        make_record(start, versions={'m': 9}, revision=9), 5.0
     ),
     'leaving': lambda book, start: book.put(
         make_record(start, is_leaving=True), 5.0
     ),
-    'sent': lambda book, start: book.note_sent(start, 'x', Owed(5.0, 10)),
-    'heard': lambda book, start: book.note_heard(start, 'x', 6.0),
-    'ended': lambda book, start: book.note_ended(start, 'x', 0),
-    'good': lambda book, start: book.note_good(start),
-    'failed': lambda book, start: book.note_failed(start, 6.0),
-    'error': lambda book, start: book.note_error(start),
-    'refused': lambda book, start: book.note_refused(start, 6.0),
-    'reloading': lambda book, start: book.note_reloading(start, 6.0),
-    'load': lambda book, start: book.note_load(start, ServerLoad(1, 2, 3), 6.0),
-    'version': lambda book, start: book.note_version(start, 'm', 8),
-    'kept': lambda book, start: book.note_kept(start, PARTS, 60_000),
-    'replaced': lambda book, start: book.note_replaced(start),
-    'backoff': lambda book, start: book.note_backoff(start, 900.0, 6.0),
-    'answer of leaving': lambda book, start: book.note_leaving(start),
+    'sent': lambda book, start: book.record_sent(start, 'x', Owed(5.0, 10)),
+    'heard': lambda book, start: book.record_received(start, 'x', 6.0),
+    'ended': lambda book, start: book.record_ended(start, 'x', 0),
+    'good': lambda book, start: book.record_success(start),
+    'failed': lambda book, start: book.record_failure(start, 6.0),
+    'error': lambda book, start: book.record_error(start),
+    'refused': lambda book, start: book.record_refusal(start, 6.0),
+    'reloading': lambda book, start: book.record_reload(start, 6.0),
+    'load': lambda book, start: book.record_load(
+        start, ServerLoad(1, 2, 3), 6.0
+    ),
+    'version': lambda book, start: book.record_version(start, 'm', 8),
+    'kept': lambda book, start: book.record_kept(start, PARTS, 60_000),
+    'replaced': lambda book, start: book.mark_replaced(start),
+    'backoff': lambda book, start: book.record_backoff(start, 900.0, 6.0),
+    'answer of leaving': lambda book, start: book.mark_leaving(start),
 }
 STARTS = [ServerStart('a'), ServerStart('a', 999), EARLIER, LATER]
 
@@ -203,25 +205,25 @@
 
 @given(st.permutations([1_000, 2_000, 3_000, 4_000]))
 def test_the_latest_start_is_the_present_one_in_whatever_order(order):
-    book = BackendBook()
+    book = BackendRegistry()
     for number, born in enumerate(order):
         book.put(make_record(ServerStart('a', born)), float(number))
     assert list_starts(book) == [ServerStart('a', 4_000)]
 
 
 def test_the_first_record_of_a_later_start_counts_after_a_removal():
-    book = make_book(EARLIER, beat=8)
-    book.note_read(500.0)
+    book = make_book(EARLIER, revision=8)
+    book.complete_read(500.0)
     book.remove('a', 500.0)
-    book.put(make_record(beat=8), 510.0)
+    book.put(make_record(revision=8), 510.0)
     assert list_starts(book, 510.0) == []
-    book.put(make_record(LATER, beat=1), 600.0)
+    book.put(make_record(LATER, revision=1), 600.0)
     assert list_starts(book, 600.0) == [LATER]
 
 
 def test_the_name_alone_is_the_start_while_nobody_tells_more():
     book = make_book(ServerStart('a'), versions={'m': 3})
-    book.put(make_record(ServerStart('a'), beat=1), 1.0)
+    book.put(make_record(ServerStart('a'), revision=1), 1.0)
     assert list_starts(book) == [ServerStart('a')]
     assert book.find('a').record.versions == {'m': 3}
 
@@ -229,12 +231,12 @@
 def test_a_record_without_its_start_names_none_once_another_tells():
     book = make_book(ServerStart('b'), EARLIER, versions={'m': 1})
     assert list_starts(book) == [EARLIER]
-    assert book.has_left(ServerStart('b'))
+    assert book.is_leaving_or_gone(ServerStart('b'))
     book.put(make_record(ServerStart('b'), versions={'m': 0}), 1.0)
     assert book.find_oldest_version('m') == 1
-    book.note_read(500.0)
+    book.complete_read(500.0)
     book.remove('a', 500.0)
-    book.note_read(1_000.0)
+    book.complete_read(1_000.0)
     assert list_starts(book, 1_000.0) == [ServerStart('b')]
 
 
@@ -245,7 +247,7 @@
     assert ended.address == 'a:1'
     assert book.take_superseded() == ()
     assert book.is_superseded(EARLIER)
-    assert book.has_left(EARLIER)
+    assert book.is_leaving_or_gone(EARLIER)
     assert not book.is_superseded(LATER)
 
 
--- a/tests/test_store_restores.py
+++ b/tests/test_store_restores.py
@@ -7,7 +7,7 @@
 import anyio
 import pytest
 
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.evacuations import Evacuations
 from oleanderdyke.kernel.load_queue import LoadNotice, LoadStep
 from oleanderdyke.kernel.news_tails import RecordTail
@@ -217,13 +217,13 @@
 
 
 def test_a_server_that_a_copy_lacks_is_gone_only_after_two_seconds():
-    book = BackendBook()
+    book = BackendRegistry()
     record = ServerRecord('a', 'desk', 'a:1', 'hall')
     book.replace([record], 0.0)
-    book.note_read(0.0)
-    book.note_restored(600.0)
+    book.complete_read(0.0)
+    book.record_restore(600.0)
     book.replace([], 600.0)
-    book.note_read(600.0)
+    book.complete_read(600.0)
     assert book.list_service('desk', 2_500.0)
     assert not book.list_service('desk', 2_601.0)
 
