--- a/bench/history.py
+++ b/bench/history.py
@@ -79,7 +79,7 @@
     def _export(self, segments: Sequence[bytes], now: Millis) -> None:
         count = len(segments)
         if self.chooser is not None:
-            self.chooser.note_used(segments)
+            self.chooser.record_use(segments)
             count = self.chooser.count_worth_exporting(segments)
         self.store.write(segments[:count], now)
 
--- a/bench/world.py
+++ b/bench/world.py
@@ -338,7 +338,7 @@
         segments = request.demand.segments
         count = len(segments)
         if self.chooser is not None:
-            self.chooser.note_used(segments)
+            self.chooser.record_use(segments)
             count = self.chooser.count_worth_exporting(segments)
         held = self.fleet.count_leading(STORE, segments)
         if held < count and self.store.up:
--- a/src/oleanderdyke/entry/hosted/core.py
+++ b/src/oleanderdyke/entry/hosted/core.py
@@ -106,7 +106,7 @@
         """Take the load that a server told, and keep it for neighbours."""
         backend = self.book.find_start(start)
         rate_limit = None
-        if backend is not None and backend.limit.was_named:
+        if backend is not None and backend.limit.was_ever_set:
             rate_limit = backend.limit.per_second
         told = TimedLoad(start, load, self.clock.now(), rate_limit)
         self.book.record_load(start, load, told.at)
--- a/src/oleanderdyke/entry/hosted/placing.py
+++ b/src/oleanderdyke/entry/hosted/placing.py
@@ -46,7 +46,7 @@
 _PAUSES: Mapping[Obstacle, Pause] = {
     Obstacle.OUTDATED: _LONG_PAUSE,
     Obstacle.EVACUATED: _LONG_PAUSE,
-    Obstacle.FOREIGN: _LONG_PAUSE,
+    Obstacle.REGION: _LONG_PAUSE,
 }
 # Callers are told when the first server takes requests of this entry again, at
 # most so late: another entry may have a turn at a limited server sooner.
--- a/src/oleanderdyke/kernel/backend.py
+++ b/src/oleanderdyke/kernel/backend.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 
 from oleanderdyke.clock import SECOND, Millis
+from oleanderdyke.kernel.prefill_rate import PrefillRate
 from oleanderdyke.kernel.rate_limits import RateLimit
-from oleanderdyke.kernel.read_rate import ReadRate
 from oleanderdyke.kernel.servers import (
     AnswerField,
     PromptPart,
@@ -44,7 +44,7 @@
 
     record: ServerRecord
     listed_at: Millis = 0.0
-    reading: ReadRate = field(default_factory=ReadRate)
+    reading: PrefillRate = field(default_factory=PrefillRate)
     running: int = 0
     running_tokens: int = 0
     waiting: dict[str, Owed] = field(default_factory=dict)
@@ -135,7 +135,7 @@
             return 0.0
         since = [owed.since for owed in self.waiting.values()]
         tokens = sum(owed.tokens for owed in self.waiting.values())
-        reading = min(self.reading.find_time(tokens), _LONGEST_READING)
+        reading = min(self.reading.estimate_time(tokens), _LONGEST_READING)
         quiet = now - max(min(since, default=0.0), self.heard)
         return max(quiet - reading - self._find_grace(now), 0.0)
 
@@ -151,7 +151,7 @@
 
     def _find_excess(self, owed: Owed, now: Millis) -> Millis:
         """Return how much longer a first byte has taken than reading alone."""
-        reading = self.reading.find_time(owed.tokens)
+        reading = self.reading.estimate_time(owed.tokens)
         return now - owed.since - reading - _FIRST_BYTE
 
     def forget_kept(self) -> None:
--- a/src/oleanderdyke/kernel/exclusive_slot.py
+++ b/src/oleanderdyke/kernel/exclusive_slot.py
@@ -18,7 +18,7 @@
         self._reserved_until = 0
         self._inside = ''
 
-    def note_beat(self, sequence: int) -> None:
+    def record_heartbeat(self, sequence: int) -> None:
         """Learn the sequence number of the agent's latest heartbeat."""
         self._beat = max(self._beat, sequence)
 
--- a/src/oleanderdyke/kernel/gate.py
+++ b/src/oleanderdyke/kernel/gate.py
@@ -119,7 +119,7 @@
         """Learn the sequence number of the heartbeat just sent."""
         self._beat = max(self._beat, sequence)
         self._claims.note_beat(sequence)
-        self._lane.note_beat(sequence)
+        self._lane.record_heartbeat(sequence)
         oldest = self._beat - self._settings.max_age
         while self._seen_order and self._seen_order[0][0] < oldest:
             self._seen.discard(self._seen_order.popleft()[1])
--- a/src/oleanderdyke/kernel/placement.py
+++ b/src/oleanderdyke/kernel/placement.py
@@ -54,7 +54,7 @@
     Obstacle.BACKOFF,
     Obstacle.OUTDATED,
     Obstacle.EVACUATED,
-    Obstacle.FOREIGN,
+    Obstacle.REGION,
 )
 _NONE = Obstacle.UNLISTED
 
@@ -218,10 +218,10 @@
     if demand.model is None:
         return 0.0
     fetched, missing = _split_prompt(demand, demand.model, backend)
-    find_time = backend.reading.find_time
-    owed = find_time(backend.count_owed_tokens(demand.rank))
+    estimate_time = backend.reading.estimate_time
+    owed = estimate_time(backend.count_owed_tokens(demand.rank))
     delay = max(backend.find_delay(demand.rank, now), owed)
-    return delay + find_time(missing) + fetched / _FETCH_RATE
+    return delay + estimate_time(missing) + fetched / _FETCH_RATE
 
 
 def _score(
@@ -260,7 +260,7 @@
     score += backend.count_waiting(now) * _WAITING_COST
     is_fetchable = version is not None and demand.fetchable.get(version, 0)
     if backend.record.server not in terms.homes and not is_fetchable:
-        shared = backend.reading.find_time(_find_shared_tokens(model))
+        shared = backend.reading.estimate_time(_find_shared_tokens(model))
         score += shared / _HOMES
     return score
 
--- a/src/oleanderdyke/kernel/read_rate.py
+++ b/src/oleanderdyke/kernel/prefill_rate.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class ReadRate:
+class PrefillRate:
     """Hold the tokens per millisecond that engines of one service read."""
 
     _seen: deque[float] = field(
@@ -38,6 +38,6 @@
         self._seen.append(min(max(rate, _SLOWEST), _FASTEST))
         self._rate = statistics.median(self._seen)
 
-    def find_time(self, tokens: float) -> Millis:
+    def estimate_time(self, tokens: float) -> Millis:
         """Return how long reading takes."""
         return tokens / self._rate
--- a/src/oleanderdyke/kernel/rate_limits.py
+++ b/src/oleanderdyke/kernel/rate_limits.py
@@ -61,7 +61,7 @@
         return self.per_second < math.inf
 
     @property
-    def was_named(self) -> bool:
+    def was_ever_set(self) -> bool:
         """Return whether the server has ever named a limit."""
         return self._named_at > -math.inf
 
--- a/src/oleanderdyke/kernel/send_limits.py
+++ b/src/oleanderdyke/kernel/send_limits.py
@@ -30,7 +30,7 @@
     UNLISTED = 'no server listed'
     OUTDATED = 'the weights of all servers were replaced too long ago'
     EVACUATED = 'every data centre with servers is being evacuated'
-    FOREIGN = 'no server is in a region where the request may run'
+    REGION = 'no server is in a region where the request may run'
     COLD = 'all servers have just started and take few requests'
     LIMITED = 'all servers got the requests that they accept for now'
     BACKOFF = 'all servers asked to retry later'
@@ -85,7 +85,7 @@
         if data_centre in self.evacuations.active:
             return Obstacle.EVACUATED
         if not self.is_in_regions(data_centre, homes):
-            return Obstacle.FOREIGN
+            return Obstacle.REGION
         if self._is_used_up(backend, now):
             return Obstacle.COLD
         if backend.backoff_until > now:
--- a/src/oleanderdyke/kernel/server_list.py
+++ b/src/oleanderdyke/kernel/server_list.py
@@ -8,7 +8,7 @@
 
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.kernel.backend import Backend
-from oleanderdyke.kernel.read_rate import ReadRate
+from oleanderdyke.kernel.prefill_rate import PrefillRate
 from oleanderdyke.kernel.returns import ReturningServers
 from oleanderdyke.kernel.servers import ServerRecord, ServerStart
 
@@ -30,7 +30,7 @@
         self._backends: dict[str, Backend] = {}
         # The servers that told each address; some may have told another since.
         self._at_address: defaultdict[str, set[str]] = defaultdict(set)
-        self._reading: defaultdict[str, ReadRate] = defaultdict(ReadRate)
+        self._reading: defaultdict[str, PrefillRate] = defaultdict(PrefillRate)
         self._returning = ReturningServers()
         # When the latest start of each server was that told any, kept when
         # the server is gone: a record of an earlier one may still come.
--- a/tests/hosted_runs.py
+++ b/tests/hosted_runs.py
@@ -35,7 +35,7 @@
     FAIL = 'fail'
     RESET = 'reset'
     CUT = 'cut'
-    FOREIGN = 'foreign'
+    REGION = 'foreign'
     FOREIGN_REFUSAL = 'foreign refusal'
     UNSEALED = 'unsealed'
     EXTRA = 'extra'
@@ -53,7 +53,7 @@
 }
 _OTHER = {'oleanderdyke_request_id': 'of-another'}
 _SPOILT = {
-    Act.FOREIGN: _OTHER,
+    Act.REGION: _OTHER,
     Act.FOREIGN_REFUSAL: {**_OTHER, 'oleanderdyke_not_executed': '1'},
     Act.UNSEALED: {'oleanderdyke_response_seal': ''},
 }
--- a/tests/test_hosted_safety.py
+++ b/tests/test_hosted_safety.py
@@ -142,7 +142,7 @@
     _assert_caught(Ask('/once/', (Act.RESET,)))
 
 
-@pytest.mark.parametrize('act', [Act.REFUSE_UNPROVED, Act.FOREIGN])
+@pytest.mark.parametrize('act', [Act.REFUSE_UNPROVED, Act.REGION])
 def test_the_answers_catch_an_entry_that_believes_all(monkeypatch, act):
     monkeypatch.setattr(attempts, 'find_fault', lambda *_: '')
     _assert_caught(Ask('/once/', (act,)))
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -88,15 +88,15 @@
 
 def test_council_exports_only_what_has_returned():
     chooser = ExportPolicy(COUNCIL)
-    chooser.note_used([b'a', b'b'])
+    chooser.record_use([b'a', b'b'])
     assert chooser.count_worth_exporting([b'a', b'b']) == 0
-    chooser.note_used([b'a', b'c'])
+    chooser.record_use([b'a', b'c'])
     assert chooser.count_worth_exporting([b'a', b'b']) == 1
 
 
 def test_agency_exports_at_first_use():
     chooser = ExportPolicy(AGENCY)
-    chooser.note_used([b'a', b'b'])
+    chooser.record_use([b'a', b'b'])
     assert chooser.count_worth_exporting([b'a', b'b']) == 2
 
 
--- a/tests/test_read_rate.py
+++ b/tests/test_read_rate.py
@@ -19,7 +19,7 @@
 from oleanderdyke.kernel.backend import Owed
 from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.placement import SILENCE_LIMIT, is_usable
-from oleanderdyke.kernel.read_rate import ReadRate
+from oleanderdyke.kernel.prefill_rate import PrefillRate
 from oleanderdyke.kernel.servers import ServerRecord, ServerStart
 
 START = ServerStart('a')
@@ -68,23 +68,23 @@
 
 
 def test_the_rate_is_that_of_most_prompts_that_nothing_waited_before():
-    rate = ReadRate()
+    rate = PrefillRate()
     for duration in (100.0, 100.0, 100.0, 5.0, 900.0):
         rate.add_sample(5_000, duration)
-    assert rate.find_time(10_000) == pytest.approx(200.0)
+    assert rate.estimate_time(10_000) == pytest.approx(200.0)
 
 
 def test_short_prompts_and_no_time_tell_nothing():
-    rate = ReadRate()
-    first = rate.find_time(1_000)
+    rate = PrefillRate()
+    first = rate.estimate_time(1_000)
     rate.add_sample(100, 1.0)
     rate.add_sample(5_000, 0.0)
-    assert rate.find_time(1_000) == first
+    assert rate.estimate_time(1_000) == first
 
 
 def test_a_first_byte_behind_others_does_not_tell_the_rate():
     book = make_book()
-    before = book.find('a').reading.find_time(1_000)
+    before = book.find('a').reading.estimate_time(1_000)
     book.record_sent(START, 'x', Owed(0.0, 6_000))
     book.record_received(START, 'x', 5_000.0)
-    assert book.find('a').reading.find_time(1_000) == before
+    assert book.find('a').reading.estimate_time(1_000) == before
--- a/tests/test_send_limits.py
+++ b/tests/test_send_limits.py
@@ -107,12 +107,12 @@
     limits = make_limits()
     assert choose(book, limits, homes={'south'}) == 'b'
     assert choose(book, limits, homes={'north'}) == 'a'
-    assert choose(book, limits, homes={'east'}) is Obstacle.FOREIGN
+    assert choose(book, limits, homes={'east'}) is Obstacle.REGION
 
 
 def test_a_data_centre_of_unknown_region_is_nobodys_home():
     book = make_book(make_record('a', data_centre='barn'))
-    assert choose(book, make_limits(), homes={'north'}) is Obstacle.FOREIGN
+    assert choose(book, make_limits(), homes={'north'}) is Obstacle.REGION
 
 
 def test_a_cold_server_gets_one_request_of_each_of_many_entries_a_second():
