--- a/src/oleanderdyke/entry/hosted/attempt.py
+++ b/src/oleanderdyke/entry/hosted/attempt.py
@@ -38,7 +38,7 @@
     SendDispatch,
 )
 from oleanderdyke.kernel.backend import Backend, Owed
-from oleanderdyke.kernel.servers import AnswerFacts, ServerStart
+from oleanderdyke.kernel.servers import AnswerMetadata, ServerStart
 from oleanderdyke.kernel.weight_versions import (
     CANCEL_MARGIN,
     FIRST_TOKEN_MARGIN,
@@ -111,7 +111,7 @@
         """Send the request on a kept connection or a new one."""
         core = self._core
         backend = core.backends.find_start(self._start)
-        if backend is None or core.backends.has_left(self._start):
+        if backend is None or core.backends.is_leaving_or_gone(self._start):
             self._report_unsent('the server has left')
             return
         address = self._address = backend.record.address
@@ -120,7 +120,7 @@
             if connection is None:
                 connection = await core.pool.open(address)
         except OSError as error:
-            core.backends.note_failed(self._start, core.clock.now())
+            core.backends.record_failure(self._start, core.clock.now())
             core.pool.drop_idle(address)
             self._report_unsent(f'cannot connect: {type(error).__name__}')
             return
@@ -184,11 +184,11 @@
         fault = find_fault(status, facts, self._call.request)
         if fault:
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, fault)
-        elif facts.is_not_run:
+        elif facts.is_not_executed:
             self._lessons.take_refusal(facts, self._weights)
             self._report_failure(ErrorKind.OVERLOADED, Ran.NO, f'{status}')
         elif status >= _SERVER_ERROR and self._reserve_retry():
-            self._core.backends.note_error(self._start)
+            self._core.backends.record_error(self._start)
             self._report_failure(ErrorKind.STREAM_BROKEN, Ran.YES, f'{status}')
         elif self._goes_on() and not is_rest(status, headers):
             reason = f'{status} instead of the rest of the stream'
@@ -222,7 +222,7 @@
             )
             return
         self._release()
-        self._core.backends.note_good(self._start)
+        self._core.backends.record_success(self._start)
         self._finish()
         end = AnswerEnd(
             self._call.request, self._number, self._sequence, digest=b''
@@ -246,7 +246,7 @@
         each would cost one more request.
         """
         core = self._core
-        core.backends.note_failed(self._start, core.clock.now())
+        core.backends.record_failure(self._start, core.clock.now())
         if not self._has_answered:
             core.pool.drop_idle(self._address)
 
@@ -256,7 +256,7 @@
         What was true when the server was chosen may have changed while the
         connection was opened, by 300 ms at most.
         """
-        if self._core.backends.has_left(self._start):
+        if self._core.backends.is_leaving_or_gone(self._start):
             return 'the server left while connecting'
         obstacle = self._core.limits.find_send_obstacle(
             backend, self._chosen_at, self._core.clock.now()
@@ -299,8 +299,8 @@
             self._memory,
             is_alone=not backend.waiting and not backend.count_waiting(now),
         )
-        core.backends.note_sent(self._start, self._name, owed)
-        core.limits.note_sent(backend, now)
+        core.backends.record_sent(self._start, self._name, owed)
+        core.limits.record_sent(backend, now)
         connection.send(head, call.body, self)
         core.log.write(
             EventName.DISPATCH_SENT,
@@ -332,9 +332,9 @@
             last_event='' if last is None else str(last),
         )
 
-    def _learn(self, facts: AnswerFacts) -> None:
+    def _learn(self, facts: AnswerMetadata) -> None:
         core = self._core
-        core.backends.note_heard(self._start, self._name, core.clock.now())
+        core.backends.record_received(self._start, self._name, core.clock.now())
         if is_own_answer(facts, self._call.request, self.server):
             self._lessons.take_facts(facts)
         if self._connection is not None:
@@ -403,6 +403,6 @@
     def _finish(self) -> None:
         self._done = True
         if self._sent:
-            self._core.backends.note_ended(
+            self._core.backends.record_ended(
                 self._start, self._name, self._memory
             )
--- a/src/oleanderdyke/entry/hosted/watch.py
+++ b/src/oleanderdyke/entry/hosted/watch.py
@@ -10,7 +10,7 @@
 from oleanderdyke.entry.hosted.core import HostedCore
 from oleanderdyke.entry.hosted.roster import Roster
 from oleanderdyke.events import EventName
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.deployment import Deployment
 from oleanderdyke.platform.documents import MalformedRecord, NamedVersion
 from oleanderdyke.platform.feed import (
@@ -120,7 +120,7 @@
             backend = core.backends.find(notice.server)
             if backend is not None and notice.held:
                 start = backend.record.start
-                core.backends.note_version(start, notice.model, notice.held)
+                core.backends.record_version(start, notice.model, notice.held)
         if notices and not self._long_loads.was_shared:
             await anyio.sleep(_LOADS_HOLD / SECOND)
 
@@ -150,9 +150,9 @@
         now = core.clock.now()
         # What a neighbour tells may be older than the way that it came.
         read_at = asked_at + news.waited if self._short.was_shared else now
-        core.backends.note_answer(now, read_at)
+        core.backends.record_list_read(now, read_at)
         _take_servers(core.backends, news, now)
-        core.backends.note_read(now, read_at)
+        core.backends.complete_read(now, read_at)
         self._roster.note(core.backends, now, now - (core.servers_read or now))
         core.servers_read = now
         # Connections to a start that has ended may be dead without a sign, as
@@ -226,7 +226,7 @@
         if known is not None and deployment.version <= known.version:
             return
         self._core.deployment = deployment
-        self._core.limits.cold = self._core.find_cold_limits(deployment)
+        self._core.limits.cold_limits = self._core.find_cold_limits(deployment)
         self._core.log.write(
             EventName.CONFIGURATION_APPLIED,
             version=deployment.version,
@@ -234,10 +234,10 @@
         )
 
 
-def _take_servers(book: BackendBook, news: ServerNews, now: Millis) -> None:
+def _take_servers(book: BackendRegistry, news: ServerNews, now: Millis) -> None:
     """Take the whole list, or what has changed in it."""
     if news.is_restored:
-        book.note_restored(now)
+        book.record_restore(now)
     if news.is_whole:
         book.replace(news.listed, now, unread=news.unread)
         return
@@ -245,4 +245,4 @@
         book.remove(server, now)
     for record in news.listed:
         book.put(record, now)
-    book.note_unread(news.unread)
+    book.mark_unreadable(news.unread)
--- a/src/oleanderdyke/entry/sender.py
+++ b/src/oleanderdyke/entry/sender.py
@@ -184,9 +184,9 @@
         exports = self._core.exports
         hints = [make_hint(segment) for segment in self._call.segments]
         if not self._counted:
-            exports.note_used(hints)
+            exports.record_use(hints)
         self._counted = True
-        return exports.count_worthy(hints)
+        return exports.count_worth_exporting(hints)
 
     def _log(self, event: EventName) -> None:
         self._core.log.write(
--- a/src/oleanderdyke/kernel/gate.py
+++ b/src/oleanderdyke/kernel/gate.py
@@ -10,8 +10,8 @@
 
 from oleanderdyke.clock import Millis
 from oleanderdyke.errors import ErrorKind, Ran
-from oleanderdyke.kernel.alone import AloneLane
 from oleanderdyke.kernel.claim_runs import ClaimRuns, RunAnswer, RunState
+from oleanderdyke.kernel.exclusive_slot import ExclusiveSlot
 from oleanderdyke.kernel.gate_types import GateSettings, LoadedWeights, Rights
 from oleanderdyke.kernel.quarantine import Quarantine, QuarantineStatus
 from oleanderdyke.links.messages import AgentPhase, Dispatch, Failed
@@ -97,7 +97,7 @@
         self._running: dict[_AttemptKey, Dispatch] = {}
         self._seen: set[_AttemptKey] = set()
         self._seen_order: deque[tuple[int, _AttemptKey]] = deque()
-        self._lane = AloneLane(reserve_beats=settings.reserve_beats)
+        self._lane = ExclusiveSlot(reserve_beats=settings.reserve_beats)
         self._claims = ClaimRuns(
             max_age=settings.max_age,
             capacity=settings.claims,
@@ -127,7 +127,7 @@
         """Learn the sequence number of the heartbeat just sent."""
         self._beat = max(self._beat, sequence)
         self._claims.record_heartbeat(sequence)
-        self._lane.note_beat(sequence)
+        self._lane.record_heartbeat(sequence)
         oldest = self._beat - self._settings.max_age
         while self._seen_order and self._seen_order[0][0] < oldest:
             self._seen.discard(self._seen_order.popleft()[1])
--- a/tests/hosted.py
+++ b/tests/hosted.py
@@ -189,7 +189,7 @@
     """Let the other servers look worse, so that this one is tried first."""
     for other in range(len(stage.replicas)):
         if other != number:
-            stage.core.backends.note_error(ServerStart(f'i-{other}'))
+            stage.core.backends.record_error(ServerStart(f'i-{other}'))
 
 
 def run_while_connecting(stage: Stage, act: Callable[[], object]) -> None:
