--- a/bench/agent.py
+++ b/bench/agent.py
@@ -145,7 +145,7 @@
         return joined
 
     def _start(self, store: StoreNode, kept: list[SegmentHint]) -> _Flight:
-        store.cache.note_used(kept, self._events.now)
+        store.cache.record_use(kept, self._events.now)
         flight = _Flight(kept, store)
         count = len(kept) * self._segment_bytes
         for segment in kept:
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -62,21 +62,25 @@
             store, covered = _find_store(demand, fleet, held)
         return Plan(replica.agent, 'baseline', store, held, covered)
 
-    def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
+    def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Count a dispatch."""
-        self._backlog.note_sent(demand.request, plan.agent, 0, now)
+        self._backlog.record_sent(demand.request, plan.agent, 0, now)
 
-    def note_first_token(self, request: str, now: Millis) -> None:
+    def record_first_token(self, request: str, now: Millis) -> None:
         """Learn nothing."""
 
-    def note_finished(self, request: str, now: Millis) -> None:
+    def record_finished(self, request: str, now: Millis) -> None:
         """Forget a request."""
-        self._backlog.note_finished(request, now)
+        self._backlog.record_finished(request, now)
 
-    def note_removed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
+    def record_segments_removed(
+        self, agent: str, segments: Sequence[SegmentHint]
+    ) -> None:
         """Learn nothing."""
 
-    def note_listed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
+    def record_segments_listed(
+        self, agent: str, segments: Sequence[SegmentHint]
+    ) -> None:
         """Learn nothing."""
 
     def _pick(
--- a/bench/caches.py
+++ b/bench/caches.py
@@ -8,7 +8,7 @@
 from typing import TypeAlias
 
 from oleanderdyke.clock import Millis
-from oleanderdyke.kernel.demand import Keeper, SegmentHint
+from oleanderdyke.kernel.demand import RetentionPolicy, SegmentHint
 
 Notify: TypeAlias = Callable[
     [Sequence[SegmentHint], Sequence[SegmentHint]], None
@@ -64,7 +64,7 @@
     """Keep what a keeper finds worth most, judged on samples."""
 
     def __init__(
-        self, limit: int, keeper: Keeper, random: Random, length: int
+        self, limit: int, keeper: RetentionPolicy, random: Random, length: int
     ) -> None:
         self.limit = limit
         self._keeper = keeper
@@ -84,10 +84,10 @@
         """Count the segments from `start` on that are kept in a row."""
         return count_leading(self._places, segments, start)
 
-    def note_used(self, segments: Sequence[SegmentHint], now: Millis) -> None:
+    def record_use(self, segments: Sequence[SegmentHint], now: Millis) -> None:
         """Tell the keeper of reads, the first of them as the last."""
         for segment in reversed(segments):
-            self._keeper.note_used(segment, now)
+            self._keeper.record_use(segment, now)
 
     def write(
         self, segments: Sequence[SegmentHint], now: Millis
@@ -103,7 +103,7 @@
             self._places[segment] = len(self._order)
             self._order.append(segment)
             added.append(segment)
-        self.note_used(added, now)
+        self.record_use(added, now)
         if added or removed:
             self.notify(added, removed)
         return added
@@ -131,7 +131,7 @@
         return True
 
     def _weigh(self, segment: SegmentHint, now: Millis) -> float:
-        return self._keeper.worth(segment, self._length, 0.0, now)
+        return self._keeper.estimate_value(segment, self._length, 0.0, now)
 
     def _remove(self, segment: SegmentHint) -> None:
         place = self._places.pop(segment)
--- a/bench/clairvoyant.py
+++ b/bench/clairvoyant.py
@@ -19,7 +19,7 @@
             for segment in visit.segments:
                 self._uses.setdefault(segment, []).append(visit.at)
 
-    def worth(
+    def estimate_value(
         self, segment: SegmentHint, length: int, gap: Millis, now: Millis
     ) -> float:
         """Return more for what is used sooner."""
@@ -29,5 +29,5 @@
             return 0.0
         return 1.0 / (1.0 + uses[index] - now)
 
-    def note_used(self, segment: SegmentHint, now: Millis) -> None:
+    def record_use(self, segment: SegmentHint, now: Millis) -> None:
         """Learn nothing."""
--- a/bench/deciding.py
+++ b/bench/deciding.py
@@ -89,8 +89,8 @@
     def decide(demand: Demand) -> None:
         plan = router.choose(demand, fleet, SECOND, random)
         assert isinstance(plan, Plan)
-        router.note_sent(demand, plan, SECOND)
-        router.note_finished(demand.request, SECOND)
+        router.record_sent(demand, plan, SECOND)
+        router.record_finished(demand.request, SECOND)
 
     return _time(decide, demands)
 
@@ -102,7 +102,7 @@
 
     def decide(demand: Demand) -> None:
         admission.admit(demand, fleet, SECOND)
-        admission.note_finished(demand.request, SECOND)
+        admission.record_finished(demand.request, SECOND)
 
     return _time(decide, demands)
 
--- a/bench/desk.py
+++ b/bench/desk.py
@@ -9,7 +9,7 @@
 from bench.events import Events
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.errors import REPLIES, ErrorKind
-from oleanderdyke.kernel.admission import spread
+from oleanderdyke.kernel.admission import hash_to_fraction
 
 _CALLS_PER_SECOND = 20.0
 _APPENDS_PER_SECOND = 300.0
@@ -84,6 +84,8 @@
 
     def _refuse(self, call: Call) -> None:
         after = REPLIES[ErrorKind.LOG_UNAVAILABLE].retry_after or SECOND
-        after *= 1 + self._jitter * spread(f'{call.number}-{call.tries}')
+        after *= 1 + self._jitter * hash_to_fraction(
+            f'{call.number}-{call.tries}'
+        )
         if self.events.now + after < call.at + _PATIENCE:
             self.events.add(after, self._try, call)
--- a/bench/history.py
+++ b/bench/history.py
@@ -11,7 +11,7 @@
 from bench.system import System
 from bench.workload import DEPLOYMENTS, Deployment, Trace, Visit, Workload
 from oleanderdyke.clock import Millis
-from oleanderdyke.kernel.demand import SEGMENT_TOKENS, Keeper
+from oleanderdyke.kernel.demand import SEGMENT_TOKENS, RetentionPolicy
 from oleanderdyke.policies.exports import ExportChooser
 from oleanderdyke.policies.registries import KEEPERS
 from oleanderdyke.policies.settings import PRESETS, PolicySettings
@@ -35,7 +35,11 @@
     """Replay visits on bare caches."""
 
     def __init__(
-        self, deployment: Deployment, system: System, keeper: Keeper, seed: int
+        self,
+        deployment: Deployment,
+        system: System,
+        keeper: RetentionPolicy,
+        seed: int,
     ) -> None:
         limit = count_segments(deployment, deployment.cache_bytes)
         length = SEGMENT_TOKENS * deployment.kv_bytes_per_token
@@ -59,7 +63,7 @@
         covered = 0
         if self._system.exports != 'none':
             covered = self.store.count_leading(segments, held)
-            self.store.note_used(segments[held : held + covered], visit.at)
+            self.store.record_use(segments[held : held + covered], visit.at)
             self._export(segments, visit.at)
         engine.use(segments)
         return held, covered, len(segments) - held - covered
@@ -79,7 +83,7 @@
     def _export(self, segments: Sequence[bytes], now: Millis) -> None:
         count = len(segments)
         if self.chooser is not None:
-            self.chooser.note_used(segments)
+            self.chooser.record_use(segments)
             count = self.chooser.count_worthy(segments)
         self.store.write(segments[:count], now)
 
--- a/bench/oracle.py
+++ b/bench/oracle.py
@@ -75,22 +75,26 @@
             key=lambda each: each[0].cost + weight * pushed[each[1].agent],
         )[1]
 
-    def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
+    def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Count what a cache turns over, as the policy does."""
         cached = plan.cached + plan.joined
         brought = demand.tokens - cached * SEGMENT_TOKENS
         self._pressure.note_brought(plan.agent, brought, now)
 
-    def note_first_token(self, request: str, now: Millis) -> None:
+    def record_first_token(self, request: str, now: Millis) -> None:
         """Learn nothing."""
 
-    def note_finished(self, request: str, now: Millis) -> None:
+    def record_finished(self, request: str, now: Millis) -> None:
         """Learn nothing."""
 
-    def note_removed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
+    def record_segments_removed(
+        self, agent: str, segments: Sequence[SegmentHint]
+    ) -> None:
         """Learn nothing."""
 
-    def note_listed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
+    def record_segments_listed(
+        self, agent: str, segments: Sequence[SegmentHint]
+    ) -> None:
         """Learn nothing."""
 
     def _weigh(self, demand: Demand, replica: Replica) -> tuple[Source, Plan]:
--- a/bench/reporting.py
+++ b/bench/reporting.py
@@ -31,7 +31,7 @@
         perfect: bool,
         agents: Mapping[str, EngineAgent],
         store: StoreNode,
-        note_removed: Callable[[str, Sequence[SegmentHint]], None],
+        record_segments_removed: Callable[[str, Sequence[SegmentHint]], None],
     ) -> None:
         self._events = events
         self._deployment = deployment
@@ -39,7 +39,7 @@
         self._perfect = perfect
         self._agents = agents
         self._store = store
-        self._note_removed = note_removed
+        self._note_removed = record_segments_removed
         self._beat = 0
         self.fleet = TrueFleet() if perfect else LateFleet()
         self.versions = dict.fromkeys(agents, 0)
--- a/bench/store_memory.py
+++ b/bench/store_memory.py
@@ -18,7 +18,7 @@
 
 from oleanderdyke.clock import HOUR, Millis
 from oleanderdyke.kernel.blocks import digest_segment, hint
-from oleanderdyke.kernel.demand import Keeper, SegmentHint
+from oleanderdyke.kernel.demand import RetentionPolicy, SegmentHint
 from oleanderdyke.kernel.store_index import (
     StoreIndex,
     StoreLimits,
@@ -40,13 +40,13 @@
 class GapKeeper:
     """Remember nothing and find the worth in the expected gap."""
 
-    def worth(
+    def estimate_value(
         self, _segment: SegmentHint, _length: int, gap: Millis, _now: Millis
     ) -> float:
         """Return more for a shorter gap."""
         return -gap
 
-    def note_used(self, _segment: SegmentHint, _now: Millis) -> None:
+    def record_use(self, _segment: SegmentHint, _now: Millis) -> None:
         """Learn nothing."""
 
 
@@ -85,7 +85,7 @@
         self.index.log.take()
 
 
-def make_writer(count: int, keeper: Keeper) -> _Writer:
+def make_writer(count: int, keeper: RetentionPolicy) -> _Writer:
     """Build a full index."""
     limits = StoreLimits(capacity_bytes=count * len(_DATA))
     index = StoreIndex(limits, keeper, 'incarnation-1', Random(1))
@@ -94,7 +94,7 @@
     return writer
 
 
-def measure_bytes(count: int, make: Callable[[], Keeper]) -> float:
+def measure_bytes(count: int, make: Callable[[], RetentionPolicy]) -> float:
     """Return the bytes that each entry takes."""
     gc.collect()
     tracemalloc.start()
@@ -106,7 +106,7 @@
     return held / count
 
 
-def measure_evictions(count: int, keeper: Keeper) -> tuple[float, int]:
+def measure_evictions(count: int, keeper: RetentionPolicy) -> tuple[float, int]:
     """Return microseconds for a write into a full index, and those kept."""
     writer = make_writer(count, keeper)
     start = time.process_time()
--- a/bench/world.py
+++ b/bench/world.py
@@ -148,7 +148,7 @@
             perfect=self.system.perfect,
             agents=self.agents,
             store=self.store,
-            note_removed=self._learn_removed,
+            record_segments_removed=self._learn_removed,
         )
         self.fleet = self.reporter.fleet
         self.reporter.publish(STORE, history.store)
@@ -197,7 +197,7 @@
 
     def _learn_removed(self, name: str, removed: Sequence[SegmentHint]) -> None:
         for entry in self.entries:
-            entry.router.note_removed(name, removed)
+            entry.router.record_segments_removed(name, removed)
 
     def _tick(self) -> None:
         for entry in self.entries:
@@ -279,11 +279,11 @@
             exclude=frozenset(avoid),
         )
         if isinstance(plan, Refusal):
-            entry.admission.note_finished(request.name, now)
+            entry.admission.record_finished(request.name, now)
             self._refuse(request.outcome, plan.retry_after)
             return
-        entry.router.note_sent(request.demand, plan, now)
-        entry.admission.note_sent(request.demand, plan, now)
+        entry.router.record_sent(request.demand, plan, now)
+        entry.admission.record_sent(request.demand, plan, now)
         request.plan = plan
         request.engine = plan.agent
         request.attempts += 1
@@ -327,8 +327,8 @@
         outcome = request.outcome
         outcome.computed += computed
         outcome.first_token = now + self.deployment.latency
-        request.entry.router.note_first_token(request.name, now)
-        request.entry.admission.note_first_token(request.name, now)
+        request.entry.router.record_first_token(request.name, now)
+        request.entry.admission.record_first_token(request.name, now)
         self._keep(request)
         self._release(request.entry)
 
@@ -338,7 +338,7 @@
         segments = request.demand.segments
         count = len(segments)
         if self.chooser is not None:
-            self.chooser.note_used(segments)
+            self.chooser.record_use(segments)
             count = self.chooser.count_worthy(segments)
         held = self.fleet.count_leading(STORE, segments)
         if held < count and self.store.up:
@@ -361,8 +361,8 @@
         request.done = True
         self._running.pop(request.name, None)
         now = self.events.now
-        request.entry.router.note_finished(request.name, now)
-        request.entry.admission.note_finished(request.name, now)
+        request.entry.router.record_finished(request.name, now)
+        request.entry.admission.record_finished(request.name, now)
         self._release(request.entry)
 
     def _fail_attempt(self, request: Request) -> None:
@@ -370,13 +370,13 @@
         if request.done:
             return
         now = self.events.now
-        request.entry.router.note_finished(request.name, now)
+        request.entry.router.record_finished(request.name, now)
         if request.attempts < _ATTEMPTS and now < request.outcome.deadline:
             self._dispatch(request, request.engine)
             return
         self._running.pop(request.name, None)
         request.done = True
-        request.entry.admission.note_finished(request.name, now)
+        request.entry.admission.record_finished(request.name, now)
         self._refuse(request.outcome, SECOND)
 
 
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -305,7 +305,7 @@
 
     def _is_kept(self) -> bool:
         wanted = len(self._rulebook) // cache.SEGMENT_BYTES
-        return count_kept(self._deployment) >= wanted
+        return count_cached_tokens(self._deployment) >= wanted
 
 
 def make_token(team: str) -> str:
@@ -350,7 +350,7 @@
     time.sleep(_SETTLE_SECONDS)
 
 
-def count_kept(deployment: Deployment) -> int:
+def count_cached_tokens(deployment: Deployment) -> int:
     """Count the objects in the stores."""
     addresses = list_addresses(deployment, BackendKind.STORE)
     return sum(len(call(each, 'GET', '/objects').json) for each in addresses)
--- a/src/oleanderdyke/agent/configuration.py
+++ b/src/oleanderdyke/agent/configuration.py
@@ -12,14 +12,14 @@
 from oleanderdyke.agent.outbox import Outbox
 from oleanderdyke.clock import SECOND, Clock, Millis
 from oleanderdyke.events import EventName
+from oleanderdyke.kernel.configuration import ConfigurationReader
 from oleanderdyke.kernel.objects import (
     ModelVersionSpec,
     ObjectKind,
     ServiceSpec,
     TeamSpec,
-    select,
+    matches_selector,
 )
-from oleanderdyke.kernel.spread import ConfigurationReader
 from oleanderdyke.links.messages import (
     ConfigurationDifference,
     ConfigurationRequest,
@@ -73,7 +73,7 @@
         """Learn a peer's offset and ask it for what is missing."""
         self.highest = max(self.highest, offset)
         now = self._clock.now()
-        request = self._reader.on_heard(outbox.name, offset, now)
+        request = self._reader.on_peer_offset(outbox.name, offset, now)
         if request is not None:
             self._ask(outbox, request)
 
@@ -117,7 +117,7 @@
 
     def drop_link(self, link: str) -> None:
         """Forget a peer."""
-        self._reader.on_peer_gone(link)
+        self._reader.on_peer_disconnected(link)
         self._asked.pop(link, None)
         self._entries.pop(link, None)
 
@@ -145,7 +145,7 @@
             return False
         if not isinstance(found.spec, TeamSpec):
             return False
-        return select(spec.teams, found.spec.labels)
+        return matches_selector(spec.teams, found.spec.labels)
 
     def _ask(self, outbox: Outbox, request: ConfigurationRequest) -> None:
         asked = self._asked.setdefault(outbox.name, deque())
--- a/src/oleanderdyke/agent/engine.py
+++ b/src/oleanderdyke/agent/engine.py
@@ -12,7 +12,7 @@
 from oleanderdyke.kernel.blocks import SegmentId, hint
 from oleanderdyke.kernel.demand import SEGMENT_TOKENS, SegmentHint
 from oleanderdyke.kernel.gate import Loaded
-from oleanderdyke.kernel.orders import Fence, Observed
+from oleanderdyke.kernel.orders import Fence, ObservedState
 from oleanderdyke.kernel.segment_log import SegmentLog
 from oleanderdyke.links.messages import Load
 from oleanderdyke.logs import EventLog
@@ -39,7 +39,7 @@
         # In order of last use, since an engine evicts what is longest unused.
         self._cached: dict[SegmentHint, None] = {}
         self.segments = SegmentLog()
-        self.observed: Observed | None = None
+        self.observed: ObservedState | None = None
         self.held = False
         self._seen = Loaded()
         self.loaded = Loaded()
@@ -65,7 +65,7 @@
         self.held = False
         self._show_loaded()
 
-    async def read_state(self) -> Observed:
+    async def read_state(self) -> ObservedState:
         """Read the engine's state; raise OleanderError."""
         asked_at = self._clock.now()
         state = await self._backend.get_json('/state')
@@ -82,7 +82,7 @@
             await self._backend.get_json(f'/cache/events?after={self._after}')
         )
 
-    def note_used(self, segments: Sequence[SegmentId]) -> None:
+    def record_use(self, segments: Sequence[SegmentId]) -> None:
         """Learn that a run has read or computed segments."""
         for segment in segments:
             self._add(hint(segment))
@@ -149,9 +149,9 @@
             self.segments.remove(segment)
 
 
-def _read_observed(state: Json, asked_at: Millis, now: Millis) -> Observed:
+def _read_observed(state: Json, asked_at: Millis, now: Millis) -> ObservedState:
     try:
-        return Observed(
+        return ObservedState(
             model=str(state['model'] or ''),
             version=str(state['version'] or ''),
             digest=str(state['digest'] or ''),
@@ -165,7 +165,7 @@
         raise _make_fault('/state') from error
 
 
-def _find_loaded(observed: Observed) -> Loaded:
+def _find_loaded(observed: ObservedState) -> Loaded:
     if not observed.digest:
         return Loaded()
     return Loaded(
--- a/src/oleanderdyke/agent/hosted/news.py
+++ b/src/oleanderdyke/agent/hosted/news.py
@@ -84,7 +84,7 @@
                 # The agent's other reads tell that the store is out.
                 told = None
             for entry in told or ():
-                self._neighbours.note(entry, self._clock.now())
+                self._neighbours.record_alive(entry, self._clock.now())
             await anyio.sleep(pause / SECOND)
             pause = _PERIOD
 
--- a/src/oleanderdyke/agent/order_loop.py
+++ b/src/oleanderdyke/agent/order_loop.py
@@ -15,14 +15,14 @@
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.orders import (
     ORDER_TIMEOUT,
-    RECHECK,
+    RECHECK_INTERVAL,
     ConfirmValidity,
-    Desired,
+    DesiredState,
     Fence,
     Order,
     ReadState,
-    StandDown,
     Step,
+    StopOrdering,
     Validity,
     find_desired,
     reconcile,
@@ -61,7 +61,7 @@
         self._configuration = configuration
         self._service = service
         self._checks_fencing = checks_fencing
-        self._desired: Desired | None = None
+        self._desired: DesiredState | None = None
         self._changed_at = 0
         self._refused = ''
         self._incarnation = incarnation
@@ -77,7 +77,7 @@
                 pause = await self.step()
             except OleanderError:
                 # The health probe tells whether the engine is lost.
-                pause = RECHECK
+                pause = RECHECK_INTERVAL
             with anyio.move_on_after(max(pause, 0.0) / SECOND):
                 await self._configuration.wait_changed()
 
@@ -85,7 +85,7 @@
         """Take one step and return the pause before the next."""
         desired = self._find_desired()
         if desired is None:
-            return RECHECK
+            return RECHECK_INTERVAL
         step = self._reconcile(desired)
         if isinstance(step, Order):
             await self._order(step)
@@ -96,12 +96,12 @@
         if isinstance(step, ConfirmValidity):
             return await self._confirm()
         self._engine.release()
-        if isinstance(step, StandDown):
+        if isinstance(step, StopOrdering):
             self._log_refused(step.reason.value)
-            return RECHECK
+            return RECHECK_INTERVAL
         return step.check_at - self._clock.now()
 
-    def _find_desired(self) -> Desired | None:
+    def _find_desired(self) -> DesiredState | None:
         service = self._configuration.find_service(self._service)
         if service is None:
             return None
@@ -111,7 +111,7 @@
             self._changed_at = self._configuration.offset
         return desired
 
-    def _reconcile(self, desired: Desired) -> Step:
+    def _reconcile(self, desired: DesiredState) -> Step:
         return reconcile(
             desired,
             self._engine.observed,
@@ -130,7 +130,7 @@
     async def _confirm(self) -> Millis:
         if await self._configuration.confirm():
             return 0.0
-        return RECHECK
+        return RECHECK_INTERVAL
 
     async def _order(self, order: Order) -> None:
         if not self._engine.held:
--- a/src/oleanderdyke/agent/prepare.py
+++ b/src/oleanderdyke/agent/prepare.py
@@ -102,7 +102,7 @@
         dispatch = run.dispatch
         if self._engine.loaded.digest != dispatch.weight_digest:
             return
-        self._engine.note_used(dispatch.segments)
+        self._engine.record_use(dispatch.segments)
         if dispatch.keep is not None:
             depth = _find_depth(dispatch.segments, dispatch.keep.segments)
             self._exporter.offer(dispatch.keep, dispatch.namespace, depth=depth)
--- a/src/oleanderdyke/agent/store.py
+++ b/src/oleanderdyke/agent/store.py
@@ -18,7 +18,7 @@
 from oleanderdyke.clock import SECOND, Clock
 from oleanderdyke.errors import OleanderError
 from oleanderdyke.events import EventName
-from oleanderdyke.kernel.demand import Keeper
+from oleanderdyke.kernel.demand import RetentionPolicy
 from oleanderdyke.kernel.links_meter import LinkMeter
 from oleanderdyke.kernel.segment_log import SegmentLog
 from oleanderdyke.kernel.store_index import StoreIndex, StoreLimits
@@ -60,7 +60,7 @@
         backend: Backend,
         *,
         settings: CacheSettings,
-        make_keeper: Callable[[], Keeper],
+        make_keeper: Callable[[], RetentionPolicy],
         incarnation: str,
         clock: Clock,
         random: Random,
--- a/src/oleanderdyke/entry/admin.py
+++ b/src/oleanderdyke/entry/admin.py
@@ -15,10 +15,10 @@
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 from oleanderdyke.kernel.catalog import (
     Catalog,
-    LossReason,
-    Lost,
     ObjectPage,
     Outcome,
+    Rejected,
+    RejectionReason,
 )
 from oleanderdyke.kernel.objects import (
     Change,
@@ -98,7 +98,7 @@
                 found = operator.name
         if found:
             return Caller(found)
-        team = self._catalog.find_administered(token_hash)
+        team = self._catalog.find_administered_team(token_hash)
         if team is None:
             fault = 'a known bearer token is needed'
             raise OleanderError(ErrorKind.UNAUTHENTICATED, fault)
@@ -228,14 +228,14 @@
         raise OleanderError(ErrorKind.FORBIDDEN, 'this is for operators')
 
 
-def make_conflict(lost: Sequence[Lost]) -> OleanderError:
+def make_conflict(lost: Sequence[Rejected]) -> OleanderError:
     """Return the error that tells who won, or why the change is invalid."""
-    invalid = any(item.reason is LossReason.INVALID for item in lost)
+    invalid = any(item.reason is RejectionReason.INVALID for item in lost)
     kind = ErrorKind.BAD_REQUEST if invalid else ErrorKind.CONFLICT
     return OleanderError(kind, '; '.join(map(_explain, lost)), ran=Ran.NO)
 
 
-def _explain(lost: Lost) -> str:
+def _explain(lost: Rejected) -> str:
     winner = f', last changed by {lost.winner}' if lost.winner else ''
     return f'{lost.kind} {lost.name}: {lost.detail}{winner}'
 
--- a/src/oleanderdyke/entry/admin_edge.py
+++ b/src/oleanderdyke/entry/admin_edge.py
@@ -37,7 +37,7 @@
 from oleanderdyke.entry.publishing import Appender, Publisher
 from oleanderdyke.errors import ErrorKind, OleanderError
 from oleanderdyke.events import EventName
-from oleanderdyke.kernel.catalog import Lost
+from oleanderdyke.kernel.catalog import Rejected
 from oleanderdyke.links.messages import DrainRequest
 
 _OK = 200
@@ -143,7 +143,7 @@
             ask.caller, parse_changes(ask.body)
         )
         found = show_outcomes(outcomes)
-        lost = [item for item in outcomes if isinstance(item, Lost)]
+        lost = [item for item in outcomes if isinstance(item, Rejected)]
         if not lost:
             return _OK, found
         error = make_conflict(lost)
--- a/src/oleanderdyke/entry/agents.py
+++ b/src/oleanderdyke/entry/agents.py
@@ -173,8 +173,8 @@
             peer.process, peer.incarnation, events, core.clock.now()
         )
         if events.full:
-            core.router.note_listed(peer.process, events.added)
-        core.router.note_removed(peer.process, events.removed)
+            core.router.record_segments_listed(peer.process, events.added)
+        core.router.record_segments_removed(peer.process, events.removed)
         if request is not None:
             core.log.write(EventName.SEGMENT_EVENTS_LOST, agent=peer.process)
             core.spawn(_send, link, request)
--- a/src/oleanderdyke/entry/configuration.py
+++ b/src/oleanderdyke/entry/configuration.py
@@ -57,13 +57,13 @@
         if self._links.get(process) is link:
             del self._links[process]
             self._pushed.pop(process, None)
-            self._core.reader.on_peer_gone(process)
+            self._core.reader.on_peer_disconnected(process)
 
     def hear(self, link: Link, offset: int) -> None:
         """Compare a peer's offset with ours; ask it or help it."""
         process = link.peer.process
         core = self._core
-        request = core.reader.on_heard(process, offset, core.clock.now())
+        request = core.reader.on_peer_offset(process, offset, core.clock.now())
         if request is not None:
             core.log.write(EventName.CONFIGURATION_BEHIND, peer=process)
             core.spawn(_send_all, link, (request,))
--- a/src/oleanderdyke/entry/core.py
+++ b/src/oleanderdyke/entry/core.py
@@ -14,6 +14,10 @@
 from oleanderdyke.kernel.attempts import MachineSettings
 from oleanderdyke.kernel.catalog import Catalog
 from oleanderdyke.kernel.claims import ClaimTable
+from oleanderdyke.kernel.configuration import (
+    ConfigurationReader,
+    ReaderSettings,
+)
 from oleanderdyke.kernel.demand import Admission, Admitted, Refusal, Router
 from oleanderdyke.kernel.drain import Drain
 from oleanderdyke.kernel.membership import FleetState
@@ -28,7 +32,6 @@
     RetrySettings,
     make_retry_budget,
 )
-from oleanderdyke.kernel.spread import ConfigurationReader, ReaderSettings
 from oleanderdyke.kernel.targets import TargetBooks
 from oleanderdyke.links.link import Link
 from oleanderdyke.links.messages import PROTOCOL_VERSION, Hello, Message, Role
--- a/src/oleanderdyke/entry/effects.py
+++ b/src/oleanderdyke/entry/effects.py
@@ -185,7 +185,7 @@
         if action.attempt > 1:
             self._core.metrics.add(Count.RETRIES, label=self._call.service)
             self.log(EventName.REQUEST_RETRIED, attempt=action.attempt)
-        self._core.router.note_sent(
+        self._core.router.record_sent(
             self._demand, action.plan, self._core.clock.now()
         )
         if await self._sender.dispatch(action):
@@ -213,7 +213,7 @@
             await self.fail(error)
             self.note_gone()
         if first:
-            self._core.router.note_first_token(
+            self._core.router.record_first_token(
                 self._call.request, self._core.clock.now()
             )
         if self._delivery.waiting >= self._core.settings.requests.credit // 2:
--- a/src/oleanderdyke/entry/hosted/attempt.py
+++ b/src/oleanderdyke/entry/hosted/attempt.py
@@ -33,7 +33,7 @@
 from oleanderdyke.errors import ErrorKind, Ran
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.attempt_events import Received, SendDispatch, Unsent
-from oleanderdyke.kernel.backend import Backend, Owed
+from oleanderdyke.kernel.backend import Backend, PendingAttempt
 from oleanderdyke.kernel.named_weights import BEGIN_MARGIN, SEND_MARGIN
 from oleanderdyke.kernel.servers import AnswerFacts, ServerStart
 from oleanderdyke.links.messages import (
@@ -161,12 +161,12 @@
             self._note_lost()
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, reason)
 
-    def find_silence(self, now: Millis) -> Millis:
+    def find_overdue_time(self, now: Millis) -> Millis:
         """Return for how long the server has owed bytes and sent none."""
         backend = self._core.book.find_start(self._start)
         if self._done or backend is None:
             return 0.0
-        return backend.find_silence(now)
+        return backend.find_overdue_time(now)
 
     def take_head(self, status: int, headers: Headers) -> None:
         """Judge the head of the answer."""
@@ -259,7 +259,9 @@
         weights = find_weights(self._call, backend)
         # What would wait at the engine until its time is over runs late where
         # a server doesn't drop the requests of closed connections.
-        delay = backend.find_delay(self._call.priority, self._core.clock.now())
+        delay = backend.find_queue_delay(
+            self._call.priority, self._core.clock.now()
+        )
         if not may_begin(self._core, weights, SEND_MARGIN + delay):
             return 'its weights were replaced too long ago'
         return ''
@@ -280,12 +282,12 @@
         demand = call.asked.demand
         tokens = 0
         if demand is not None:
-            ready = backend.count_kept(demand.parts)
+            ready = backend.count_cached_tokens(demand.parts)
             ready = max(ready, dispatch.contexts.fetched_tokens)
             tokens = max(demand.prompt_tokens - ready, 0)
         self._memory = 0 if demand is None else demand.memory_tokens
         now = core.clock.now()
-        owed = Owed(
+        owed = PendingAttempt(
             now,
             tokens,
             call.priority,
@@ -363,7 +365,7 @@
     def _note_heard(self) -> None:
         backend = self._core.book.find_start(self._start)
         if backend is not None:
-            backend.heard = self._core.clock.now()
+            backend.last_heard_at = self._core.clock.now()
 
     def _close_failed(self, kind: ErrorKind, ran: Ran, reason: str) -> None:
         self._report_failure(kind, ran, reason)
--- a/src/oleanderdyke/entry/hosted/call.py
+++ b/src/oleanderdyke/entry/hosted/call.py
@@ -73,8 +73,10 @@
     @property
     def homes(self) -> frozenset[str]:
         """Return the regions where the call may run; none means all."""
-        route = self.route.homes
-        owner = frozenset() if self.owner is None else self.owner.homes
+        route = self.route.allowed_regions
+        owner = (
+            frozenset() if self.owner is None else self.owner.allowed_regions
+        )
         if not route or not owner:
             return route or owner
         return route & owner or _NOWHERE
@@ -202,7 +204,7 @@
     deployment = core.deployment
     if deployment is None:
         return 0
-    return deployment.find_memory(call.service) or 0
+    return deployment.find_memory_tokens(call.service) or 0
 
 
 def _count_fetchable(
--- a/src/oleanderdyke/entry/hosted/core.py
+++ b/src/oleanderdyke/entry/hosted/core.py
@@ -188,7 +188,9 @@
         """Return what cold servers of each service tolerate."""
         share, slack = self.settings.cold_share, self.settings.cold_slack
         return {
-            name: ColdLimit(traits.cold_rate * share + slack, traits.cold_lasts)
+            name: ColdLimit(
+                traits.cold_rate * share + slack, traits.cold_duration
+            )
             for name, traits in deployment.services.items()
             if traits.cold_rate > 0
         }
--- a/src/oleanderdyke/entry/hosted/driver.py
+++ b/src/oleanderdyke/entry/hosted/driver.py
@@ -130,7 +130,7 @@
             return
         attempt.withdraw_superseded()
         attempt.withdraw_late()
-        if self._is_given_up(attempt.find_silence(now)):
+        if self._is_given_up(attempt.find_overdue_time(now)):
             attempt.fail('the server is silent')
 
     def _is_given_up(self, silence: Millis) -> bool:
@@ -336,5 +336,5 @@
         phase=AgentPhase.SERVING,
         load=Load(),
         beat=0,
-        heard=backend.heard,
+        heard=backend.last_heard_at,
     )
--- a/src/oleanderdyke/entry/hosted/lessons.py
+++ b/src/oleanderdyke/entry/hosted/lessons.py
@@ -77,7 +77,7 @@
         deployment = core.deployment
         if demand is None or backend is None or deployment is None:
             return
-        memory = deployment.find_memory(backend.record.service)
+        memory = deployment.find_memory_tokens(backend.record.service)
         if memory is not None:
             core.book.note_kept(self._start, demand.parts, memory)
 
--- a/src/oleanderdyke/entry/hosted/presence.py
+++ b/src/oleanderdyke/entry/hosted/presence.py
@@ -62,20 +62,20 @@
             return
         await self._feed.announce(self._core.news.own)
         self._announced_at = now
-        self._core.entries.note_announced(now)
+        self._core.entries.record_announcement(now)
 
     async def _read(self) -> None:
         core = self._core
         told = await self._feed.read()
         if told is None:
-            core.entries.note_forgotten()
+            core.entries.mark_incomplete()
             if self._feed.was_restored:
                 # The copy may lack the last announcement of this entry.
                 self._announced_at = None
             return
         now = core.clock.now()
         for entry in told:
-            core.entries.note(entry.name, now)
-            core.news.neighbours.note(entry, now)
-        core.entries.note_read(now)
+            core.entries.record_entry(entry.name, now)
+            core.news.neighbours.record_alive(entry, now)
+        core.entries.record_read(now)
         core.share_budgets()
--- a/src/oleanderdyke/entry/lookup.py
+++ b/src/oleanderdyke/entry/lookup.py
@@ -17,7 +17,7 @@
     ServiceKind,
     ServiceSpec,
     StoredObject,
-    select,
+    matches_selector,
 )
 
 
@@ -78,6 +78,6 @@
     spec = stored.spec
     if not isinstance(spec, ServiceSpec) or spec.kind is not kind:
         return None
-    if not select(spec.teams, team.spec.labels):
+    if not matches_selector(spec.teams, team.spec.labels):
         return None
     return Target(team.name, stored.name, spec)
--- a/src/oleanderdyke/entry/requests.py
+++ b/src/oleanderdyke/entry/requests.py
@@ -297,8 +297,8 @@
         core, request = self._core, self._call.request
         now = core.clock.now()
         self._tools.claims.forget(self._inbox)
-        core.router.note_finished(request, now)
-        core.admission.note_finished(request, now)
+        core.router.record_finished(request, now)
+        core.admission.record_finished(request, now)
         self._queue.release()
 
 
--- a/src/oleanderdyke/entry/sender.py
+++ b/src/oleanderdyke/entry/sender.py
@@ -184,7 +184,7 @@
         exports = self._core.exports
         hints = [hint(segment) for segment in self._call.segments]
         if not self._counted:
-            exports.note_used(hints)
+            exports.record_use(hints)
         self._counted = True
         return exports.count_worthy(hints)
 
--- a/src/oleanderdyke/entry/stopping.py
+++ b/src/oleanderdyke/entry/stopping.py
@@ -78,7 +78,7 @@
         """
         core = self._core
         now = core.clock.now()
-        if not core.drain.start_work(request, now, needs=needs):
+        if not core.drain.start_work(request, now, duration=needs):
             raise OleanderError(
                 ErrorKind.STOPPING, 'this entry stops', ran=Ran.NO
             )
@@ -95,7 +95,7 @@
 
     def take_back(self, request: str) -> None:
         """Note that a request can't be resumed through another entry yet."""
-        self._core.drain.take_back(request)
+        self._core.drain.mark_not_resumable(request)
 
     def take_signal(self, name: str) -> None:
         """Begin to stop, or hurry."""
--- a/src/oleanderdyke/kernel/admission.py
+++ b/src/oleanderdyke/kernel/admission.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class QueuedRequest:
     """Hold one request in a fair queue."""
 
     demand: Demand
@@ -63,7 +63,7 @@
     """Hold the requests of one team in order of arrival."""
 
     weight: float
-    items: deque[Waiting] = field(default_factory=deque)
+    items: deque[QueuedRequest] = field(default_factory=deque)
     cost: float = 0.0
 
 
@@ -85,7 +85,7 @@
     def __len__(self) -> int:
         return self._length
 
-    def push(self, waiting: Waiting, weight: float) -> None:
+    def push(self, waiting: QueuedRequest, weight: float) -> None:
         """Add a request at the end of its team's queue."""
         team = waiting.demand.team
         queue = self._teams.get(team)
@@ -97,7 +97,7 @@
         self.cost += waiting.cost
         self._length += 1
 
-    def pop(self) -> Waiting:
+    def pop(self) -> QueuedRequest:
         """Take the request whose turn it is; the queue must not be empty."""
         start, _, team = heapq.heappop(self._heap)
         self._virtual = max(self._virtual, start)
@@ -109,7 +109,7 @@
             self._enter(team)
         return waiting
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: QueuedRequest) -> None:
         """Take one request out, wherever it stands."""
         team = waiting.demand.team
         queue = self._teams[team]
@@ -145,7 +145,9 @@
         self._sequence += 1
         heapq.heappush(self._heap, (start, self._sequence, team))
 
-    def _leave(self, team: str, queue: _TeamQueue, waiting: Waiting) -> None:
+    def _leave(
+        self, team: str, queue: _TeamQueue, waiting: QueuedRequest
+    ) -> None:
         queue.cost -= waiting.cost
         self.cost -= waiting.cost
         self._length -= 1
@@ -169,6 +171,6 @@
         }
 
 
-def spread(request: str) -> float:
+def hash_to_fraction(request: str) -> float:
     """Return a number in [0, 1) that differs between requests."""
     return zlib.crc32(request.encode()) % _SPREAD_STEPS / _SPREAD_STEPS
--- a/src/oleanderdyke/kernel/backend.py
+++ b/src/oleanderdyke/kernel/backend.py
@@ -47,14 +47,14 @@
     reading: ReadRate = field(default_factory=ReadRate)
     running: int = 0
     running_tokens: int = 0
-    waiting: dict[str, Owed] = field(default_factory=dict)
-    heard: Millis = 0.0
+    waiting: dict[str, PendingAttempt] = field(default_factory=dict)
+    last_heard_at: Millis = 0.0
     load: ServerLoad | None = None
     load_at: Millis = 0.0
     failures: int = 0
     refusals: int = 0
     errors: float = 0.0
-    out_until: Millis = 0.0
+    excluded_until: Millis = 0.0
     # Until when it may crash under a rate that it bears later.
     cold_until: Millis = 0.0
     sent_at: Millis = -math.inf
@@ -69,11 +69,11 @@
     malformed: set[AnswerField] = field(default_factory=set)
     # Another server told the same address later: this one has likely ended.
     is_displaced: bool = False
-    delays: dict[int, Delay] = field(default_factory=dict)
-    kept: OrderedDict[str, int] = field(default_factory=OrderedDict)
-    kept_tokens: int = 0
+    delays: dict[int, QueueDelay] = field(default_factory=dict)
+    cached_parts: OrderedDict[str, int] = field(default_factory=OrderedDict)
+    cached_tokens: int = 0
 
-    def count_owed_tokens(self, rank: int) -> int:
+    def count_pending_tokens(self, rank: int) -> int:
         """Count the prompt tokens that are read before those of a rank."""
         if not self.waiting:
             return 0
@@ -81,7 +81,7 @@
             owed.tokens for owed in self.waiting.values() if owed.rank <= rank
         )
 
-    def find_delay(self, rank: int, now: Millis) -> Millis:
+    def find_queue_delay(self, rank: int, now: Millis) -> Millis:
         """Return how long a request of a rank waits before it is read.
 
         It is what the latest first bytes of the rank showed, or more where
@@ -98,14 +98,14 @@
         )
         return max(shown, *owed, 0.0)
 
-    def note_first_byte(self, owed: Owed, now: Millis) -> None:
+    def record_first_byte(self, owed: PendingAttempt, now: Millis) -> None:
         """Learn from a first byte how long requests of its rank wait."""
         excess = max(self._find_excess(owed, now), 0.0)
         if owed.is_alone:
             self.reading.note(owed.tokens, now - owed.since - _FIRST_BYTE)
-        known = self.find_delay(owed.rank, now)
+        known = self.find_queue_delay(owed.rank, now)
         shown = known + _DELAY_WEIGHT * (excess - known)
-        self.delays[owed.rank] = Delay(shown, now)
+        self.delays[owed.rank] = QueueDelay(shown, now)
 
     def count_waiting(self, now: Millis) -> int:
         """Return how many requests wait there, fewer the longer ago told.
@@ -117,13 +117,13 @@
         left = max(1 - (now - self.load_at) / _LOAD_LIFE, 0.0)
         return round(self.load.waiting * left)
 
-    def count_present(self, now: Millis) -> int:
+    def count_active(self, now: Millis) -> int:
         """Return how many requests run or wait there."""
         if self.load is None or now - self.load_at > _LOAD_LIFE:
             return self.running
         return max(self.load.running + self.load.waiting, self.running)
 
-    def find_silence(self, now: Millis) -> Millis:
+    def find_overdue_time(self, now: Millis) -> Millis:
         """Return for how long the server has owed a byte and sent none.
 
         An engine sends something of each run every few milliseconds, but
@@ -136,7 +136,7 @@
         since = [owed.since for owed in self.waiting.values()]
         tokens = sum(owed.tokens for owed in self.waiting.values())
         reading = min(self.reading.find_time(tokens), _LONGEST_READING)
-        quiet = now - max(min(since, default=0.0), self.heard)
+        quiet = now - max(min(since, default=0.0), self.last_heard_at)
         return max(quiet - reading - self._find_grace(now), 0.0)
 
     def _find_grace(self, now: Millis) -> Millis:
@@ -145,32 +145,35 @@
         It lives, and lets this entry's few requests wait for more urgent ones.
         What broke may still be a connection, so that the wait is bounded.
         """
-        if self.load_at <= self.heard or now - self.load_at > _HEARD_LIFE:
+        if (
+            self.load_at <= self.last_heard_at
+            or now - self.load_at > _HEARD_LIFE
+        ):
             return 0.0
         return _HEARD_GRACE
 
-    def _find_excess(self, owed: Owed, now: Millis) -> Millis:
+    def _find_excess(self, owed: PendingAttempt, now: Millis) -> Millis:
         """Return how much longer a first byte has taken than reading alone."""
         reading = self.reading.find_time(owed.tokens)
         return now - owed.since - reading - _FIRST_BYTE
 
-    def forget_kept(self) -> None:
+    def clear_cache(self) -> None:
         """Forget what it kept: new weights discard it."""
-        self.kept.clear()
-        self.kept_tokens = 0
+        self.cached_parts.clear()
+        self.cached_tokens = 0
 
-    def count_kept(self, parts: Sequence[PromptPart]) -> int:
+    def count_cached_tokens(self, parts: Sequence[PromptPart]) -> int:
         """Count the leading tokens of a prompt that it likely holds."""
         count = 0
         for part in parts:
-            if part.name not in self.kept:
+            if part.name not in self.cached_parts:
                 break
             count += part.tokens
         return count
 
 
 @dataclass(frozen=True, slots=True)
-class Delay:
+class QueueDelay:
     """Hold how long requests of one rank waited, and when that was seen."""
 
     shown: Millis
@@ -182,7 +185,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Owed:
+class PendingAttempt:
     """Hold since when a first byte is owed, after how many tokens.
 
     `memory` counts the tokens that the request takes until it has ended. It
--- a/src/oleanderdyke/kernel/backends.py
+++ b/src/oleanderdyke/kernel/backends.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from oleanderdyke.clock import MINUTE, SECOND, Millis
-from oleanderdyke.kernel.backend import Owed
+from oleanderdyke.kernel.backend import PendingAttempt
 from oleanderdyke.kernel.server_list import ServerList
 from oleanderdyke.kernel.servers import (
     AnswerField,
@@ -44,7 +44,7 @@
         self,
         start: ServerStart,
         attempt: str,
-        owed: Owed,
+        owed: PendingAttempt,
     ) -> None:
         """Count an attempt that was sent."""
         backend = self.find_start(start)
@@ -56,16 +56,16 @@
     def note_awake(self, now: Millis) -> None:
         """Blame nobody for a time in which this process read nothing."""
         for backend in self._backends.values():
-            backend.heard = max(backend.heard, now)
+            backend.last_heard_at = max(backend.last_heard_at, now)
 
     def note_heard(self, start: ServerStart, attempt: str, now: Millis) -> None:
         """Learn that bytes of an attempt came."""
         backend = self.find_start(start)
         if backend is not None:
-            backend.heard = now
+            backend.last_heard_at = now
             owed = backend.waiting.pop(attempt, None)
             if owed is not None:
-                backend.note_first_byte(owed, now)
+                backend.record_first_byte(owed, now)
 
     def note_ended(self, start: ServerStart, attempt: str, memory: int) -> None:
         """Forget an attempt that was sent and the tokens it took."""
@@ -92,7 +92,7 @@
         pause = _FIRST_EJECTION * 2**backend.failures
         backend.failures += 1
         until = now + min(pause, _LONGEST_EJECTION)
-        backend.out_until = max(backend.out_until, until)
+        backend.excluded_until = max(backend.excluded_until, until)
 
     def note_error(self, start: ServerStart) -> None:
         """Learn that a server answered with an error of its own."""
@@ -108,7 +108,7 @@
         pause = _REFUSAL_PAUSE * 2**backend.refusals
         backend.refusals += 1
         until = now + min(pause, _LONGEST_REFUSAL_PAUSE)
-        backend.out_until = max(backend.out_until, until)
+        backend.excluded_until = max(backend.excluded_until, until)
 
     def note_reloading(self, start: ServerStart, now: Millis) -> None:
         """Learn that an engine refuses while it takes new weights."""
@@ -177,7 +177,7 @@
         versions[model] = version
         backend.record = replace(backend.record, versions=versions)
         backend.reload_until = 0.0
-        backend.forget_kept()
+        backend.clear_cache()
 
     def note_kept(
         self, start: ServerStart, parts: Sequence[PromptPart], capacity: int
@@ -187,9 +187,9 @@
         if backend is None:
             return
         for part in parts:
-            backend.kept_tokens -= backend.kept.pop(part.name, 0)
-            backend.kept[part.name] = part.tokens
-            backend.kept_tokens += part.tokens
-        while backend.kept_tokens > capacity and backend.kept:
-            _, tokens = backend.kept.popitem(last=False)
-            backend.kept_tokens -= tokens
+            backend.cached_tokens -= backend.cached_parts.pop(part.name, 0)
+            backend.cached_parts[part.name] = part.tokens
+            backend.cached_tokens += part.tokens
+        while backend.cached_tokens > capacity and backend.cached_parts:
+            _, tokens = backend.cached_parts.popitem(last=False)
+            backend.cached_tokens -= tokens
--- a/src/oleanderdyke/kernel/catalog.py
+++ b/src/oleanderdyke/kernel/catalog.py
@@ -13,12 +13,12 @@
     Labels,
     ObjectKind,
     StoredObject,
-    select,
+    matches_selector,
 )
 from oleanderdyke.kernel.records import (
     PackedChange,
     SnapshotChunk,
-    Unreadable,
+    UnreadableRecord,
     decode_record,
     encode_change,
     encode_chunk,
@@ -27,9 +27,9 @@
     START_OFFSET,
     Applied,
     LoadedSnapshot,
-    LossReason,
-    Lost,
     Outcome,
+    Rejected,
+    RejectionReason,
     Row,
     State,
     encode_snapshot,
@@ -47,10 +47,10 @@
     'START_OFFSET',
     'Applied',
     'Catalog',
-    'LossReason',
-    'Lost',
     'ObjectPage',
     'Outcome',
+    'Rejected',
+    'RejectionReason',
 )
 
 _TAIL_COUNT = 1_024
@@ -99,7 +99,7 @@
         outcome = None
         if isinstance(record, PackedChange):
             outcome = self._settle(offset, record)
-        elif isinstance(record, Unreadable):
+        elif isinstance(record, UnreadableRecord):
             self.skipped += 1
             self.skipped_reason = f'offset {offset}: {record.reason}'
         elif isinstance(record, SnapshotChunk):
@@ -167,7 +167,7 @@
         """Return the team of a token's hex SHA-256 digest."""
         return self._find_holder(self._state.tokens, 'token_hashes', token_hash)
 
-    def find_administered(self, token_hash: str) -> StoredObject | None:
+    def find_administered_team(self, token_hash: str) -> StoredObject | None:
         """Return the team that a token may administer."""
         return self._find_holder(
             self._state.admin_tokens, 'admin_token_hashes', token_hash
@@ -206,9 +206,9 @@
     def restore(self, chunks: Sequence[bytes]) -> bool:
         """Take over a whole snapshot that is ahead; else change nothing."""
         loaded = load_snapshot(chunks)
-        return loaded is not None and self.take_over(loaded)
+        return loaded is not None and self.replace_state(loaded)
 
-    def take_over(self, loaded: LoadedSnapshot) -> bool:
+    def replace_state(self, loaded: LoadedSnapshot) -> bool:
         """Take over a loaded snapshot that is ahead; else change nothing."""
         if loaded.through <= self.offset:
             return False
@@ -269,20 +269,22 @@
         self._state.remember(outcome)
         return outcome
 
-    def _find_loss(self, change: PackedChange) -> tuple[LossReason, str] | None:
+    def _find_loss(
+        self, change: PackedChange
+    ) -> tuple[RejectionReason, str] | None:
         fault = _find_fault(change)
         if fault:
-            return LossReason.INVALID, fault
+            return RejectionReason.INVALID, fault
         row = self._state.rows[change.kind].get(change.name)
         generation = _ABSENT if row is None else row.generation
         if generation != change.expected:
             detail = f'expected {change.expected}, found {generation}'
-            return LossReason.GENERATION, detail
+            return RejectionReason.GENERATION, detail
         if row is None and change.spec is None:
-            return LossReason.ABSENT, 'there is no such object'
+            return RejectionReason.ABSENT, 'there is no such object'
         if self._takes_token(change):
             detail = 'a token hash belongs to another team'
-            return LossReason.TOKEN_TAKEN, detail
+            return RejectionReason.TOKEN_TAKEN, detail
         return None
 
     def _takes_token(self, change: PackedChange) -> bool:
@@ -320,10 +322,14 @@
         )
 
     def _lose(
-        self, offset: int, change: PackedChange, reason: LossReason, detail: str
-    ) -> Lost:
+        self,
+        offset: int,
+        change: PackedChange,
+        reason: RejectionReason,
+        detail: str,
+    ) -> Rejected:
         row = self._state.rows[change.kind].get(change.name)
-        return Lost(
+        return Rejected(
             change.record_id,
             change.operator,
             change.kind,
@@ -368,7 +374,7 @@
 ) -> Iterator[StoredObject]:
     wanted = selector or {}
     for item in objects:
-        if item is not None and select(wanted, item.spec.labels):
+        if item is not None and matches_selector(wanted, item.spec.labels):
             yield item
 
 
--- a/src/oleanderdyke/kernel/spread.py
+++ b/src/oleanderdyke/kernel/configuration.py
@@ -128,7 +128,7 @@
         self._note_progress(before, now)
         return self.offset > before
 
-    def on_heard(
+    def on_peer_offset(
         self, peer: str, offset: int, now: Millis
     ) -> ConfigurationRequest | None:
         """Learn a peer's offset; return what to ask this peer, if anything."""
@@ -145,7 +145,7 @@
         self._asked_at = now
         return ConfigurationRequest(self.offset)
 
-    def on_peer_gone(self, peer: str) -> None:
+    def on_peer_disconnected(self, peer: str) -> None:
         """Forget a peer whose link has ended."""
         self._heard.pop(peer, None)
         if self._asked == peer:
@@ -261,7 +261,7 @@
         if record.offset == self.offset + 1:
             self.catalog.apply_record(record.offset, record.data)
         elif whole is not None:
-            self.catalog.take_over(whole)
+            self.catalog.replace_state(whole)
 
     def _take_peer_chunk(
         self, message: ConfigurationDifference, now: Millis
@@ -281,7 +281,7 @@
             return False
         self._grown_at = now
         if loader.loaded is not None:
-            self.catalog.take_over(loader.loaded)
+            self.catalog.replace_state(loader.loaded)
         if loader.ended:
             self._from_peer = None
         return True
--- a/src/oleanderdyke/kernel/demand.py
+++ b/src/oleanderdyke/kernel/demand.py
@@ -124,19 +124,23 @@
     ) -> Plan | Refusal:
         """Return a plan, or why there is none."""
 
-    def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
+    def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Count a dispatch until the agent's reports include it."""
 
-    def note_first_token(self, request: str, now: Millis) -> None:
+    def record_first_token(self, request: str, now: Millis) -> None:
         """Learn that the wait and the prefill of a request are over."""
 
-    def note_finished(self, request: str, now: Millis) -> None:
+    def record_finished(self, request: str, now: Millis) -> None:
         """Forget a request."""
 
-    def note_removed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
+    def record_segments_removed(
+        self, agent: str, segments: Sequence[SegmentHint]
+    ) -> None:
         """Learn that an agent told of segments that it lost."""
 
-    def note_listed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
+    def record_segments_listed(
+        self, agent: str, segments: Sequence[SegmentHint]
+    ) -> None:
         """Learn that an agent began to list anew what it holds.
 
         What a long list lacks at first comes as further segment events.
@@ -166,23 +170,23 @@
     ) -> Sequence[tuple[str, Admitted | Refusal]]:
         """Return queued requests that may go on, or have waited too long."""
 
-    def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
+    def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Learn which work an admitted request brought to which agent."""
 
-    def note_first_token(self, request: str, now: Millis) -> None:
+    def record_first_token(self, request: str, now: Millis) -> None:
         """Learn that the wait and the prefill of a request are over."""
 
-    def note_finished(self, request: str, now: Millis) -> None:
+    def record_finished(self, request: str, now: Millis) -> None:
         """Give back what a request held, also when its caller left."""
 
 
-class Keeper(Protocol):
+class RetentionPolicy(Protocol):
     """Decide which segments a store keeps."""
 
-    def worth(
+    def estimate_value(
         self, segment: SegmentHint, length: int, gap: Millis, now: Millis
     ) -> float:
         """Return the expected saving per byte; higher is kept longer."""
 
-    def note_used(self, segment: SegmentHint, now: Millis) -> None:
+    def record_use(self, segment: SegmentHint, now: Millis) -> None:
         """Learn from a use of a segment."""
--- a/src/oleanderdyke/kernel/deployment.py
+++ b/src/oleanderdyke/kernel/deployment.py
@@ -48,7 +48,7 @@
     attempts: int = 1
     is_public: bool = False
     is_resumable: bool = False
-    homes: frozenset[str] = frozenset()
+    allowed_regions: frozenset[str] = frozenset()
 
     @property
     def is_repeatable(self) -> bool:
@@ -83,7 +83,7 @@
     """
 
     name: str
-    cold_lasts: Millis = 0.0
+    cold_duration: Millis = 0.0
     cold_rate: float = 0.0
     engine: EngineTraits | None = None
     store: StoreTraits | None = None
@@ -107,7 +107,7 @@
     team: str
     is_isolated: bool = False
     priority: int | None = None
-    homes: frozenset[str] = frozenset()
+    allowed_regions: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True)
@@ -139,7 +139,7 @@
                 return route
         return None
 
-    def find_memory(self, service: str) -> int | None:
+    def find_memory_tokens(self, service: str) -> int | None:
         """Return how many tokens each engine of a service holds.
 
         None where the service is not known or has no engines.
--- a/src/oleanderdyke/kernel/drain.py
+++ b/src/oleanderdyke/kernel/drain.py
@@ -91,8 +91,8 @@
         """Return whether a request of this name has not ended."""
         return request in self._work
 
-    def accepts(self, now: Millis, needs: Millis | None = None) -> bool:
-        """Return whether new work may start; `needs` is how long it lasts.
+    def accepts(self, now: Millis, duration: Millis | None = None) -> bool:
+        """Return whether new work may start; `duration` is how long it lasts.
 
         What surely ends in time may start after the announcement too: while
         every process of a deployment is stopped in turn, callers have nowhere
@@ -104,9 +104,9 @@
             return False
         if now < self._stopped_at + self._settings.accept:
             return True
-        if needs is None:
+        if duration is None:
             return False
-        return now + needs < self._stopped_at + self._settings.drain
+        return now + duration < self._stopped_at + self._settings.drain
 
     def start_work(
         self,
@@ -114,10 +114,10 @@
         now: Millis,
         *,
         resumable: bool = False,
-        needs: Millis | None = None,
+        duration: Millis | None = None,
     ) -> bool:
         """Count a request; False when no new work may start."""
-        if not self.accepts(now, needs):
+        if not self.accepts(now, duration):
             return False
         self._work[request] = resumable
         return True
@@ -131,7 +131,7 @@
         self._work[request] = True
         return self.tick(now)
 
-    def take_back(self, request: str) -> None:
+    def mark_not_resumable(self, request: str) -> None:
         """Note that a request can't be resumed elsewhere, or not yet."""
         if request in self._work:
             self._work[request] = False
--- a/src/oleanderdyke/kernel/eviction.py
+++ b/src/oleanderdyke/kernel/eviction.py
@@ -9,7 +9,7 @@
 
 from oleanderdyke.clock import Millis
 from oleanderdyke.kernel.blocks import SegmentId, hint
-from oleanderdyke.kernel.demand import Keeper
+from oleanderdyke.kernel.demand import RetentionPolicy
 from oleanderdyke.kernel.pins import PinTable
 from oleanderdyke.kernel.sealed_entries import SealedEntries
 from oleanderdyke.kernel.store_meta import SealedMeta
@@ -44,7 +44,7 @@
         self,
         entries: SealedEntries,
         pins: PinTable,
-        keeper: Keeper,
+        keeper: RetentionPolicy,
         random: Random,
     ) -> None:
         self._entries = entries
@@ -57,7 +57,7 @@
         self, newcomer: SealedMeta, missing: int, now: Millis
     ) -> tuple[SegmentId, ...] | WriteRefusal:
         """Return whom to free for the missing bytes, or why nobody is."""
-        own = self._keeper.worth(
+        own = self._keeper.estimate_value(
             hint(newcomer.segment), newcomer.length, newcomer.gap, now
         )
         ranked = self._rank(missing, now)
@@ -110,7 +110,9 @@
             read = self._entries.read_worth(place)
             if self._pins.is_pinned(read.generation):
                 continue
-            worth = self._keeper.worth(read.short, read.length, read.gap, now)
+            worth = self._keeper.estimate_value(
+                read.short, read.length, read.gap, now
+            )
             found.append(
                 _Candidate(
                     worth, -read.depth, read.generation, place, read.length
--- a/src/oleanderdyke/kernel/keeping.py
+++ b/src/oleanderdyke/kernel/keeping.py
@@ -31,7 +31,7 @@
         self._limit = limit
         self._returns: OrderedDict[bytes, _Returns] = OrderedDict()
 
-    def note_used(self, segment: bytes, now: Millis) -> None:
+    def record_use(self, segment: bytes, now: Millis) -> None:
         """Learn one use."""
         known = self._returns.get(segment)
         if known is None:
--- a/src/oleanderdyke/kernel/membership.py
+++ b/src/oleanderdyke/kernel/membership.py
@@ -12,7 +12,11 @@
 from oleanderdyke.kernel.catalog import Catalog
 from oleanderdyke.kernel.demand import Replica, SegmentHint
 from oleanderdyke.kernel.directory import Directory
-from oleanderdyke.kernel.objects import ObjectKind, ServiceSpec, select
+from oleanderdyke.kernel.objects import (
+    ObjectKind,
+    ServiceSpec,
+    matches_selector,
+)
 from oleanderdyke.links.messages import (
     AgentPhase,
     BackendKind,
@@ -383,5 +387,5 @@
     return tuple(
         store.name
         for store in catalog.list(ObjectKind.STORE)
-        if select(selector, store.spec.labels)
+        if matches_selector(selector, store.spec.labels)
     )
--- a/src/oleanderdyke/kernel/neighbours.py
+++ b/src/oleanderdyke/kernel/neighbours.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from oleanderdyke.clock import SECOND, Millis
-from oleanderdyke.kernel.presence import LIFE
+from oleanderdyke.kernel.presence import ANNOUNCEMENT_LIFETIME
 from oleanderdyke.kernel.ranks import find_rank
 
 # Who failed is passed over for so long, and twice as long for each further
@@ -63,26 +63,26 @@
         self._out_until: dict[str, Millis] = {}
         self._asked_at: dict[str, Millis] = {}
 
-    def note(self, neighbour: Neighbour, now: Millis) -> None:
+    def record_alive(self, neighbour: Neighbour, now: Millis) -> None:
         """Learn that an entry is alive."""
         if neighbour.address and neighbour.data_centre == self._data_centre:
             self._known[neighbour.name] = neighbour
             self._heard[neighbour.name] = now
 
-    def note_good(self, name: str, now: Millis) -> None:
+    def record_success(self, name: str, now: Millis) -> None:
         """Learn that an entry answered well."""
         self._failures.pop(name, None)
         self._out_until.pop(name, None)
         if name in self._known:
             self._heard[name] = now
 
-    def note_failed(self, name: str, now: Millis) -> None:
+    def record_failure(self, name: str, now: Millis) -> None:
         """Pass an entry over for a while, this process too."""
         pause = _FIRST_PAUSE * 2 ** self._failures[name]
         self._failures[name] += 1
         self._out_until[name] = now + min(pause, _LONGEST_PAUSE)
 
-    def note_asked(self, source: str, now: Millis) -> None:
+    def record_request(self, source: str, now: Millis) -> None:
         """Learn that another process relies on this one for a source."""
         self._asked_at[source] = now
 
@@ -94,20 +94,21 @@
         found = self.rank(source, now)
         return None if not found or found[0].name == self._own else found[0]
 
-    def note_unable(self, now: Millis) -> None:
+    def record_own_failure(self, now: Millis) -> None:
         """Learn that this process can't read for itself, and pass it over."""
-        self.note_failed(self._own, now)
+        self.record_failure(self._own, now)
 
-    def note_able(self, now: Millis) -> None:
+    def record_own_success(self, now: Millis) -> None:
         """Learn that this process reads for itself."""
-        self.note_good(self._own, now)
+        self.record_success(self._own, now)
 
     def rank(self, source: str, now: Millis) -> list[Neighbour]:
         """Return the entries that may read a source, the first one first."""
         alive = [
             each
             for name, each in self._known.items()
-            if now - self._heard[name] < LIFE and not self._is_out(name, now)
+            if now - self._heard[name] < ANNOUNCEMENT_LIFETIME
+            and not self._is_out(name, now)
         ]
         return sorted(alive, key=lambda each: find_rank(source, each.name))
 
--- a/src/oleanderdyke/kernel/objects.py
+++ b/src/oleanderdyke/kernel/objects.py
@@ -149,6 +149,6 @@
     at: Millis = 0.0
 
 
-def select(selector: Labels, labels: Labels) -> bool:
+def matches_selector(selector: Labels, labels: Labels) -> bool:
     """Return whether labels carry every pair of the selector."""
     return all(labels.get(key) == value for key, value in selector.items())
--- a/src/oleanderdyke/kernel/orders.py
+++ b/src/oleanderdyke/kernel/orders.py
@@ -15,9 +15,9 @@
 )
 
 SERVE_ROLE = 'serve'
-RECHECK: Millis = 1 * SECOND
+RECHECK_INTERVAL: Millis = 1 * SECOND
 ORDER_TIMEOUT: Millis = 10 * SECOND
-VALIDITY_TIME: Millis = 250.0
+VALIDITY_PERIOD: Millis = 250.0
 # Confirming the right to an order asks one entry after the other for 200 ms;
 # two of them may be silent.
 _CONFIRM_TIME: Millis = 500.0
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Desired:
+class DesiredState:
     """Hold the state that the configuration asks of an engine."""
 
     model: str
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Observed:
+class ObservedState:
     """Hold the state that an engine has reported.
 
     It is as old as the question, which was asked at `read_at`; the answer
@@ -66,7 +66,7 @@
 
         Else an engine that takes a second for its state would get none.
         """
-        return self.read_at + max(RECHECK, self.took + _CONFIRM_TIME)
+        return self.read_at + max(RECHECK_INTERVAL, self.took + _CONFIRM_TIME)
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
     read_at: Millis
 
 
-class Stale(enum.StrEnum):
+class StaleReason(enum.StrEnum):
     """Say why an agent must not order."""
 
     ENDED = 'ended'
@@ -100,7 +100,7 @@
     when it has passed. After the answer, or its timeout, it reads the state.
     """
 
-    desired: Desired
+    desired: DesiredState
     fence: Fence
     not_after: Millis
 
@@ -116,25 +116,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settled:
+class Converged:
     """Do nothing until `check_at`, then read the state again."""
 
     check_at: Millis
 
 
 @dataclass(frozen=True, slots=True)
-class StandDown:
+class StopOrdering:
     """Don't order; catch up or leave."""
 
-    reason: Stale
+    reason: StaleReason
 
 
-Step: TypeAlias = Order | ReadState | ConfirmValidity | Settled | StandDown
+Step: TypeAlias = Order | ReadState | ConfirmValidity | Converged | StopOrdering
 
 
 def find_desired(
     service: ServiceSpec, versions: Iterable[ModelVersionSpec]
-) -> Desired | None:
+) -> DesiredState | None:
     """Return what the configuration asks; None unless it names one digest."""
     if service.kind is not ServiceKind.MODEL:
         return None
@@ -144,7 +144,7 @@
     }
     if len(digests) != 1:
         return None
-    return Desired(
+    return DesiredState(
         model=service.model,
         version=service.version,
         digest=digests.pop(),
@@ -153,8 +153,8 @@
 
 
 def reconcile(
-    desired: Desired,
-    observed: Observed | None,
+    desired: DesiredState,
+    observed: ObservedState | None,
     fence: Fence,
     validity: Validity,
     now: Millis,
@@ -169,22 +169,22 @@
     """
     stale = _find_stale(observed, fence, validity)
     if stale is not None:
-        return StandDown(stale)
+        return StopOrdering(stale)
     if observed is None or now >= observed.due_at:
         return ReadState()
     is_fenced = not checks_fencing or _get_offset(observed) >= changed_at
     if is_fenced and matches(observed, desired):
-        return Settled(observed.due_at)
+        return Converged(observed.due_at)
     if checks_fencing:
         return Order(desired, fence, now + ORDER_TIMEOUT)
-    if now - validity.read_at >= VALIDITY_TIME:
+    if now - validity.read_at >= VALIDITY_PERIOD:
         return ConfirmValidity()
-    return Order(desired, fence, validity.read_at + VALIDITY_TIME)
+    return Order(desired, fence, validity.read_at + VALIDITY_PERIOD)
 
 
-def matches(observed: Observed, desired: Desired) -> bool:
+def matches(observed: ObservedState, desired: DesiredState) -> bool:
     """Return whether an engine is in the desired state."""
-    return desired == Desired(
+    return desired == DesiredState(
         model=observed.model,
         version=observed.version,
         digest=observed.digest,
@@ -194,16 +194,16 @@
 
 
 def _find_stale(
-    observed: Observed | None, fence: Fence, validity: Validity
-) -> Stale | None:
+    observed: ObservedState | None, fence: Fence, validity: Validity
+) -> StaleReason | None:
     if validity.ended or validity.incarnation != fence.incarnation:
-        return Stale.ENDED
+        return StaleReason.ENDED
     if validity.offset > fence.offset:
-        return Stale.OLD_OFFSET
+        return StaleReason.OLD_OFFSET
     if observed is not None and _get_offset(observed) > fence.offset:
-        return Stale.NEWER_ORDER
+        return StaleReason.NEWER_ORDER
     return None
 
 
-def _get_offset(observed: Observed) -> int:
+def _get_offset(observed: ObservedState) -> int:
     return -1 if observed.fence is None else observed.fence.offset
--- a/src/oleanderdyke/kernel/placement.py
+++ b/src/oleanderdyke/kernel/placement.py
@@ -153,7 +153,7 @@
         score=score,
         candidates=len(usable),
         expected=_expect(demand, best, now),
-        delay=best.find_delay(demand.rank, now),
+        delay=best.find_queue_delay(demand.rank, now),
         waiting=best.count_waiting(now),
         fill=_find_fill(demand, best, mean, now),
         size=_find_size(demand, mean),
@@ -174,11 +174,11 @@
 
 def is_usable(backend: Backend, now: Millis) -> bool:
     """Return whether nothing speaks against sending to a server."""
-    if max(backend.out_until, backend.reload_until) > now:
+    if max(backend.excluded_until, backend.reload_until) > now:
         return False
-    if now - backend.heard < SILENCE_LIMIT:
+    if now - backend.last_heard_at < SILENCE_LIMIT:
         return True
-    return backend.find_silence(now) < SILENCE_LIMIT
+    return backend.find_overdue_time(now) < SILENCE_LIMIT
 
 
 def _is_loading(demand: CallDemand, backend: Backend, now: Millis) -> bool:
@@ -197,7 +197,7 @@
     """Guess how full an engine is from the mix that this entry sends."""
     if not demand.memory_tokens:
         return 0.0
-    return chosen.count_present(now) * mean / demand.memory_tokens
+    return chosen.count_active(now) * mean / demand.memory_tokens
 
 
 def _find_size(demand: CallDemand, mean: float) -> float:
@@ -219,8 +219,8 @@
         return 0.0
     fetched, missing = _split_prompt(demand, demand.model, backend)
     find_time = backend.reading.find_time
-    owed = find_time(backend.count_owed_tokens(demand.rank))
-    delay = max(backend.find_delay(demand.rank, now), owed)
+    owed = find_time(backend.count_pending_tokens(demand.rank))
+    delay = max(backend.find_queue_delay(demand.rank, now), owed)
     return delay + find_time(missing) + fetched / _FETCH_RATE
 
 
@@ -322,7 +322,7 @@
 def _count_kept(demand: CallDemand, backend: Backend) -> int:
     if demand.model is None:
         return 0
-    return backend.count_kept(demand.model.parts)
+    return backend.count_cached_tokens(demand.model.parts)
 
 
 def _find_shared_tokens(model: ModelDemand) -> int:
--- a/src/oleanderdyke/kernel/prediction.py
+++ b/src/oleanderdyke/kernel/prediction.py
@@ -57,7 +57,7 @@
         self._hold = _FIRST_HOLD
         self._short_share = _FIRST_SHORT_SHARE
 
-    def note_sent(
+    def record_sent(
         self,
         request: str,
         agent: str,
@@ -70,7 +70,7 @@
 
         A short one goes ahead of those that are not.
         """
-        self.note_finished(request, now)
+        self.record_finished(request, now)
         ledger = self._ledgers.setdefault(agent, _Ledger())
         work = Work(agent, tokens, now, short)
         self._learn_share(work)
@@ -82,7 +82,7 @@
         ledger.waiting += 1
         ledger.past.append(work)
 
-    def note_first_token(self, request: str, now: Millis) -> None:
+    def record_first_token(self, request: str, now: Millis) -> None:
         """Count a dispatch's prefill as done."""
         work = self._works.get(request)
         if work is None or work.first_token is not None:
@@ -97,12 +97,12 @@
         ledger.running += 1
         ledger.progressed = now
 
-    def note_finished(self, request: str, now: Millis) -> None:
+    def record_finished(self, request: str, now: Millis) -> None:
         """Forget a dispatch."""
         work = self._works.get(request)
         if work is None:
             return
-        self.note_first_token(request, now)
+        self.record_first_token(request, now)
         del self._works[request]
         self._ledgers[work.agent].running -= 1
         held = now - (work.first_token or now)
--- a/src/oleanderdyke/kernel/presence.py
+++ b/src/oleanderdyke/kernel/presence.py
@@ -7,7 +7,7 @@
 from oleanderdyke.clock import SECOND, Millis
 
 # Tolerates one lost announcement; entries announce at least every 20 s.
-LIFE: Millis = 40 * SECOND
+ANNOUNCEMENT_LIFETIME: Millis = 40 * SECOND
 # Entries read the notices every 10 s. In a longer gap the store was probably
 # out, and then nobody could tell of itself.
 _READ_GAP: Millis = 15 * SECOND
@@ -40,7 +40,7 @@
         self._announced_since: Millis = math.inf
         self._announced_at: Millis = -math.inf
 
-    def note(self, entry: str, now: Millis) -> None:
+    def record_entry(self, entry: str, now: Millis) -> None:
         """Learn that an entry is alive."""
         self._heard[entry] = now
 
@@ -48,12 +48,12 @@
         """Return the names of the entries known to be alive."""
         return tuple(self._heard)
 
-    def note_forgotten(self) -> None:
+    def mark_incomplete(self) -> None:
         """Learn that notices were dropped: not all that told are known."""
         if self._begun is None:
             self._is_first_start = True
 
-    def note_read(self, now: Millis) -> None:
+    def record_read(self, now: Millis) -> None:
         """Learn that the notices have been read up to their end."""
         if self._begun is None:
             self._begun = now
@@ -70,7 +70,7 @@
         self._heard = {
             entry: heard_at
             for entry, heard_at in self._heard.items()
-            if at - heard_at < LIFE
+            if at - heard_at < ANNOUNCEMENT_LIFETIME
         }
         known = len(self._heard)
         if self._begun is None:
@@ -78,13 +78,13 @@
         if self._is_first_start:
             if at - self._begun < _SETTLED:
                 return math.inf
-            if at - self._begun < LIFE / 2:
+            if at - self._begun < ANNOUNCEMENT_LIFETIME / 2:
                 known *= _UNHEARD_FACTOR
         return known + _SPARE
 
-    def note_announced(self, now: Millis) -> None:
+    def record_announcement(self, now: Millis) -> None:
         """Learn that this entry announced itself."""
-        if now - self._announced_at >= LIFE:
+        if now - self._announced_at >= ANNOUNCEMENT_LIFETIME:
             self._announced_since = now
         self._announced_at = now
 
@@ -106,7 +106,7 @@
         """Return whether all other entries surely count this one."""
         return (
             now - self._announced_since >= _ANNOUNCED_TO_ALL
-            and now - self._announced_at < LIFE
+            and now - self._announced_at < ANNOUNCEMENT_LIFETIME
         )
 
     def _skip(self, begun: Millis, now: Millis) -> None:
--- a/src/oleanderdyke/kernel/news_tails.py
+++ b/src/oleanderdyke/kernel/read_buffers.py
@@ -19,7 +19,7 @@
 _MOST_EVENTS = 20_000
 
 
-class RecordTail:
+class RecordBuffer:
     """Keep the newest records of one topic.
 
     `known_at` is when surely no others followed them, None before that is
@@ -40,7 +40,7 @@
         """Return the offset after the newest record."""
         return self._first + len(self._records)
 
-    def note(
+    def add(
         self,
         start: int,
         records: Sequence[bytes],
@@ -89,36 +89,36 @@
             self._first += 1
 
 
-class EventTail:
+class EventBuffer:
     """Keep the newest events of one store of context."""
 
     def __init__(self) -> None:
-        self.found: ContextEvents | None = None
-        self.asked_at: Millis = 0.0
-        self.told_at: Millis = 0.0
+        self.latest: ContextEvents | None = None
+        self.requested_at: Millis = 0.0
+        self.answered_at: Millis = 0.0
         self._events: deque[ContextEvent] = deque()
         self._first = 0
 
-    def note(
+    def add(
         self, since: int, found: ContextEvents, asked_at: Millis, now: Millis
     ) -> None:
         """Take what a read from a position on found."""
-        last = self.found
+        last = self.latest
         if last is None or last.boot != found.boot or last.next != since:
             self._events.clear()
             self._first = since
         self._events.extend(found.events)
         while len(self._events) > _MOST_EVENTS:
             self._first = self._events.popleft().number
-        self.found = found
-        self.asked_at = asked_at
-        self.told_at = now
+        self.latest = found
+        self.requested_at = asked_at
+        self.answered_at = now
 
     def find(self, since: int) -> tuple[ContextEvent, ...] | None:
         """Return the events after a position, None where it is not kept."""
         if since < self._first:
             return None
-        if self.found is None or since >= self.found.next:
+        if self.latest is None or since >= self.latest.next:
             return ()
         later = (each for each in self._events if each.number > since)
         return tuple(islice(later, _ANSWER_EVENTS))
--- a/src/oleanderdyke/kernel/records.py
+++ b/src/oleanderdyke/kernel/records.py
@@ -57,13 +57,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unreadable:
+class UnreadableRecord:
     """Stand for a record that is skipped."""
 
     reason: str
 
 
-ConfigurationRecord: TypeAlias = PackedChange | SnapshotChunk | Unreadable
+ConfigurationRecord: TypeAlias = PackedChange | SnapshotChunk | UnreadableRecord
 
 
 def encode_change(change: Change) -> bytes:
@@ -102,18 +102,18 @@
 def decode_record(data: bytes) -> ConfigurationRecord:
     """Decode any record of the log; never raise."""
     if len(data) > RECORD_LIMIT:
-        return Unreadable('longer than a record may be')
+        return UnreadableRecord('longer than a record may be')
     try:
         raw = load_cbor(data)
     except InvalidSpec as error:
-        return Unreadable(str(error))
+        return UnreadableRecord(str(error))
     if not isinstance(raw, dict):
-        return Unreadable('no map')
+        return UnreadableRecord('no map')
     if raw.get(_KIND) == RecordKind.CHANGE:
         return _decode_change(raw)
     if raw.get(_KIND) == RecordKind.SNAPSHOT:
         return _decode_chunk(raw)
-    return Unreadable('unknown kind of record')
+    return UnreadableRecord('unknown kind of record')
 
 
 def _decode_change(raw: Mapping[str, Any]) -> ConfigurationRecord:
@@ -128,7 +128,7 @@
             _take(raw, 'spec', bytes, type(None)),
         )
     except (ValueError, OverflowError) as error:
-        return Unreadable(f'not a change: {error}')
+        return UnreadableRecord(f'not a change: {error}')
 
 
 def _decode_chunk(raw: Mapping[str, Any]) -> ConfigurationRecord:
@@ -141,7 +141,7 @@
             _take(raw, 'digest', bytes),
         )
     except ValueError as error:
-        return Unreadable(f'not a part of a snapshot: {error}')
+        return UnreadableRecord(f'not a part of a snapshot: {error}')
 
 
 def _take(raw: Mapping[str, Any], name: str, *types: type) -> Any:
--- a/src/oleanderdyke/kernel/server_list.py
+++ b/src/oleanderdyke/kernel/server_list.py
@@ -146,7 +146,7 @@
         merged = _merge_versions(known.record, record)
         if merged.versions != known.record.versions:
             known.reload_until = 0.0
-            known.forget_kept()
+            known.clear_cache()
         known.record = merged
         _note_cold(known, now)
         self._at_address[record.address].add(record.server)
--- a/src/oleanderdyke/kernel/snapshots.py
+++ b/src/oleanderdyke/kernel/snapshots.py
@@ -33,7 +33,7 @@
 _ADMINS = 'admin_token_hashes'
 
 
-class LossReason(enum.StrEnum):
+class RejectionReason(enum.StrEnum):
     """Name why a change is not in force."""
 
     GENERATION = 'generation'
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class Rejected:
     """Tell why a change is not in force, and who changed the object last.
 
     `generation` is the one that the object had instead, 0 for none.
@@ -70,12 +70,12 @@
     offset: int
     at: Millis
     generation: int
-    reason: LossReason
+    reason: RejectionReason
     detail: str = ''
     winner: str = ''
 
 
-Outcome: TypeAlias = Applied | Lost
+Outcome: TypeAlias = Applied | Rejected
 
 
 @dataclass(frozen=True, slots=True)
@@ -311,5 +311,5 @@
     values[2] = ObjectKind(values[2])
     if kind == _ItemKind.APPLIED:
         return Applied(*values)
-    values[7] = LossReason(values[7])
-    return Lost(*values)
+    values[7] = RejectionReason(values[7])
+    return Rejected(*values)
--- a/src/oleanderdyke/kernel/store_index.py
+++ b/src/oleanderdyke/kernel/store_index.py
@@ -8,7 +8,7 @@
 
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.kernel.blocks import ID_BYTES, Namespace, SegmentId, hint
-from oleanderdyke.kernel.demand import Keeper
+from oleanderdyke.kernel.demand import RetentionPolicy
 from oleanderdyke.kernel.eviction import Evictor
 from oleanderdyke.kernel.pins import PinTable
 from oleanderdyke.kernel.sealed_entries import SealedEntries, SealedEntry
@@ -84,7 +84,7 @@
     def __init__(
         self,
         limits: StoreLimits,
-        keeper: Keeper,
+        keeper: RetentionPolicy,
         incarnation: str,
         random: Random,
     ) -> None:
@@ -177,7 +177,7 @@
         pinned = self._pins.add(entry.meta, entry.generation, now)
         if pinned is None:
             return ReadRefused(ReadRefusal.BUSY)
-        self._keeper.note_used(hint(segment), now)
+        self._keeper.record_use(hint(segment), now)
         return pinned
 
     def holds(self, pinned: Pinned, now: Millis) -> bool:
@@ -303,7 +303,7 @@
     def _show(self, entry: SealedEntry, now: Millis) -> None:
         segment = entry.meta.segment
         self._entries.add(entry)
-        self._keeper.note_used(hint(segment), now)
+        self._keeper.record_use(hint(segment), now)
         self.log.add(hint(segment))
 
     def _delete_doomed(self, name: str) -> None:
--- a/src/oleanderdyke/links/news_desk.py
+++ b/src/oleanderdyke/links/news_desk.py
@@ -20,7 +20,7 @@
     Neighbours,
     find_context_source,
 )
-from oleanderdyke.kernel.news_tails import EventTail, RecordTail
+from oleanderdyke.kernel.read_buffers import EventBuffer, RecordBuffer
 from oleanderdyke.kernel.servers import ServerLoad, ServerStart
 from oleanderdyke.links.messages.news import (
     ContextAnswer,
@@ -108,8 +108,10 @@
         self.own_loads = LoadBoard()
         self._neighbours = neighbours
         self._clock = clock
-        self._records: defaultdict[str, RecordTail] = defaultdict(RecordTail)
-        self._events: defaultdict[str, EventTail] = defaultdict(EventTail)
+        self._records: defaultdict[str, RecordBuffer] = defaultdict(
+            RecordBuffer
+        )
+        self._events: defaultdict[str, EventBuffer] = defaultdict(EventBuffer)
         self._changed = anyio.Event()
 
     def keep_records(
@@ -122,7 +124,7 @@
         era: int | None = None,
     ) -> None:
         """Keep what was read of a topic."""
-        self._records[topic].note(
+        self._records[topic].add(
             start,
             tuple(records),
             known_at=known_at,
@@ -135,7 +137,7 @@
         self, store: str, since: int, found: ContextEvents, asked_at: Millis
     ) -> None:
         """Keep what was read of a store of context."""
-        self._events[store].note(since, found, asked_at, self._clock.now())
+        self._events[store].add(since, found, asked_at, self._clock.now())
         if found.events:
             self._wake()
 
@@ -163,7 +165,7 @@
             self.note_urgent()
         tail = self._records.get(asked.topic)
         if tail is None or not self._is_read(tail.read_at, asked.limit):
-            self._neighbours.note_asked(RECORD_SOURCE, arrived)
+            self._neighbours.record_request(RECORD_SOURCE, arrived)
             answer = NewsAnswer(asked.number, NewsOutcome.UNREAD)
         else:
             answer = await self._wait_records(tail, asked, arrived)
@@ -171,7 +173,7 @@
             await link.send(answer)
 
     async def _wait_records(
-        self, tail: RecordTail, asked: NewsRequest, arrived: Millis
+        self, tail: RecordBuffer, asked: NewsRequest, arrived: Millis
     ) -> NewsAnswer:
         while True:
             now = self._clock.now()
@@ -221,7 +223,7 @@
 
     def _has_events(self, positions: Iterable[StorePosition]) -> bool:
         for position in positions:
-            found = self._find_events(position).found
+            found = self._find_events(position).latest
             if found is None:
                 continue
             if (found.boot, found.next) != (position.boot, position.next):
@@ -231,7 +233,8 @@
     def _find_left(self, asked: ContextRequest, now: Millis) -> Millis:
         """Return for how long what is known of all stores is young enough."""
         asked_at = [
-            self._find_events(position).asked_at for position in asked.positions
+            self._find_events(position).requested_at
+            for position in asked.positions
         ]
         return min(asked_at, default=now) + asked.limit - now
 
@@ -241,18 +244,18 @@
         for position in positions:
             source = find_context_source(position.store)
             tail = self._find_events(position)
-            found = tail.found
-            if found is None or not self._is_read(tail.told_at, limit):
-                self._neighbours.note_asked(source, now)
+            found = tail.latest
+            if found is None or not self._is_read(tail.answered_at, limit):
+                self._neighbours.record_request(source, now)
                 continue
             is_same = position.boot in {None, found.boot}
             events = tail.find(position.next if is_same else 0)
             if events is not None:
                 yield _make_store_news(position, tail, found, events, now)
 
-    def _find_events(self, position: StorePosition) -> EventTail:
+    def _find_events(self, position: StorePosition) -> EventBuffer:
         """Return what was read of a store, nothing where none was."""
-        return self._events.get(position.store, EventTail())
+        return self._events.get(position.store, EventBuffer())
 
     async def _wait_change(self, within: Millis) -> None:
         changed = self._changed
@@ -268,7 +271,7 @@
 
 def _make_store_news(
     position: StorePosition,
-    tail: EventTail,
+    tail: EventBuffer,
     found: ContextEvents,
     events: tuple[ContextEvent, ...],
     now: Millis,
@@ -278,9 +281,9 @@
         store=position.store,
         boot=found.boot,
         next=events[-1].number if is_cut else found.next,
-        clock=found.clock + now - tail.told_at if found.clock else 0.0,
-        spread=tail.told_at - tail.asked_at,
-        age=now - tail.asked_at,
+        clock=found.clock + now - tail.answered_at if found.clock else 0.0,
+        spread=tail.answered_at - tail.requested_at,
+        age=now - tail.requested_at,
         events=tuple(
             StoreEvent(
                 each.number, each.is_added, each.salt, each.part, each.tokens
--- a/src/oleanderdyke/links/news_reader.py
+++ b/src/oleanderdyke/links/news_reader.py
@@ -242,14 +242,14 @@
         finally:
             del self._asked[number], self._owners[number]
         if found is not None:
-            self.neighbours.note_good(reader.name, self._clock.now())
+            self.neighbours.record_success(reader.name, self._clock.now())
         elif reader.name in self._wanted:
             self._pass_over(reader.name, 'no answer')
         # Else its link was closed here, for another that reads in its place.
         return found
 
     def _pass_over(self, name: str, reason: str) -> None:
-        self.neighbours.note_failed(name, self._clock.now())
+        self.neighbours.record_failure(name, self._clock.now())
         self._health.note_failed(f'{name}: {reason}')
 
     def _find_link(self, name: str) -> Link | None:
--- a/src/oleanderdyke/platform/documents.py
+++ b/src/oleanderdyke/platform/documents.py
@@ -144,7 +144,7 @@
         is_resumable=(
             kind is CallKind.STREAM and bool(found.get('resumable', False))
         ),
-        homes=_read_homes(found),
+        allowed_regions=_read_homes(found),
     )
 
 
@@ -168,7 +168,7 @@
     engine = found.get('engine')
     return ServiceTraits(
         name=str(found['name']),
-        cold_lasts=float(found.get('coldStartS') or 0.0) * SECOND,
+        cold_duration=float(found.get('coldStartS') or 0.0) * SECOND,
         cold_rate=float(found.get('coldPerS') or 0.0),
         engine=_make_engine(engine) if engine else None,
         store=_make_store(found) if found.get('kvStoreAddr') else None,
@@ -209,7 +209,7 @@
             team=str(team['name']),
             is_isolated=bool(team.get('isolated', False)),
             priority=None if priority is None else int(priority),
-            homes=_read_homes(team),
+            allowed_regions=_read_homes(team),
         )
         for key in team.get('apiKeys', ()):
             yield str(key), owner
--- a/src/oleanderdyke/platform/sharing.py
+++ b/src/oleanderdyke/platform/sharing.py
@@ -55,14 +55,14 @@
         self, topic: str, start: int, era: int | None
     ) -> RecordsRead | None:
         """Return the same where this process can't read for itself."""
-        self._reader.neighbours.note_unable(self._clock.now())
+        self._reader.neighbours.record_own_failure(self._clock.now())
         return await self.ask(topic, start, era)
 
     def keep(
         self, topic: str, start: int, found: RecordsRead, asked_at: Millis
     ) -> None:
         """Keep what this process read, for its neighbours."""
-        self._reader.neighbours.note_able(self._clock.now())
+        self._reader.neighbours.record_own_success(self._clock.now())
         if self._desk is None:
             return
         is_whole = start + len(found.records) >= found.end
--- a/src/oleanderdyke/policies/admission.py
+++ b/src/oleanderdyke/policies/admission.py
@@ -9,7 +9,11 @@
 
 from oleanderdyke.clock import Millis
 from oleanderdyke.errors import ErrorKind
-from oleanderdyke.kernel.admission import FairQueue, Waiting, spread
+from oleanderdyke.kernel.admission import (
+    FairQueue,
+    QueuedRequest,
+    hash_to_fraction,
+)
 from oleanderdyke.kernel.demand import (
     SEGMENT_TOKENS,
     Admission,
@@ -86,7 +90,7 @@
         self._find_terms = find_terms
         self._limits = TeamLimits(find_terms)
         self._services: dict[str, _Service] = {}
-        self._waiting: dict[str, tuple[_Held, Waiting]] = {}
+        self._waiting: dict[str, tuple[_Held, QueuedRequest]] = {}
         self._running: dict[str, Demand] = {}
         self._latest: list[tuple[Millis, str]] = []
 
@@ -123,22 +127,22 @@
                 released += self._release(service)
         return released
 
-    def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
+    def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Learn which work an admitted request brought."""
         present = (plan.cached + plan.fetched) * SEGMENT_TOKENS
         tokens = float(max(0, demand.tokens - present))
         capacity = self._find_service(demand.service).capacity
-        capacity.note_sent(demand, plan, tokens, now)
+        capacity.record_sent(demand, plan, tokens, now)
 
-    def note_first_token(self, request: str, now: Millis) -> None:
+    def record_first_token(self, request: str, now: Millis) -> None:
         """Learn that a prefill is over."""
         demand = self._running.get(request)
         if demand is None:
             return
         capacity = self._find_service(demand.service).capacity
-        capacity.note_first_token(request, now)
+        capacity.record_first_token(request, now)
 
-    def note_finished(self, request: str, now: Millis) -> None:
+    def record_finished(self, request: str, now: Millis) -> None:
         """Give back what a request held, queued or running."""
         if request in self._waiting:
             self._drop(request, now)
@@ -146,9 +150,9 @@
         demand = self._running.pop(request, None)
         if demand is None:
             return
-        self._limits.note_finished(demand.team, now)
+        self._limits.record_finished(demand.team, now)
         capacity = self._find_service(demand.service).capacity
-        capacity.note_finished(request, now)
+        capacity.record_finished(request, now)
 
     def _find_service(self, name: str) -> _Service:
         service = self._services.get(name)
@@ -191,7 +195,7 @@
         latest = demand.deadline - service.capacity.time
         if now + wait > latest:
             return self._refuse(service, held, now, 'would be late')
-        waiting = Waiting(demand, held.cost, now)
+        waiting = QueuedRequest(demand, held.cost, now)
         service.queues[held.kind].push(waiting, weight)
         self._waiting[demand.request] = held, waiting
         self._limits.note_started(demand, now)
@@ -214,7 +218,7 @@
         after = min(ceiling, service.returning - now)
         service.returning = min(service.returning, now + ceiling)
         after = max(self._settings.retry_after_floor, after)
-        after *= 1 + _JITTER * spread(held.demand.request)
+        after *= 1 + _JITTER * hash_to_fraction(held.demand.request)
         return Refusal(ErrorKind.OVERLOADED, reason, after)
 
     def _expire(self, now: Millis) -> list[tuple[str, Admitted | Refusal]]:
@@ -233,7 +237,7 @@
         held, waiting = self._waiting.pop(request)
         service = self._find_service(held.demand.service)
         service.queues[held.kind].remove(waiting)
-        self._limits.note_finished(held.demand.team, now)
+        self._limits.record_finished(held.demand.team, now)
         return held
 
     def _release(
@@ -267,13 +271,13 @@
         """Return nothing; nobody waits."""
         return ()
 
-    def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
+    def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Learn nothing."""
 
-    def note_first_token(self, request: str, now: Millis) -> None:
+    def record_first_token(self, request: str, now: Millis) -> None:
         """Learn nothing."""
 
-    def note_finished(self, request: str, now: Millis) -> None:
+    def record_finished(self, request: str, now: Millis) -> None:
         """Give nothing back."""
 
 
--- a/src/oleanderdyke/policies/capacity.py
+++ b/src/oleanderdyke/policies/capacity.py
@@ -92,36 +92,36 @@
         self._view.short_tokens += tokens if short else 0.0
         self._view.requests += 1
 
-    def note_sent(
+    def record_sent(
         self, demand: Demand, plan: Plan, tokens: float, now: Millis
     ) -> None:
         """Count what a request's plan recomputes."""
         short = tokens <= self._settings.short_tokens
-        self._backlog.note_sent(
+        self._backlog.record_sent(
             demand.request, plan.agent, tokens, now, short=short
         )
         self._sent[demand.request] = _Sent(tokens, now, short)
 
-    def note_first_token(self, request: str, now: Millis) -> None:
+    def record_first_token(self, request: str, now: Millis) -> None:
         """Count a prefill as done."""
         sent = self._sent.get(request)
         if sent is None or not sent.prefilling:
             return
         sent.prefilling = False
-        self._backlog.note_first_token(request, now)
+        self._backlog.record_first_token(request, now)
         view = self._view
         view.tokens = max(0.0, view.tokens - sent.tokens)
         if sent.short:
             view.short_tokens = max(0.0, view.short_tokens - sent.tokens)
 
-    def note_finished(self, request: str, now: Millis) -> None:
+    def record_finished(self, request: str, now: Millis) -> None:
         """Count a request as done."""
         self._view.requests = max(0, self._view.requests - 1)
-        self.note_first_token(request, now)
+        self.record_first_token(request, now)
         sent = self._sent.pop(request, None)
         if sent is None:
             return
-        self._backlog.note_finished(request, now)
+        self._backlog.record_finished(request, now)
         self._time += _SMOOTHING * (now - sent.at - self._time)
 
     def _sum(self, service: str, fleet: Fleet, now: Millis) -> _View:
--- a/src/oleanderdyke/policies/exports.py
+++ b/src/oleanderdyke/policies/exports.py
@@ -20,7 +20,7 @@
         self._needed = count_needed_returns(settings)
         self._uses: OrderedDict[SegmentHint, int] = OrderedDict()
 
-    def note_used(self, segments: Sequence[SegmentHint]) -> None:
+    def record_use(self, segments: Sequence[SegmentHint]) -> None:
         """Count one use of each segment."""
         uses = self._uses
         for segment in segments:
--- a/src/oleanderdyke/policies/keeping.py
+++ b/src/oleanderdyke/policies/keeping.py
@@ -5,7 +5,7 @@
 from oleanderdyke.clock import Millis
 from oleanderdyke.kernel.demand import (
     SEGMENT_TOKENS,
-    Keeper,
+    RetentionPolicy,
     SegmentHint,
 )
 from oleanderdyke.kernel.keeping import ReturnModel
@@ -19,16 +19,16 @@
     def __init__(self, settings: PolicySettings) -> None:
         self._returns = ReturnModel(settings.gap_memory)
 
-    def worth(
+    def estimate_value(
         self, segment: SegmentHint, length: int, gap: Millis, now: Millis
     ) -> float:
         """Return tokens saved per byte and millisecond."""
         rate = self._returns.estimate_rate(segment, gap, now)
         return SEGMENT_TOKENS * rate / max(1, length)
 
-    def note_used(self, segment: SegmentHint, now: Millis) -> None:
+    def record_use(self, segment: SegmentHint, now: Millis) -> None:
         """Learn from a use of a segment."""
-        self._returns.note_used(segment, now)
+        self._returns.record_use(segment, now)
 
 
 class LeastRecentlyUsed:
@@ -37,24 +37,24 @@
     def __init__(self) -> None:
         self._used: dict[SegmentHint, Millis] = {}
 
-    def worth(
+    def estimate_value(
         self, segment: SegmentHint, length: int, gap: Millis, now: Millis
     ) -> float:
         """Return the moment of the last use."""
         return self._used.get(segment, now)
 
-    def note_used(self, segment: SegmentHint, now: Millis) -> None:
+    def record_use(self, segment: SegmentHint, now: Millis) -> None:
         """Remember the moment."""
         self._used[segment] = now
 
 
 @KEEPERS.register('expected-saving')
-def make_expected_saving(settings: PolicySettings) -> Keeper:
+def make_expected_saving(settings: PolicySettings) -> RetentionPolicy:
     """Build the keeper that learns return gaps."""
     return ExpectedSaving(settings)
 
 
 @KEEPERS.register('lru')
-def make_lru(settings: PolicySettings) -> Keeper:
+def make_lru(settings: PolicySettings) -> RetentionPolicy:
     """Build the keeper that evicts the least recently used."""
     return LeastRecentlyUsed()
--- a/src/oleanderdyke/policies/limits.py
+++ b/src/oleanderdyke/policies/limits.py
@@ -6,7 +6,7 @@
 
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.errors import ErrorKind
-from oleanderdyke.kernel.admission import TokenBucket, spread
+from oleanderdyke.kernel.admission import TokenBucket, hash_to_fraction
 from oleanderdyke.kernel.demand import Demand, Refusal
 from oleanderdyke.kernel.objects import Limits
 from oleanderdyke.policies.registries import FindTerms
@@ -62,7 +62,7 @@
         if use.tokens:
             use.tokens.take(demand.tokens + demand.answer_tokens, now)
 
-    def note_finished(self, team: str, now: Millis) -> None:
+    def record_finished(self, team: str, now: Millis) -> None:
         """Give back a request's place."""
         use = self._uses.get(team)
         if use is not None:
@@ -102,5 +102,5 @@
 
 
 def _refuse(demand: Demand, reason: str, wait: Millis) -> Refusal:
-    after = wait * (1 + _JITTER * spread(demand.request))
+    after = wait * (1 + _JITTER * hash_to_fraction(demand.request))
     return Refusal(ErrorKind.RATE_LIMITED, reason, after)
--- a/src/oleanderdyke/policies/registries.py
+++ b/src/oleanderdyke/policies/registries.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol, TypeAlias
 
-from oleanderdyke.kernel.demand import Admission, Keeper, Router
+from oleanderdyke.kernel.demand import Admission, RetentionPolicy, Router
 from oleanderdyke.kernel.objects import Limits
 from oleanderdyke.policies.settings import PolicySettings
 from oleanderdyke.registry import Registry
@@ -42,7 +42,7 @@
 class MakeKeeper(Protocol):
     """Build a keeper."""
 
-    def __call__(self, settings: PolicySettings) -> Keeper:
+    def __call__(self, settings: PolicySettings) -> RetentionPolicy:
         """Return a new keeper."""
 
 
--- a/src/oleanderdyke/policies/routing.py
+++ b/src/oleanderdyke/policies/routing.py
@@ -90,41 +90,45 @@
         best = self._weigh_pressure(demand, choices, now)
         return _make_plan(best, self._settings)
 
-    def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
+    def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Count the prefill, the fetch and the prefixes soon to be there."""
         present = (plan.cached + plan.fetched) * SEGMENT_TOKENS
         tokens = max(0, demand.tokens - present)
         brought = demand.tokens - plan.cached * SEGMENT_TOKENS
         self._pressure.note_brought(plan.agent, brought, now)
-        self._backlog.note_sent(
+        self._backlog.record_sent(
             demand.request,
             plan.agent,
             tokens,
             now,
             short=plan.priority == SHORT_FIRST,
         )
-        self._links.note_sent(demand.request, plan, now)
-        self._soon.note_sent(demand, plan, now)
+        self._links.record_sent(demand.request, plan, now)
+        self._soon.record_sent(demand, plan, now)
 
-    def note_first_token(self, request: str, now: Millis) -> None:
+    def record_first_token(self, request: str, now: Millis) -> None:
         """Learn that a request's context is there."""
-        self._backlog.note_first_token(request, now)
+        self._backlog.record_first_token(request, now)
         self._links.note_done(request)
         self._soon.note_ready(request, now)
 
-    def note_finished(self, request: str, now: Millis) -> None:
+    def record_finished(self, request: str, now: Millis) -> None:
         """Forget a request."""
-        self._backlog.note_finished(request, now)
+        self._backlog.record_finished(request, now)
         self._links.note_done(request)
-        self._soon.note_finished(request)
+        self._soon.record_finished(request)
 
-    def note_removed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
+    def record_segments_removed(
+        self, agent: str, segments: Sequence[SegmentHint]
+    ) -> None:
         """Stop counting on what an agent no longer holds."""
-        self._soon.note_removed(agent, segments)
+        self._soon.record_segments_removed(agent, segments)
 
-    def note_listed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
+    def record_segments_listed(
+        self, agent: str, segments: Sequence[SegmentHint]
+    ) -> None:
         """Stop counting on what an agent doesn't list."""
-        self._soon.note_listed(agent, segments)
+        self._soon.record_segments_listed(agent, segments)
 
     def _weigh(
         self,
@@ -212,21 +216,25 @@
         held = fleet.count_leading(least.agent, demand.segments)
         return Plan(least.agent, 'least outstanding', cached=held)
 
-    def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
+    def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Count a dispatch."""
-        self._backlog.note_sent(demand.request, plan.agent, 0, now)
+        self._backlog.record_sent(demand.request, plan.agent, 0, now)
 
-    def note_first_token(self, request: str, now: Millis) -> None:
+    def record_first_token(self, request: str, now: Millis) -> None:
         """Learn nothing."""
 
-    def note_finished(self, request: str, now: Millis) -> None:
+    def record_finished(self, request: str, now: Millis) -> None:
         """Forget a request."""
-        self._backlog.note_finished(request, now)
+        self._backlog.record_finished(request, now)
 
-    def note_removed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
+    def record_segments_removed(
+        self, agent: str, segments: Sequence[SegmentHint]
+    ) -> None:
         """Learn nothing."""
 
-    def note_listed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
+    def record_segments_listed(
+        self, agent: str, segments: Sequence[SegmentHint]
+    ) -> None:
         """Learn nothing."""
 
     def _count(self, replica: Replica) -> int:
--- a/src/oleanderdyke/policies/sources.py
+++ b/src/oleanderdyke/policies/sources.py
@@ -55,7 +55,7 @@
         self._agents: dict[SegmentHint, dict[str, str]] = {}
         self._holed: set[str] = set()
 
-    def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
+    def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Expect the missing segments of a prompt at the plan's agent."""
         segments = demand.segments[plan.cached + plan.joined :]
         if not segments:
@@ -81,13 +81,15 @@
         coming.done = True
         coming.forget = now + _SOON_KEPT
 
-    def note_finished(self, request: str) -> None:
+    def record_finished(self, request: str) -> None:
         """Drop what never became ready."""
         coming = self._coming.get(request)
         if coming is not None and not coming.done:
             self._drop(request)
 
-    def note_removed(self, agent: str, segments: Iterable[SegmentHint]) -> None:
+    def record_segments_removed(
+        self, agent: str, segments: Iterable[SegmentHint]
+    ) -> None:
         """Believe an agent that it lost segments after they were sent."""
         for segment in segments:
             agents = self._agents.get(segment, {})
@@ -97,7 +99,9 @@
             if not agents:
                 del self._agents[segment]
 
-    def note_listed(self, agent: str, segments: Iterable[SegmentHint]) -> None:
+    def record_segments_listed(
+        self, agent: str, segments: Iterable[SegmentHint]
+    ) -> None:
         """Believe an agent's full list, but wait for what is under way."""
         listed = set(segments)
         lost = [
@@ -107,7 +111,7 @@
             for segment in coming.segments
             if segment not in listed and self._names(segment, agent, request)
         ]
-        self.note_removed(agent, lost)
+        self.record_segments_removed(agent, lost)
 
     def holders(self, segment: SegmentHint) -> Iterable[str]:
         """Return the agents that will hold a segment soon."""
@@ -176,7 +180,7 @@
         self._fetches: dict[str, _Fetch] = {}
         self._stores: dict[str, dict[str, _Fetch]] = {}
 
-    def note_sent(self, request: str, plan: Plan, now: Millis) -> None:
+    def record_sent(self, request: str, plan: Plan, now: Millis) -> None:
         """Count the bytes of a plan that fetches."""
         self.note_done(request)
         fetched = plan.fetched - plan.joined
--- a/tests/agents.py
+++ b/tests/agents.py
@@ -16,6 +16,7 @@
 from oleanderdyke.clients.log import LogPage, LogRecord
 from oleanderdyke.clock import make_clock
 from oleanderdyke.kernel.blocks import make_namespace
+from oleanderdyke.kernel.configuration import ConfigurationReader
 from oleanderdyke.kernel.objects import (
     Change,
     ModelVersionSpec,
@@ -26,7 +27,6 @@
     TeamSpec,
 )
 from oleanderdyke.kernel.records import encode_change
-from oleanderdyke.kernel.spread import ConfigurationReader
 from oleanderdyke.links.dialer import dial
 from oleanderdyke.links.link import Link, LinkClosed, LinkSettings
 from oleanderdyke.links.messages import (
--- a/tests/matrix/entry.py
+++ b/tests/matrix/entry.py
@@ -26,10 +26,13 @@
 from oleanderdyke.entry.stopping import Stopper
 from oleanderdyke.errors import OleanderError
 from oleanderdyke.kernel.attempts import MachineSettings
+from oleanderdyke.kernel.configuration import (
+    ConfigurationReader,
+    ReaderSettings,
+)
 from oleanderdyke.kernel.drain import DrainSettings
 from oleanderdyke.kernel.quarantine import QuarantineSettings
 from oleanderdyke.kernel.retries import RetrySettings, make_retry_budget
-from oleanderdyke.kernel.spread import ConfigurationReader, ReaderSettings
 from oleanderdyke.links.messages import EntryBeat, Hello, Message
 from oleanderdyke.policies.exports import ExportChooser
 from oleanderdyke.policies.registries import ADMISSIONS, ROUTERS, TeamTerms
--- a/tests/matrix/orders.py
+++ b/tests/matrix/orders.py
@@ -12,8 +12,8 @@
 from oleanderdyke.clock import Millis
 from oleanderdyke.errors import OleanderError, Ran
 from oleanderdyke.kernel.orders import (
-    RECHECK,
-    Desired,
+    RECHECK_INTERVAL,
+    DesiredState,
     Fence,
     Order,
 )
@@ -84,7 +84,7 @@
     def _load(self, order: dict[str, Any]) -> int:
         wanted, fence = order, Fence(*order['fence'])
         digest = f'd{wanted["version"][1:]}'
-        desired = Desired(
+        desired = DesiredState(
             wanted['model'], wanted['version'], digest, wanted['adapter']
         )
         return 200 if self._agent.backend.load(desired, fence) else 409
@@ -138,7 +138,7 @@
             request = ConfigurationRequest(configuration.offset)
             configuration._ask(outbox, request)
         await _sleep(agent, _CONFIRM)
-        return 0.0 if configuration.confirmed_at > before else RECHECK
+        return 0.0 if configuration.confirmed_at > before else RECHECK_INTERVAL
 
     async def _order(self, order: Order) -> None:
         agent = self._agent
--- a/tests/matrix/outside.py
+++ b/tests/matrix/outside.py
@@ -9,7 +9,7 @@
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.errors import Ran
 from oleanderdyke.kernel.gate import Loaded
-from oleanderdyke.kernel.orders import Desired, Fence, Observed
+from oleanderdyke.kernel.orders import DesiredState, Fence, ObservedState
 from oleanderdyke.links.messages import Dispatch
 from tests.matrix.loop import Later, Process, Scheduler
 
@@ -151,7 +151,7 @@
 
         self.process.after(1.0, begin)
 
-    def load(self, desired: Desired, fence: Fence) -> bool:
+    def load(self, desired: DesiredState, fence: Fence) -> bool:
         """Take an order; refuse an old fence where they are checked."""
         if self.checks and self.fence and fence.offset < self.fence.offset:
             return False
@@ -162,10 +162,10 @@
         )
         return True
 
-    def observe(self, now: Millis) -> Observed:
+    def observe(self, now: Millis) -> ObservedState:
         """Report the state."""
         loaded = self.loaded
-        return Observed(
+        return ObservedState(
             loaded.model,
             loaded.version,
             loaded.digest,
--- a/tests/news_scene.py
+++ b/tests/news_scene.py
@@ -227,7 +227,7 @@
                 known = Neighbour(
                     other.name, f'{other.name}:1', other.data_centre
                 )
-                process.neighbours.note(known, process.clock.now())
+                process.neighbours.record_alive(known, process.clock.now())
 
     async def keep_connected(self) -> None:
         while True:
--- a/tests/store_spaces.py
+++ b/tests/store_spaces.py
@@ -25,10 +25,10 @@
 class FlatKeeper:
     """Find the worth in the gap that a write expects: short gaps first."""
 
-    def worth(self, segment, length, gap, now):
+    def estimate_value(self, segment, length, gap, now):
         return -gap
 
-    def note_used(self, segment, now):
+    def record_use(self, segment, now):
         pass
 
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -20,7 +20,12 @@
 from oleanderdyke.entry.settings import OperatorSettings
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 from oleanderdyke.events import EventName
-from oleanderdyke.kernel.catalog import Applied, Catalog, LossReason, Lost
+from oleanderdyke.kernel.catalog import (
+    Applied,
+    Catalog,
+    Rejected,
+    RejectionReason,
+)
 from oleanderdyke.kernel.objects import ObjectKind, StoreSpec, TeamSpec
 
 TEAM = ObjectKind.TEAM
@@ -133,7 +138,7 @@
     (first,) = bench.publish(OPERATOR, change_store())
     (second,) = bench.publish(Caller('bo'), change_store(capacity=2))
     assert isinstance(first, Applied)
-    assert isinstance(second, Lost)
+    assert isinstance(second, Rejected)
     error = make_conflict([second])
     assert error.kind is ErrorKind.CONFLICT
     assert error.ran is Ran.NO
@@ -249,7 +254,7 @@
     bats = TeamSpec(token_hashes=(make_hash('bat'),))
     bench.publish(OPERATOR, ChangeInput(TEAM, 'bats', 1, bats))
     (lost,) = bench.publish(OWLS, ChangeInput(TEAM, 'owls', 1, taken))
-    assert lost.reason is LossReason.TOKEN_TAKEN
+    assert lost.reason is RejectionReason.TOKEN_TAKEN
     assert 'bats' not in str(lost)
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -4,7 +4,7 @@
 
 from bench.views import LateFleet
 from oleanderdyke.errors import ErrorKind
-from oleanderdyke.kernel.admission import FairQueue, TokenBucket, Waiting
+from oleanderdyke.kernel.admission import FairQueue, QueuedRequest, TokenBucket
 from oleanderdyke.kernel.demand import Admitted, Demand, Queued, Refusal
 from oleanderdyke.kernel.objects import Limits
 from oleanderdyke.links.messages import Load
@@ -46,7 +46,7 @@
         for request, answer in chosen.release(idle, now):
             assert isinstance(answer, Admitted)
             order.append(request)
-            chosen.note_finished(request, now)
+            chosen.record_finished(request, now)
     return order
 
 
@@ -77,7 +77,9 @@
     queue = FairQueue()
     for index in range(30):
         for team, weight in (('a', 3.0), ('b', 1.0)):
-            queue.push(Waiting(demand(f'{team}{index}', team), 10, 0), weight)
+            queue.push(
+                QueuedRequest(demand(f'{team}{index}', team), 10, 0), weight
+            )
     first = [queue.pop().demand.team for _ in range(20)]
     assert first.count('a') == 15
 
@@ -167,7 +169,7 @@
     for index in range(5_000):
         fleet = fleet_with(IDLE)
         chosen.admit(demand(f'r{index}', f't{index}'), fleet, float(index))
-        chosen.note_finished(f'r{index}', float(index))
+        chosen.record_finished(f'r{index}', float(index))
     assert not chosen._running
     assert not chosen._waiting
     assert not len(chosen._limits)
@@ -187,5 +189,5 @@
 def test_caller_who_left_the_queue_is_not_released():
     chosen = admission()
     chosen.admit(demand('r'), fleet_with(BUSY), 0.0)
-    chosen.note_finished('r', 100.0)
+    chosen.record_finished('r', 100.0)
     assert not chosen.release(fleet_with(IDLE, beat=2), 1_000.0)
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -671,7 +671,7 @@
     stored = [(n, 'stored', n) for n in range(1, 6)]
     view._take_events(make_page(*stored))
     assert list_known() == [1, 2, 3, 4, 5]
-    view.note_used([bytes([1] * 32)])
+    view.record_use([bytes([1] * 32)])
     view._take_events(make_page((8, 'removed', 4)))
     assert list_known() == [1, 5]
     view._take_events(make_page((1, 'stored', 9)))
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from oleanderdyke.kernel.backend import Owed
+from oleanderdyke.kernel.backend import PendingAttempt
 from oleanderdyke.kernel.backends import BackendBook
 from oleanderdyke.kernel.overload import (
     LATE_RANK,
@@ -105,9 +105,9 @@
 def test_new_weights_hold_none_of_the_old_context():
     book = make_engines('a')
     book.note_kept(A, PARTS, 60_000)
-    assert book.find('a').count_kept(PARTS) == 7_500
+    assert book.find('a').count_cached_tokens(PARTS) == 7_500
     book.note_version(A, 'm', 2)
-    assert book.find('a').count_kept(PARTS) == 0
+    assert book.find('a').count_cached_tokens(PARTS) == 0
 
 
 def test_the_oldest_weights_count_engines_that_leave_too():
@@ -140,7 +140,7 @@
 
 def test_a_server_that_owes_bytes_and_sends_none_is_left_out():
     book = make_book('a', 'b')
-    book.note_sent(A, 'x', Owed(0.0, 0))
+    book.note_sent(A, 'x', PendingAttempt(0.0, 0))
     late = SILENCE_LIMIT + 1
     assert not is_usable(book.find('a'), late)
     book.note_heard(A, 'other', late)
@@ -149,7 +149,7 @@
 
 def test_calls_go_to_the_server_with_fewest():
     book = make_book('a', 'b')
-    book.note_sent(A, 'x', Owed(0.0, 0))
+    book.note_sent(A, 'x', PendingAttempt(0.0, 0))
     assert choose(book) == 'b'
     book.note_load(B, ServerLoad(5, 3, 6), 0.0)
     assert choose(book) == 'a'
@@ -212,20 +212,20 @@
 def test_a_queue_is_seen_by_first_bytes_and_by_their_absence():
     book = make_engines('a')
     backend = book.find('a')
-    book.note_sent(A, 'x', Owed(0.0, 0))
-    assert backend.find_delay(0, 445.0) == pytest.approx(400.0)
+    book.note_sent(A, 'x', PendingAttempt(0.0, 0))
+    assert backend.find_queue_delay(0, 445.0) == pytest.approx(400.0)
     book.note_heard(A, 'x', 445.0)
-    assert backend.find_delay(0, 445.0) > 100.0
-    assert backend.find_delay(0, 9_000.0) == 0.0
+    assert backend.find_queue_delay(0, 445.0) > 100.0
+    assert backend.find_queue_delay(0, 9_000.0) == 0.0
 
 
 def test_what_is_less_urgent_delays_nobody():
     book = make_engines('a')
-    book.note_sent(A, 'x', Owed(0.0, 9_000, rank=LATE_RANK))
+    book.note_sent(A, 'x', PendingAttempt(0.0, 9_000, rank=LATE_RANK))
     backend = book.find('a')
-    assert backend.find_delay(1, 5_000.0) == 0.0
-    assert backend.count_owed_tokens(1) == 0
-    assert backend.count_owed_tokens(LATE_RANK) == 9_000
+    assert backend.find_queue_delay(1, 5_000.0) == 0.0
+    assert backend.count_pending_tokens(1) == 0
+    assert backend.count_pending_tokens(LATE_RANK) == 9_000
 
 
 def test_an_old_load_fades_and_does_not_look_idle_at_once():
@@ -239,7 +239,7 @@
 
 def test_running_tokens_are_given_back():
     book = make_engines('a')
-    book.note_sent(A, 'x', Owed(0.0, 10, memory=700))
+    book.note_sent(A, 'x', PendingAttempt(0.0, 10, memory=700))
     assert book.find('a').running_tokens == 700
     book.note_ended(A, 'x', 700)
     assert (book.find('a').running, book.find('a').running_tokens) == (0, 0)
@@ -247,11 +247,11 @@
 
 def test_a_server_that_sends_nothing_of_what_runs_is_silent():
     book = make_engines('a')
-    book.note_sent(A, 'x', Owed(0.0, 10))
+    book.note_sent(A, 'x', PendingAttempt(0.0, 10))
     book.note_heard(A, 'x', 100.0)
-    assert book.find('a').find_silence(900.0) == 800.0
+    assert book.find('a').find_overdue_time(900.0) == 800.0
     book.note_ended(A, 'x', 0)
-    assert book.find('a').find_silence(900.0) == 0.0
+    assert book.find('a').find_overdue_time(900.0) == 0.0
 
 
 def test_a_late_record_does_not_bring_a_server_back():
@@ -282,7 +282,7 @@
 
 def test_an_entry_that_cannot_be_read_ends_no_running_work():
     book = make_engines('a')
-    book.note_sent(A, 'x', Owed(0.0, 10, memory=700))
+    book.note_sent(A, 'x', PendingAttempt(0.0, 10, memory=700))
     book.note_unread(['a'])
     book.note_read(60_000.0)
     assert book.find('a').running == 1
@@ -312,7 +312,7 @@
 
 def test_an_entry_that_is_gone_is_not_brought_back_by_what_cannot_be_read():
     book = make_book('a')
-    book.note_sent(A, 'x', Owed(0.0, 10))
+    book.note_sent(A, 'x', PendingAttempt(0.0, 10))
     book.remove('a', 500.0)
     book.note_unread(['a'])
     book.note_read(600.0)
@@ -368,7 +368,7 @@
     book.put(make_record('a', versions={'m': 1}, beat=1), 0.0)
     book.note_kept(ServerStart('a'), PARTS, 60_000)
     book.put(make_record('a', versions={'m': 2}, beat=2), 1.0)
-    assert book.find('a').count_kept(PARTS) == 0
+    assert book.find('a').count_cached_tokens(PARTS) == 0
 
 
 def test_a_store_that_was_away_shows_by_what_a_neighbour_read():
@@ -413,14 +413,14 @@
     """It lets runs of little urgency wait, and sends this entry nothing."""
     book = BackendBook()
     book.put(make_record('a'), 0.0)
-    book.note_sent(A, 'x', Owed(0.0, 0, 5, 0))
+    book.note_sent(A, 'x', PendingAttempt(0.0, 0, 5, 0))
     backend = book.find('a')
-    assert backend.find_silence(700.0) == 700.0
+    assert backend.find_overdue_time(700.0) == 700.0
     book.note_load(A, ServerLoad(8, 2, 16), 600.0)
-    assert backend.find_silence(700.0) == 0.0
+    assert backend.find_overdue_time(700.0) == 0.0
     # A connection may be dead although its server lives.
     book.note_load(A, ServerLoad(8, 2, 16), 1_500.0)
-    assert backend.find_silence(1_600.0) == 600.0
+    assert backend.find_overdue_time(1_600.0) == 600.0
 
 
 @pytest.mark.parametrize(('slots', 'chosen'), [(16, 'b'), (128, 'a')])
@@ -431,7 +431,7 @@
     for server, changes in (('a', {'slots': slots}), ('b', far)):
         book.put(make_record(server, versions={'m': 1}, **changes), 0.0)
     for number in range(3):
-        book.note_sent(A, str(number), Owed(0.0, 0))
+        book.note_sent(A, str(number), PendingAttempt(0.0, 0))
         book.note_heard(A, str(number), 10.0)
     demand = CallDemand('desk', 'hall', model=ModelDemand('m', 10, 7, ()))
     assert choose_backend(demand, book, 20.0).backend.record.server == chosen
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -22,11 +22,11 @@
 )
 from oleanderdyke.entry.vmwatch import VmWatch
 from oleanderdyke.kernel.catalog import Catalog
+from oleanderdyke.kernel.configuration import ConfigurationReader
 from oleanderdyke.kernel.membership import FleetState
 from oleanderdyke.kernel.objects import Change, ObjectKind
 from oleanderdyke.kernel.records import decode_record, encode_change
 from oleanderdyke.kernel.snapshots import SnapshotLoader
-from oleanderdyke.kernel.spread import ConfigurationReader
 from oleanderdyke.links.codec import decode, encode
 from oleanderdyke.links.messages import (
     PROTOCOL_VERSION,
@@ -110,7 +110,7 @@
     taken, loaded = load((*chunks[:2], chunks[0], *chunks[2:]))
     assert taken == [True, True, False] + [True] * (len(chunks) - 2)
     other = Catalog()
-    assert other.take_over(loaded)
+    assert other.replace_state(loaded)
     assert other.digest() == catalog.digest()
 
 
@@ -124,7 +124,7 @@
 
 
 def ask_for_all(reader, peer, now):
-    request = reader.on_heard(peer, TEAMS - 1, now)
+    request = reader.on_peer_offset(peer, TEAMS - 1, now)
     assert request is not None
     return request
 
@@ -165,7 +165,7 @@
     ask_for_all(reader, 'asked next', 2_000.0)
     for now in (3_000.0, 4_900.0, 6_800.0):
         reader.on_difference('asked first', next(messages), now)
-        assert reader.on_heard('asked next', TEAMS, now + 1_900) is None
+        assert reader.on_peer_offset('asked next', TEAMS, now + 1_900) is None
 
 
 def test_rest_of_a_snapshot_may_come_from_another_peer(catalog):
@@ -173,7 +173,7 @@
     reader = ConfigurationReader(Random(2))
     gone = source.answer(ask_for_all(reader, 'gone', 0.0))
     reader.on_difference('gone', next(gone), 0.0)
-    reader.on_peer_gone('gone')
+    reader.on_peer_disconnected('gone')
     for message in source.answer(ask_for_all(reader, 'other', 1.0)):
         reader.on_difference('other', message, 1.0)
     assert reader.offset == TEAMS - 1
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -9,7 +9,12 @@
 
 from oleanderdyke.kernel import catalog as catalog_module
 from oleanderdyke.kernel import snapshots
-from oleanderdyke.kernel.catalog import Applied, Catalog, LossReason, Lost
+from oleanderdyke.kernel.catalog import (
+    Applied,
+    Catalog,
+    Rejected,
+    RejectionReason,
+)
 from oleanderdyke.kernel.claim_records import decode_batch
 from oleanderdyke.kernel.objects import (
     Change,
@@ -22,7 +27,11 @@
     StoreSpec,
     TeamSpec,
 )
-from oleanderdyke.kernel.records import Unreadable, decode_record, encode_change
+from oleanderdyke.kernel.records import (
+    UnreadableRecord,
+    decode_record,
+    encode_change,
+)
 from oleanderdyke.kernel.specs import describe_spec, pack_spec, unpack_spec
 from tests.processes import ROOT
 
@@ -55,8 +64,8 @@
     first = catalog.apply(1, make_change('2', expected=1, operator='bo'))
     second = catalog.apply(2, make_change('3', expected=1, operator='cy'))
     assert first == Applied('2', 'bo', TEAM, 'owls', 1, 7.0, 2)
-    assert isinstance(second, Lost)
-    assert second.reason is LossReason.GENERATION
+    assert isinstance(second, Rejected)
+    assert second.reason is RejectionReason.GENERATION
     assert (second.winner, second.generation) == ('bo', 2)
 
 
@@ -65,7 +74,7 @@
         make_change('1'), make_change('2', expected=1, spec=None, operator='bo')
     )
     lost = catalog.apply(2, make_change('3', expected=1))
-    assert isinstance(lost, Lost)
+    assert isinstance(lost, Rejected)
     assert (lost.winner, lost.generation) == ('bo', 0)
 
 
@@ -76,7 +85,7 @@
         make_change('3'),
     )
     stale = catalog.apply(3, make_change('4', expected=1))
-    assert isinstance(stale, Lost)
+    assert isinstance(stale, Rejected)
     assert stale.generation == 3
 
 
@@ -96,10 +105,10 @@
     lost = catalog.apply(
         1, make_change('2', name='bats', spec=TeamSpec(token_hashes=(HASH_A,)))
     )
-    assert isinstance(lost, Lost)
-    assert lost.reason is LossReason.TOKEN_TAKEN
+    assert isinstance(lost, Rejected)
+    assert lost.reason is RejectionReason.TOKEN_TAKEN
     assert 'owls' not in lost.detail
-    found = catalog.find_team(HASH_A) or catalog.find_administered(HASH_A)
+    found = catalog.find_team(HASH_A) or catalog.find_administered_team(HASH_A)
     assert found.name == 'owls'
 
 
@@ -136,8 +145,8 @@
 def test_invalid_change_loses_and_shows_no_token(kind, name, spec):
     catalog = Catalog()
     lost = catalog.apply(0, make_change('1', kind=kind, name=name, spec=spec))
-    assert isinstance(lost, Lost)
-    assert lost.reason is LossReason.INVALID
+    assert isinstance(lost, Rejected)
+    assert lost.reason is RejectionReason.INVALID
     assert 'secret-token' not in lost.detail
     assert catalog.get(kind, name) is None
 
@@ -268,7 +277,7 @@
     catalog = Catalog()
     outcome = catalog.apply_record(0, data)
     assert catalog.offset == 0
-    unreadable = isinstance(decode_record(data), Unreadable)
+    unreadable = isinstance(decode_record(data), UnreadableRecord)
     assert catalog.skipped == int(unreadable)
     assert not unreadable or outcome is None
 
@@ -276,7 +285,7 @@
 def test_bytes_that_once_harmed_a_reader_are_skipped():
     for path in sorted((ROOT / 'tests/corpus/codec').iterdir()):
         data = bytes.fromhex(path.read_text())
-        assert isinstance(decode_record(data), Unreadable), path.name
+        assert isinstance(decode_record(data), UnreadableRecord), path.name
         assert not any(decode_batch(data)), path.name
 
 
--- a/tests/test_choice_cost.py
+++ b/tests/test_choice_cost.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from oleanderdyke.kernel import rate_limits
-from oleanderdyke.kernel.backend import Owed
+from oleanderdyke.kernel.backend import PendingAttempt
 from oleanderdyke.kernel.backends import BackendBook
 from oleanderdyke.kernel.placement import (
     SILENCE_LIMIT,
@@ -53,9 +53,9 @@
     book.note_read(0.0)
     for backend in book.list_known():
         start = backend.record.start
-        book.note_sent(start, 'one', Owed(NOW - 30, 500, 2, 900))
+        book.note_sent(start, 'one', PendingAttempt(NOW - 30, 500, 2, 900))
         book.note_load(start, ServerLoad(5, 1, 16), NOW)
-        backend.heard = NOW - 20
+        backend.last_heard_at = NOW - 20
     return book
 
 
@@ -108,10 +108,10 @@
 def test_a_server_is_left_out_only_once_it_is_silent(heard, sent, tokens):
     book = make_engines(1)
     backend = book.find('i-0')
-    backend.heard = NOW - heard
+    backend.last_heard_at = NOW - heard
     backend.waiting.clear()
     for number, ago in enumerate(sent):
-        owed = Owed(NOW - ago, tokens, 2, 900)
+        owed = PendingAttempt(NOW - ago, tokens, 2, 900)
         book.note_sent(ServerStart('i-0'), f'{number}', owed)
-    is_silent = backend.find_silence(NOW) >= SILENCE_LIMIT
+    is_silent = backend.find_overdue_time(NOW) >= SILENCE_LIMIT
     assert is_usable(backend, NOW) is not is_silent
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -64,8 +64,8 @@
     drain = make_drain('stream', resumable=('stream',))
     drain.signal(0)
     assert drain.tick(50) == (HandOver('stream'),)
-    drain.take_back('stream')
-    drain.take_back('unknown')
+    drain.mark_not_resumable('stream')
+    drain.mark_not_resumable('unknown')
     assert drain.tick(51) == ()
     assert drain.running == ('stream',)
     assert drain.mark_resumable('stream', 52) == (HandOver('stream'),)
@@ -94,8 +94,8 @@
     agent.signal(0)
     assert entry.start_work('a', 1_999)
     assert not entry.start_work('b', 2_000)
-    assert not entry.start_work('b', 2_000, needs=ENTRY_DRAIN.drain)
-    assert entry.start_work('c', 2_000, needs=100)
+    assert not entry.start_work('b', 2_000, duration=ENTRY_DRAIN.drain)
+    assert entry.start_work('c', 2_000, duration=100)
     assert not agent.start_work('a', 0)
     assert entry.is_leaving
     assert agent.is_leaving
@@ -161,7 +161,7 @@
 
 
 class KeepsAccepting(Drain):
-    def accepts(self, now, needs=None):
+    def accepts(self, now, duration=None):
         return self.phase is not DrainPhase.DONE
 
 
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -15,7 +15,7 @@
 import pytest
 
 from examples.demo import (
-    count_kept,
+    count_cached_tokens,
     count_read_bytes,
     evict,
     publish,
@@ -195,7 +195,7 @@
     for attempt in range(5):
         text = make_rulebook(f'{title} {attempt}')
         segments = len(text) // cache.SEGMENT_BYTES
-        wanted = count_kept(deployment) + segments
+        wanted = count_cached_tokens(deployment) + segments
         first = ask(deployment.entries[0].address, MODEL, text, token=TEAM)
         wait_kept(deployment, wanted)
         evict(deployment)
@@ -211,7 +211,8 @@
 
 def wait_kept(deployment: Deployment, wanted: int) -> None:
     wait_until(
-        lambda: count_kept(deployment) >= wanted, 'the store keeps the context'
+        lambda: count_cached_tokens(deployment) >= wanted,
+        'the store keeps the context',
     )
 
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -169,7 +169,7 @@
             return []
         return [(request, self.decision) for request in self.queued]
 
-    def note_finished(self, request: str, _now: float) -> None:
+    def record_finished(self, request: str, _now: float) -> None:
         """Record."""
         self.finished.append(request)
 
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -14,15 +14,15 @@
 
 
 def worth(keeper, segment, now, gap=0.0):
-    return keeper.worth(segment, LENGTH, gap, now)
+    return keeper.estimate_value(segment, LENGTH, gap, now)
 
 
 def test_what_returns_often_is_worth_more():
     keeper = make_expected_saving(AGENCY)
     for hour in range(6):
-        keeper.note_used(b'hourly', hour * HOUR)
+        keeper.record_use(b'hourly', hour * HOUR)
     for day in (0, 5):
-        keeper.note_used(b'seldom', day * HOUR)
+        keeper.record_use(b'seldom', day * HOUR)
     now = 6 * HOUR
     assert worth(keeper, b'hourly', now) > worth(keeper, b'seldom', now)
 
@@ -30,23 +30,25 @@
 def test_what_was_used_once_does_not_push_out_what_returns_daily():
     keeper = make_expected_saving(AGENCY)
     for day in range(3):
-        keeper.note_used(b'daily', day * 24 * HOUR)
+        keeper.record_use(b'daily', day * 24 * HOUR)
     now = 60 * HOUR
-    keeper.note_used(b'once', now)
+    keeper.record_use(b'once', now)
     assert worth(keeper, b'daily', now) > worth(keeper, b'once', now)
 
 
 def test_what_stays_away_loses_its_worth():
     keeper = make_expected_saving(AGENCY)
     for hour in range(3):
-        keeper.note_used(b'a', hour * HOUR)
+        keeper.record_use(b'a', hour * HOUR)
     early = worth(keeper, b'a', 3 * HOUR)
     assert worth(keeper, b'a', 300 * HOUR) < early / 50
 
 
 def test_longer_segments_are_worth_less_for_each_byte():
     keeper = make_expected_saving(AGENCY)
-    assert keeper.worth(b'a', 100, 0.0, 0.0) > keeper.worth(b'a', 200, 0.0, 0.0)
+    assert keeper.estimate_value(b'a', 100, 0.0, 0.0) > keeper.estimate_value(
+        b'a', 200, 0.0, 0.0
+    )
 
 
 def test_hint_of_a_gap_is_believed_until_something_is_known():
@@ -58,14 +60,14 @@
 def test_memory_of_uses_is_bounded():
     keeper = make_expected_saving(PolicySettings(gap_memory=10))
     for number in range(100):
-        keeper.note_used(number.to_bytes(8, 'big'), float(number))
+        keeper.record_use(number.to_bytes(8, 'big'), float(number))
     assert len(keeper._returns._returns) == 10
 
 
 def test_lru_keeps_what_was_used_last():
     keeper = make_lru(AGENCY)
-    keeper.note_used(b'a', 1.0)
-    keeper.note_used(b'b', 2.0)
+    keeper.record_use(b'a', 1.0)
+    keeper.record_use(b'b', 2.0)
     assert worth(keeper, b'b', 3.0) > worth(keeper, b'a', 3.0)
 
 
@@ -79,7 +81,7 @@
     rulebook = [number.to_bytes(8, 'big') for number in range(10)]
     for hour in range(5):
         cache.write(rulebook, hour * HOUR)
-        cache.note_used(rulebook, hour * HOUR)
+        cache.record_use(rulebook, hour * HOUR)
     for number in range(100, 200):
         cache.write([number.to_bytes(8, 'big')], 5 * HOUR + number)
     kept = cache.count_leading(rulebook)
@@ -88,15 +90,15 @@
 
 def test_council_exports_only_what_has_returned():
     chooser = ExportChooser(COUNCIL)
-    chooser.note_used([b'a', b'b'])
+    chooser.record_use([b'a', b'b'])
     assert chooser.count_worthy([b'a', b'b']) == 0
-    chooser.note_used([b'a', b'c'])
+    chooser.record_use([b'a', b'c'])
     assert chooser.count_worthy([b'a', b'b']) == 1
 
 
 def test_agency_exports_at_first_use():
     chooser = ExportChooser(AGENCY)
-    chooser.note_used([b'a', b'b'])
+    chooser.record_use([b'a', b'b'])
     assert chooser.count_worthy([b'a', b'b']) == 2
 
 
--- a/tests/test_neighbours.py
+++ b/tests/test_neighbours.py
@@ -16,15 +16,15 @@
     Neighbour,
     Neighbours,
 )
-from oleanderdyke.kernel.news_tails import EventTail, RecordTail
-from oleanderdyke.kernel.presence import LIFE
+from oleanderdyke.kernel.presence import ANNOUNCEMENT_LIFETIME
+from oleanderdyke.kernel.read_buffers import EventBuffer, RecordBuffer
 
 
 def make_neighbours(own, count=14):
     neighbours = Neighbours(own, 'hall')
     for number in range(count):
         name = f'front-{number}'
-        neighbours.note(Neighbour(name, f'{name}:1', 'hall'), 0.0)
+        neighbours.record_alive(Neighbour(name, f'{name}:1', 'hall'), 0.0)
     return neighbours
 
 
@@ -48,48 +48,50 @@
 
 def test_entries_of_other_data_centres_and_without_address_are_not_asked():
     neighbours = Neighbours('front-0', 'hall')
-    neighbours.note(Neighbour('front-1', 'front-1:1', 'other'), 0.0)
-    neighbours.note(Neighbour('front-2', '', 'hall'), 0.0)
+    neighbours.record_alive(Neighbour('front-1', 'front-1:1', 'other'), 0.0)
+    neighbours.record_alive(Neighbour('front-2', '', 'hall'), 0.0)
     assert find_name(neighbours) is None
 
 
 def test_the_next_one_reads_while_the_first_is_passed_over():
     neighbours = make_neighbours('side-1')
     first = find_name(neighbours)
-    neighbours.note_failed(first, 1.0)
+    neighbours.record_failure(first, 1.0)
     second = find_name(neighbours)
     assert second not in {first, None}
     assert find_name(neighbours, now=1_002.0) == first
-    neighbours.note_failed(first, 1_002.0)
+    neighbours.record_failure(first, 1_002.0)
     assert find_name(neighbours, now=2_500.0) == second
-    neighbours.note_good(first, 2_500.0)
+    neighbours.record_success(first, 2_500.0)
     assert find_name(neighbours, now=2_500.0) == first
 
 
 def test_who_tells_nothing_for_long_is_gone():
-    assert find_name(make_neighbours('side-1'), now=LIFE) is None
+    assert (
+        find_name(make_neighbours('side-1'), now=ANNOUNCEMENT_LIFETIME) is None
+    )
 
 
 def test_an_entry_that_is_asked_reads_for_a_while():
     neighbours = make_neighbours('front-3')
     reader = find_name(neighbours)
     assert reader is not None
-    neighbours.note_asked(RECORD_SOURCE, 10.0)
+    neighbours.record_request(RECORD_SOURCE, 10.0)
     assert find_name(neighbours, now=1_000.0) is None
     assert find_name(neighbours, now=4_000.0) == reader
 
 
 def test_an_entry_that_cannot_read_asks_although_it_is_asked():
     neighbours = make_neighbours('front-3')
-    neighbours.note_asked(RECORD_SOURCE, 10.0)
-    neighbours.note_unable(10.0)
+    neighbours.record_request(RECORD_SOURCE, 10.0)
+    neighbours.record_own_failure(10.0)
     assert find_name(neighbours, now=20.0) is not None
 
 
 def test_a_tail_holds_records_from_where_it_begins():
-    tail = RecordTail()
-    tail.note(5, [b'5', b'6'], known_at=100.0, now=110.0)
-    tail.note(7, [b'7'], known_at=None, now=120.0)
+    tail = RecordBuffer()
+    tail.add(5, [b'5', b'6'], known_at=100.0, now=110.0)
+    tail.add(7, [b'7'], known_at=None, now=120.0)
     assert tail.find(4) is None
     assert tail.find(6) == (b'6', b'7')
     assert tail.find(8) == ()
@@ -97,18 +99,18 @@
 
 
 def test_a_tail_begins_anew_after_a_gap():
-    tail = RecordTail()
-    tail.note(0, [b'0'], known_at=100.0, now=110.0)
-    tail.note(9, [b'9'], known_at=None, now=120.0)
+    tail = RecordBuffer()
+    tail.add(0, [b'0'], known_at=100.0, now=110.0)
+    tail.add(9, [b'9'], known_at=None, now=120.0)
     assert tail.find(0) is None
     assert tail.find(9) == (b'9',)
     assert tail.known_at is None
 
 
 def test_a_tail_is_bounded():
-    tail = RecordTail()
+    tail = RecordBuffer()
     for at in range(5_000):
-        tail.note(at, [b'x' * 1_000], known_at=0.0, now=0.0)
+        tail.add(at, [b'x' * 1_000], known_at=0.0, now=0.0)
     assert tail.find(4_999) == (b'x' * 1_000,)
     assert tail.find(3_900) is None
 
@@ -122,20 +124,18 @@
 
 
 def test_a_tail_of_events_serves_any_position_that_it_holds():
-    tail = EventTail()
-    tail.note(
-        0, make_events(1, 2, make_event(1, 'a'), make_event(2, 'b')), 0, 1
-    )
-    tail.note(2, make_events(1, 3, make_event(3, 'c')), 2, 3)
+    tail = EventBuffer()
+    tail.add(0, make_events(1, 2, make_event(1, 'a'), make_event(2, 'b')), 0, 1)
+    tail.add(2, make_events(1, 3, make_event(3, 'c')), 2, 3)
     assert [each.part for each in tail.find(1)] == ['b', 'c']
     assert tail.find(3) == ()
 
 
 @pytest.mark.parametrize('found', [make_events(2, 4), make_events(1, 9)])
 def test_a_tail_of_events_begins_anew_after_a_gap(found):
-    tail = EventTail()
-    tail.note(0, make_events(1, 2, make_event(2, 'b')), 0, 1)
-    tail.note(3, found, 2, 3)
+    tail = EventBuffer()
+    tail.add(0, make_events(1, 2, make_event(2, 'b')), 0, 1)
+    tail.add(3, found, 2, 3)
     assert tail.find(0) is None
 
 
--- a/tests/test_newest_weights.py
+++ b/tests/test_newest_weights.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from oleanderdyke.kernel.backend import Owed
+from oleanderdyke.kernel.backend import PendingAttempt
 from oleanderdyke.kernel.backends import BackendBook
 from oleanderdyke.kernel.placement import CallDemand, choose_backend
 from oleanderdyke.kernel.servers import ModelDemand, PromptPart, ServerRecord
@@ -55,7 +55,7 @@
         drawn=random.random(),
     )
     record = choose_backend(demand, book, 0.0).backend.record
-    book.note_sent(record.start, name, Owed(0.0, 670))
+    book.note_sent(record.start, name, PendingAttempt(0.0, 670))
     return record.versions['m']
 
 
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -125,7 +125,7 @@
 def is_before(name, reader, data_centre):
     ranking = Neighbours('', data_centre)
     for each in (reader, name):
-        ranking.note(Neighbour(each, f'{each}:1', data_centre), 0.0)
+        ranking.record_alive(Neighbour(each, f'{each}:1', data_centre), 0.0)
     return ranking.rank(RECORD_SOURCE, 0.0)[0].name == name
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -14,51 +14,66 @@
 )
 from oleanderdyke.kernel.orders import (
     ORDER_TIMEOUT,
-    RECHECK,
-    VALIDITY_TIME,
+    RECHECK_INTERVAL,
+    VALIDITY_PERIOD,
     ConfirmValidity,
-    Desired,
+    Converged,
+    DesiredState,
     Fence,
-    Observed,
+    ObservedState,
     Order,
     ReadState,
-    Settled,
-    Stale,
-    StandDown,
+    StaleReason,
+    StopOrdering,
     Validity,
     find_desired,
     reconcile,
 )
 
-WANTED = Desired('m', 'v2', 'd2')
+WANTED = DesiredState('m', 'v2', 'd2')
 FENCE = Fence(7, 'me')
 VALID = Validity('me', 7, ended=False, read_at=0)
-OLD = Observed('m', 'v1', 'd1', '', 'serve', None, 0)
-DONE = Observed('m', 'v2', 'd2', '', 'serve', FENCE, 0)
+OLD = ObservedState('m', 'v1', 'd1', '', 'serve', None, 0)
+DONE = ObservedState('m', 'v2', 'd2', '', 'serve', FENCE, 0)
 
 
 @pytest.mark.parametrize(
     ('observed', 'validity', 'now', 'step'),
     [
         (None, VALID, 0, ReadState()),
-        (OLD, VALID, RECHECK, ReadState()),
-        (DONE, VALID, 10, Settled(RECHECK)),
-        (DONE, VALID, RECHECK, ReadState()),
-        (OLD, VALID, 10, Order(WANTED, FENCE, VALIDITY_TIME)),
-        (OLD, VALID, VALIDITY_TIME, ConfirmValidity()),
+        (OLD, VALID, RECHECK_INTERVAL, ReadState()),
+        (DONE, VALID, 10, Converged(RECHECK_INTERVAL)),
+        (DONE, VALID, RECHECK_INTERVAL, ReadState()),
+        (OLD, VALID, 10, Order(WANTED, FENCE, VALIDITY_PERIOD)),
+        (OLD, VALID, VALIDITY_PERIOD, ConfirmValidity()),
         (replace(OLD, adapter='x'), VALID, 0, Order(WANTED, FENCE, 250)),
         (replace(DONE, role='x'), VALID, 0, Order(WANTED, FENCE, 250)),
         (replace(DONE, digest='x'), VALID, 0, Order(WANTED, FENCE, 250)),
-        (OLD, replace(VALID, ended=True), 0, StandDown(Stale.ENDED)),
-        (OLD, replace(VALID, incarnation='x'), 0, StandDown(Stale.ENDED)),
-        (OLD, replace(VALID, offset=8), 0, StandDown(Stale.OLD_OFFSET)),
+        (OLD, replace(VALID, ended=True), 0, StopOrdering(StaleReason.ENDED)),
+        (
+            OLD,
+            replace(VALID, incarnation='x'),
+            0,
+            StopOrdering(StaleReason.ENDED),
+        ),
+        (
+            OLD,
+            replace(VALID, offset=8),
+            0,
+            StopOrdering(StaleReason.OLD_OFFSET),
+        ),
         (
             replace(OLD, fence=Fence(8, 'x')),
             VALID,
             0,
-            StandDown(Stale.NEWER_ORDER),
+            StopOrdering(StaleReason.NEWER_ORDER),
+        ),
+        (
+            replace(DONE, fence=Fence(7, 'x')),
+            VALID,
+            0,
+            Converged(RECHECK_INTERVAL),
         ),
-        (replace(DONE, fence=Fence(7, 'x')), VALID, 0, Settled(RECHECK)),
     ],
 )
 def test_the_next_step_for_a_server_without_a_check(
@@ -80,9 +95,9 @@
 def test_a_state_that_took_long_serves_for_one_order(took, due_at):
     valid = replace(VALID, read_at=took)
     old, done = replace(OLD, took=took), replace(DONE, took=took)
-    order = Order(WANTED, FENCE, took + VALIDITY_TIME)
+    order = Order(WANTED, FENCE, took + VALIDITY_PERIOD)
     assert reconcile(WANTED, old, FENCE, valid, took) == order
-    assert reconcile(WANTED, done, FENCE, valid, took) == Settled(due_at)
+    assert reconcile(WANTED, done, FENCE, valid, took) == Converged(due_at)
     assert reconcile(WANTED, old, FENCE, valid, due_at) == ReadState()
 
 
@@ -109,7 +124,7 @@
         changed_at=changed_at,
     )
     order = Order(WANTED, FENCE, 5 + ORDER_TIMEOUT)
-    assert step == (Settled(RECHECK) if is_settled else order)
+    assert step == (Converged(RECHECK_INTERVAL) if is_settled else order)
 
 
 SERVICE = ServiceSpec(
@@ -125,8 +140,8 @@
 @pytest.mark.parametrize(
     ('service', 'versions', 'desired'),
     [
-        (SERVICE, VERSIONS, Desired('m', 'v2', 'd2', 'legal')),
-        (SERVICE, VERSIONS[::-1], Desired('m', 'v2', 'd2', 'legal')),
+        (SERVICE, VERSIONS, DesiredState('m', 'v2', 'd2', 'legal')),
+        (SERVICE, VERSIONS[::-1], DesiredState('m', 'v2', 'd2', 'legal')),
         (SERVICE, VERSIONS[:1], None),
         (SERVICE, (*VERSIONS, ModelVersionSpec('m', 'v2', 'x')), None),
         (replace(SERVICE, kind=ServiceKind.PLAIN), VERSIONS, None),
@@ -138,7 +153,7 @@
 
 def make_desired(offset):
     version = offset % 3
-    return Desired('m', f'v{version}', f'd{version}')
+    return DesiredState('m', f'v{version}', f'd{version}')
 
 
 class Engine:
@@ -146,7 +161,7 @@
 
     def __init__(self, *, checks):
         self.checks = checks
-        self.desired = Desired('', '', '')
+        self.desired = DesiredState('', '', '')
         self.fence = Fence(0, '')
 
     def apply(self, desired, fence):
@@ -161,7 +176,7 @@
         # A server that checks nothing reports no fence either.
         fence = self.fence if self.checks else None
         state = self.desired
-        return Observed(
+        return ObservedState(
             state.model,
             state.version,
             state.digest,
@@ -182,7 +197,7 @@
     learned: int
     ended: bool = False
     confirmed: float = -1e9
-    observed: Observed | None = None
+    observed: ObservedState | None = None
     pending: Order | None = None
 
     def know(self, now):
@@ -231,7 +246,7 @@
         self.agents = []
         self.replace_agent()
 
-    @rule(by=st.sampled_from([0.0, 10.0, 100.0, 300.0, RECHECK]))
+    @rule(by=st.sampled_from([0.0, 10.0, 100.0, 300.0, RECHECK_INTERVAL]))
     def publish(self, by):
         self.now += by
         self.offset += 1
@@ -286,7 +301,7 @@
             agent.observed = self.engine.read(self.now)
         if isinstance(step, Order):
             agent.pending = step
-        if isinstance(step, ConfirmValidity | StandDown):
+        if isinstance(step, ConfirmValidity | StopOrdering):
             agent.offset = agent.learned = self.offset
             agent.ended = agent is not self.agents[-1]
             agent.confirmed = self.now
@@ -304,7 +319,7 @@
         if offset < self.newest:
             late = self.now - self.published[offset + 1]
             self.check(not self.checks, 'reverted')
-            self.check(late <= VALIDITY_TIME, 'reverted')
+            self.check(late <= VALIDITY_PERIOD, 'reverted')
         self.newest = max(self.newest, offset)
 
     def teardown(self):
@@ -313,7 +328,7 @@
         agent = self.agents[-1]
         self.hear(agent)
         for _ in range(4):
-            self.now += RECHECK
+            self.now += RECHECK_INTERVAL
             for _ in range(6):
                 self.step(agent)
         is_settled = self.engine.desired == make_desired(self.offset)
--- a/tests/test_presence.py
+++ b/tests/test_presence.py
@@ -4,61 +4,61 @@
 
 import pytest
 
-from oleanderdyke.kernel.presence import LIFE, EntryCount
+from oleanderdyke.kernel.presence import ANNOUNCEMENT_LIFETIME, EntryCount
 
 
 def read_notices(count, since, until):
     for at in range(since, until + 1, 5_000):
-        count.note_read(at)
+        count.record_read(at)
 
 
 def test_entries_are_counted_high():
     count = EntryCount()
     assert count.count(0.0) == math.inf
     for number in range(3):
-        count.note(f'front-{number}', 0.0)
-    count.note_read(0.0)
+        count.record_entry(f'front-{number}', 0.0)
+    count.record_read(0.0)
     assert count.count(1_000.0) == math.inf
-    count.note_read(5_000.0)
+    count.record_read(5_000.0)
     assert count.count(5_000.0) == 8
     for number in range(3):
-        count.note(f'front-{number}', 25_000.0)
+        count.record_entry(f'front-{number}', 25_000.0)
     read_notices(count, 10_000, 25_000)
     assert count.count(30_000.0) == 5
     read_notices(count, 30_000, 65_000)
-    assert count.count(25_000.0 + LIFE) == 2
+    assert count.count(25_000.0 + ANNOUNCEMENT_LIFETIME) == 2
 
 
 def test_where_entries_ran_before_their_notices_are_all_there_at_once():
     count = EntryCount(is_first_start=False)
     assert count.count(0.0) == math.inf
     for number in range(68):
-        count.note(f'front-{number}', 0.0)
-    count.note_read(0.0)
+        count.record_entry(f'front-{number}', 0.0)
+    count.record_read(0.0)
     assert count.count(0.0) == 70
 
 
 def test_notices_that_were_dropped_leave_the_count_unknown():
     count = EntryCount(is_first_start=False)
-    count.note_forgotten()
-    count.note('front-1', 0.0)
-    count.note_read(0.0)
+    count.mark_incomplete()
+    count.record_entry('front-1', 0.0)
+    count.record_read(0.0)
     assert count.count(0.0) == math.inf
 
 
 def test_without_the_store_the_count_of_entries_stays():
     count = EntryCount()
     for number in range(6):
-        count.note(f'front-{number}', 0.0)
+        count.record_entry(f'front-{number}', 0.0)
     read_notices(count, 0, 30_000)
     assert count.count(30_000.0) == 8
-    assert count.count(30_000.0 + LIFE) == 8
+    assert count.count(30_000.0 + ANNOUNCEMENT_LIFETIME) == 8
 
 
 def test_one_read_of_the_notices_knows_no_more_later():
     count = EntryCount()
-    count.note('front-0', 0.0)
-    count.note_read(0.0)
+    count.record_entry('front-0', 0.0)
+    count.record_read(0.0)
     assert count.count(30_000.0) == math.inf
 
 
@@ -66,30 +66,30 @@
 def test_entries_that_start_together_are_never_counted_low(entries):
     """Half of them are turned away by the store, and tell late."""
     count = EntryCount()
-    count.note('front-0', 0.0)
+    count.record_entry('front-0', 0.0)
     for at in range(0, 40_000, 1_000):
         if at == 1_000:
             for number in range(entries // 2 + 1):
-                count.note(f'front-{number}', at)
+                count.record_entry(f'front-{number}', at)
         if at == 15_000:
             for number in range(entries):
-                count.note(f'front-{number}', at)
-        count.note_read(at)
+                count.record_entry(f'front-{number}', at)
+        count.record_read(at)
         assert count.count(at) >= entries
 
 
 def test_entries_have_time_to_tell_of_themselves_once_the_store_is_back():
     count = EntryCount()
     for number in range(6):
-        count.note(f'front-{number}', 0.0)
+        count.record_entry(f'front-{number}', 0.0)
     read_notices(count, 0, 30_000)
     back = 70_000.0
     # One told first; the others tell within their usual time.
-    count.note('front-0', back)
-    count.note_read(back)
+    count.record_entry('front-0', back)
+    count.record_read(back)
     assert count.count(back) == 8
     read_notices(count, 75_000, 110_000)
-    assert count.count(back + LIFE) == 2
+    assert count.count(back + ANNOUNCEMENT_LIFETIME) == 2
 
 
 def make_counted(since=0) -> EntryCount:
@@ -97,10 +97,10 @@
     count = EntryCount(is_first_start=False)
     for at in range(0, 60_000, 10_000):
         for number in range(2):
-            count.note(f'front-{number}', at)
-        count.note_read(at)
+            count.record_entry(f'front-{number}', at)
+        count.record_read(at)
         if at >= since:
-            count.note_announced(at)
+            count.record_announcement(at)
     return count
 
 
@@ -112,16 +112,16 @@
 
 def test_an_entry_whose_notices_stop_may_be_forgotten():
     count = make_counted()
-    assert count.count_sharing(50_000.0 + LIFE - 1) == 2
-    assert count.count_sharing(50_000.0 + LIFE) == math.inf
+    assert count.count_sharing(50_000.0 + ANNOUNCEMENT_LIFETIME - 1) == 2
+    assert count.count_sharing(50_000.0 + ANNOUNCEMENT_LIFETIME) == math.inf
 
 
 def test_an_entry_that_may_have_been_forgotten_is_announced_anew():
     count = make_counted()
-    count.note_announced(60_000.0 + LIFE)
-    assert count.count_sharing(60_000.0 + LIFE) == math.inf
-    count.note_announced(75_000.0 + LIFE)
-    assert count.count_sharing(85_000.0 + LIFE) == 2
+    count.record_announcement(60_000.0 + ANNOUNCEMENT_LIFETIME)
+    assert count.count_sharing(60_000.0 + ANNOUNCEMENT_LIFETIME) == math.inf
+    count.record_announcement(75_000.0 + ANNOUNCEMENT_LIFETIME)
+    assert count.count_sharing(85_000.0 + ANNOUNCEMENT_LIFETIME) == 2
 
 
 def test_an_entry_that_never_announced_itself_has_no_share():
@@ -130,9 +130,9 @@
 
 def test_entries_that_start_together_share_by_a_higher_count_at_first():
     count = EntryCount()
-    count.note('front-0', 0.0)
-    count.note('front-1', 0.0)
-    count.note_announced(0.0)
+    count.record_entry('front-0', 0.0)
+    count.record_entry('front-1', 0.0)
+    count.record_announcement(0.0)
     read_notices(count, 0, 10_000)
     assert count.count_sharing(4_000.0) == math.inf
     assert count.count_sharing(10_000.0) == 4
--- a/tests/test_read_rate.py
+++ b/tests/test_read_rate.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from oleanderdyke.kernel.backend import Owed
+from oleanderdyke.kernel.backend import PendingAttempt
 from oleanderdyke.kernel.backends import BackendBook
 from oleanderdyke.kernel.placement import SILENCE_LIMIT, is_usable
 from oleanderdyke.kernel.read_rate import ReadRate
@@ -37,11 +37,11 @@
 def teach(book, rate, tokens=6_000):
     """Let first bytes show how fast the engines read."""
     for number in range(20):
-        owed = Owed(0.0, tokens, is_alone=True)
+        owed = PendingAttempt(0.0, tokens, is_alone=True)
         book.note_sent(START, f'{number}', owed)
         book.note_heard(START, f'{number}', tokens / rate + FIRST_BYTE)
         book.note_ended(START, f'{number}', 0)
-    book.find('a').heard = 0.0
+    book.find('a').last_heard_at = 0.0
 
 
 @pytest.mark.parametrize('rate', [20.0, 48.0, 112.0, 300.0])
@@ -49,21 +49,21 @@
     book = make_book()
     teach(book, rate)
     tokens = int(rate * 900.0)
-    book.note_sent(START, 'x', Owed(0.0, tokens))
+    book.note_sent(START, 'x', PendingAttempt(0.0, tokens))
     assert is_usable(book.find('a'), 900.0 + SILENCE_LIMIT - 1.0)
     assert not is_usable(book.find('a'), 900.0 + SILENCE_LIMIT + 1.0)
 
 
 def test_an_engine_that_owes_no_reading_is_silent_as_soon_as_before():
     book = make_book()
-    book.note_sent(START, 'x', Owed(0.0, 0))
+    book.note_sent(START, 'x', PendingAttempt(0.0, 0))
     assert not is_usable(book.find('a'), SILENCE_LIMIT + 1.0)
 
 
 def test_an_engine_that_owes_much_is_silent_within_two_seconds():
     book = make_book()
     for number in range(30):
-        book.note_sent(START, f'{number}', Owed(0.0, 20_000))
+        book.note_sent(START, f'{number}', PendingAttempt(0.0, 20_000))
     assert not is_usable(book.find('a'), 2_001.0)
 
 
@@ -85,6 +85,6 @@
 def test_a_first_byte_behind_others_does_not_tell_the_rate():
     book = make_book()
     before = book.find('a').reading.find_time(1_000)
-    book.note_sent(START, 'x', Owed(0.0, 6_000))
+    book.note_sent(START, 'x', PendingAttempt(0.0, 6_000))
     book.note_heard(START, 'x', 5_000.0)
     assert book.find('a').reading.find_time(1_000) == before
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -121,7 +121,7 @@
     add_store(fleet)
     router = make_predicted(AGENCY)
     first = choose(fleet, router)
-    router.note_sent(demand(), first, 1_000.0)
+    router.record_sent(demand(), first, 1_000.0)
     second = choose(fleet, router, request='r2', now=1_010.0)
     assert second.agent == first.agent
     assert (second.joined, second.fetched) == (40, 40)
@@ -141,8 +141,8 @@
     router = make_predicted(AGENCY)
     first = choose(fleet, router)
     for agent in ('e0', 'e1'):
-        router.note_sent(demand(), Plan(agent, ''), 1_000.0)
-    router.note_finished('r1', 1_500.0)
+        router.record_sent(demand(), Plan(agent, ''), 1_000.0)
+    router.record_finished('r1', 1_500.0)
     again = choose(fleet, router, request='r2', now=1_600.0)
     assert (again.agent, again.cached) == (first.agent, 0)
 
@@ -187,15 +187,15 @@
 def test_own_dispatches_count_before_reports_show_them():
     tracker = BacklogTracker(200.0, 8_000.0)
     quiet = replica('e0')
-    tracker.note_sent('r1', 'e0', 8_000, 100.0)
+    tracker.record_sent('r1', 'e0', 8_000, 100.0)
     assert tracker.estimate_wait(quiet, 100.0) == pytest.approx(1_000.0)
-    tracker.note_first_token('r1', 1_100.0)
+    tracker.record_first_token('r1', 1_100.0)
     assert tracker.estimate_wait(quiet, 1_100.0) == 0.0
 
 
 def test_reported_work_is_not_counted_twice():
     tracker = BacklogTracker(200.0, 8_000.0)
-    tracker.note_sent('r1', 'e0', 8_000, 0.0)
+    tracker.record_sent('r1', 'e0', 8_000, 0.0)
     load = Load(waiting_tokens=12_000, prefill_tokens_per_second=8_000.0)
     shown = replica('e0', load=load, beat=2, heard=300.0)
     assert tracker.estimate_tokens(shown, 0.0) == pytest.approx(12_000)
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -24,14 +24,14 @@
     first = Demand('r', 't', 's', deadline=1_000, segments=SEGMENTS)
     other = (*SEGMENTS[:2], b'o' * 8, b'p' * 8)
     second = Demand('q', 't', 's', deadline=1_000, segments=other)
-    table.note_sent(first, Plan('a', 'test'), 0.0)
+    table.record_sent(first, Plan('a', 'test'), 0.0)
     table.note_ready('r', 50.0)
-    table.note_sent(second, Plan('a', 'test', cached=2), 60.0)
+    table.record_sent(second, Plan('a', 'test', cached=2), 60.0)
     table.note_ready('q', 80.0)
     assert table.extend('a', other, 0, 90.0) == Reach(4)
-    table.note_removed('b', SEGMENTS)
+    table.record_segments_removed('b', SEGMENTS)
     assert table.extend('a', SEGMENTS, 0, 90.0) == Reach(3)
-    table.note_removed('a', SEGMENTS[1:2])
+    table.record_segments_removed('a', SEGMENTS[1:2])
     # What lies behind a gap is of no use, whichever dispatch brought it.
     assert table.extend('a', SEGMENTS, 0, 90.0) == Reach(1)
     assert table.extend('a', other, 0, 90.0) == Reach(1)
@@ -39,18 +39,18 @@
     assert not table.holders(SEGMENTS[1])
     # A later dispatch brings the segment back.
     again = Demand('s', 't', 's', deadline=1_000, segments=SEGMENTS)
-    table.note_sent(again, Plan('a', 'test', cached=1), 100.0)
+    table.record_sent(again, Plan('a', 'test', cached=1), 100.0)
     table.note_ready('s', 120.0)
     assert table.extend('a', SEGMENTS, 0, 130.0) == Reach(3)
-    table.note_finished('s')
+    table.record_finished('s')
 
 
 def test_context_that_was_sent_counts_for_some_seconds_only() -> None:
     table = SoonTable(limit=1_000)
     demand = Demand('r', 't', 's', deadline=1_000, segments=SEGMENTS)
-    table.note_sent(demand, Plan('a', 'test'), 0.0)
+    table.record_sent(demand, Plan('a', 'test'), 0.0)
     table.note_ready('r', 50.0)
-    table.note_finished('r')
+    table.record_finished('r')
     assert table.extend('a', SEGMENTS, 0, 1_000.0) == Reach(3)
     # Nothing else was sent since, so nothing swept the table.
     assert table.extend('a', SEGMENTS, 0, 6_000.0) == Reach(0)
@@ -60,18 +60,18 @@
     table = SoonTable(limit=1_000)
     for request, agent in (('r', 'a'), ('q', 'b')):
         demand = Demand(request, 't', 's', deadline=1_000, segments=SEGMENTS)
-        table.note_sent(demand, Plan(agent, 'test'), 0.0)
-    table.note_listed('a', ())
+        table.record_sent(demand, Plan(agent, 'test'), 0.0)
+    table.record_segments_listed('a', ())
     assert table.extend('a', SEGMENTS, 0, 40.0).cached == 3
     for request in 'rq':
         table.note_ready(request, 50.0)
-    table.note_listed('a', SEGMENTS[:1])
+    table.record_segments_listed('a', SEGMENTS[:1])
     assert table.extend('a', SEGMENTS, 0, 60.0) == Reach(1)
     assert table.extend('b', SEGMENTS, 0, 60.0) == Reach(3)
     # What another dispatch is bringing again is not lost.
     again = Demand('s', 't', 's', deadline=1_000, segments=SEGMENTS)
-    table.note_sent(again, Plan('a', 'test', cached=1), 70.0)
-    table.note_listed('a', SEGMENTS[:1])
+    table.record_sent(again, Plan('a', 'test', cached=1), 70.0)
+    table.record_segments_listed('a', SEGMENTS[:1])
     assert table.extend('a', SEGMENTS, 1, 80.0).cached == 3
 
 
@@ -84,8 +84,8 @@
     agents = AgentLinks(edge.core, ConfigurationFeed(edge.core, edge.log))  # type: ignore[arg-type] # a fake log
     demand = Demand('r', 't', MODEL, deadline=1_000, segments=SEGMENTS)
     router, now = edge.core.router, edge.core.clock.now()
-    router.note_sent(demand, Plan(link.peer.process, 'test'), now)
-    router.note_first_token('r', now)
+    router.record_sent(demand, Plan(link.peer.process, 'test'), now)
+    router.record_first_token('r', now)
     events = SegmentEvents(0, added=SEGMENTS[:1], full=full)
     await agents.on_message(link, events)
     plan = router.choose(demand, edge.core.fleet, now, edge.core.random)
@@ -100,8 +100,8 @@
     agent = link.peer.process
     demand = Demand('r', 't', MODEL, deadline=1_000, segments=SEGMENTS)
     router, now = edge.core.router, edge.core.clock.now()
-    router.note_sent(demand, Plan(agent, 'test'), now)
-    router.note_first_token('r', now)
+    router.record_sent(demand, Plan(agent, 'test'), now)
+    router.record_first_token('r', now)
     for removed, cached in (((), 3), (SEGMENTS[:1], 0)):
         await agents.on_message(link, SegmentEvents(0, removed=removed))
         plan = router.choose(demand, edge.core.fleet, now, edge.core.random)
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -17,11 +17,14 @@
 from oleanderdyke.clock import HOUR, MINUTE
 from oleanderdyke.entry.logreader import slice_page
 from oleanderdyke.kernel import catalog as catalog_module
-from oleanderdyke.kernel import snapshots, spread
+from oleanderdyke.kernel import configuration, snapshots
 from oleanderdyke.kernel.catalog import Applied, Catalog
+from oleanderdyke.kernel.configuration import (
+    ConfigurationReader,
+    ReaderSettings,
+)
 from oleanderdyke.kernel.objects import Change, ObjectKind, StoreSpec, TeamSpec
 from oleanderdyke.kernel.records import encode_change
-from oleanderdyke.kernel.spread import ConfigurationReader, ReaderSettings
 from oleanderdyke.links.messages import ConfigurationRequest
 
 TEAM = ObjectKind.TEAM
@@ -61,7 +64,7 @@
 @pytest.fixture(autouse=True)
 def _small_parts(monkeypatch):
     monkeypatch.setattr(snapshots, '_CHUNK_BYTES', 100)
-    monkeypatch.setattr(spread, '_MESSAGE_BYTES', 200)
+    monkeypatch.setattr(configuration, '_MESSAGE_BYTES', 200)
     monkeypatch.setattr(catalog_module, '_TAIL_COUNT', 4)
 
 
@@ -87,7 +90,7 @@
 def pass_difference(
     source: ConfigurationReader, target: ConfigurationReader, now: float = 0.0
 ) -> None:
-    request = target.on_heard('peer', source.offset, now)
+    request = target.on_peer_offset('peer', source.offset, now)
     assert request is not None
     for message in source.answer(request):
         target.on_difference('peer', message, now)
@@ -253,30 +256,30 @@
 
 def test_one_of_many_peers_is_asked_at_a_time():
     reader = make_reader(ask_again=2_000)
-    asked = [reader.on_heard(f'p{number}', 9, 0) for number in range(410)]
+    asked = [reader.on_peer_offset(f'p{number}', 9, 0) for number in range(410)]
     assert sum(item is not None for item in asked) == 1
-    assert reader.on_heard('p1', 9, 1_999) is None
-    assert reader.on_heard('p1', 9, 2_000) == ConfigurationRequest(-1)
-    reader.on_peer_gone('p1')
-    assert reader.on_heard('p2', 9, 2_001) is not None
+    assert reader.on_peer_offset('p1', 9, 1_999) is None
+    assert reader.on_peer_offset('p1', 9, 2_000) == ConfigurationRequest(-1)
+    reader.on_peer_disconnected('p1')
+    assert reader.on_peer_offset('p2', 9, 2_001) is not None
 
 
 def test_log_gets_a_chance_before_peers_are_asked():
     reader = make_reader(ask_after=500)
-    assert reader.on_heard('peer', 9, 0) is None
-    assert reader.on_heard('peer', 9, 499) is None
-    assert reader.on_heard('peer', 9, 500) is not None
+    assert reader.on_peer_offset('peer', 9, 0) is None
+    assert reader.on_peer_offset('peer', 9, 499) is None
+    assert reader.on_peer_offset('peer', 9, 500) is not None
 
 
 def test_process_known_to_be_behind_for_long_is_not_ready():
     reader = make_reader(stale_after=10_000)
     follow(reader, make_log(3))
-    reader.on_heard('peer', 9, 0)
+    reader.on_peer_offset('peer', 9, 0)
     assert reader.readiness(10_000).ready
     assert (
         reader.readiness(10_001).reason == 'configuration is at offset 2 of 9'
     )
-    reader.on_peer_gone('peer')
+    reader.on_peer_disconnected('peer')
     reader.on_page(make_log(3).read(3), 10_002)
     assert reader.readiness(10_002).ready
 
@@ -430,7 +433,9 @@
     @rule(source=places, asker=places)
     def ask(self, source, asker):
         offset = self.readers[source].offset
-        request = self.readers[asker].on_heard(str(source), offset, self.now)
+        request = self.readers[asker].on_peer_offset(
+            str(source), offset, self.now
+        )
         if request is not None:
             self.transfer = tuple(self.readers[source].answer(request))
             self.messages += [(asker, item) for item in self.transfer]
@@ -499,7 +504,7 @@
             return
         for reader in self.readers:
             self.now += 5_000
-            request = reader.on_heard('best', best.offset, self.now)
+            request = reader.on_peer_offset('best', best.offset, self.now)
             if request is not None:
                 for message in best.answer(request):
                     reader.on_difference('best', message, self.now)
@@ -511,9 +516,9 @@
 class BackwardCatalog(Catalog):
     """Take over any whole snapshot, also an older one."""
 
-    def take_over(self, loaded):
+    def replace_state(self, loaded):
         self.offset = -1
-        return super().take_over(loaded)
+        return super().replace_state(loaded)
 
 
 class UncheckedCatalog(Catalog):
@@ -521,15 +526,17 @@
 
     def _find_loss(self, change):
         loss = super()._find_loss(change)
-        generation = loss and loss[0] is catalog_module.LossReason.GENERATION
+        generation = (
+            loss and loss[0] is catalog_module.RejectionReason.GENERATION
+        )
         return None if generation else loss
 
 
 class GappyCatalog(Catalog):
     """Apply a snapshot of which chunks are missing."""
 
-    def take_over(self, loaded):
-        changed = super().take_over(loaded)
+    def replace_state(self, loaded):
+        changed = super().replace_state(loaded)
         self._state.rows[ObjectKind.STORE].pop('a', None)
         return changed
 
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from oleanderdyke.kernel.backend import Owed
+from oleanderdyke.kernel.backend import PendingAttempt
 from oleanderdyke.kernel.backends import BackendBook
 from oleanderdyke.kernel.outdated import OutdatedContext
 from oleanderdyke.kernel.placement import CallDemand, choose_backend, is_usable
@@ -93,9 +93,9 @@
 
 def test_nothing_known_of_the_earlier_start_holds_for_the_later_one():
     book = make_book(EARLIER, versions={'m': 3})
-    book.note_sent(EARLIER, 'x', Owed(0.0, 10, memory=700))
+    book.note_sent(EARLIER, 'x', PendingAttempt(0.0, 10, memory=700))
     book.note_heard(EARLIER, 'x', 900.0)
-    book.note_sent(EARLIER, 'y', Owed(0.0, 10, memory=700))
+    book.note_sent(EARLIER, 'y', PendingAttempt(0.0, 10, memory=700))
     book.note_load(EARLIER, ServerLoad(5, 3, 6), 0.0)
     book.note_kept(EARLIER, PARTS, 60_000)
     book.note_failed(EARLIER, 0.0)
@@ -105,7 +105,10 @@
     assert found.record.versions == {'m': 1}
     assert (found.running, found.running_tokens, found.waiting) == (0, 0, {})
     assert (found.load, found.errors, found.listed_at) == (None, 0.0, 10.0)
-    assert (found.count_kept(PARTS), found.find_delay(0, 10.0)) == (0, 0.0)
+    assert (
+        found.count_cached_tokens(PARTS),
+        found.find_queue_delay(0, 10.0),
+    ) == (0, 0.0)
     assert is_usable(found, 10.0)
 
 
@@ -138,9 +141,9 @@
 
 def test_late_results_of_the_earlier_start_change_nothing():
     book = make_book(EARLIER)
-    book.note_sent(EARLIER, 'x', Owed(0.0, 10, memory=700))
+    book.note_sent(EARLIER, 'x', PendingAttempt(0.0, 10, memory=700))
     book.put(make_record(LATER), 10.0)
-    book.note_sent(LATER, 'y', Owed(10.0, 10, memory=300))
+    book.note_sent(LATER, 'y', PendingAttempt(10.0, 10, memory=300))
     book.note_failed(LATER, 10.0)
     book.note_heard(EARLIER, 'x', 20.0)
     book.note_ended(EARLIER, 'x', 700)
@@ -154,10 +157,18 @@
     book.note_kept(EARLIER, PARTS, 60_000)
     book.note_replaced(EARLIER)
     found = book.find_start(LATER)
-    assert (found.running, found.running_tokens, found.heard) == (1, 300, 0.0)
-    assert (found.failures, found.out_until, found.refusals) == (1, 510.0, 0)
+    assert (found.running, found.running_tokens, found.last_heard_at) == (
+        1,
+        300,
+        0.0,
+    )
+    assert (found.failures, found.excluded_until, found.refusals) == (
+        1,
+        510.0,
+        0,
+    )
     assert (found.errors, found.reload_until) == (0.2, 0.0)
-    assert (found.load, found.count_kept(PARTS)) == (None, 0)
+    assert (found.load, found.count_cached_tokens(PARTS)) == (None, 0)
     assert not found.record.is_leaving
     assert found.record.versions == {'m': 1}
 
@@ -169,7 +180,9 @@
     'leaving': lambda book, start: book.put(
         make_record(start, is_leaving=True), 5.0
     ),
-    'sent': lambda book, start: book.note_sent(start, 'x', Owed(5.0, 10)),
+    'sent': lambda book, start: book.note_sent(
+        start, 'x', PendingAttempt(5.0, 10)
+    ),
     'heard': lambda book, start: book.note_heard(start, 'x', 6.0),
     'ended': lambda book, start: book.note_ended(start, 'x', 0),
     'good': lambda book, start: book.note_good(start),
--- a/tests/test_store_index.py
+++ b/tests/test_store_index.py
@@ -283,10 +283,10 @@
     def __init__(self):
         self.uses = Counter()
 
-    def worth(self, segment, length, gap, now):
+    def estimate_value(self, segment, length, gap, now):
         return self.uses[segment] or 1_000
 
-    def note_used(self, segment, now):
+    def record_use(self, segment, now):
         self.uses[segment] += 1
 
 
--- a/tests/test_store_restores.py
+++ b/tests/test_store_restores.py
@@ -10,7 +10,7 @@
 from oleanderdyke.kernel.backends import BackendBook
 from oleanderdyke.kernel.evacuations import Evacuations
 from oleanderdyke.kernel.load_queue import LoadNotice, LoadStep
-from oleanderdyke.kernel.news_tails import RecordTail
+from oleanderdyke.kernel.read_buffers import RecordBuffer
 from oleanderdyke.kernel.servers import ServerRecord
 from oleanderdyke.platform.entries import EntryFeed
 from oleanderdyke.platform.eras import EraFault, StoreEra
@@ -191,9 +191,9 @@
 
 
 def test_records_of_an_earlier_era_are_not_passed_on():
-    tail = RecordTail()
-    tail.note(0, (b'a', b'b'), known_at=1.0, now=1.0, era=1)
-    tail.note(2, (b'c',), known_at=2.0, now=2.0, era=2)
+    tail = RecordBuffer()
+    tail.add(0, (b'a', b'b'), known_at=1.0, now=1.0, era=1)
+    tail.add(2, (b'c',), known_at=2.0, now=2.0, era=2)
     assert tail.find(0) is None
     assert tail.find(2) == (b'c',)
 
--- a/tests/test_weights_gate.py
+++ b/tests/test_weights_gate.py
@@ -8,7 +8,7 @@
 import anyio
 import pytest
 
-from oleanderdyke.kernel.backend import Delay
+from oleanderdyke.kernel.backend import QueueDelay
 from oleanderdyke.kernel.overload import LATE_RANK
 from tests import hosted
 from tests.hosted import CONFIGURATION, LETTER_ROUTE, MODEL, OPERATOR
@@ -107,7 +107,7 @@
         await anyio.sleep(1.0)
         now = stage.core.clock.now()
         (backend,) = stage.core.book.list_service('desk', now)
-        backend.delays[LATE_RANK] = Delay(3_900.0, now)
+        backend.delays[LATE_RANK] = QueueDelay(3_900.0, now)
         assert (await ask(stage, wait='6000')).status == 503
         assert not stage.replicas[0].received
         backend.delays.clear()
