--- a/src/oleanderdyke/entry/hosted/attempt.py
+++ b/src/oleanderdyke/entry/hosted/attempt.py
@@ -37,7 +37,7 @@
     MessageReceived,
     SendDispatch,
 )
-from oleanderdyke.kernel.backend import Backend, Owed
+from oleanderdyke.kernel.backend import Backend, PendingAttempt
 from oleanderdyke.kernel.servers import AnswerMetadata, ServerStart
 from oleanderdyke.kernel.weight_versions import (
     CANCEL_MARGIN,
@@ -168,12 +168,12 @@
             self._note_lost()
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, reason)
 
-    def find_silence(self, now: Millis) -> Millis:
+    def find_overdue_time(self, now: Millis) -> Millis:
         """Return for how long the server has owed bytes and sent none."""
         backend = self._core.backends.find_start(self._start)
         if self._done or backend is None:
             return 0.0
-        return backend.find_silence(now)
+        return backend.find_overdue_time(now)
 
     def take_head(self, status: int, headers: Headers) -> None:
         """Judge the head of the answer."""
@@ -266,7 +266,9 @@
         weights = find_weights(self._call, backend)
         # What would wait at the engine until its time is over runs late where
         # a server doesn't drop the requests of closed connections.
-        delay = backend.find_delay(self._call.priority, self._core.clock.now())
+        delay = backend.find_queue_delay(
+            self._call.priority, self._core.clock.now()
+        )
         if not may_begin(self._core, weights, FIRST_TOKEN_MARGIN + delay):
             return 'its weights were replaced too long ago'
         return ''
@@ -287,12 +289,12 @@
         demand = call.asked.demand
         tokens = 0
         if demand is not None:
-            ready = backend.count_kept(demand.parts)
+            ready = backend.count_cached_tokens(demand.parts)
             ready = max(ready, dispatch.contexts.fetched_tokens)
             tokens = max(demand.prompt_tokens - ready, 0)
         self._memory = 0 if demand is None else demand.memory_tokens
         now = core.clock.now()
-        owed = Owed(
+        owed = PendingAttempt(
             now,
             tokens,
             call.priority,
@@ -370,7 +372,7 @@
     def _note_heard(self) -> None:
         backend = self._core.backends.find_start(self._start)
         if backend is not None:
-            backend.heard = self._core.clock.now()
+            backend.last_heard_at = self._core.clock.now()
 
     def _close_failed(self, kind: ErrorKind, ran: Ran, reason: str) -> None:
         self._report_failure(kind, ran, reason)
