--- a/src/oleanderdyke/entry/core.py
+++ b/src/oleanderdyke/entry/core.py
@@ -11,9 +11,13 @@
 from oleanderdyke.clock import Clock
 from oleanderdyke.entry.settings import EntrySettings
 from oleanderdyke.events import EventName
-from oleanderdyke.kernel.attempts import MachineSettings
+from oleanderdyke.kernel.attempts import AttemptSettings
 from oleanderdyke.kernel.catalog import Catalog
 from oleanderdyke.kernel.claims import ClaimTable
+from oleanderdyke.kernel.configuration import (
+    ConfigurationReader,
+    ReaderSettings,
+)
 from oleanderdyke.kernel.demand import Admission, Admitted, Refusal, Router
 from oleanderdyke.kernel.drain import Drain
 from oleanderdyke.kernel.membership import FleetState
@@ -28,13 +32,12 @@
     RetrySettings,
     make_retry_budget,
 )
-from oleanderdyke.kernel.spread import ConfigurationReader, ReaderSettings
-from oleanderdyke.kernel.targets import TargetBooks
+from oleanderdyke.kernel.targets import TargetMonitors
 from oleanderdyke.links.link import Link
 from oleanderdyke.links.messages import PROTOCOL_VERSION, Hello, Message, Role
 from oleanderdyke.logs import EventLog, make_event_log
 from oleanderdyke.metrics import Metrics
-from oleanderdyke.policies.exports import ExportChooser
+from oleanderdyke.policies.exports import ExportPolicy
 from oleanderdyke.policies.registries import ADMISSIONS, ROUTERS, TeamTerms
 
 _INCARNATION_BYTES = 8
@@ -96,11 +99,11 @@
     budget: RetryBudget
     router: Router
     admission: Admission
-    exports: ExportChooser
+    exports: ExportPolicy
     drain: Drain
-    machine: MachineSettings
+    machine: AttemptSettings
     running: dict[str, Running] = field(default_factory=dict)
-    targets: TargetBooks = field(default_factory=TargetBooks)
+    targets: TargetMonitors = field(default_factory=TargetMonitors)
     find_link: FindLink = _find_no_link
     # Cleared while the links of a new entry are being opened.
     settled: bool = True
@@ -175,10 +178,10 @@
         admission=ADMISSIONS.find(settings.plugins.admission)(
             settings.policies, find_terms
         ),
-        exports=ExportChooser(settings.policies),
+        exports=ExportPolicy(settings.policies),
         drain=Drain(settings.drain),
-        machine=MachineSettings(
-            claim_wait=settings.claims.wait,
+        machine=AttemptSettings(
+            claim_timeout=settings.claims.wait,
             max_attempts=settings.requests.attempts,
             replica_wait=settings.requests.replica_wait,
         ),
--- a/src/oleanderdyke/entry/effects.py
+++ b/src/oleanderdyke/entry/effects.py
@@ -25,14 +25,14 @@
     AppendClaim,
     AppendOutcome,
     AppendRelease,
-    AskClaim,
     CallerGone,
     ClearSuspect,
     DeliverChunk,
     DeliverEnd,
     DeliverHead,
     Done,
-    NoteResumable,
+    MarkResumable,
+    QueryClaim,
     Refuse,
     Route,
     Routed,
@@ -148,11 +148,11 @@
             AppendClaim: self._append_claim,
             AppendRelease: self._append_release,
             AppendOutcome: self._append_outcome,
-            AskClaim: self._sender.ask,
+            QueryClaim: self._sender.ask,
             SendDispatch: self._dispatch,
             SendCancel: self._sender.cancel,
             SendResume: self._resume,
-            NoteResumable: self._note_resumable,
+            MarkResumable: self._note_resumable,
             DeliverHead: self._deliver_head,
             DeliverChunk: self._deliver_chunk,
             DeliverEnd: self._deliver_end,
@@ -185,7 +185,7 @@
         if action.attempt > 1:
             self._core.metrics.add(Count.RETRIES, label=self._call.service)
             self.log(EventName.REQUEST_RETRIED, attempt=action.attempt)
-        self._core.router.note_sent(
+        self._core.router.record_sent(
             self._demand, action.plan, self._core.clock.now()
         )
         if await self._sender.dispatch(action):
@@ -195,7 +195,7 @@
         self.log(EventName.STREAM_RESUMED, attempt=action.attempt)
         await self._sender.resume(action)
 
-    async def _note_resumable(self, _: NoteResumable) -> None:
+    async def _note_resumable(self, _: MarkResumable) -> None:
         self._stopper.mark_resumable(self._call.request)
 
     async def _deliver_head(self, action: DeliverHead) -> None:
@@ -213,7 +213,7 @@
             await self.fail(error)
             self.note_gone()
         if first:
-            self._core.router.note_first_token(
+            self._core.router.record_first_token(
                 self._call.request, self._core.clock.now()
             )
         if self._delivery.waiting >= self._core.settings.requests.credit // 2:
--- a/src/oleanderdyke/entry/hosted/call.py
+++ b/src/oleanderdyke/entry/hosted/call.py
@@ -73,8 +73,10 @@
     @property
     def homes(self) -> frozenset[str]:
         """Return the regions where the call may run; none means all."""
-        route = self.route.homes
-        owner = frozenset() if self.owner is None else self.owner.homes
+        route = self.route.allowed_regions
+        owner = (
+            frozenset() if self.owner is None else self.owner.allowed_regions
+        )
         if not route or not owner:
             return route or owner
         return route & owner or _NOWHERE
@@ -161,7 +163,7 @@
         model=model,
         rank=call.priority,
         newest_version=newest or None,
-        drawn=core.random.random(),
+        random_value=core.random.random(),
         outdated=_list_outdated(core, call, held),
         fetchable=_count_fetchable(core, call, held),
         blocked=core.limits.find_blocked(listed, call.homes, now),
@@ -202,7 +204,7 @@
     deployment = core.deployment
     if deployment is None:
         return 0
-    return deployment.find_memory(call.service) or 0
+    return deployment.find_memory_tokens(call.service) or 0
 
 
 def _count_fetchable(
@@ -225,7 +227,7 @@
     """Return the stores where context of a call may be kept."""
     if not call.homes:
         return core.contexts
-    return core.contexts.restrict(core.limits.list_homes(call.homes))
+    return core.contexts.restrict(core.limits.list_data_centres(call.homes))
 
 
 def make_salt(call: HostedCall, version: int | None) -> str:
--- a/src/oleanderdyke/entry/hosted/driver.py
+++ b/src/oleanderdyke/entry/hosted/driver.py
@@ -39,9 +39,9 @@
     TimerFired,
 )
 from oleanderdyke.kernel.attempts import (
-    MachineSettings,
+    AttemptSettings,
     RequestFacts,
-    RequestMachine,
+    RequestStateMachine,
 )
 from oleanderdyke.kernel.backend import Backend
 from oleanderdyke.kernel.demand import Plan, Refusal, Replica
@@ -91,7 +91,7 @@
         self._peer: str | None = None
         self._pause = PAUSE
         self._placing = Placing(core, call)
-        self._machine = RequestMachine(
+        self._machine = RequestStateMachine(
             _make_facts(core, call),
             settings=_make_settings(call),
             budget=core.find_budget(call.service),
@@ -118,7 +118,7 @@
     def stop(self, *, hurry: bool) -> None:
         """Learn that the entry stops."""
         if hurry:
-            self._inbox.put(Stopping(hurry=True))
+            self._inbox.put(Stopping(immediate=True))
 
     def hand_over(self) -> None:
         """Do nothing: callers of the platform go on by themselves."""
@@ -130,7 +130,7 @@
             return
         attempt.withdraw_superseded()
         attempt.withdraw_late()
-        if self._is_given_up(attempt.find_silence(now)):
+        if self._is_given_up(attempt.find_overdue_time(now)):
             attempt.fail('the server is silent')
 
     def _is_given_up(self, silence: Millis) -> bool:
@@ -154,7 +154,7 @@
             # Nothing but events of the machine comes here in this mode.
             event = cast('Event', await self._inbox.take())
             await self._carry_out(
-                self._machine.on(event, self._core.clock.now())
+                self._machine.handle_event(event, self._core.clock.now())
             )
 
     async def _carry_out(self, actions: tuple[Action, ...]) -> None:
@@ -200,7 +200,7 @@
         self._starts[record.server] = record.start
         core = self._core
         self._chosen_at = core.clock.now()
-        core.limits.note_sent(choice.backend, self._chosen_at)
+        core.limits.record_sent(choice.backend, self._chosen_at)
         self._told.tell_routed(choice)
         reason = f'{choice.score:.1f} ms of {choice.candidates}'
         plan = Plan(agent=record.server, reason=reason)
@@ -281,7 +281,7 @@
     def _log_end(self) -> None:
         core, call = self._core, self._call
         duration = core.clock.now() - call.started
-        core.durations.note(call.route.name, duration)
+        core.durations.record(call.route.name, duration)
         core.metrics.time(Timing.REQUEST, duration, call.service)
         if self._first is not None:
             core.metrics.time(Timing.FIRST_TOKEN, self._first, call.service)
@@ -310,8 +310,8 @@
     )
 
 
-def _make_settings(call: HostedCall) -> MachineSettings:
-    return MachineSettings(
+def _make_settings(call: HostedCall) -> AttemptSettings:
+    return AttemptSettings(
         max_attempts=max(call.route.attempts, 1), max_refusals=_MAX_REFUSALS
     )
 
@@ -336,5 +336,5 @@
         phase=AgentPhase.SERVING,
         load=Load(),
         beat=0,
-        heard=backend.heard,
+        heard=backend.last_heard_at,
     )
--- a/src/oleanderdyke/kernel/eviction.py
+++ b/src/oleanderdyke/kernel/eviction.py
@@ -9,7 +9,7 @@
 
 from oleanderdyke.clock import Millis
 from oleanderdyke.kernel.blocks import SegmentId, make_hint
-from oleanderdyke.kernel.demand import Keeper
+from oleanderdyke.kernel.demand import RetentionPolicy
 from oleanderdyke.kernel.pins import PinTable
 from oleanderdyke.kernel.sealed_entries import SealedEntries
 from oleanderdyke.kernel.store_meta import SealedMeta
@@ -45,7 +45,7 @@
         self,
         entries: SealedEntries,
         pins: PinTable,
-        keeper: Keeper,
+        keeper: RetentionPolicy,
         random: Random,
     ) -> None:
         self._entries = entries
@@ -58,7 +58,7 @@
         self, incoming: SealedMeta, needed_bytes: int, now: Millis
     ) -> tuple[SegmentId, ...] | WriteRefusal:
         """Return the segments to free for `incoming`, or why it is refused."""
-        incoming_score = self._keeper.worth(
+        incoming_score = self._keeper.estimate_value(
             make_hint(incoming.segment), incoming.length, incoming.gap, now
         )
         ranked = self._rank(needed_bytes, now)
@@ -113,7 +113,9 @@
             read = self._entries.read_ranking(row)
             if self._pins.is_pinned(read.generation):
                 continue
-            score = self._keeper.worth(read.hint, read.length, read.gap, now)
+            score = self._keeper.estimate_value(
+                read.hint, read.length, read.gap, now
+            )
             found.append(
                 _Candidate(
                     score, -read.depth, read.generation, row, read.length
--- a/src/oleanderdyke/kernel/alone.py
+++ b/src/oleanderdyke/kernel/exclusive_slot.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class AloneLane:
+class ExclusiveSlot:
     """Keep a server for one suspect, from its first try until its end.
 
     Each try of the suspect renews its reservation, which lapses after some
@@ -18,7 +18,7 @@
         self._reserved_until = 0
         self._inside = ''
 
-    def note_beat(self, sequence: int) -> None:
+    def record_heartbeat(self, sequence: int) -> None:
         """Learn the sequence number of the agent's latest heartbeat."""
         self._beat = max(self._beat, sequence)
 
--- a/src/oleanderdyke/kernel/gate.py
+++ b/src/oleanderdyke/kernel/gate.py
@@ -10,10 +10,10 @@
 
 from oleanderdyke.clock import Millis
 from oleanderdyke.errors import ErrorKind, Ran
-from oleanderdyke.kernel.alone import AloneLane
 from oleanderdyke.kernel.claim_runs import ClaimRuns, RunAnswer, RunState
+from oleanderdyke.kernel.exclusive_slot import ExclusiveSlot
 from oleanderdyke.kernel.gate_types import GateSettings, LoadedWeights, Rights
-from oleanderdyke.kernel.quarantine import Quarantine, Standing
+from oleanderdyke.kernel.quarantine import Quarantine, QuarantineStatus
 from oleanderdyke.links.messages import AgentPhase, Dispatch, Failed
 from oleanderdyke.links.messages.claims import (
     Claim,
@@ -98,7 +98,7 @@
         self._running: dict[_AttemptKey, Dispatch] = {}
         self._seen_attempts: set[_AttemptKey] = set()
         self._seen_by_heartbeat: deque[tuple[int, _AttemptKey]] = deque()
-        self._lane = AloneLane(reserve_beats=settings.reserve_beats)
+        self._lane = ExclusiveSlot(reserve_beats=settings.reserve_beats)
         self._claims = ClaimRuns(
             max_age=settings.max_age,
             capacity=settings.claims,
@@ -127,8 +127,8 @@
     def record_heartbeat(self, sequence: int) -> None:
         """Record a sent heartbeat; forget attempts older than `max_age`."""
         self._heartbeat = max(self._heartbeat, sequence)
-        self._claims.note_beat(sequence)
-        self._lane.note_beat(sequence)
+        self._claims.record_heartbeat(sequence)
+        self._lane.record_heartbeat(sequence)
         oldest = self._heartbeat - self._settings.max_age
         while (
             self._seen_by_heartbeat and self._seen_by_heartbeat[0][0] < oldest
@@ -175,7 +175,7 @@
         dispatch = self._running.get((request, attempt))
         if dispatch is None:
             return
-        self._quarantine.note_crash(
+        self._quarantine.record_crash(
             self._make_crash_id(now),
             (dispatch.digest,),
             now,
@@ -204,7 +204,7 @@
         """
         dispatches = tuple(self._running.values())
         was_alone = [self._end(dispatch, None) for dispatch in dispatches]
-        self._quarantine.note_crash(
+        self._quarantine.record_crash(
             self._make_crash_id(now),
             {dispatch.digest for dispatch in dispatches},
             now,
@@ -214,8 +214,8 @@
 
     def is_quarantined(self, digest: str, now: Millis) -> bool:
         """Return whether a request's digest is refused due to crashes."""
-        standing = self._quarantine.find_standing(digest, now)
-        return standing is Standing.QUARANTINED
+        standing = self._quarantine.get_status(digest, now)
+        return standing is QuarantineStatus.QUARANTINED
 
     def answer_query(self, query: ClaimQuery) -> ClaimAnswer:
         """Return the state of a claim; bar it if it has not started."""
@@ -376,7 +376,7 @@
             return _Refusal(
                 ErrorKind.STALE_CLAIM, 'claim already used or barred', 0
             )
-        if not self._claims.has_room():
+        if not self._claims.make_room():
             return _Refusal(
                 ErrorKind.OVERLOADED, 'claim limit reached', _BUSY_RETRY_AFTER
             )
@@ -419,8 +419,8 @@
         )
 
     def _must_be_alone(self, dispatch: Dispatch, now: Millis) -> bool:
-        standing = self._quarantine.find_standing(dispatch.digest, now)
-        return dispatch.alone or standing is Standing.SUSPECT
+        standing = self._quarantine.get_status(dispatch.digest, now)
+        return dispatch.alone or standing is QuarantineStatus.SUSPECT
 
 
 def _make_lost_failure(dispatch: Dispatch) -> Failed:
--- a/src/oleanderdyke/kernel/placement.py
+++ b/src/oleanderdyke/kernel/placement.py
@@ -9,7 +9,7 @@
 
 from oleanderdyke.clock import Millis
 from oleanderdyke.kernel.backend import Backend
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.ranks import find_rank
 from oleanderdyke.kernel.send_limits import Obstacle
 from oleanderdyke.kernel.servers import ModelDemand, ServerStart
@@ -54,7 +54,7 @@
     Obstacle.BACKOFF,
     Obstacle.OUTDATED,
     Obstacle.EVACUATED,
-    Obstacle.FOREIGN,
+    Obstacle.REGION,
 )
 _NONE = Obstacle.UNLISTED
 
@@ -83,7 +83,7 @@
     outdated: frozenset[int | None] = frozenset()
     blocked: Mapping[ServerStart, Obstacle] = field(default_factory=dict)
     memory_tokens: int = 0
-    drawn: float = 0.0
+    random_value: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,7 +121,7 @@
 
 
 def choose_backend(
-    demand: CallDemand, book: BackendBook, now: Millis
+    demand: CallDemand, book: BackendRegistry, now: Millis
 ) -> Choice | None:
     """Return the server with the least expected time to the first byte."""
     return choose_among(demand, book.list_service(demand.service, now), now)
@@ -153,7 +153,7 @@
         score=score,
         candidates=len(usable),
         expected=_expect(demand, best, now),
-        delay=best.find_delay(demand.rank, now),
+        delay=best.find_queue_delay(demand.rank, now),
         waiting=best.count_waiting(now),
         fill=_find_fill(demand, best, mean, now),
         size=_find_size(demand, mean),
@@ -174,11 +174,11 @@
 
 def is_usable(backend: Backend, now: Millis) -> bool:
     """Return whether nothing speaks against sending to a server."""
-    if max(backend.out_until, backend.reload_until) > now:
+    if max(backend.excluded_until, backend.reload_until) > now:
         return False
-    if now - backend.heard < SILENCE_LIMIT:
+    if now - backend.last_heard_at < SILENCE_LIMIT:
         return True
-    return backend.find_silence(now) < SILENCE_LIMIT
+    return backend.find_overdue_time(now) < SILENCE_LIMIT
 
 
 def _is_loading(demand: CallDemand, backend: Backend, now: Millis) -> bool:
@@ -197,7 +197,7 @@
     """Guess how full an engine is from the mix that this entry sends."""
     if not demand.memory_tokens:
         return 0.0
-    return chosen.count_present(now) * mean / demand.memory_tokens
+    return chosen.count_active(now) * mean / demand.memory_tokens
 
 
 def _find_size(demand: CallDemand, mean: float) -> float:
@@ -218,10 +218,10 @@
     if demand.model is None:
         return 0.0
     fetched, missing = _split_prompt(demand, demand.model, backend)
-    find_time = backend.reading.find_time
-    owed = find_time(backend.count_owed_tokens(demand.rank))
-    delay = max(backend.find_delay(demand.rank, now), owed)
-    return delay + find_time(missing) + fetched / _FETCH_RATE
+    estimate_time = backend.reading.estimate_time
+    owed = estimate_time(backend.count_pending_tokens(demand.rank))
+    delay = max(backend.find_queue_delay(demand.rank, now), owed)
+    return delay + estimate_time(missing) + fetched / _FETCH_RATE
 
 
 def _score(
@@ -260,7 +260,7 @@
     score += backend.count_waiting(now) * _WAITING_COST
     is_fetchable = version is not None and demand.fetchable.get(version, 0)
     if backend.record.server not in terms.homes and not is_fetchable:
-        shared = backend.reading.find_time(_find_shared_tokens(model))
+        shared = backend.reading.estimate_time(_find_shared_tokens(model))
         score += shared / _HOMES
     return score
 
@@ -285,7 +285,7 @@
     return _Terms(
         homes=_find_homes(demand.model, usable),
         older=older,
-        old_cost=_OLD_WEIGHTS_COST if demand.drawn < share else 0.0,
+        old_cost=_OLD_WEIGHTS_COST if demand.random_value < share else 0.0,
     )
 
 
@@ -322,7 +322,7 @@
 def _count_kept(demand: CallDemand, backend: Backend) -> int:
     if demand.model is None:
         return 0
-    return backend.count_kept(demand.model.parts)
+    return backend.count_cached_tokens(demand.model.parts)
 
 
 def _find_shared_tokens(model: ModelDemand) -> int:
--- a/tests/matrix/entry.py
+++ b/tests/matrix/entry.py
@@ -25,13 +25,16 @@
 )
 from oleanderdyke.entry.stopping import Stopper
 from oleanderdyke.errors import OleanderError
-from oleanderdyke.kernel.attempts import MachineSettings
+from oleanderdyke.kernel.attempts import AttemptSettings
+from oleanderdyke.kernel.configuration import (
+    ConfigurationReader,
+    ReaderSettings,
+)
 from oleanderdyke.kernel.drain import DrainSettings
 from oleanderdyke.kernel.quarantine import QuarantineSettings
 from oleanderdyke.kernel.retries import RetrySettings, make_retry_budget
-from oleanderdyke.kernel.spread import ConfigurationReader, ReaderSettings
 from oleanderdyke.links.messages import EntryBeat, Hello, Message
-from oleanderdyke.policies.exports import ExportChooser
+from oleanderdyke.policies.exports import ExportPolicy
 from oleanderdyke.policies.registries import ADMISSIONS, ROUTERS, TeamTerms
 from oleanderdyke.policies.settings import PolicySettings
 from tests.matrix.drivers import ModelRequest, ModelResume
@@ -229,9 +232,9 @@
             admission=ADMISSIONS.find(plugins.admission)(
                 policies, lambda _: TeamTerms()
             ),
-            exports=ExportChooser(policies),
+            exports=ExportPolicy(policies),
             drain=world.variants.drain(ENTRY_DRAIN),
-            machine=MachineSettings(claim_wait=settings.claims.wait),
+            machine=AttemptSettings(claim_timeout=settings.claims.wait),
         )
 
     def _run(
@@ -309,7 +312,7 @@
         table = self.core.claims
         for record in page.records:
             table.apply(record.offset, record.at, record.data)
-        table.note_end(page.end)
+        table.set_catch_up_target(page.end)
         self.claim_log.settle_read()
 
     def _tick(self) -> None:
