--- a/src/oleanderdyke/kernel/attempt_core.py
+++ b/src/oleanderdyke/kernel/attempt_core.py
@@ -31,11 +31,11 @@
 Actions: TypeAlias = tuple[Action, ...]
 
 _RAN_ORDER = (Ran.NO, Ran.MAYBE, Ran.YES)
-_SAID_OF_STREAMS = frozenset(
+_STREAM_ERROR_KINDS = frozenset(
     {ErrorKind.DEADLINE, ErrorKind.STOPPING, ErrorKind.BACKEND_FAILED}
 )
-_ALONE_DELAY: Millis = 250.0
-_REPLICA_DELAY: Millis = 250.0
+_ALONE_RETRY_DELAY: Millis = 250.0
+_REPLICA_POLL_INTERVAL: Millis = 250.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,7 +94,7 @@
     CLAIMING = enum.auto()
     RUNNING = enum.auto()
     RESUMING = enum.auto()
-    ASKING = enum.auto()
+    QUERYING = enum.auto()
     POLLING = enum.auto()
     RECORDING = enum.auto()
     WAITING = enum.auto()
@@ -120,7 +120,7 @@
         self._attempt = 0
         self._retries = 0
         # Whether the next retry was taken from the budget ahead of its cause.
-        self._has_paid = False
+        self._has_reserved_retry = False
         self._refusals = 0
         self._crashes = 0
         self._alone = facts.suspect
@@ -185,12 +185,12 @@
         self._timer_number += 1
         return StartTimer(kind, self._timer_number, delay)
 
-    def _learn(self, ran: Ran) -> None:
+    def _record_ran(self, ran: Ran) -> None:
         """Settle the doubt about the latest dispatch."""
         self._in_doubt = False
         self._known_ran = max_ran(self._known_ran, ran)
 
-    def _prove_not_run(self) -> None:
+    def _mark_not_run(self) -> None:
         """Note that the latest dispatch and its claim never run."""
         self._in_doubt = False
         self._joined = False
@@ -201,7 +201,7 @@
     def _exclude(self, agent: str) -> None:
         self._excluded |= {agent}
 
-    def _is_at(self, agent: str, incarnation: str) -> bool:
+    def _is_current(self, agent: str, incarnation: str) -> bool:
         """Return whether the latest attempt is at this incarnation."""
         if self._routed is None:
             return False
@@ -215,26 +215,26 @@
         detail: str = '',
     ) -> Actions:
         """Try again within the budget, else give up at once."""
-        if not self._may_run_again() or not self._pay_retry():
+        if not self._can_retry() or not self._spend_retry():
             return self._refuse(kind, retry_after, detail)
         self._retries += 1
         return self._wait(self._budget.delay(self._retries))
 
-    def _pay_retry(self) -> bool:
+    def _spend_retry(self) -> bool:
         """Spend one retry of the budget, or the one that is reserved."""
-        if self._has_paid:
-            self._has_paid = False
+        if self._has_reserved_retry:
+            self._has_reserved_retry = False
             return True
         return self._budget.try_withdraw()
 
-    def _may_run_again(self) -> bool:
+    def _can_retry(self) -> bool:
         return (
             self._retries + 1 < self._settings.max_attempts
             and not self._detached
             and not self._stopping
         )
 
-    def _retry_refused(
+    def _retry_not_run(
         self,
         kind: ErrorKind,
         retry_after: Millis | None = None,
@@ -245,7 +245,7 @@
         if bound is None:
             return self._retry(kind, retry_after, detail)
         may_retry = self._refusals < bound and not self._detached
-        if not may_retry or not self._pay_retry():
+        if not may_retry or not self._spend_retry():
             return self._refuse(kind, retry_after, detail)
         self._refusals += 1
         return self._wait(self._budget.delay(self._refusals))
@@ -257,9 +257,11 @@
             return self._refuse(ErrorKind.OVERLOADED, retry_after)
         if self._detached or self._stopping:
             return self._refuse(ErrorKind.OVERLOADED, retry_after)
-        return self._wait((retry_after or _ALONE_DELAY) + self._budget.delay(1))
+        return self._wait(
+            (retry_after or _ALONE_RETRY_DELAY) + self._budget.delay(1)
+        )
 
-    def _may_await_replica(self) -> bool:
+    def _can_await_replica(self) -> bool:
         """Return whether a lost run may wait for a replica to come back."""
         return (
             self._known_ran is not Ran.NO
@@ -275,7 +277,7 @@
         """
         self._excluded = frozenset()
         self._replica_waits += 1
-        delay = _REPLICA_DELAY + self._budget.delay(self._replica_waits)
+        delay = _REPLICA_POLL_INTERVAL + self._budget.delay(self._replica_waits)
         left = self._settings.replica_wait - self._replica_waited
         delay = min(delay, left)
         self._replica_waited += delay
@@ -301,7 +303,7 @@
         retry_after: Millis | None = None,
         detail: str = '',
     ) -> Refuse:
-        if self._head_delivered and kind not in _SAID_OF_STREAMS:
+        if self._head_delivered and kind not in _STREAM_ERROR_KINDS:
             kind = ErrorKind.STREAM_BROKEN
         if retry_after is None:
             retry_after = REPLIES[kind].retry_after
@@ -321,7 +323,7 @@
         replica = routed.replica
         return (SendCancel(replica.agent, replica.incarnation, self._attempt),)
 
-    def _mute(self, actions: Actions) -> Actions:
+    def _drop_deliveries(self, actions: Actions) -> Actions:
         """Drop what is for a caller that has its answer or is gone."""
         if not self._detached:
             return actions
--- a/src/oleanderdyke/kernel/attempt_events.py
+++ b/src/oleanderdyke/kernel/attempt_events.py
@@ -30,7 +30,7 @@
     """Name what a timer of a request waits for."""
 
     CLAIM = 'claim'
-    ASK = 'ask'
+    QUERY = 'ask'
     POLL = 'poll'
     RECEIPT = 'receipt'
     RETRY = 'retry'
--- a/src/oleanderdyke/kernel/attempts.py
+++ b/src/oleanderdyke/kernel/attempts.py
@@ -51,7 +51,7 @@
 _CRASH_LIMIT = 2
 
 # Refusals of one agent that say nothing about the others.
-_ELSEWHERE = frozenset(
+_RETRY_ELSEWHERE = frozenset(
     {
         ErrorKind.LEAVING,
         ErrorKind.NOT_READY,
@@ -64,8 +64,8 @@
 )
 
 # Stages in which nothing of this call is dispatched.
-_IDLE = frozenset({Stage.ROUTING, Stage.CLAIMING, Stage.WAITING})
-_ASKED = frozenset({Stage.ASKING, Stage.POLLING})
+_IDLE_STAGES = frozenset({Stage.ROUTING, Stage.CLAIMING, Stage.WAITING})
+_QUERY_STAGES = frozenset({Stage.QUERYING, Stage.POLLING})
 
 
 class RequestStateMachine(ClaimedAttempts):
@@ -81,7 +81,7 @@
         self._budget.deposit()
         if verdict is None or not self._facts.needs_claim:
             return self._route()
-        return self._judge(verdict)
+        return self._apply_verdict(verdict)
 
     def handle_event(self, event: Event, _now: Millis) -> Actions:
         """Answer one event; late ones are answered by nothing."""
@@ -89,7 +89,7 @@
             return ()
         detached = self._detached
         actions = self.HANDLERS[type(event)](self, event)
-        return self._mute(actions) if detached else actions
+        return self._drop_deliveries(actions) if detached else actions
 
     def reserve_retry(self) -> bool:
         """Pay for another run; False where a failure now would lead to none.
@@ -98,16 +98,16 @@
         budget: each that was only told that there is some would break off an
         answer that nobody else can go on with.
         """
-        if not self._may_run_elsewhere() or not self._pay_retry():
+        if not self._may_run_elsewhere() or not self._spend_retry():
             return False
-        self._has_paid = True
+        self._has_reserved_retry = True
         return True
 
     def hand_over(self) -> Actions | None:
         """Return what the caller needs to go on elsewhere; None if it can't."""
-        if not self._token or self._stage in _IDLE:
+        if not self._token or self._stage in _IDLE_STAGES:
             return None
-        return self._release_head()
+        return self._deliver_held_head()
 
     def _may_run_elsewhere(self) -> bool:
         facts = self._facts
@@ -115,7 +115,7 @@
         return (
             self._stage is Stage.RUNNING
             and (may_repeat or facts.resumable)
-            and self._may_run_again()
+            and self._can_retry()
         )
 
     def _on_routed(self, event: Routed) -> Actions:
@@ -130,7 +130,7 @@
         if self._stage is not Stage.ROUTING:
             return ()
         refusal = event.refusal
-        if refusal.kind is ErrorKind.NO_REPLICA and self._may_await_replica():
+        if refusal.kind is ErrorKind.NO_REPLICA and self._can_await_replica():
             return self._await_replica()
         return self._refuse(refusal.kind, refusal.retry_after, refusal.reason)
 
@@ -150,11 +150,11 @@
 
     def _on_part(self, message: AnswerHead | AnswerChunk) -> Actions:
         if self._claim is not None:
-            return self._collect(message)
+            return self._buffer_answer(message)
         if isinstance(message, AnswerHead):
             return self._on_head(message)
         self._delivered += 1
-        return (*self._release_head(), DeliverChunk(message.data))
+        return (*self._deliver_held_head(), DeliverChunk(message.data))
 
     def _on_head(self, message: AnswerHead) -> Actions:
         """Hold the head back: until it goes out, another run may answer."""
@@ -167,7 +167,7 @@
         )
         return (MarkResumable(),) if message.resume else ()
 
-    def _release_head(self) -> Actions:
+    def _deliver_held_head(self) -> Actions:
         """Pass on the held head, once, with what follows it."""
         head, self._held_head = self._held_head, None
         if head is None:
@@ -176,11 +176,11 @@
         return (head,)
 
     def _on_end(self, message: AnswerEnd) -> Actions:
-        self._learn(Ran.YES)
+        self._record_ran(Ran.YES)
         cleared = self._clear_suspect()
         if self._claim is not None:
-            return (*cleared, *self._record())
-        head = self._release_head()
+            return (*cleared, *self._append_outcome())
+        head = self._deliver_held_head()
         return (*cleared, *self._finish(*head, DeliverEnd(message)))
 
     def _clear_suspect(self) -> Actions:
@@ -194,7 +194,7 @@
         # A stream that only broke on its way may still run.
         broken = failed.kind is ErrorKind.STREAM_BROKEN
         cancel = self._make_cancel() if broken else ()
-        self._learn(max_ran(failed.ran, Ran.MAYBE))
+        self._record_ran(max_ran(failed.ran, Ran.MAYBE))
         return (*cancel, *self._after_unclaimed_failure(failed))
 
     def _after_unclaimed_failure(self, failed: Failed) -> Actions:
@@ -204,31 +204,31 @@
         if self._head_delivered:
             return self._refuse(failed.kind)
         if failed.kind is ErrorKind.STREAM_GONE:
-            return self._after_silence()
+            return self._after_lost_attempt()
         if not self._facts.idempotent:
             return self._refuse(failed.kind, failed.retry_after, failed.detail)
-        return self._after_lost(failed.kind)
+        return self._rerun_idempotent(failed.kind)
 
     def _after_not_run(self, failed: Failed) -> Actions:
         """Go elsewhere with what the agent has proven not to run."""
-        self._prove_not_run()
+        self._mark_not_run()
         if failed.kind is ErrorKind.OVERLOADED and self._alone:
             return self._retry_alone(failed.retry_after)
-        if failed.kind not in _ELSEWHERE:
+        if failed.kind not in _RETRY_ELSEWHERE:
             return self._refuse(failed.kind, failed.retry_after, failed.detail)
         self._exclude_current()
-        return self._retry_refused(
+        return self._retry_not_run(
             failed.kind, failed.retry_after, failed.detail
         )
 
     def _after_claimed_failure(self, failed: Failed) -> Actions:
         """Believe the agent, but ask it where only the way was broken."""
         if failed.kind is ErrorKind.STREAM_BROKEN:
-            return self._ask()
-        self._learn(max_ran(failed.ran, Ran.MAYBE))
+            return self._query_claim()
+        self._record_ran(max_ran(failed.ran, Ran.MAYBE))
         return self._refuse(failed.kind, failed.retry_after, failed.detail)
 
-    def _after_lost(self, kind: ErrorKind) -> Actions:
+    def _rerun_idempotent(self, kind: ErrorKind) -> Actions:
         """Run an idempotent request again; a suspect alone, and once."""
         self._exclude_current()
         if kind is not ErrorKind.BACKEND_LOST:
@@ -248,34 +248,34 @@
     def _on_unsent(self, event: DispatchNotSent) -> Actions:
         if event.attempt != self._attempt or self._stage is not Stage.RUNNING:
             return ()
-        self._prove_not_run()
+        self._mark_not_run()
         self._exclude_current()
-        return self._retry_refused(ErrorKind.NO_REPLICA)
+        return self._retry_not_run(ErrorKind.NO_REPLICA)
 
     def _on_link_lost(self, event: LinkLost) -> Actions:
-        if not self._is_at(event.agent, event.incarnation):
+        if not self._is_current(event.agent, event.incarnation):
             return ()
         if self._stage is not Stage.RUNNING:
             return ()
         if self._claim is not None:
-            return self._ask()
+            return self._query_claim()
         return self._resume()
 
     def _on_link_up(self, event: LinkUp) -> Actions:
         """Ask for the rest at once where the wait was for a link."""
         if self._stage is not Stage.RESUMING:
             return ()
-        if not self._is_at(event.agent, event.incarnation):
+        if not self._is_current(event.agent, event.incarnation):
             return ()
         return self._resume()
 
     def _on_incarnation_ended(self, event: IncarnationEnded) -> Actions:
-        if self._stage in _ASKED:
+        if self._stage in _QUERY_STAGES:
             return self._after_owner_ended(event)
-        if not self._is_at(event.agent, event.incarnation):
+        if not self._is_current(event.agent, event.incarnation):
             return ()
         if self._stage is Stage.RESUMING or self._stage is Stage.RUNNING:
-            return self._after_silence()
+            return self._after_lost_attempt()
         return ()
 
     def _after_owner_ended(self, event: IncarnationEnded) -> Actions:
@@ -286,9 +286,9 @@
             return ()
         return self._refuse(ErrorKind.OUTCOME_UNKNOWN)
 
-    def _after_silence(self) -> Actions:
+    def _after_lost_attempt(self) -> Actions:
         """Go on after an attempt of which nothing more will be heard."""
-        self._learn(Ran.MAYBE)
+        self._record_ran(Ran.MAYBE)
         can_repeat = self._facts.idempotent and not self._head_delivered
         if not can_repeat:
             return self._refuse(ErrorKind.BACKEND_LOST)
@@ -301,7 +301,7 @@
         self._resumes += 1
         may_resume = self._token and self._resumes <= self._settings.max_queries
         if routed is None or not may_resume:
-            return self._after_silence()
+            return self._after_lost_attempt()
         self._stage = Stage.RESUMING
         self._attempt += 1
         resume = SendResume(
@@ -327,24 +327,24 @@
 
     def _on_caller_gone(self, _event: CallerGone) -> Actions:
         if self._stage is Stage.CLAIMING:
-            return self._mute_all(self._withdraw(ErrorKind.CANCELLED))
+            return self._drop_caller(self._withdraw(ErrorKind.CANCELLED))
         if self._is_own_run():
             return self._detach()
         cancel = self._make_cancel()
-        return self._mute_all((*cancel, *self._finish()))
+        return self._drop_caller((*cancel, *self._finish()))
 
     def _on_deadline(self, _event: DeadlinePassed) -> Actions:
         if self._stage is Stage.RECORDING:
             return self._on_receipt_timer()
-        return self._end_early(ErrorKind.DEADLINE)
+        return self._end_now(ErrorKind.DEADLINE)
 
     def _on_stopping(self, event: Stopping) -> Actions:
         self._stopping = True
-        if event.immediate or self._stage in _IDLE:
-            return self._end_early(ErrorKind.STOPPING)
+        if event.immediate or self._stage in _IDLE_STAGES:
+            return self._end_now(ErrorKind.STOPPING)
         return ()
 
-    def _end_early(self, kind: ErrorKind) -> Actions:
+    def _end_now(self, kind: ErrorKind) -> Actions:
         """Answer now; a run that can't be repeated is recorded still."""
         if self._stage is Stage.CLAIMING:
             return self._withdraw(kind)
@@ -359,9 +359,9 @@
         """Return whether a claimed run of this call may be under way."""
         return self._claim is not None and not self._joined
 
-    def _mute_all(self, actions: Actions) -> Actions:
+    def _drop_caller(self, actions: Actions) -> Actions:
         self._detached = True
-        return self._mute(actions)
+        return self._drop_deliveries(actions)
 
     HANDLERS: ClassVar[Mapping[type[Any], Handler]] = {
         **ClaimedAttempts.HANDLERS,
--- a/src/oleanderdyke/kernel/claimed_attempts.py
+++ b/src/oleanderdyke/kernel/claimed_attempts.py
@@ -46,9 +46,9 @@
 from oleanderdyke.links.messages import AnswerChunk, AnswerHead
 from oleanderdyke.links.messages.claims import Claim, ClaimAnswer, ClaimState
 
-_NOT_KEPT = 'it ran; its answer is too long, or too old, to be kept'
-_LOG_OUT = 'the log is out; this call did not run'
-_LOG_SLOW = 'the log is slow; this call did not run'
+_ANSWER_NOT_KEPT = 'it ran; its answer is too long, or too old, to be kept'
+_LOG_UNAVAILABLE = 'the log is out; this call did not run'
+_LOG_TIMEOUT = 'the log is slow; this call did not run'
 
 
 class ClaimedAttempts(AttemptCore):
@@ -56,7 +56,7 @@
 
     _claims = 0
     _claim_id = ''
-    _asks = 0
+    _queries = 0
     _is_running = False
     _receipt: Receipt | None = None
 
@@ -88,13 +88,13 @@
         if not self._awaits_claim(event.claim_id):
             return ()
         if isinstance(event.verdict, Free):
-            return self._withdraw(ErrorKind.LOG_UNAVAILABLE, _LOG_OUT)
-        return self._judge(event.verdict)
+            return self._withdraw(ErrorKind.LOG_UNAVAILABLE, _LOG_UNAVAILABLE)
+        return self._apply_verdict(event.verdict)
 
     def _on_claim_failed(self, event: ClaimFailed) -> Actions:
         if not self._awaits_claim(event.claim_id):
             return ()
-        return self._refuse(ErrorKind.LOG_UNAVAILABLE, detail=_LOG_OUT)
+        return self._refuse(ErrorKind.LOG_UNAVAILABLE, detail=_LOG_UNAVAILABLE)
 
     def _awaits_claim(self, claim_id: str) -> bool:
         return self._stage is Stage.CLAIMING and claim_id == self._claim_id
@@ -108,7 +108,7 @@
         record = WithdrawRecord(self._facts.key, self._claim_id)
         return (AppendRelease(record), *self._refuse(kind, detail=detail))
 
-    def _judge(self, verdict: Verdict) -> Actions:
+    def _apply_verdict(self, verdict: Verdict) -> Actions:
         """Act on what the log says about the key."""
         match verdict:
             case Free():
@@ -125,34 +125,34 @@
     def _join(self, claim: Claim) -> Actions:
         self._claim = claim
         self._joined = True
-        return self._ask()
+        return self._query_claim()
 
-    def _ask(self) -> Actions:
+    def _query_claim(self) -> Actions:
         """Ask the agent of the claim what became of it."""
         claim = self._claim
         if claim is None:
             return self._refuse(ErrorKind.INTERNAL)
-        self._asks += 1
-        if self._asks > self._settings.max_queries:
-            return self._give_up_asking()
-        self._stage = Stage.ASKING
-        timer = self._start_timer(TimerKind.ASK, self._settings.query_timeout)
+        self._queries += 1
+        if self._queries > self._settings.max_queries:
+            return self._give_up_querying()
+        self._stage = Stage.QUERYING
+        timer = self._start_timer(TimerKind.QUERY, self._settings.query_timeout)
         return (QueryClaim(claim.agent, claim), timer)
 
-    def _give_up_asking(self) -> Actions:
+    def _give_up_querying(self) -> Actions:
         if self._is_running:
             return self._refuse(ErrorKind.IN_PROGRESS)
         return self._refuse(ErrorKind.OUTCOME_UNKNOWN)
 
     def _on_claim_answered(self, event: ClaimAnswered) -> Actions:
         answer = event.answer
-        if self._stage is not Stage.ASKING or answer.claim != self._claim:
+        if self._stage is not Stage.QUERYING or answer.claim != self._claim:
             return ()
         match answer.state:
             case ClaimState.RUNNING:
                 return self._poll()
             case ClaimState.FINISHED:
-                return self._take_finished(answer)
+                return self._accept_finished(answer)
             case ClaimState.BARRED:
                 return self._reclaim()
             case ClaimState.UNKNOWN:
@@ -160,7 +160,7 @@
 
     def _poll(self) -> Actions:
         self._stage = Stage.POLLING
-        self._asks = 0
+        self._queries = 0
         self._is_running = True
         return (
             self._start_timer(TimerKind.POLL, self._settings.poll_interval),
@@ -171,8 +171,8 @@
         was_own = not self._joined
         if was_own and self._claim is not None:
             self._exclude(self._claim.agent)
-        self._prove_not_run()
-        self._asks = 0
+        self._mark_not_run()
+        self._queries = 0
         self._is_running = False
         if was_own:
             return self._retry(ErrorKind.BACKEND_LOST)
@@ -183,7 +183,7 @@
             self._receipt = Receipt()
         return self._receipt
 
-    def _collect(self, message: AnswerHead | AnswerChunk) -> Actions:
+    def _buffer_answer(self, message: AnswerHead | AnswerChunk) -> Actions:
         """Hold the answer back, unless it is too long to be recorded."""
         receipt = self._get_receipt()
         if isinstance(message, AnswerHead):
@@ -194,16 +194,18 @@
             self._deliver_body(ReceiptState.DIGEST) if receipt.is_long else ()
         )
 
-    def _take_finished(self, answer: ClaimAnswer) -> Actions:
+    def _accept_finished(self, answer: ClaimAnswer) -> Actions:
         self._known_ran = Ran.YES
         if not answer.status:
-            return self._refuse(ErrorKind.OUTCOME_UNKNOWN, detail=_NOT_KEPT)
+            return self._refuse(
+                ErrorKind.OUTCOME_UNKNOWN, detail=_ANSWER_NOT_KEPT
+            )
         receipt = self._get_receipt()
         receipt.open(answer.status, answer.headers)
         receipt.add_rest(answer.body)
-        return self._record()
+        return self._append_outcome()
 
-    def _record(self) -> Actions:
+    def _append_outcome(self) -> Actions:
         """Get the answer into the log before the caller gets it."""
         claim = self._claim
         if claim is None:
@@ -262,7 +264,7 @@
         return (StartTimer(TimerKind.LINGER, 0, linger),)
 
     def _on_claim_timer(self) -> Actions:
-        return self._withdraw(ErrorKind.LOG_UNAVAILABLE, _LOG_SLOW)
+        return self._withdraw(ErrorKind.LOG_UNAVAILABLE, _LOG_TIMEOUT)
 
     def _on_receipt_timer(self) -> Actions:
         return self._deliver_receipt(ReceiptState.UNRECORDED)
@@ -277,7 +279,7 @@
 
     TIMERS: ClassVar[Mapping[TimerKind, TimerHandler]] = {
         TimerKind.CLAIM: (Stage.CLAIMING, _on_claim_timer),
-        TimerKind.ASK: (Stage.ASKING, _ask),
-        TimerKind.POLL: (Stage.POLLING, _ask),
+        TimerKind.QUERY: (Stage.QUERYING, _query_claim),
+        TimerKind.POLL: (Stage.POLLING, _query_claim),
         TimerKind.RECEIPT: (Stage.RECORDING, _on_receipt_timer),
     }
--- a/tests/test_request_safety.py
+++ b/tests/test_request_safety.py
@@ -91,7 +91,7 @@
 class DeafMachine(RequestStateMachine):
     """Wait for ever for an agent's answer."""
 
-    def _give_up_asking(self):
+    def _give_up_querying(self):
         return ()
 
 
@@ -147,7 +147,7 @@
 class ForgetfulTable(ClaimTable):
     """Ignore what was carried over before the log forgot it."""
 
-    def _apply_carried(self, _record, _at):
+    def _apply_carried(self, _append_outcome, _at):
         return None
 
 
@@ -163,26 +163,26 @@
 class CarelessTable(ClaimTable):
     """Believe every carried record."""
 
-    def _has_read_since(self, _record):
+    def _has_read_since(self, _append_outcome):
         return True
 
 
 class StubbornMachine(RequestStateMachine):
     """Send again what may have run."""
 
-    def _after_silence(self):
+    def _after_lost_attempt(self):
         return self._retry(ErrorKind.BACKEND_LOST)
 
     def _after_claimed_failure(self, failed):
-        self._prove_not_run()
+        self._mark_not_run()
         return self._retry(failed.kind)
 
 
 class ImpatientMachine(RequestStateMachine):
     """Take silence for a lapsed lease and release the claim."""
 
-    def _give_up_asking(self):
-        self._asks = 0
+    def _give_up_querying(self):
+        self._queries = 0
         return self._reclaim()
 
 
@@ -193,7 +193,7 @@
     def ran(self):
         return self._known_ran
 
-    def _learn(self, _ran):
+    def _record_ran(self, _ran):
         self._in_doubt = False
 
 
@@ -201,7 +201,7 @@
     """Go on with another run where the first one broke off."""
 
     def _on_failed(self, failed):
-        self._learn(failed.ran)
+        self._record_ran(failed.ran)
         return self._retry(failed.kind)
 
 
