--- a/src/oleanderdyke/kernel/attempt_events.py
+++ b/src/oleanderdyke/kernel/attempt_events.py
@@ -1,4 +1,4 @@
-"""Define what goes into and comes out of a `RequestStateMachine`."""
+"""Define the events and actions of `RequestStateMachine`."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class TimerKind(enum.StrEnum):
-    """Name what a timer of a request waits for."""
+    """Identify the purpose of a timer."""
 
     CLAIM = 'claim'
     QUERY = 'ask'
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Routed:
-    """Tell which replica was chosen."""
+    """A replica was chosen for the request."""
 
     plan: Plan
     replica: Replica
@@ -48,16 +48,16 @@
 
 @dataclass(frozen=True, slots=True)
 class NoRoute:
-    """No replica can take the request."""
+    """No replica can take the request now."""
 
     refusal: Refusal
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimSettled:
-    """Tell the verdict on the claim, after reading the log through it.
+    """The claims log was read far enough to give a verdict on the claim.
 
-    Send it only for the `claim_id` of the latest `AppendClaim`.
+    Sent only for the `claim_id` of the latest `AppendClaim`.
     """
 
     claim_id: str
@@ -66,10 +66,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimFailed:
-    """A claim's append surely did not take effect.
+    """The claim was definitely not appended to the log.
 
-    A doubtful append is not reported; read on until `ClaimSettled`, or until
-    the machine gives up by its own timer.
+    Not sent when the result of the append is unknown: reading the log goes on
+    until `ClaimSettled` can be sent, or the request's claim timer fires.
     """
 
     claim_id: str
@@ -77,19 +77,19 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeRecorded:
-    """The outcome record is in the log."""
+    """The outcome record was appended to the log."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeFailed:
-    """The outcome record can't be appended now."""
+    """The outcome record can't be appended at present."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """Pass a message of an attempt, in order and checked for wholeness.
+    """An attempt's message arrived, in order and verified.
 
-    A gap or a wrong digest is passed as `Failed(STREAM_BROKEN, maybe)`.
+    A gap or a wrong digest is reported as `Failed(STREAM_BROKEN, maybe)`.
     """
 
     message: AnswerHead | AnswerChunk | AnswerEnd | Failed
@@ -97,14 +97,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatchNotSent:
-    """A dispatch was surely never written to a link."""
+    """A dispatch was definitely not written to a link."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class LinkLost:
-    """The link to an agent's incarnation was given up."""
+    """The link to an agent's incarnation was closed."""
 
     agent: str
     incarnation: str
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkUp:
-    """There is a new link to an agent's incarnation."""
+    """A new link to an agent's incarnation was opened."""
 
     agent: str
     incarnation: str
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncarnationEnded:
-    """An incarnation of an agent is over for good."""
+    """An agent's incarnation has ended and will not return."""
 
     agent: str
     incarnation: str
@@ -128,31 +128,34 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimAnswered:
-    """Pass an agent's answer to `QueryClaim`."""
+    """An agent answered `QueryClaim`."""
 
     answer: ClaimAnswer
 
 
 @dataclass(frozen=True, slots=True)
 class CallerGone:
-    """The caller has closed its connection."""
+    """The caller closed its connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlinePassed:
-    """The request's deadline is over."""
+    """The request's deadline has passed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Stopping:
-    """The entry stops; `immediate` means at once."""
+    """The entry is stopping.
+
+    Running work may finish, unless `immediate` is set.
+    """
 
     immediate: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer of `StartTimer` is over."""
+    """A timer started by `StartTimer` has expired."""
 
     kind: TimerKind
     number: int
@@ -180,9 +183,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Choose a replica; answer with `Routed` or `NoRoute`.
+    """Choose a replica; report `Routed` or `NoRoute`.
 
-    `alone` asks for an idle replica first. Agents of `exclude` are avoided.
+    `alone` prefers an idle replica. Agents in `exclude` are avoided.
     """
 
     exclude: frozenset[str] = frozenset()
@@ -191,7 +194,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendClaim:
-    """Append a claim, after a release where one is given, in one batch."""
+    """Append a claim, in one batch after the release if there is one."""
 
     record: ClaimRecord
     release: ReleaseRecord | None = None
@@ -199,9 +202,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendRelease:
-    """Append a release or a withdrawal; repeat until it is in the log.
+    """Append a release or a withdrawal; retry until it is in the log.
 
-    Giving up is harmless: the next caller of the key asks the agent.
+    Giving up is harmless: the next request with the key queries the agent.
     """
 
     record: ReleaseRecord | WithdrawRecord
@@ -209,9 +212,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendOutcome:
-    """Append an outcome; repeat in the background until it is in the log.
+    """Append an outcome; retry in the background until it is in the log.
 
-    Report `OutcomeRecorded`, or `OutcomeFailed` when the log is out.
+    Report `OutcomeRecorded`, or `OutcomeFailed` if the log is unavailable.
     """
 
     record: OutcomeRecord
@@ -219,7 +222,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryClaim:
-    """Send `ClaimQuery` to the claim's agent, over a new link if needed."""
+    """Send a `ClaimQuery` to the claim's agent, over a new link if needed."""
 
     agent: str
     claim: Claim
@@ -229,7 +232,7 @@
 class SendDispatch:
     """Send the request to one incarnation of an agent, at most once.
 
-    Report `DispatchNotSent` where no link to just this incarnation is open.
+    Report `DispatchNotSent` if no link to exactly this incarnation is open.
     """
 
     agent: str
@@ -244,7 +247,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendCancel:
-    """Cancel an attempt."""
+    """Send a cancellation of an attempt to its agent."""
 
     agent: str
     incarnation: str
@@ -253,9 +256,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SendResume:
-    """Ask the same agent for the rest of a stream, over a new link.
+    """Request the rest of a stream from the same agent, over a new link.
 
-    The answer comes as `MessageReceived` under the given attempt.
+    `sequence` is the first chunk to send. The answer arrives as
+    `MessageReceived` with the given attempt.
     """
 
     agent: str
@@ -267,12 +271,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MarkResumable:
-    """Note that the answer can be resumed, also before its head goes out."""
+    """Mark the answer as resumable, even before its head is delivered."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeliverHead:
-    """Open the answer to the caller."""
+    """Send the status and headers of the answer to the caller."""
 
     status: int
     headers: Headers
@@ -281,21 +285,21 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliverChunk:
-    """Pass a part of the answer to the caller."""
+    """Send a part of the answer's body to the caller."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class DeliverEnd:
-    """Close the answer; `end` has the agent's counts where there are any."""
+    """Complete the answer; `end` has the agent's counts if it sent them."""
 
     end: AnswerEnd | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Answer with a typed error; after `DeliverHead`, break the answer."""
+    """Answer with a typed error; after `DeliverHead`, abort the answer."""
 
     kind: ErrorKind
     ran: Ran
@@ -305,14 +309,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClearSuspect:
-    """Clear a digest in the entry's quarantine; it ran alone and well."""
+    """Clear a suspect that ran alone without a crash from the quarantine."""
 
     digest: str
 
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Report `TimerFired` with the same kind and number after a delay."""
+    """Report `TimerFired` with this kind and number after the delay."""
 
     kind: TimerKind
     number: int
@@ -321,7 +325,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """Forget the machine; nothing follows."""
+    """Discard the state machine: it emits no further actions."""
 
 
 Action: TypeAlias = (
--- a/src/oleanderdyke/kernel/attempts.py
+++ b/src/oleanderdyke/kernel/attempts.py
@@ -1,4 +1,4 @@
-"""Lead one request at an entry from its arrival to its answer."""
+"""Drive one request at an entry from its arrival to its answer."""
 
 from __future__ import annotations
 
@@ -48,9 +48,10 @@
 
 __all__ = ['AttemptSettings', 'RequestFacts', 'RequestStateMachine']
 
+# A request is not sent again after this many crashes of its backend server.
 _CRASH_LIMIT = 2
 
-# Refusals of one agent that say nothing about the others.
+# Refusals by one agent after which another agent may still accept.
 _RETRY_ELSEWHERE = frozenset(
     {
         ErrorKind.LEAVING,
@@ -63,28 +64,31 @@
     }
 )
 
-# Stages in which nothing of this call is dispatched.
+# Stages in which no attempt of this request is dispatched.
 _IDLE_STAGES = frozenset({Stage.ROUTING, Stage.CLAIMING, Stage.WAITING})
 _QUERY_STAGES = frozenset({Stage.QUERYING, Stage.POLLING})
 
 
 class RequestStateMachine(ClaimedAttempts):
-    """Answer events of one request with actions.
+    """Map the events of one request to actions.
 
-    It is the only place that decides on retries, `ran` and the final answer.
+    Retries, the value of `ran` and the final answer are decided only here.
     """
 
     _delivered = 0
 
     def start(self, _now: Millis, verdict: Verdict | None = None) -> Actions:
-        """Begin; a keyed request gives `ClaimTable.verdict` of its key."""
+        """Return the first actions.
+
+        A request that needs a claim passes its key's verdict in the table.
+        """
         self._budget.deposit()
         if verdict is None or not self._facts.needs_claim:
             return self._route()
         return self._apply_verdict(verdict)
 
     def handle_event(self, event: Event, _now: Millis) -> Actions:
-        """Answer one event; late ones are answered by nothing."""
+        """Return the actions for one event; none once the request has ended."""
         if self.done:
             return ()
         detached = self._detached
@@ -92,11 +96,11 @@
         return self._drop_deliveries(actions) if detached else actions
 
     def reserve_retry(self) -> bool:
-        """Pay for another run; False where a failure now would lead to none.
+        """Withdraw the next retry from the budget in advance.
 
-        Requests that give up one server together share what is left of the
-        budget: each that was only told that there is some would break off an
-        answer that nobody else can go on with.
+        Returns False if a failure now would not lead to another run. When many
+        requests leave the same server together, reserving keeps them from all
+        breaking off their answers for the same few remaining retries.
         """
         if not self._may_run_elsewhere() or not self._spend_retry():
             return False
@@ -104,7 +108,10 @@
         return True
 
     def hand_over(self) -> Actions | None:
-        """Return what the caller needs to go on elsewhere; None if it can't."""
+        """Return the actions that let the caller resume at another entry.
+
+        None if the answer has no resume token.
+        """
         if not self._token or self._stage in _IDLE_STAGES:
             return None
         return self._deliver_held_head()
@@ -157,7 +164,7 @@
         return (*self._deliver_held_head(), DeliverChunk(message.data))
 
     def _on_head(self, message: AnswerHead) -> Actions:
-        """Hold the head back: until it goes out, another run may answer."""
+        """Hold the head back: until it is delivered, another run may answer."""
         self._stage = Stage.RUNNING
         self._token = message.resume or self._token
         if self._head_delivered or self._held_head is not None:
@@ -168,7 +175,7 @@
         return (MarkResumable(),) if message.resume else ()
 
     def _deliver_held_head(self) -> Actions:
-        """Pass on the held head, once, with what follows it."""
+        """Deliver the held head, if it has not been delivered yet."""
         head, self._held_head = self._held_head, None
         if head is None:
             return ()
@@ -191,7 +198,8 @@
             return self._after_not_run(failed)
         if self._claim is not None:
             return self._after_claimed_failure(failed)
-        # A stream that only broke on its way may still run.
+        # The backend server may still be working on a stream that broke in
+        # transit.
         broken = failed.kind is ErrorKind.STREAM_BROKEN
         cancel = self._make_cancel() if broken else ()
         self._record_ran(max_ran(failed.ran, Ran.MAYBE))
@@ -210,7 +218,7 @@
         return self._rerun_idempotent(failed.kind)
 
     def _after_not_run(self, failed: Failed) -> Actions:
-        """Go elsewhere with what the agent has proven not to run."""
+        """Retry an attempt that the agent has proven not to have run."""
         self._mark_not_run()
         if failed.kind is ErrorKind.OVERLOADED and self._alone:
             return self._retry_alone(failed.retry_after)
@@ -222,14 +230,14 @@
         )
 
     def _after_claimed_failure(self, failed: Failed) -> Actions:
-        """Believe the agent, but ask it where only the way was broken."""
+        """Query the agent if the stream broke in transit, else refuse."""
         if failed.kind is ErrorKind.STREAM_BROKEN:
             return self._query_claim()
         self._record_ran(max_ran(failed.ran, Ran.MAYBE))
         return self._refuse(failed.kind, failed.retry_after, failed.detail)
 
     def _rerun_idempotent(self, kind: ErrorKind) -> Actions:
-        """Run an idempotent request again; a suspect alone, and once."""
+        """Retry an idempotent request; after a crash once only, and alone."""
         self._exclude_current()
         if kind is not ErrorKind.BACKEND_LOST:
             return self._retry(kind)
@@ -237,7 +245,7 @@
             return self._refuse(ErrorKind.QUARANTINED)
         self._crashes += 1
         self._alone = True
-        # What was refused before the crash must not cost the run alone.
+        # Earlier refusals must not use up the attempt that runs alone.
         self._retries = 0
         return self._retry(kind)
 
@@ -262,7 +270,7 @@
         return self._resume()
 
     def _on_link_up(self, event: LinkUp) -> Actions:
-        """Ask for the rest at once where the wait was for a link."""
+        """Resume at once if the stream was waiting for a link."""
         if self._stage is not Stage.RESUMING:
             return ()
         if not self._is_current(event.agent, event.incarnation):
@@ -287,7 +295,7 @@
         return self._refuse(ErrorKind.OUTCOME_UNKNOWN)
 
     def _after_lost_attempt(self) -> Actions:
-        """Go on after an attempt of which nothing more will be heard."""
+        """Retry or refuse after an attempt that will send nothing more."""
         self._record_ran(Ran.MAYBE)
         can_repeat = self._facts.idempotent and not self._head_delivered
         if not can_repeat:
@@ -296,7 +304,7 @@
         return self._retry(ErrorKind.BACKEND_LOST)
 
     def _resume(self) -> Actions:
-        """Ask the same agent for the rest of the same run, if it can."""
+        """Request the rest of the run from the same agent, if it can resume."""
         routed = self._routed
         self._resumes += 1
         may_resume = self._token and self._resumes <= self._settings.max_queries
@@ -345,7 +353,7 @@
         return ()
 
     def _end_now(self, kind: ErrorKind) -> Actions:
-        """Answer now; a run that can't be repeated is recorded still."""
+        """Answer now; the outcome of a claimed run is still recorded."""
         if self._stage is Stage.CLAIMING:
             return self._withdraw(kind)
         if self._joined:
@@ -356,7 +364,7 @@
         return (self._make_refusal(kind), *self._detach())
 
     def _is_own_run(self) -> bool:
-        """Return whether a claimed run of this call may be under way."""
+        """Return whether this request may have a claimed run in progress."""
         return self._claim is not None and not self._joined
 
     def _drop_caller(self, actions: Actions) -> Actions:
--- a/src/oleanderdyke/kernel/claimed_attempts.py
+++ b/src/oleanderdyke/kernel/claimed_attempts.py
@@ -1,4 +1,4 @@
-"""Lead the part of a request that has to do with its claim."""
+"""Handle the claim of a request: append, query, run and record."""
 
 from __future__ import annotations
 
@@ -46,13 +46,15 @@
 from oleanderdyke.links.messages import AnswerChunk, AnswerHead
 from oleanderdyke.links.messages.claims import Claim, ClaimAnswer, ClaimState
 
-_ANSWER_NOT_KEPT = 'it ran; its answer is too long, or too old, to be kept'
-_LOG_UNAVAILABLE = 'the log is out; this call did not run'
-_LOG_TIMEOUT = 'the log is slow; this call did not run'
+_ANSWER_NOT_KEPT = (
+    'the request ran, but its answer was too long or too old to be kept'
+)
+_LOG_UNAVAILABLE = 'the claims log is unavailable; the request did not run'
+_LOG_TIMEOUT = 'the claims log did not answer in time; the request did not run'
 
 
 class ClaimedAttempts(AttemptCore):
-    """Claim a key, run under it, or join the call that owns it."""
+    """Claim a key and run under it, or await the claim that owns it."""
 
     _claims = 0
     _claim_id = ''
@@ -61,7 +63,7 @@
     _receipt: Receipt | None = None
 
     def _append_claim(self) -> Actions:
-        """Ask the log for the key, and hand it the release that waits."""
+        """Append a claim on the key, with a release that is still pending."""
         if self._routed is None or self._claims >= self._settings.max_claims:
             return self._refuse(ErrorKind.IN_PROGRESS)
         self._stage = Stage.CLAIMING
@@ -100,16 +102,16 @@
         return self._stage is Stage.CLAIMING and claim_id == self._claim_id
 
     def _withdraw(self, kind: ErrorKind, detail: str = '') -> Actions:
-        """Give up while a claim may be, or may yet get, into the log.
+        """Refuse the request and withdraw a claim that may reach the log.
 
-        Nothing was dispatched under it and nothing will be, so its appender
-        may take it back without asking the agent.
+        Nothing was dispatched under the claim and nothing will be, so it can
+        be withdrawn without querying the agent.
         """
         record = WithdrawRecord(self._facts.key, self._claim_id)
         return (AppendRelease(record), *self._refuse(kind, detail=detail))
 
     def _apply_verdict(self, verdict: Verdict) -> Actions:
-        """Act on what the log says about the key."""
+        """Continue according to the state of the key in the log."""
         match verdict:
             case Free():
                 return self._route()
@@ -128,7 +130,7 @@
         return self._query_claim()
 
     def _query_claim(self) -> Actions:
-        """Ask the agent of the claim what became of it."""
+        """Query the claim's agent for the outcome, within `max_queries`."""
         claim = self._claim
         if claim is None:
             return self._refuse(ErrorKind.INTERNAL)
@@ -167,7 +169,7 @@
         )
 
     def _reclaim(self) -> Actions:
-        """Go on after the agent has proven and barred."""
+        """Continue after the agent barred the claim: it never ran."""
         was_own = not self._joined
         if was_own and self._claim is not None:
             self._exclude(self._claim.agent)
@@ -184,7 +186,7 @@
         return self._receipt
 
     def _buffer_answer(self, message: AnswerHead | AnswerChunk) -> Actions:
-        """Hold the answer back, unless it is too long to be recorded."""
+        """Buffer the answer; pass it on once it is too long to be recorded."""
         receipt = self._get_receipt()
         if isinstance(message, AnswerHead):
             receipt.open(message.status, message.headers)
@@ -206,7 +208,7 @@
         return self._append_outcome()
 
     def _append_outcome(self) -> Actions:
-        """Get the answer into the log before the caller gets it."""
+        """Append the outcome to the log before the caller gets the answer."""
         claim = self._claim
         if claim is None:
             return self._refuse(ErrorKind.INTERNAL)
@@ -243,7 +245,7 @@
         return (head, *chunk)
 
     def _replay(self, verdict: Finished) -> Actions:
-        """Give the recorded answer, or ask the agent for a long one."""
+        """Deliver the recorded answer, or query the agent for a long one."""
         outcome = verdict.outcome
         self._claim = verdict.claim
         self._known_ran = Ran.YES
@@ -258,7 +260,7 @@
         receipt.add(outcome.body)
 
     def _detach(self) -> Actions:
-        """Go on without the caller until the answer is recorded."""
+        """Continue without the caller until the outcome is recorded."""
         self._detached = True
         linger = self._settings.linger
         return (StartTimer(TimerKind.LINGER, 0, linger),)
