--- a/src/oleanderdyke/kernel/claim_records.py
+++ b/src/oleanderdyke/kernel/claim_records.py
@@ -17,7 +17,7 @@
 
 CLAIMS_LOG = 'claims'
 KEY_BYTES = 20
-BODY_BOUND = 16 * 1024
+MAX_RECORDED_BODY_BYTES = 16 * 1024
 _LENGTH_BYTES = 4
 
 
@@ -256,7 +256,7 @@
     return record
 
 
-_BY_TYPE: Mapping[str, Callable[[object], object]] = {
+_DECODERS_BY_TYPE: Mapping[str, Callable[[object], object]] = {
     'str': _decode_text,
     'int': _decode_count,
     'Millis': _decode_millis,
@@ -270,7 +270,7 @@
 def _find_decoder(field: dataclasses.Field[Any]) -> Callable[[object], object]:
     if field.name == 'key':
         return _decode_key
-    return _BY_TYPE[str(field.type)]
+    return _DECODERS_BY_TYPE[str(field.type)]
 
 
 def _count_required(cls: type[Any]) -> int:
--- a/src/oleanderdyke/kernel/claim_runs.py
+++ b/src/oleanderdyke/kernel/claim_runs.py
@@ -58,7 +58,7 @@
     ) -> None:
         self._max_age = max_age
         self._capacity = capacity
-        self._free_bytes = answer_bytes
+        self._free_answer_bytes = answer_bytes
         self._runs: OrderedDict[_RunKey, _Run] = OrderedDict()
         self._answered: OrderedDict[_RunKey, int] = OrderedDict()
         self._complete_from = 0
@@ -138,19 +138,19 @@
         return ClaimState.BARRED
 
     def _keep_answer(self, key: _RunKey, run: _Run, answer: RunAnswer) -> None:
-        size = _measure(answer)
-        while self._free_bytes < size and self._answered:
+        size = _measure_bytes(answer)
+        while self._free_answer_bytes < size and self._answered:
             self._drop_answer(next(iter(self._answered)))
-        if self._free_bytes < size:
+        if self._free_answer_bytes < size:
             return
         run.answer = answer
         self._answered[key] = size
-        self._free_bytes -= size
+        self._free_answer_bytes -= size
 
     def _drop_answer(self, key: _RunKey) -> None:
         size = self._answered.pop(key, None)
         if size is not None:
-            self._free_bytes += size
+            self._free_answer_bytes += size
             self._runs[key].answer = None
 
 
@@ -158,7 +158,7 @@
     return claim.offset, claim.index, claim.key
 
 
-def _measure(answer: RunAnswer) -> int:
+def _measure_bytes(answer: RunAnswer) -> int:
     names = sum(len(name) + len(value) for name, value in answer.headers)
     return len(answer.body) + names
 
--- a/src/oleanderdyke/kernel/claimed_attempts.py
+++ b/src/oleanderdyke/kernel/claimed_attempts.py
@@ -193,7 +193,7 @@
             return ()
         receipt.add(message.data)
         return (
-            self._deliver_body(ReceiptState.DIGEST) if receipt.is_long else ()
+            self._deliver_body(ReceiptState.DIGEST) if receipt.is_large else ()
         )
 
     def _accept_finished(self, answer: ClaimAnswer) -> Actions:
@@ -204,7 +204,7 @@
             )
         receipt = self._get_receipt()
         receipt.open(answer.status, answer.headers)
-        receipt.add_rest(answer.body)
+        receipt.add_missing(answer.body)
         return self._append_outcome()
 
     def _append_outcome(self) -> Actions:
@@ -230,13 +230,13 @@
         return self._deliver_receipt(ReceiptState.UNRECORDED)
 
     def _deliver_receipt(self, state: ReceiptState) -> Actions:
-        if self._get_receipt().is_long:
+        if self._get_receipt().is_large:
             state = ReceiptState.DIGEST
         return self._finish(*self._deliver_body(state), DeliverEnd())
 
     def _deliver_body(self, state: ReceiptState) -> Actions:
         receipt = self._get_receipt()
-        body = receipt.take_body()
+        body = receipt.pop_body()
         chunk = (DeliverChunk(body),) if body else ()
         if self._head_delivered:
             return chunk
--- a/src/oleanderdyke/kernel/claims.py
+++ b/src/oleanderdyke/kernel/claims.py
@@ -60,7 +60,7 @@
 
 # How late an append may still take effect, and how far the log's own time may
 # step back, before readers could differ.
-MARGIN = 1 * HOUR
+EXPIRY_MARGIN = 1 * HOUR
 
 
 @dataclass(slots=True)
@@ -71,7 +71,7 @@
     offset: int
     position: int
     at: Millis
-    kept_at: Millis
+    last_record_at: Millis
     horizon: Millis
     digest: str
     agent: str
@@ -80,7 +80,7 @@
     appender: str
     claim_id: str
     outcome: bytes | None = None
-    doubtful: bool = False
+    unconfirmed: bool = False
 
     @property
     def place(self) -> Place:
@@ -110,10 +110,10 @@
         # For each horizon the slots in the order of their claims.
         self._expiring: dict[Millis, deque[_Slot]] = {}
         # Places of released claims and ids of withdrawn ones.
-        self._gone: set[str | Place] = set()
-        self._gone_order: deque[tuple[Millis, str | Place]] = deque()
+        self._revoked: set[str | Place] = set()
+        self._revoked_order: deque[tuple[Millis, str | Place]] = deque()
         self._next = 0
-        self._known_from = 0
+        self._read_from = 0
         self._target: int | None = None
         self._time: Millis = 0.0
 
@@ -150,13 +150,13 @@
         if offset < self._next:
             return
         if offset > self._next:
-            self._start_anew(offset)
+            self._reset(offset)
         for position, record in enumerate(decode_batch(data)):
             if record is not None:
                 self._apply_record(record, Place(offset, position), at)
         self._next = offset + 1
         self._time = max(self._time, at)
-        self._forget_expired()
+        self._remove_expired()
 
     def get_verdict(self, key: str, digest: str) -> Verdict:
         """Tell what the key is to a request that has no claim of its own."""
@@ -193,16 +193,16 @@
         """List live claims whose latest record is older than a log time."""
         due: list[RenewalRecord] = []
         for slot in self._slots.values():
-            if slot.kept_at >= before or len(due) >= limit:
+            if slot.last_record_at >= before or len(due) >= limit:
                 break
-            if not slot.doubtful and slot.expires > self._time:
-                due.append(self._make_carried(slot))
+            if not slot.unconfirmed and slot.expires > self._time:
+                due.append(self._make_renewal(slot))
         return tuple(due)
 
-    def _start_anew(self, offset: int) -> None:
+    def _reset(self, offset: int) -> None:
         self._slots.clear()
         self._expiring.clear()
-        self._known_from = offset
+        self._read_from = offset
         self._target = None
 
     def _apply_record(
@@ -218,12 +218,12 @@
             case OutcomeRecord():
                 self._apply_outcome(record)
             case RenewalRecord():
-                self._apply_carried(record, at)
+                self._apply_renewal(record, at)
 
     def _apply_claim(
         self, record: ClaimRecord, place: Place, at: Millis
     ) -> None:
-        if record.claim_id in self._gone:
+        if record.claim_id in self._revoked:
             return
         slot = self._slots.get(record.key)
         if slot is not None and at < slot.expires:
@@ -236,18 +236,18 @@
         A carried record of it may still follow.
         """
         place = Place(record.offset, record.index)
-        slot = self._find_open(record.key)
-        self._mark_gone(place, at)
+        slot = self._find_unfinished(record.key)
+        self._revoke(place, at)
         if slot is None or slot.place != place:
             return
         if slot.incarnation == record.incarnation:
             del self._slots[record.key]
 
     def _apply_withdrawal(self, record: WithdrawRecord, at: Millis) -> None:
-        slot = self._find_open(record.key)
+        slot = self._find_unfinished(record.key)
         if slot is not None and slot.claim_id == record.claim_id:
             del self._slots[record.key]
-        self._mark_gone(record.claim_id, at)
+        self._revoke(record.claim_id, at)
 
     def _apply_outcome(self, record: OutcomeRecord) -> None:
         slot = self._slots.get(record.key)
@@ -256,45 +256,45 @@
         if slot.place == (record.offset, record.index):
             slot.finish(record)
 
-    def _apply_carried(self, record: RenewalRecord, at: Millis) -> None:
+    def _apply_renewal(self, record: RenewalRecord, at: Millis) -> None:
         claim = record.claim
         place = Place(record.offset, record.index)
-        if claim.claim_id in self._gone or place in self._gone:
+        if claim.claim_id in self._revoked or place in self._revoked:
             return
         if at >= record.at + claim.horizon:
             return
         slot = self._slots.get(claim.key)
         if slot is not None and slot.place == place:
             self._renew(slot, record, at)
-        elif self._yields(slot, record):
-            self._adopt(record, place, at)
+        elif self._may_replace(slot, record):
+            self._restore(record, place, at)
 
-    def _yields(self, slot: _Slot | None, record: RenewalRecord) -> bool:
+    def _may_replace(self, slot: _Slot | None, record: RenewalRecord) -> bool:
         """Return whether a slot gives way to a carried claim.
 
         Where this reader has read everything after `through`, it would have
         seen the carried claim go; so it still is the owner.
         """
-        if slot is None or slot.doubtful:
+        if slot is None or slot.unconfirmed:
             return True
         if slot.at >= record.at + record.claim.horizon:
             return False
         return self._has_read_since(record)
 
     def _has_read_since(self, record: RenewalRecord) -> bool:
-        return record.through + 1 >= self._known_from
+        return record.through + 1 >= self._read_from
 
-    def _adopt(self, record: RenewalRecord, place: Place, at: Millis) -> None:
+    def _restore(self, record: RenewalRecord, place: Place, at: Millis) -> None:
         slot = _make_slot(record.claim, place, record.at)
-        slot.doubtful = not self._has_read_since(record)
-        slot.kept_at = at
+        slot.unconfirmed = not self._has_read_since(record)
+        slot.last_record_at = at
         if record.outcome is not None:
             slot.finish(record.outcome)
         self._put(slot)
 
     def _renew(self, slot: _Slot, record: RenewalRecord, at: Millis) -> None:
-        slot.kept_at = at
-        slot.doubtful = slot.doubtful and not self._has_read_since(record)
+        slot.last_record_at = at
+        slot.unconfirmed = slot.unconfirmed and not self._has_read_since(record)
         if slot.outcome is None and record.outcome is not None:
             slot.finish(record.outcome)
         # The order of the slots is that of their latest records.
@@ -305,30 +305,30 @@
         self._slots[slot.key] = slot
         self._expiring.setdefault(slot.horizon, deque()).append(slot)
 
-    def _find_open(self, key: str) -> _Slot | None:
+    def _find_unfinished(self, key: str) -> _Slot | None:
         slot = self._slots.get(key)
-        if slot is None or slot.doubtful or slot.outcome is not None:
+        if slot is None or slot.unconfirmed or slot.outcome is not None:
             return None
         return slot
 
-    def _mark_gone(self, name: str | Place, at: Millis) -> None:
-        if name not in self._gone:
-            self._gone.add(name)
-            self._gone_order.append((at, name))
+    def _revoke(self, name: str | Place, at: Millis) -> None:
+        if name not in self._revoked:
+            self._revoked.add(name)
+            self._revoked_order.append((at, name))
 
-    def _forget_expired(self) -> None:
+    def _remove_expired(self) -> None:
         for expiring in self._expiring.values():
-            while expiring and self._is_over(expiring[0].expires):
+            while expiring and self._is_past(expiring[0].expires):
                 slot = expiring.popleft()
                 if self._slots.get(slot.key) is slot:
                     del self._slots[slot.key]
-        while self._gone_order and self._is_over(self._gone_order[0][0]):
-            self._gone.discard(self._gone_order.popleft()[1])
+        while self._revoked_order and self._is_past(self._revoked_order[0][0]):
+            self._revoked.discard(self._revoked_order.popleft()[1])
 
-    def _is_over(self, at: Millis) -> bool:
-        return at + MARGIN <= self._time
+    def _is_past(self, at: Millis) -> bool:
+        return at + EXPIRY_MARGIN <= self._time
 
-    def _make_carried(self, slot: _Slot) -> RenewalRecord:
+    def _make_renewal(self, slot: _Slot) -> RenewalRecord:
         outcome = None
         if slot.outcome is not None:
             outcome = _unpack_outcome(slot.outcome)
@@ -348,7 +348,7 @@
         offset=place.offset,
         position=place.position,
         at=at,
-        kept_at=at,
+        last_record_at=at,
         horizon=record.horizon,
         digest=record.digest,
         agent=sys.intern(record.agent),
--- a/src/oleanderdyke/kernel/durations.py
+++ b/src/oleanderdyke/kernel/durations.py
@@ -5,10 +5,10 @@
 from oleanderdyke.clock import Millis
 
 # What is expected beyond the longest that was seen lately.
-_MARGIN = 1.3
+_SAFETY_FACTOR = 1.3
 # Each further request lets the longest one count less: a hundred requests
 # later it counts a third.
-_FADE = 0.99
+_DECAY = 0.99
 
 
 class DurationEstimator:
@@ -34,7 +34,7 @@
 
     def record(self, kind: str, duration: Millis) -> None:
         """Learn how long a request lasted."""
-        faded = self._longest.get(kind, 0.0) * _FADE
+        faded = self._longest.get(kind, 0.0) * _DECAY
         self._longest[kind] = max(faded, duration)
 
     def estimate_bound(
@@ -45,4 +45,4 @@
         if known is None:
             return otherwise
         ages = (now - at for each, at in self._running.values() if each == kind)
-        return max(known, *ages, 0.0) * _MARGIN
+        return max(known, *ages, 0.0) * _SAFETY_FACTOR
--- a/src/oleanderdyke/kernel/quarantine.py
+++ b/src/oleanderdyke/kernel/quarantine.py
@@ -71,7 +71,7 @@
         return tuple(
             digest
             for digest in digests
-            if self._count(digest, crash, now, alone=alone)
+            if self._record_for_digest(digest, crash, now, alone=alone)
         )
 
     def clear(self, digest: str) -> None:
@@ -101,13 +101,13 @@
     ) -> None:
         """Take over what a heartbeat tells."""
         for digest in quarantined:
-            record = self._find(digest, now)
+            record = self._get_or_create(digest, now)
             if not self._has_expired(record, now):
                 record.quarantined = True
         for suspect in suspects:
             digest, _, crash = suspect.partition(_SEPARATOR)
-            if not self._has_expired(self._find(digest, now), now):
-                self._add(self._find(digest, now), crash)
+            if not self._has_expired(self._get_or_create(digest, now), now):
+                self._add_crash(self._get_or_create(digest, now), crash)
 
     def list_quarantined(self, now: Millis) -> tuple[str, ...]:
         """List the quarantined digests for a heartbeat."""
@@ -126,25 +126,25 @@
             for crash in sorted(record.open_crashes)
         )
 
-    def _count(
+    def _record_for_digest(
         self, digest: str, crash: str, now: Millis, *, alone: bool
     ) -> bool:
         record = self._records.get(digest)
         if record is not None and self._has_expired(record, now):
             del self._records[digest]
-        record = self._find(digest, now)
+        record = self._get_or_create(digest, now)
         was_quarantined = record.quarantined
-        self._add(record, crash)
+        self._add_crash(record, crash)
         record.quarantined = record.quarantined or alone
         return record.quarantined and not was_quarantined
 
-    def _add(self, record: _Record, crash: str) -> None:
+    def _add_crash(self, record: _Record, crash: str) -> None:
         if len(record.open_crashes) < CRASH_LIMIT:
             record.crashes.add(crash)
         if len(record.open_crashes) >= CRASH_LIMIT:
             record.quarantined = True
 
-    def _find(self, digest: str, now: Millis) -> _Record:
+    def _get_or_create(self, digest: str, now: Millis) -> _Record:
         record = self._records.get(digest)
         if record is None:
             self._make_room(now)
--- a/src/oleanderdyke/kernel/receipts.py
+++ b/src/oleanderdyke/kernel/receipts.py
@@ -5,7 +5,10 @@
 import enum
 import hashlib
 
-from oleanderdyke.kernel.claim_records import BODY_BOUND, OutcomeRecord
+from oleanderdyke.kernel.claim_records import (
+    MAX_RECORDED_BODY_BYTES,
+    OutcomeRecord,
+)
 from oleanderdyke.links.messages import Headers
 from oleanderdyke.links.messages.claims import Claim
 
@@ -32,9 +35,9 @@
         self._hasher = hashlib.blake2b(digest_size=_DIGEST_BYTES)
 
     @property
-    def is_long(self) -> bool:
+    def is_large(self) -> bool:
         """Return whether the answer has grown over the bound."""
-        return self._size > BODY_BOUND
+        return self._size > MAX_RECORDED_BODY_BYTES
 
     @property
     def status(self) -> int:
@@ -53,11 +56,11 @@
         self._size += len(data)
         self._hasher.update(data)
 
-    def add_rest(self, body: bytes) -> None:
+    def add_missing(self, body: bytes) -> None:
         """Take what is missing, from the whole body of the same run."""
         self.add(body[self._size :])
 
-    def take_body(self) -> bytes:
+    def pop_body(self) -> bytes:
         """Return what was added since the last call."""
         body = b''.join(self._parts)
         self._parts = []
@@ -69,7 +72,7 @@
 
     def make_outcome(self, claim: Claim) -> OutcomeRecord:
         """Return the record: the whole answer, or the digest of a long one."""
-        body = b'' if self.is_long else b''.join(self._parts)
+        body = b'' if self.is_large else b''.join(self._parts)
         return OutcomeRecord(
             key=claim.key,
             offset=claim.offset,
@@ -77,5 +80,5 @@
             status=self._status,
             headers=self._headers,
             body=body,
-            body_digest=self._hasher.digest() if self.is_long else b'',
+            body_digest=self._hasher.digest() if self.is_large else b'',
         )
--- a/src/oleanderdyke/kernel/stream_buffer.py
+++ b/src/oleanderdyke/kernel/stream_buffer.py
@@ -105,7 +105,7 @@
         self._unsent_bytes = 0
         self._digest = _make_digest()
         self._totals: AnswerTotals | None = None
-        self._touched = now
+        self._last_activity = now
         self._held_bytes = 0
         self.reader: Reader | None = None
         self._attach(reader, 0, now)
@@ -170,14 +170,14 @@
         if (credit.request, credit.attempt) != (reader.request, reader.attempt):
             return ()
         self._credit += credit.chunks
-        self._touched = now
+        self._last_activity = now
         return self._flush(now)
 
     def detach(self, link: str, now: Millis) -> None:
         """Forget the reader whose link is gone."""
         if self.reader is not None and self.reader.link == link:
             self.reader = None
-            self._touched = now
+            self._last_activity = now
 
     def resume_from(
         self, sequence: int, reader: Reader, now: Millis
@@ -185,7 +185,7 @@
         """Give the stream to a reader; None when a chunk is gone."""
         if not self._first <= sequence <= self._first + len(self._chunks):
             return None
-        older = self.reader
+        previous = self.reader
         self._attach(reader, sequence, now)
         head = replace(
             self._head, request=reader.request, attempt=reader.attempt
@@ -193,13 +193,13 @@
         return Resumed(
             stream=self,
             messages=(head, *self._flush(now)),
-            superseded=older,
-            notice=None if older is None else _make_notice(older),
+            superseded=previous,
+            notice=None if previous is None else _make_superseded(previous),
         )
 
     def is_expired(self, now: Millis) -> bool:
         """Return whether nobody has taken from the stream for too long."""
-        if now - self._touched < self._limits.hold:
+        if now - self._last_activity < self._limits.hold:
             return False
         if self.reader is None or self.is_finished:
             return True
@@ -224,14 +224,14 @@
         self._resumed_digest = _make_digest()
         self._credit = self._limits.credit
         self._is_end_sent = False
-        self._touched = now
+        self._last_activity = now
         unsent = islice(self._chunks, sequence - self._first, None)
         self._unsent_bytes = sum(chunk.cost for chunk in unsent)
 
     def _flush(self, now: Millis) -> tuple[Outgoing, ...]:
         messages = () if self.reader is None else self._send(self.reader)
         if messages:
-            self._touched = now
+            self._last_activity = now
         self.trim(now)
         return messages
 
@@ -289,10 +289,10 @@
     return hashlib.blake2b(digest_size=ANSWER_DIGEST_BYTES)
 
 
-def _make_notice(older: Reader) -> Failed:
+def _make_superseded(previous: Reader) -> Failed:
     return Failed(
-        request=older.request,
-        attempt=older.attempt,
+        request=previous.request,
+        attempt=previous.attempt,
         kind=ErrorKind.STREAM_GONE,
         ran=Ran.MAYBE,
         detail='superseded by another reader',
--- a/src/oleanderdyke/kernel/stream_table.py
+++ b/src/oleanderdyke/kernel/stream_table.py
@@ -55,7 +55,7 @@
         if not head.resume or key in self._streams:
             raise OleanderError(ErrorKind.INTERNAL, 'no fresh resume token')
         if len(self._streams) >= self._limits.streams:
-            self._let_go()
+            self._evict_sent()
         buffer = StreamBuffer(head, reader, self._limits, self._budget, now)
         self._streams[key] = _Stream(key, buffer)
         return buffer
@@ -98,17 +98,17 @@
         ]
         for each in expired:
             self._remove(each.key)
-        self._relieve()
+        self._evict_over_budget()
         return tuple(each.buffer for each in expired if not each.buffer.is_sent)
 
-    def _relieve(self) -> None:
+    def _evict_over_budget(self) -> None:
         sent = [each for each in self._streams.values() if each.buffer.is_sent]
         for stream in sent:
             if not self._budget.is_over:
                 return
             self._remove(stream.key)
 
-    def _let_go(self) -> None:
+    def _evict_sent(self) -> None:
         for stream in self._streams.values():
             if stream.buffer.is_sent:
                 self._remove(stream.key)
--- a/src/oleanderdyke/kernel/streams.py
+++ b/src/oleanderdyke/kernel/streams.py
@@ -47,7 +47,7 @@
     end: Complete | Broken | None = None
 
 
-_NOTHING = ReadyParts()
+_NO_PARTS = ReadyParts()
 
 
 def _make_digest() -> hashlib.blake2b:
@@ -68,7 +68,7 @@
         self._start = start
         self._window = window
         self._head: AnswerHead | None = None
-        self._is_whole = False
+        self._is_complete = False
         self._digest = _make_digest()
         self._clear(start)
 
@@ -85,9 +85,9 @@
     def accept(self, message: AnswerMessage) -> ReadyParts:
         """Take a message and return what it completes."""
         if self._is_over or message.attempt != self._attempt:
-            return _NOTHING
+            return _NO_PARTS
         if message.request != self._request:
-            return _NOTHING
+            return _NO_PARTS
         if isinstance(message, AnswerChunk):
             return self._take_chunk(message)
         if isinstance(message, AnswerEnd):
@@ -97,7 +97,7 @@
     def mark_lost(self) -> ReadyParts:
         """End an unfinished answer whose link or backend is lost."""
         if self._is_over:
-            return _NOTHING
+            return _NO_PARTS
         self._is_lost = True
         return ReadyParts(end=self._break(BrokenReason.LOST))
 
@@ -106,7 +106,7 @@
 
         The reader holds a head back until its own run's first chunk or end.
         """
-        if self._is_whole or self._next != self._start:
+        if self._is_complete or self._next != self._start:
             return False
         self._attempt = attempt
         self._head = None
@@ -133,23 +133,23 @@
 
     def _take_head(self, head: AnswerHead) -> ReadyParts:
         if self._has_head:
-            return _NOTHING
+            return _NO_PARTS
         self._has_head = True
         # The caller of a resumed answer already has its head.
         shown = head if self._head is None else None
         self._head = self._head or head
-        return self._deliver(self._release(), head=shown)
+        return self._deliver(self._release_held(), head=shown)
 
     def _take_chunk(self, chunk: AnswerChunk) -> ReadyParts:
         sequence = chunk.sequence
         if sequence < self._next or sequence in self._held:
-            return _NOTHING
+            return _NO_PARTS
         if sequence != self._next or not self._has_head:
             return self._hold(chunk)
-        self._pass(chunk.data)
+        self._add_passed(chunk.data)
         if not self._held:
             return self._deliver((chunk.data,))
-        return self._deliver((chunk.data, *self._release()))
+        return self._deliver((chunk.data, *self._release_held()))
 
     def _hold(self, chunk: AnswerChunk) -> ReadyParts:
         if chunk.sequence >= self._next + self._window:
@@ -157,15 +157,15 @@
         self._held[chunk.sequence] = chunk.data
         return self._deliver(())
 
-    def _release(self) -> tuple[bytes, ...]:
+    def _release_held(self) -> tuple[bytes, ...]:
         released = []
         while self._next in self._held:
             data = self._held.pop(self._next)
-            self._pass(data)
+            self._add_passed(data)
             released.append(data)
         return tuple(released)
 
-    def _pass(self, data: bytes) -> None:
+    def _add_passed(self, data: bytes) -> None:
         self._digest.update(data)
         self._next += 1
 
@@ -177,12 +177,12 @@
     def _deliver(
         self, chunks: tuple[bytes, ...], head: AnswerHead | None = None
     ) -> ReadyParts:
-        end = None if self._end is None else self._judge(self._end)
+        end = None if self._end is None else self._check_end(self._end)
         if head is None and end is None and not chunks:
-            return _NOTHING
+            return _NO_PARTS
         return ReadyParts(head, chunks, end)
 
-    def _judge(self, end: AnswerEnd) -> Complete | Broken | None:
+    def _check_end(self, end: AnswerEnd) -> Complete | Broken | None:
         highest = max(self._held, default=self._next - 1)
         if highest >= end.count:
             return self._break(BrokenReason.COUNT)
@@ -193,7 +193,7 @@
         if not hmac.compare_digest(self._digest.digest(), proof):
             return self._break(BrokenReason.DIGEST)
         self._is_over = True
-        self._is_whole = True
+        self._is_complete = True
         return Complete(end)
 
     def _break(self, reason: BrokenReason) -> Broken:
--- a/src/oleanderdyke/kernel/targets.py
+++ b/src/oleanderdyke/kernel/targets.py
@@ -14,8 +14,8 @@
 WINDOW: Millis = HOUR
 REQUIRED_SHARE = 0.95
 MAX_KEPT_MISSES = 50
-_SLICES = 12
-_SERVICE_COUNT = 200
+_SLICE_COUNT = 12
+_MAX_SERVICES = 200
 
 # Whoever caused one of these himself is owed nothing.
 CALLER_FAULTS = frozenset(
@@ -112,7 +112,7 @@
 
     def __init__(self) -> None:
         self.refusals: Counter[ErrorKind] = Counter()
-        self._slices: deque[_Slice] = deque(maxlen=_SLICES)
+        self._slices: deque[_Slice] = deque(maxlen=_SLICE_COUNT)
         self._missed = {
             target: deque[MissedTarget](maxlen=MAX_KEPT_MISSES)
             for target in Target
@@ -132,7 +132,7 @@
         current.recomputed_tokens += served.recomputed_tokens
         found = []
         for target, value in _list_values(served):
-            limit = find_limit(targets, target)
+            limit = get_limit(targets, target)
             current.judged[target] += 1
             if value <= limit and served.refused is None:
                 continue
@@ -149,8 +149,8 @@
         self, targets: Targets, now: Millis
     ) -> tuple[TargetStatus, ...]:
         """Compare every target with the requests of the window."""
-        kept = [item for item in self._slices if _is_kept(item, now)]
-        return tuple(_judge(kept, targets, target) for target in Target)
+        kept = [item for item in self._slices if _is_in_window(item, now)]
+        return tuple(_evaluate(kept, targets, target) for target in Target)
 
     def list_missed(
         self, count: int = MAX_KEPT_MISSES
@@ -178,13 +178,13 @@
     def get(self, service: str) -> TargetMonitor:
         """Return the book of a service, a new one where there is none."""
         if service not in self._books:
-            while len(self._books) >= _SERVICE_COUNT:
+            while len(self._books) >= _MAX_SERVICES:
                 del self._books[next(iter(self._books))]
             self._books[service] = TargetMonitor()
         return self._books[service]
 
 
-def find_limit(targets: Targets, target: Target) -> float:
+def get_limit(targets: Targets, target: Target) -> float:
     """Return what is owed for one target."""
     limits = {
         Target.FIRST_TOKEN: targets.first_token,
@@ -211,10 +211,10 @@
     return counts.judged - counts.missed >= REQUIRED_SHARE * counts.judged
 
 
-def _judge(
+def _evaluate(
     kept: list[_Slice], targets: Targets, target: Target
 ) -> TargetStatus:
-    limit = find_limit(targets, target)
+    limit = get_limit(targets, target)
     counts = TargetCounts(
         sum(item.judged[target] for item in kept),
         sum(item.missed[target] for item in kept),
@@ -226,8 +226,8 @@
 
 
 def _number_slice(now: Millis) -> int:
-    return int(now // (WINDOW / _SLICES))
+    return int(now // (WINDOW / _SLICE_COUNT))
 
 
-def _is_kept(item: _Slice, now: Millis) -> bool:
-    return item.number > _number_slice(now) - _SLICES
+def _is_in_window(item: _Slice, now: Millis) -> bool:
+    return item.number > _number_slice(now) - _SLICE_COUNT
--- a/tests/test_claimed_attempts.py
+++ b/tests/test_claimed_attempts.py
@@ -5,7 +5,7 @@
 from oleanderdyke.errors import ErrorKind, Ran
 from oleanderdyke.kernel import attempt_events as ev
 from oleanderdyke.kernel.claim_records import (
-    BODY_BOUND,
+    MAX_RECORDED_BODY_BYTES,
     ReleaseRecord,
     WithdrawRecord,
 )
@@ -38,7 +38,7 @@
 
 
 def test_long_receipt_flows_and_only_its_digest_is_recorded():
-    case = make_claimed_run().head().chunk(b'x' * (BODY_BOUND + 1))
+    case = make_claimed_run().head().chunk(b'x' * (MAX_RECORDED_BODY_BYTES + 1))
     assert case.find(ev.DeliverChunk)
     assert case.chunk(b'y').actions == (ev.DeliverChunk(b'y'),)
     record = case.end().find(ev.AppendOutcome).record
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -18,7 +18,7 @@
     make_key,
 )
 from oleanderdyke.kernel.claims import (
-    MARGIN,
+    EXPIRY_MARGIN,
     ClaimTable,
     Conflict,
     Finished,
@@ -142,9 +142,9 @@
         [make_record('a'), WithdrawRecord(KEY, 'x')],
         [WithdrawRecord(KEY, 'y')],
     ]
-    table = read_log(*batches, step=HORIZON + MARGIN)
+    table = read_log(*batches, step=HORIZON + EXPIRY_MARGIN)
     assert len(table) == 0
-    assert table._gone == {'y'}
+    assert table._revoked == {'y'}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_request_safety.py
+++ b/tests/test_request_safety.py
@@ -147,7 +147,7 @@
 class ForgetfulTable(ClaimTable):
     """Ignore what was carried over before the log forgot it."""
 
-    def _apply_carried(self, _append_outcome, _at):
+    def _apply_renewal(self, _append_outcome, _at):
         return None
 
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -427,7 +427,7 @@
 
 
 class TrustsEnds(AnswerAssembler):
-    def _judge(self, end):
+    def _check_end(self, end):
         self._is_over = self._has_head
         return Complete(end) if self._has_head else None
 
