--- a/src/oleanderdyke/kernel/claim_records.py
+++ b/src/oleanderdyke/kernel/claim_records.py
@@ -22,7 +22,7 @@
 
 
 class Place(NamedTuple):
-    """Place a record in the claims log: offset of its batch, position in it."""
+    """Locate a record: the log offset of its batch and its index within it."""
 
     offset: int
     position: int
@@ -30,11 +30,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRecord:
-    """Ask for an idempotency key on behalf of one agent's incarnation.
+    """Claim an idempotency key for one agent's incarnation.
 
-    `claim_id` is unique to this append, so that a claim whose append lost its
-    answer is found on reading back. `horizon` travels with the record: every
-    reader expires it alike, whatever configuration it has.
+    `claim_id` is unique to this append, so that reading the log finds the
+    claim even if the reply to the append was lost. `horizon` is part of the
+    record so that all readers expire it alike, whatever their configuration.
     """
 
     key: str
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseRecord:
-    """Free a key whose claim its agent has barred."""
+    """Free a key whose claim was barred by its agent."""
 
     key: str
     offset: int
@@ -59,10 +59,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WithdrawRecord:
-    """Take back a claim that its appender never dispatched and never will.
+    """Withdraw a claim that its appender never dispatched and never will.
 
-    It names the claim by id, because the appender may not know whether or
-    where the claim is in the log; it holds also when it is read first.
+    The claim is identified by its id, because the appender may not know
+    whether it reached the log or at which offset. A withdrawal also takes
+    effect if it precedes its claim in the log.
     """
 
     key: str
@@ -71,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeRecord:
-    """Keep the answer of a claim; a long body is kept as its digest only."""
+    """Record the answer to a claim; of a long body only the digest."""
 
     key: str
     offset: int
@@ -84,9 +85,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewalRecord:
-    """Repeat a live claim, with its place and time, before the log forgets it.
+    """Repeat a live claim, with its place and time, before its record expires.
 
-    `through` is the last offset that its appender had applied.
+    `through` is the last offset that the appender had applied.
     """
 
     claim: ClaimRecord
@@ -103,7 +104,7 @@
 
 
 def make_key(team: str, service: str, idempotency_key: str) -> str:
-    """Return the claim key: separate for each team and service."""
+    """Return the claim key, unique to the team, service and idempotency key."""
     hasher = hashlib.blake2b(digest_size=KEY_BYTES)
     for part in (team, service, idempotency_key):
         data = part.encode()
@@ -113,12 +114,12 @@
 
 
 def encode_batch(records: Sequence[ClaimsRecord]) -> bytes:
-    """Encode records as one log record; a record's index is its place."""
+    """Encode records as one log record, in order."""
     return dump_cbor([_encode(record) for record in records])
 
 
 def decode_batch(data: bytes) -> tuple[ClaimsRecord | None, ...]:
-    """Decode a log record; None stands for a record that can't be decoded."""
+    """Decode a log record; None stands for each undecodable record in it."""
     try:
         items = load_cbor(data)
     except OleanderError:
@@ -129,7 +130,7 @@
 
 
 def make_claim(record: ClaimRecord, place: Place) -> Claim:
-    """Return the claim that a record has become at its place."""
+    """Return the claim made by a record at its place in the log."""
     return Claim(
         offset=place.offset,
         index=place.position,
@@ -140,8 +141,8 @@
     )
 
 
-# A record travels as a list: its tag, then its fields in declared order. New
-# fields go to the end with a default; readers ignore further values.
+# A record is encoded as a list: its tag, then its fields in declared order.
+# New fields must be added last with a default; readers ignore extra values.
 _TAGS: Mapping[type[Any], int] = {
     ClaimRecord: 1,
     ReleaseRecord: 2,
--- a/src/oleanderdyke/kernel/claim_runs.py
+++ b/src/oleanderdyke/kernel/claim_runs.py
@@ -1,4 +1,4 @@
-"""Remember at an agent which claims were used, barred and answered."""
+"""Track the claims that ran, were barred or were answered at an agent."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunAnswer:
-    """Hold the answer of a run."""
+    """Hold the complete answer of a run."""
 
     status: int
     headers: Headers
@@ -26,7 +26,7 @@
 
 
 class RunState(enum.Enum):
-    """Name what became of a claim at its agent."""
+    """Identify the state of a claim at its agent."""
 
     BARRED = enum.auto()
     RUNNING = enum.auto()
@@ -46,11 +46,11 @@
 
 
 class ClaimRuns:
-    """Remember claims in bounded memory and say truthfully what it forgot.
+    """Track claims in bounded memory.
 
-    A claim may start only within `max_age` heartbeats, so a claim that can
-    still start is never forgotten. Of older ones the oldest go first; a claim
-    as old as a forgotten one is answered by UNKNOWN.
+    A claim may start only within `max_age` heartbeats; claims are not evicted
+    before that. Older claims are evicted oldest first. Queries for a claim as
+    old as an evicted claim are answered with UNKNOWN.
     """
 
     def __init__(
@@ -68,15 +68,15 @@
         return len(self._runs)
 
     def record_heartbeat(self, sequence: int) -> None:
-        """Learn the sequence number of the agent's latest heartbeat."""
+        """Record the sequence number of the agent's latest heartbeat."""
         self._beat = max(self._beat, sequence)
 
     def is_known(self, claim: Claim) -> bool:
-        """Return whether a claim was used or barred."""
+        """Return whether a claim has started or was barred."""
         return _make_key(claim) in self._runs
 
     def make_room(self) -> bool:
-        """Make room for one claim, or tell that there is none."""
+        """Evict the oldest claim if needed; return whether one more fits."""
         if len(self._runs) < self._capacity:
             return True
         key, run = next(iter(self._runs.items()))
@@ -88,15 +88,15 @@
         return True
 
     def is_too_old(self, beat: int) -> bool:
-        """Return whether a claim of this heartbeat may no longer start."""
+        """Return whether a claim made at this heartbeat may no longer start."""
         return beat < self._beat - self._max_age
 
     def add(self, claim: Claim, team: str, state: RunState) -> None:
-        """Remember a claim; call `make_room` first."""
+        """Add a claim; call `make_room` first."""
         self._runs[_make_key(claim)] = _Run(claim.beat, team, state)
 
     def finish(self, claim: Claim, answer: RunAnswer | None) -> None:
-        """Keep the answer of a run; None tells that it is not known whole."""
+        """Store the answer of a run; None if the answer is incomplete."""
         key = _make_key(claim)
         run = self._runs.get(key)
         if run is None or run.state is not RunState.RUNNING:
@@ -108,13 +108,13 @@
         self._keep_answer(key, run, answer)
 
     def bar(self, claim: Claim) -> None:
-        """Note that an admitted claim never reached the backend server."""
+        """Bar an admitted claim that never reached the backend server."""
         run = self._runs.get(_make_key(claim))
         if run is not None and run.state is RunState.RUNNING:
             run.state = RunState.BARRED
 
     def answer(self, query: ClaimQuery) -> ClaimAnswer:
-        """Tell what became of a claim; bar it where it never started."""
+        """Return the state of a claim, and bar it if it never started."""
         run = self._runs.get(_make_key(query.claim))
         if run is None:
             return ClaimAnswer(query.request, query.claim, self._bar(query))
@@ -164,7 +164,7 @@
 
 
 def _make_finished(query: ClaimQuery, answer: RunAnswer | None) -> ClaimAnswer:
-    """Return a finished run's answer; status 0 where it is not kept."""
+    """Return a finished run's answer; status 0 if it is no longer stored."""
     if answer is None:
         return ClaimAnswer(query.request, query.claim, ClaimState.FINISHED)
     return ClaimAnswer(
--- a/src/oleanderdyke/kernel/claims.py
+++ b/src/oleanderdyke/kernel/claims.py
@@ -1,4 +1,4 @@
-"""Decide who owns an idempotency key, from the claims log alone."""
+"""Determine the owner of each idempotency key from the claims log alone."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Free:
-    """Nobody owns the key."""
+    """The key has no owner."""
 
 
 @dataclass(frozen=True, slots=True)
 class Owned:
-    """The asked claim owns the key."""
+    """The given claim owns the key."""
 
     claim: Claim
 
 
 @dataclass(frozen=True, slots=True)
 class OwnedByOther:
-    """An earlier claim with the same request owns the key."""
+    """An earlier claim for the same request owns the key."""
 
     claim: Claim
 
@@ -58,14 +58,14 @@
 Verdict: TypeAlias = Free | Owned | OwnedByOther | Finished | Conflict
 
 
-# How late an append may still take effect, and how far the log's own time may
-# step back, before readers could differ.
+# Expired state is kept this much longer. Readers agree as long as no append
+# takes effect later than this and log time steps back by no more.
 EXPIRY_MARGIN = 1 * HOUR
 
 
 @dataclass(slots=True)
 class _Slot:
-    """Hold the owner of one key, compactly."""
+    """Hold the claim that owns one key, without nested objects."""
 
     key: str
     offset: int
@@ -91,25 +91,25 @@
         return self.at + self.horizon
 
     def finish(self, outcome: OutcomeRecord) -> None:
-        """Keep the answer; a finished claim needs its id no more."""
+        """Store the outcome; a finished claim no longer needs its id."""
         self.outcome = encode_batch([outcome])
         self.claim_id = ''
 
 
 class ClaimTable:
-    """Apply the claims log in offset order.
+    """Maintain the owners of keys by applying the claims log in offset order.
 
-    An entry acts on a claim only after it has applied the log through the
-    claim's own offset, and on none before it has read the log to its end
-    once after its start and after each gap. What a key is depends on records
-    and their times in the log alone, never on the reader.
+    An entry acts on a claim only after applying the log through the claim's
+    own offset. After its start and after each gap, it acts on no claim until
+    it has read the log to its end once. The state of a key depends only on
+    the records and their log times, so all readers agree.
     """
 
     def __init__(self) -> None:
         self._slots: dict[str, _Slot] = {}
-        # For each horizon the slots in the order of their claims.
+        # For each horizon, the slots in the order of their claims.
         self._expiring: dict[Millis, deque[_Slot]] = {}
-        # Places of released claims and ids of withdrawn ones.
+        # Places of released claims and ids of withdrawn claims.
         self._revoked: set[str | Place] = set()
         self._revoked_order: deque[tuple[Millis, str | Place]] = deque()
         self._next = 0
@@ -122,30 +122,33 @@
 
     @property
     def next_offset(self) -> int:
-        """Return the first offset that has not been applied."""
+        """Return the first offset that has not been applied yet."""
         return self._next
 
     @property
     def caught_up(self) -> bool:
-        """Return whether the log was read to its end since a start or a gap."""
+        """Return whether the log was read to its end since a start or gap."""
         return self._target is not None and self._next >= self._target
 
     @property
     def log_time(self) -> Millis:
-        """Return the latest log time that was read."""
+        """Return the latest log time among the applied records."""
         return self._time
 
     def set_catch_up_target(self, end: int) -> None:
-        """Learn the log's next free offset, as each page names it."""
+        """Set the log's end, to which the table must read to catch up.
+
+        Only the first end given after the start or a gap counts.
+        """
         if self._target is None:
             self._target = end
 
     def apply(self, offset: int, at: Millis, data: bytes) -> None:
-        """Apply one log record (a batch); `at` is the log's own time.
+        """Apply one log record, which is a batch; `at` is its log time.
 
-        Offsets below `next_offset` are ignored. After a gap the table starts
-        anew, because a release or a claim may have been missed; live claims
-        come back with their carried records.
+        Offsets below `next_offset` are ignored. A gap resets the table, since
+        a claim or a release may have been missed; renewal records restore the
+        live claims.
         """
         if offset < self._next:
             return
@@ -159,7 +162,7 @@
         self._remove_expired()
 
     def get_verdict(self, key: str, digest: str) -> Verdict:
-        """Tell what the key is to a request that has no claim of its own."""
+        """Return the state of the key for a request without its own claim."""
         slot = self._slots.get(key)
         if slot is None or slot.expires <= self._time:
             return Free()
@@ -173,10 +176,10 @@
     def get_claim_verdict(
         self, claim_id: str, key: str, digest: str
     ) -> Verdict:
-        """Tell what became of an own claim.
+        """Return the state of the key for the request that appended a claim.
 
         `Free` means that the claim is not in the log as far as it was read,
-        that it was taken back, or that the table has not caught up.
+        that it was withdrawn, or that the table has not caught up.
         """
         if not self.caught_up:
             return Free()
@@ -190,7 +193,7 @@
     def list_due_renewals(
         self, before: Millis, limit: int
     ) -> tuple[RenewalRecord, ...]:
-        """List live claims whose latest record is older than a log time."""
+        """List up to `limit` live claims last recorded before a log time."""
         due: list[RenewalRecord] = []
         for slot in self._slots.values():
             if slot.last_record_at >= before or len(due) >= limit:
@@ -231,9 +234,9 @@
         self._put(_make_slot(record, place, at))
 
     def _apply_release(self, record: ReleaseRecord, at: Millis) -> None:
-        """Free the key; mark also a claim as gone that was not read here.
+        """Free the key, and revoke the claim even if it was not read here.
 
-        A carried record of it may still follow.
+        A renewal record of the claim may still follow.
         """
         place = Place(record.offset, record.index)
         slot = self._find_unfinished(record.key)
@@ -270,10 +273,10 @@
             self._restore(record, place, at)
 
     def _may_replace(self, slot: _Slot | None, record: RenewalRecord) -> bool:
-        """Return whether a slot gives way to a carried claim.
+        """Return whether a renewed claim may replace the claim in the slot.
 
-        Where this reader has read everything after `through`, it would have
-        seen the carried claim go; so it still is the owner.
+        If this table has applied every record after `through`, it would have
+        seen the renewed claim end, so that claim is still the owner.
         """
         if slot is None or slot.unconfirmed:
             return True
@@ -297,7 +300,7 @@
         slot.unconfirmed = slot.unconfirmed and not self._has_read_since(record)
         if slot.outcome is None and record.outcome is not None:
             slot.finish(record.outcome)
-        # The order of the slots is that of their latest records.
+        # Slots are ordered by their latest record.
         self._slots[slot.key] = self._slots.pop(slot.key)
 
     def _put(self, slot: _Slot) -> None:
@@ -379,5 +382,5 @@
 def _unpack_outcome(data: bytes) -> OutcomeRecord:
     record = decode_batch(data)[0]
     if not isinstance(record, OutcomeRecord):
-        raise TypeError('not an outcome record')
+        raise TypeError(f'expected OutcomeRecord, got {type(record).__name__}')
     return record
--- a/src/oleanderdyke/kernel/receipts.py
+++ b/src/oleanderdyke/kernel/receipts.py
@@ -1,4 +1,4 @@
-"""Collect the answer of a claimed call until it is recorded."""
+"""Buffer the answer to a claimed request until it is recorded."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ReceiptState(enum.StrEnum):
-    """Name how an answer is kept, as its header tells the caller."""
+    """Identify how an answer was recorded; sent in the receipt header."""
 
     RECORDED = 'recorded'
     UNRECORDED = 'unrecorded'
@@ -25,7 +25,10 @@
 
 
 class Receipt:
-    """Hold an answer up to a bound; a longer one flows on to the caller."""
+    """Buffer an answer and hash its body.
+
+    Answers over MAX_RECORDED_BODY_BYTES are passed on to the caller instead.
+    """
 
     def __init__(self) -> None:
         self._status = 0
@@ -36,42 +39,42 @@
 
     @property
     def is_large(self) -> bool:
-        """Return whether the answer has grown over the bound."""
+        """Return whether the body exceeds MAX_RECORDED_BODY_BYTES."""
         return self._size > MAX_RECORDED_BODY_BYTES
 
     @property
     def status(self) -> int:
-        """Return the status of the answer."""
+        """Return the HTTP status of the answer, 0 before its head."""
         return self._status
 
     def open(self, status: int, headers: Headers) -> None:
-        """Take the head; a second one of the same run changes nothing."""
+        """Set the status and headers; a repeated head of the run is ignored."""
         if not self._status:
             self._status = status
             self._headers = headers
 
     def add(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body."""
         self._parts.append(data)
         self._size += len(data)
         self._hasher.update(data)
 
     def add_missing(self, body: bytes) -> None:
-        """Take what is missing, from the whole body of the same run."""
+        """Append the missing rest, given the whole body of the same run."""
         self.add(body[self._size :])
 
     def pop_body(self) -> bytes:
-        """Return what was added since the last call."""
+        """Return and drop the body parts added since the last call."""
         body = b''.join(self._parts)
         self._parts = []
         return body
 
     def make_headers(self, state: ReceiptState) -> Headers:
-        """Return the answer's headers and what we say about it."""
+        """Return the answer's headers with the receipt header added."""
         return (*self._headers, (RECEIPT_HEADER, state.value))
 
     def make_outcome(self, claim: Claim) -> OutcomeRecord:
-        """Return the record: the whole answer, or the digest of a long one."""
+        """Build the outcome record; a large body is replaced by its digest."""
         body = b'' if self.is_large else b''.join(self._parts)
         return OutcomeRecord(
             key=claim.key,
