--- a/src/oleanderdyke/kernel/stream_buffer.py
+++ b/src/oleanderdyke/kernel/stream_buffer.py
@@ -1,4 +1,4 @@
-"""Keep the recent chunks of running answers so that they can be resumed."""
+"""Buffer the recent chunks of running answers so they can be resumed."""
 
 from __future__ import annotations
 
@@ -21,13 +21,17 @@
 
 Outgoing: TypeAlias = AnswerHead | AnswerChunk | AnswerEnd
 
-# What holding a chunk costs beside its data.
+# Bytes charged for each buffered chunk in addition to its data.
 CHUNK_OVERHEAD = 64
 
 
 @dataclass(frozen=True, slots=True)
 class StreamLimits:
-    """Bound what the buffers of one agent hold."""
+    """Limit the stream buffers of one agent.
+
+    `hold` is how long sent chunks and idle streams are kept; `credit` is the
+    number of chunks that a new reader may receive before it grants more.
+    """
 
     stream_bytes: int = 256 * 1024
     total_bytes: int = 16 * 1024 * 1024
@@ -38,20 +42,20 @@
 
 @dataclass(slots=True)
 class BufferBudget:
-    """Count the bytes that all buffers of an agent hold."""
+    """Count the bytes held by all buffers of an agent."""
 
     limit: int
     used: int = 0
 
     @property
     def is_over(self) -> bool:
-        """Return whether the buffers hold too much together."""
+        """Return whether the buffers together exceed the limit."""
         return self.used > self.limit
 
 
 @dataclass(frozen=True, slots=True)
 class Reader:
-    """Name who receives a stream: a link, and the ids it goes by there."""
+    """Identify the receiver of a stream: a link, request id and attempt."""
 
     link: str
     request: str
@@ -60,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resumed:
-    """Send the messages to the new reader and the notice to the older one."""
+    """Hold messages for the new reader and a notice for the previous one."""
 
     stream: StreamBuffer
     messages: tuple[Outgoing, ...]
@@ -70,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerTotals:
-    """Hold what the end of an answer reports beside count and digest."""
+    """Hold the totals that the end of an answer reports."""
 
     recomputed_tokens: int = 0
     prompt_tokens: int = 0
@@ -84,9 +88,9 @@
 
 
 class StreamBuffer:
-    """Hold one answer's chunks between its producer and its reader.
+    """Buffer one answer's chunks between its producer and its reader.
 
-    The shell sends the head itself when it opens the stream.
+    The code that opens the stream must send the head itself.
     """
 
     def __init__(
@@ -112,8 +116,8 @@
 
     @property
     def is_full(self) -> bool:
-        """Return whether the producer must wait until messages are sent."""
-        # Without a reader, what was sent last may have to be sent again.
+        """Return whether the producer must wait for chunks to be sent."""
+        # Without a reader, chunks already sent may have to be sent again.
         needed = self._held_bytes if self.reader is None else self._unsent_bytes
         if needed >= self._limits.stream_bytes:
             return True
@@ -121,35 +125,38 @@
 
     @property
     def is_finished(self) -> bool:
-        """Return whether the producer has closed the answer."""
+        """Return whether the producer has ended the answer."""
         return self._totals is not None
 
     @property
     def is_sent(self) -> bool:
-        """Return whether the end was sent to the present reader."""
+        """Return whether the end was sent to the current reader."""
         return self._is_end_sent
 
     @property
     def held_bytes(self) -> int:
-        """Return what the chunks held cost."""
+        """Return the bytes charged for the buffered chunks."""
         return self._held_bytes
 
     def would_drop(self, data: bytes) -> bool:
-        """Return whether adding drops a sent chunk while others wait.
+        """Return whether adding drops a sent chunk while others are unsent.
 
-        A reader whose link breaks then would miss that chunk.
+        A reader whose link then breaks could not resume at that chunk.
         """
         cost = len(data) + CHUNK_OVERHEAD
         over = self._held_bytes + cost > self._limits.stream_bytes
         return over and self._unsent_bytes > 0
 
     def add(self, data: bytes, now: Millis) -> tuple[Outgoing, ...]:
-        """Take a chunk from the producer; return what may be sent now.
+        """Add a chunk from the producer; return the messages to send now.
 
         Raises OleanderError INTERNAL while `is_full` or once finished.
         """
         if self.is_full or self.is_finished:
-            raise OleanderError(ErrorKind.INTERNAL, 'stream takes no chunk')
+            raise OleanderError(
+                ErrorKind.INTERNAL,
+                'chunk added to a stream that is full or finished',
+            )
         cost = len(data) + CHUNK_OVERHEAD
         self._chunks.append(_Chunk(data, now, cost))
         self._digest.update(data)
@@ -158,12 +165,12 @@
         return self._flush(now)
 
     def finish(self, totals: AnswerTotals, now: Millis) -> tuple[Outgoing, ...]:
-        """Close the answer; return what may be sent now."""
+        """End the answer; return the messages to send now."""
         self._totals = totals
         return self._flush(now)
 
     def grant(self, credit: Credit, now: Millis) -> tuple[Outgoing, ...]:
-        """Let the present reader have more chunks."""
+        """Add credit of the current reader; return the messages to send now."""
         reader = self.reader
         if reader is None or credit.chunks <= 0:
             return ()
@@ -174,7 +181,7 @@
         return self._flush(now)
 
     def detach(self, link: str, now: Millis) -> None:
-        """Forget the reader whose link is gone."""
+        """Remove the reader if it is on the given lost link."""
         if self.reader is not None and self.reader.link == link:
             self.reader = None
             self._last_activity = now
@@ -182,7 +189,10 @@
     def resume_from(
         self, sequence: int, reader: Reader, now: Millis
     ) -> Resumed | None:
-        """Give the stream to a reader; None when a chunk is gone."""
+        """Hand the stream to a new reader from a sequence on.
+
+        Returns None if that chunk is no longer buffered or does not exist yet.
+        """
         if not self._first <= sequence <= self._first + len(self._chunks):
             return None
         previous = self.reader
@@ -198,7 +208,10 @@
         )
 
     def is_expired(self, now: Millis) -> bool:
-        """Return whether nobody has taken from the stream for too long."""
+        """Return whether the stream was idle for the hold time.
+
+        A running stream with a reader and no unsent chunks does not expire.
+        """
         if now - self._last_activity < self._limits.hold:
             return False
         if self.reader is None or self.is_finished:
@@ -206,14 +219,14 @@
         return self._unsent_bytes > 0
 
     def trim(self, now: Millis) -> None:
-        """Drop sent chunks that are too many or too old."""
+        """Drop sent chunks that exceed the limits in size or age."""
         while self._first < self._sent and self._is_surplus(now):
             cost = self._chunks.popleft().cost
             self._first += 1
             self._charge(-cost)
 
     def clear(self) -> None:
-        """Give back what the chunks cost."""
+        """Drop all chunks and release their bytes from the budget."""
         self._charge(-self._held_bytes)
         self._chunks.clear()
 
--- a/src/oleanderdyke/kernel/stream_table.py
+++ b/src/oleanderdyke/kernel/stream_table.py
@@ -1,4 +1,4 @@
-"""Find running answers by team and resume token."""
+"""Look up running answers by team and resume token."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class StreamTable:
-    """Hold the streams of an agent, bounded in number and bytes."""
+    """Hold the streams of an agent, limited in number and bytes."""
 
     def __init__(self, limits: StreamLimits) -> None:
         self._limits = limits
@@ -40,20 +40,22 @@
 
     @property
     def held_bytes(self) -> int:
-        """Return what all chunks held cost."""
+        """Return the bytes charged for all buffered chunks."""
         return self._budget.used
 
     def open(
         self, team: str, head: AnswerHead, reader: Reader, now: Millis
     ) -> StreamBuffer:
-        """Start a stream under the secret token in its head.
+        """Open a stream under the secret resume token in its head.
 
-        Raises OleanderError OVERLOADED when no stream can be let go, and
-        INTERNAL for a head without a token or with one in use.
+        Raises OleanderError OVERLOADED if the table is full and no stream can
+        be evicted, and INTERNAL if the token is missing or already in use.
         """
         key = _make_key(team, head.resume)
         if not head.resume or key in self._streams:
-            raise OleanderError(ErrorKind.INTERNAL, 'no fresh resume token')
+            raise OleanderError(
+                ErrorKind.INTERNAL, 'resume token is missing or already in use'
+            )
         if len(self._streams) >= self._limits.streams:
             self._evict_sent()
         buffer = StreamBuffer(head, reader, self._limits, self._budget, now)
@@ -63,7 +65,7 @@
     def resume(
         self, resume: Resume, link: str, now: Millis
     ) -> Resumed | Failed:
-        """Continue a stream; the refusal doesn't tell why."""
+        """Resume a stream; a refusal does not reveal its reason."""
         key = _make_key(resume.team, resume.token)
         stream = self._streams.get(key)
         if stream is None or not hmac.compare_digest(stream.key, key):
@@ -73,21 +75,21 @@
         return resumed or _refuse(resume)
 
     def detach(self, link: str, now: Millis) -> None:
-        """Forget the reader of every stream on a lost link."""
+        """Remove the readers on a lost link from all streams."""
         for stream in self._streams.values():
             stream.buffer.detach(link, now)
 
     def close(self, buffer: StreamBuffer) -> None:
-        """Forget a stream, for one that was cancelled or has failed."""
+        """Remove a stream that was cancelled or has failed."""
         for key, stream in self._streams.items():
             if stream.buffer is buffer:
                 self._remove(key)
                 return
 
     def expire(self, now: Millis) -> tuple[StreamBuffer, ...]:
-        """Drop what is over in time; return streams that weren't all sent.
+        """Remove expired streams; return those not sent completely.
 
-        The shell cancels their producers and tells their readers, if any.
+        The caller must cancel their producers and notify their readers.
         """
         for stream in self._streams.values():
             stream.buffer.trim(now)
@@ -113,15 +115,18 @@
             if stream.buffer.is_sent:
                 self._remove(stream.key)
                 return
-        raise OleanderError(ErrorKind.OVERLOADED, 'too many streams')
+        raise OleanderError(
+            ErrorKind.OVERLOADED,
+            f'all {self._limits.streams} streams are still being sent',
+        )
 
     def _remove(self, key: bytes) -> None:
         self._streams.pop(key).buffer.clear()
 
 
 def _make_key(team: str, token: str) -> bytes:
-    # Looking up a digest keeps the token out of any comparison that stops at
-    # the first difference.
+    # A dict lookup is not constant-time: using a digest as the key keeps it
+    # from leaking the token through timing.
     name = team.encode()
     digest = hashlib.blake2b(digest_size=_KEY_BYTES)
     digest.update(len(name).to_bytes(_LENGTH_BYTES, 'big'))
--- a/src/oleanderdyke/kernel/streams.py
+++ b/src/oleanderdyke/kernel/streams.py
@@ -1,4 +1,4 @@
-"""Pass on an answer whole and in order, or say that it broke."""
+"""Reassemble a streamed answer in order and verify that it is complete."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class BrokenReason(enum.StrEnum):
-    """Say why an answer isn't whole."""
+    """Identify why an answer is incomplete."""
 
     COUNT = 'count'
     DIGEST = 'digest'
@@ -26,21 +26,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Complete:
-    """End an answer that was passed on entirely."""
+    """The answer ended and every chunk of it was passed on."""
 
     end: AnswerEnd
 
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """End an answer that can't be completed from this attempt."""
+    """The answer can't be completed from this attempt."""
 
     reason: BrokenReason
 
 
 @dataclass(frozen=True, slots=True)
 class ReadyParts:
-    """Hold what may be passed on to the caller now, in this order."""
+    """Hold the parts that may be passed on to the caller now, in order."""
 
     head: AnswerHead | None = None
     chunks: tuple[bytes, ...] = ()
@@ -55,9 +55,11 @@
 
 
 class AnswerAssembler:
-    """Order the chunks of the current attempt of one answer.
+    """Reorder the chunks of one answer from its current attempt.
 
-    An answer that continues a stream starts at the sequence of its Resume.
+    `start` is the first expected sequence, which is above 0 for an answer
+    that resumes a stream. A chunk `window` or more sequences ahead breaks the
+    answer.
     """
 
     def __init__(
@@ -74,16 +76,16 @@
 
     @property
     def next_sequence(self) -> int:
-        """Return the first sequence that was not passed on."""
+        """Return the first sequence that was not passed on yet."""
         return self._next
 
     @property
     def is_over(self) -> bool:
-        """Return whether the answer has ended, whole or broken."""
+        """Return whether the answer has ended, complete or broken."""
         return self._is_over
 
     def accept(self, message: AnswerMessage) -> ReadyParts:
-        """Take a message and return what it completes."""
+        """Add a message and return the parts that can now be passed on."""
         if self._is_over or message.attempt != self._attempt:
             return _NO_PARTS
         if message.request != self._request:
@@ -95,16 +97,17 @@
         return self._take_head(message)
 
     def mark_lost(self) -> ReadyParts:
-        """End an unfinished answer whose link or backend is lost."""
+        """Break an unfinished answer whose link or backend server is lost."""
         if self._is_over:
             return _NO_PARTS
         self._is_lost = True
         return ReadyParts(end=self._break(BrokenReason.LOST))
 
     def start_over(self, attempt: int) -> bool:
-        """Switch to another run; False once a chunk or whole was passed on.
+        """Switch to another run of the request.
 
-        The reader holds a head back until its own run's first chunk or end.
+        Returns False once a chunk or the end was passed on. The receiver must
+        hold the head back until the first chunk or the end of the same run.
         """
         if self._is_complete or self._next != self._start:
             return False
@@ -114,7 +117,10 @@
         return True
 
     def resume(self, attempt: int) -> bool:
-        """Continue the same run; False once it ended in another way."""
+        """Continue the same run as a new attempt.
+
+        Returns False if the answer has ended other than by `mark_lost`.
+        """
         if self._is_over and not self._is_lost:
             return False
         self._attempt = attempt
@@ -135,7 +141,7 @@
         if self._has_head:
             return _NO_PARTS
         self._has_head = True
-        # The caller of a resumed answer already has its head.
+        # The caller already has the head of a resumed answer.
         shown = head if self._head is None else None
         self._head = self._head or head
         return self._deliver(self._release_held(), head=shown)
@@ -188,7 +194,7 @@
             return self._break(BrokenReason.COUNT)
         if self._next < end.count or not self._has_head:
             return None
-        # A reader that starts within the answer can't know its first part.
+        # The full digest can't be verified without the start of the answer.
         proof = end.resumed_digest if self._start else end.digest
         if not hmac.compare_digest(self._digest.digest(), proof):
             return self._break(BrokenReason.DIGEST)
