--- a/src/oleanderdyke/kernel/durations.py
+++ b/src/oleanderdyke/kernel/durations.py
@@ -1,46 +1,46 @@
-"""Know how long requests of each kind last."""
+"""Estimate an upper bound of the duration of requests, by kind."""
 
 from __future__ import annotations
 
 from oleanderdyke.clock import Millis
 
-# What is expected beyond the longest that was seen lately.
+# Factor by which a request may exceed the longest one seen recently.
 _SAFETY_FACTOR = 1.3
-# Each further request lets the longest one count less: a hundred requests
-# later it counts a third.
+# Applied to the longest duration with each further request: after a hundred
+# requests, about a third of it is left.
 _DECAY = 0.99
 
 
 class DurationEstimator:
-    """Remember the longest duration of each kind, fading.
+    """Track the longest recent duration of each kind, decaying per request.
 
-    What still runs counts with its age: where an engine is slow, the longest
-    of those that have ended tells of a better time. A stream that was taken
-    by it while an entry stopped was cut at the end of the grace time.
+    Requests still running count with their age: on an engine that has become
+    slow, finished requests alone give too low a bound. A stopping entry then
+    accepts a stream that it has to cut at the end of its grace period.
     """
 
     def __init__(self) -> None:
         self._longest: dict[str, Millis] = {}
-        # The kind of each request that runs, and since when.
+        # Kind and start time of each running request.
         self._running: dict[str, tuple[str, Millis]] = {}
 
     def begin(self, request: str, kind: str, now: Millis) -> None:
-        """Learn that a request runs."""
+        """Add a running request."""
         self._running[request] = (kind, now)
 
     def end(self, request: str) -> None:
-        """Forget a request that runs no more."""
+        """Remove a running request, if it is there."""
         self._running.pop(request, None)
 
     def record(self, kind: str, duration: Millis) -> None:
-        """Learn how long a request lasted."""
+        """Record the duration of a finished request."""
         faded = self._longest.get(kind, 0.0) * _DECAY
         self._longest[kind] = max(faded, duration)
 
     def estimate_bound(
         self, kind: str, otherwise: Millis, now: Millis
     ) -> Millis:
-        """Return how long one surely lasts; `otherwise` where none was seen."""
+        """Return the estimated bound; `otherwise` if none of the kind ended."""
         known = self._longest.get(kind)
         if known is None:
             return otherwise
--- a/src/oleanderdyke/kernel/quarantine.py
+++ b/src/oleanderdyke/kernel/quarantine.py
@@ -1,4 +1,4 @@
-"""Keep a request that crashes backend servers from doing it again."""
+"""Quarantine requests that repeatedly crash backend servers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class QuarantineStatus(enum.StrEnum):
-    """Name what is held against a request digest."""
+    """Rate the suspicion against a request digest."""
 
     CLEAN = 'clean'
     SUSPECT = 'suspect'
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuarantineSettings:
-    """Bound what a process remembers of crashes."""
+    """Limit the number and lifetime of the digests that a process tracks."""
 
     capacity: int = 1_000
     expiry: Millis = 30 * MINUTE
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class _Record:
-    """Hold what is known about one digest."""
+    """Hold the crashes of one digest; cleared ones no longer count."""
 
     since: Millis
     crashes: set[str] = field(default_factory=set)
@@ -45,11 +45,11 @@
 class Quarantine:
     """Count the crashes of backend servers for each request digest.
 
-    An entry and an agent each have one; heartbeats carry `list_suspects` and
-    `list_quarantined` between them. A digest is quarantined by its second
-    crash, or by a crash while it ran alone. What has expired is kept as long
-    again only to ignore late heartbeats, so that no digest is told round for
-    ever.
+    Each entry and each agent has its own; heartbeats exchange `list_suspects`
+    and `list_quarantined` between them. A digest is quarantined by its second
+    crash, or by a crash while it ran alone. Expired records are kept for the
+    same time again so that late heartbeats are ignored; otherwise processes
+    would pass an expired digest back and forth for ever.
     """
 
     def __init__(self, settings: QuarantineSettings) -> None:
@@ -67,7 +67,10 @@
         *,
         alone: bool = False,
     ) -> tuple[str, ...]:
-        """Count a crash with a unique name; return what it quarantined."""
+        """Record a crash, by a unique id, of the requests that were running.
+
+        Returns the digests that it quarantined.
+        """
         return tuple(
             digest
             for digest in digests
@@ -75,13 +78,13 @@
         )
 
     def clear(self, digest: str) -> None:
-        """Clear a suspect that ran alone and was served."""
+        """Clear the crashes of a suspect that ran alone without a crash."""
         record = self._records.get(digest)
         if record is not None and not record.quarantined:
             record.cleared = frozenset(record.crashes)
 
     def get_status(self, digest: str, now: Millis) -> QuarantineStatus:
-        """Tell what is held against a digest."""
+        """Return the current status of a digest."""
         record = self._records.get(digest)
         if record is None or self._has_expired(record, now):
             return QuarantineStatus.CLEAN
@@ -99,7 +102,7 @@
         suspects: Iterable[str],
         now: Millis,
     ) -> None:
-        """Take over what a heartbeat tells."""
+        """Add the quarantined digests and the suspects from a heartbeat."""
         for digest in quarantined:
             record = self._get_or_create(digest, now)
             if not self._has_expired(record, now):
@@ -118,7 +121,7 @@
         )
 
     def list_suspects(self, now: Millis) -> tuple[str, ...]:
-        """List `digest@crash` of the suspects for a heartbeat."""
+        """List the suspects as `digest@crash` for a heartbeat."""
         return tuple(
             f'{digest}{_SEPARATOR}{crash}'
             for digest, record in self._records.items()
@@ -152,7 +155,10 @@
         return record
 
     def _make_room(self, now: Millis) -> None:
-        """Drop what is over for good, else the oldest suspect."""
+        """Drop records past twice their lifetime; if still full, one more.
+
+        That is the oldest suspect, or the oldest record if there is none.
+        """
         over = now - 2 * self._settings.expiry
         for digest in [d for d, r in self._records.items() if r.since < over]:
             del self._records[digest]
@@ -166,5 +172,5 @@
 
 
 def make_quarantine(settings: QuarantineSettings) -> Quarantine:
-    """Build an empty quarantine."""
+    """Build a quarantine without records."""
     return Quarantine(settings)
--- a/src/oleanderdyke/kernel/retries.py
+++ b/src/oleanderdyke/kernel/retries.py
@@ -1,4 +1,4 @@
-"""Keep retries a small share of fresh requests."""
+"""Limit retries to a small share of first attempts."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RetrySettings:
-    """Bound the retries over the whole path.
+    """Limit the number of retries and the delays before them.
 
-    Each fresh request earns `share` of a retry, up to `burst`.
+    Each new request adds `share` of a retry to the budget, up to `burst`.
     """
 
     share: float = 0.1
@@ -22,7 +22,7 @@
 
 
 class RetryBudget:
-    """Spend retries from a token bucket that fresh requests fill."""
+    """Limit retries by a token bucket that new requests refill."""
 
     def __init__(self, settings: RetrySettings, random: Random) -> None:
         self._settings = settings
@@ -31,29 +31,29 @@
 
     @property
     def tokens(self) -> float:
-        """Return how many retries are left."""
+        """Return the number of retries left, which may be fractional."""
         return self._tokens
 
     def resize(self, settings: RetrySettings) -> None:
-        """Take other bounds; what is over them is lost."""
+        """Change the settings; tokens above the new burst are lost."""
         self._settings = settings
         self._tokens = min(self._tokens, settings.burst)
 
     def deposit(self) -> None:
-        """Count a fresh request."""
+        """Add the share of one new request."""
         self._tokens = min(
             self._settings.burst, self._tokens + self._settings.share
         )
 
     def try_withdraw(self) -> bool:
-        """Spend one retry, or tell that none is left."""
+        """Take one retry from the budget; return False if none is left."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
         return True
 
     def delay(self, retry: int) -> Millis:
-        """Return a jittered delay before the given retry, counted from 1."""
+        """Return a random exponential backoff; `retry` counts from 1."""
         ceiling = min(
             self._settings.max_delay,
             self._settings.base_delay * 2 ** (retry - 1),
@@ -62,5 +62,5 @@
 
 
 def make_retry_budget(settings: RetrySettings, random: Random) -> RetryBudget:
-    """Build a full budget."""
+    """Build a budget with a full burst of retries."""
     return RetryBudget(settings, random)
--- a/src/oleanderdyke/kernel/targets.py
+++ b/src/oleanderdyke/kernel/targets.py
@@ -1,4 +1,4 @@
-"""Compare what each service owes with what its requests got."""
+"""Evaluate whether each service meets the targets of its requests."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 _SLICE_COUNT = 12
 _MAX_SERVICES = 200
 
-# Whoever caused one of these himself is owed nothing.
+# Errors caused by the caller, which do not count as missed targets.
 CALLER_FAULTS = frozenset(
     (
         ErrorKind.BAD_REQUEST,
@@ -39,7 +39,7 @@
 
 
 class Target(enum.StrEnum):
-    """Name one target of a service."""
+    """Identify one target of a service."""
 
     FIRST_TOKEN = 'first_token'
     BETWEEN_TOKENS = 'between_tokens'
@@ -48,10 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServedRequest:
-    """Hold what one request got; None where nothing can be said.
+    """Hold the measurements of one request; None if not measurable.
 
-    Between tokens is the mean over its answer. `refused` names the error of
-    a request that got no first token, whose time is then that of the error.
+    `between_tokens` is the mean over the answer. `refused` is the error of a
+    request without a first token; `first_token` is then the time to the error.
     """
 
     request: str
@@ -64,7 +64,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MissedTarget:
-    """Tell which target a request missed, when, and by how much."""
+    """Describe a request that missed a target.
+
+    `refused` is the error kind, empty for a request that was answered.
+    """
 
     request: str
     target: Target
@@ -76,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetCounts:
-    """Count the requests judged by a target, and their prompt tokens."""
+    """Count the requests evaluated for a target, and their prompt tokens."""
 
     judged: int
     missed: int
@@ -86,10 +89,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetStatus:
-    """Compare a target with the requests of the window.
+    """Hold the evaluation of a target over the requests in the window.
 
-    A time is owed to 95 in 100 of them. A recomputed share is owed over all
-    their prompt tokens; the requests above it are the ones that missed it.
+    A time must be met by REQUIRED_SHARE of the requests. The recomputed share
+    is compared over all prompt tokens of the requests together; `missed`
+    counts the requests above it.
     """
 
     target: Target
@@ -108,7 +112,7 @@
 
 
 class TargetMonitor:
-    """Judge the requests of one service over a sliding window."""
+    """Evaluate the targets of one service over a sliding window."""
 
     def __init__(self) -> None:
         self.refusals: Counter[ErrorKind] = Counter()
@@ -126,7 +130,10 @@
         now: Millis,
         wall: Millis,
     ) -> tuple[MissedTarget, ...]:
-        """Judge a request; return the targets that it missed."""
+        """Add a request; return the targets that it missed.
+
+        `wall` is the wall-clock time reported with a miss.
+        """
         current = self._open_slice(now)
         current.prompt_tokens += served.prompt_tokens
         current.recomputed_tokens += served.recomputed_tokens
@@ -148,14 +155,14 @@
     def evaluate(
         self, targets: Targets, now: Millis
     ) -> tuple[TargetStatus, ...]:
-        """Compare every target with the requests of the window."""
+        """Evaluate every target over the requests in the window."""
         kept = [item for item in self._slices if _is_in_window(item, now)]
         return tuple(_evaluate(kept, targets, target) for target in Target)
 
     def list_missed(
         self, count: int = MAX_KEPT_MISSES
     ) -> tuple[MissedTarget, ...]:
-        """Return the last requests that missed each target, oldest first."""
+        """Return up to `count` recent misses of each target, oldest first."""
         return tuple(
             missed
             for kept in self._missed.values()
@@ -170,13 +177,16 @@
 
 
 class TargetMonitors:
-    """Keep one book for each service, for a bounded number of services."""
+    """Hold a monitor for each service, for a limited number of services."""
 
     def __init__(self) -> None:
         self._books: dict[str, TargetMonitor] = {}
 
     def get(self, service: str) -> TargetMonitor:
-        """Return the book of a service, a new one where there is none."""
+        """Return the monitor of a service; create it if needed.
+
+        Creating one in a full table drops the monitor that was created first.
+        """
         if service not in self._books:
             while len(self._books) >= _MAX_SERVICES:
                 del self._books[next(iter(self._books))]
@@ -185,7 +195,7 @@
 
 
 def get_limit(targets: Targets, target: Target) -> float:
-    """Return what is owed for one target."""
+    """Return the limit that a service sets for one target."""
     limits = {
         Target.FIRST_TOKEN: targets.first_token,
         Target.BETWEEN_TOKENS: targets.between_tokens,
@@ -205,7 +215,7 @@
 
 
 def is_met(target: Target, limit: float, counts: TargetCounts) -> bool:
-    """Return whether counted requests got what is owed."""
+    """Return whether the counted requests meet the target."""
     if target is Target.RECOMPUTED_SHARE:
         return counts.recomputed_tokens <= limit * counts.prompt_tokens
     return counts.judged - counts.missed >= REQUIRED_SHARE * counts.judged
--- a/src/oleanderdyke/kernel/tokens.py
+++ b/src/oleanderdyke/kernel/tokens.py
@@ -1,7 +1,7 @@
-"""Find the teams that may hold a token's digest, compactly.
+"""Index token digests by a short prefix to find the teams they may belong to.
 
-The first 8 bytes of a digest are the key; whoever looks a digest up compares
-the whole of it with what the team has.
+The key is the first 8 bytes of a digest. Callers must compare the full digest
+with the digests of each team found.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 
 class TokenIndex:
-    """Map digests to names in sorted shards: about 20 bytes for each."""
+    """Map digests to team names in sorted shards, at about 20 bytes each."""
 
     def __init__(self) -> None:
-        # Made when first written to: most catalogs of tests stay empty.
+        # Created on first write: the catalogs of most tests have no tokens.
         self._shards: list[_Shard | None] = [None] * _SHARD_COUNT
 
     def get(self, digest: bytes) -> tuple[str, ...]:
-        """Return the names that a digest may belong to."""
+        """Return the names whose digests share the prefix of this digest."""
         shard, key = self._find(digest)
         if shard is None:
             return ()
@@ -38,7 +38,7 @@
         return tuple(shard.names[start:end])
 
     def add(self, digest: bytes, name: str) -> None:
-        """Give a digest to a name."""
+        """Add a digest under a name."""
         shard, key = self._find(digest)
         if shard is None:
             shard = self._shards[digest[0]] = _Shard()
@@ -47,7 +47,7 @@
         shard.names.insert(place, name)
 
     def remove(self, digest: bytes, name: str) -> None:
-        """Take a digest from a name."""
+        """Remove a digest from a name, if it is there."""
         names = self.get(digest)
         shard, key = self._find(digest)
         if shard is not None and name in names:
