--- a/src/oleanderdyke/kernel/attempts.py
+++ b/src/oleanderdyke/kernel/attempts.py
@@ -102,7 +102,7 @@
         requests leave the same server together, reserving keeps them from all
         breaking off their answers for the same few remaining retries.
         """
-        if not self._may_run_elsewhere() or not self._spend_retry():
+        if not self._can_rerun() or not self._spend_retry():
             return False
         self._has_reserved_retry = True
         return True
@@ -116,7 +116,7 @@
             return None
         return self._deliver_held_head()
 
-    def _may_run_elsewhere(self) -> bool:
+    def _can_rerun(self) -> bool:
         facts = self._facts
         may_repeat = facts.idempotent and not self._head_delivered
         return (
@@ -141,7 +141,7 @@
             return self._await_replica()
         return self._refuse(refusal.kind, refusal.retry_after, refusal.reason)
 
-    def _on_received(self, event: MessageReceived) -> Actions:
+    def _on_message_received(self, event: MessageReceived) -> Actions:
         message = event.message
         if message.attempt != self._attempt:
             return ()
@@ -153,9 +153,9 @@
             case AnswerEnd():
                 return self._on_end(message)
             case _:
-                return self._on_part(message)
+                return self._on_head_or_chunk(message)
 
-    def _on_part(self, message: AnswerHead | AnswerChunk) -> Actions:
+    def _on_head_or_chunk(self, message: AnswerHead | AnswerChunk) -> Actions:
         if self._claim is not None:
             return self._buffer_answer(message)
         if isinstance(message, AnswerHead):
@@ -253,7 +253,7 @@
         if self._routed is not None:
             self._exclude(self._routed.replica.agent)
 
-    def _on_unsent(self, event: DispatchNotSent) -> Actions:
+    def _on_dispatch_not_sent(self, event: DispatchNotSent) -> Actions:
         if event.attempt != self._attempt or self._stage is not Stage.RUNNING:
             return ()
         self._mark_not_run()
@@ -375,8 +375,8 @@
         **ClaimedAttempts.HANDLERS,
         Routed: _on_routed,
         NoRoute: _on_no_route,
-        MessageReceived: _on_received,
-        DispatchNotSent: _on_unsent,
+        MessageReceived: _on_message_received,
+        DispatchNotSent: _on_dispatch_not_sent,
         LinkLost: _on_link_lost,
         LinkUp: _on_link_up,
         IncarnationEnded: _on_incarnation_ended,
--- a/src/oleanderdyke/kernel/claimed_attempts.py
+++ b/src/oleanderdyke/kernel/claimed_attempts.py
@@ -251,10 +251,10 @@
         self._known_ran = Ran.YES
         if outcome.body_digest:
             return self._join(verdict.claim)
-        self._open_recorded(outcome)
+        self._load_outcome(outcome)
         return self._deliver_receipt(ReceiptState.RECORDED)
 
-    def _open_recorded(self, outcome: OutcomeRecord) -> None:
+    def _load_outcome(self, outcome: OutcomeRecord) -> None:
         receipt = self._get_receipt()
         receipt.open(outcome.status, outcome.headers)
         receipt.add(outcome.body)
--- a/src/oleanderdyke/kernel/durations.py
+++ b/src/oleanderdyke/kernel/durations.py
@@ -34,15 +34,15 @@
 
     def record(self, kind: str, duration: Millis) -> None:
         """Record the duration of a finished request."""
-        faded = self._longest.get(kind, 0.0) * _DECAY
-        self._longest[kind] = max(faded, duration)
+        decayed = self._longest.get(kind, 0.0) * _DECAY
+        self._longest[kind] = max(decayed, duration)
 
     def estimate_bound(
         self, kind: str, otherwise: Millis, now: Millis
     ) -> Millis:
         """Return the estimated bound; `otherwise` if none of the kind ended."""
-        known = self._longest.get(kind)
-        if known is None:
+        longest = self._longest.get(kind)
+        if longest is None:
             return otherwise
         ages = (now - at for each, at in self._running.values() if each == kind)
-        return max(known, *ages, 0.0) * _SAFETY_FACTOR
+        return max(longest, *ages, 0.0) * _SAFETY_FACTOR
--- a/src/oleanderdyke/kernel/quarantine.py
+++ b/src/oleanderdyke/kernel/quarantine.py
@@ -159,8 +159,8 @@
 
         That is the oldest suspect, or the oldest record if there is none.
         """
-        over = now - 2 * self._settings.expiry
-        for digest in [d for d, r in self._records.items() if r.since < over]:
+        cutoff = now - 2 * self._settings.expiry
+        for digest in [d for d, r in self._records.items() if r.since < cutoff]:
             del self._records[digest]
         if len(self._records) < self._settings.capacity:
             return
--- a/src/oleanderdyke/kernel/streams.py
+++ b/src/oleanderdyke/kernel/streams.py
@@ -142,9 +142,9 @@
             return _NO_PARTS
         self._has_head = True
         # The caller already has the head of a resumed answer.
-        shown = head if self._head is None else None
+        new_head = head if self._head is None else None
         self._head = self._head or head
-        return self._deliver(self._release_held(), head=shown)
+        return self._deliver(self._release_held(), head=new_head)
 
     def _take_chunk(self, chunk: AnswerChunk) -> ReadyParts:
         sequence = chunk.sequence
@@ -195,8 +195,8 @@
         if self._next < end.count or not self._has_head:
             return None
         # The full digest can't be verified without the start of the answer.
-        proof = end.resumed_digest if self._start else end.digest
-        if not hmac.compare_digest(self._digest.digest(), proof):
+        expected_digest = end.resumed_digest if self._start else end.digest
+        if not hmac.compare_digest(self._digest.digest(), expected_digest):
             return self._break(BrokenReason.DIGEST)
         self._is_over = True
         self._is_complete = True
--- a/src/oleanderdyke/kernel/targets.py
+++ b/src/oleanderdyke/kernel/targets.py
@@ -137,7 +137,7 @@
         current = self._open_slice(now)
         current.prompt_tokens += served.prompt_tokens
         current.recomputed_tokens += served.recomputed_tokens
-        found = []
+        misses = []
         for target, value in _list_values(served):
             limit = get_limit(targets, target)
             current.judged[target] += 1
@@ -149,8 +149,8 @@
             )
             current.missed[target] += 1
             self._missed[target].append(missed)
-            found.append(missed)
-        return tuple(found)
+            misses.append(missed)
+        return tuple(misses)
 
     def evaluate(
         self, targets: Targets, now: Millis
--- a/tests/test_request_safety.py
+++ b/tests/test_request_safety.py
@@ -208,9 +208,9 @@
 class MixingMachine(RequestStateMachine):
     """Give later callers something else than the first."""
 
-    def _open_recorded(self, outcome):
+    def _load_outcome(self, outcome):
         body = outcome.body[len(outcome.body) // 2 :]
-        super()._open_recorded(dataclasses.replace(outcome, body=body))
+        super()._load_outcome(dataclasses.replace(outcome, body=body))
 
 
 def ignore_team(_team: str, service: str, key: str) -> str:
