--- a/src/oleanderdyke/kernel/attempt_core.py
+++ b/src/oleanderdyke/kernel/attempt_core.py
@@ -36,7 +36,7 @@
 _STREAM_ERROR_KINDS = frozenset(
     {ErrorKind.DEADLINE, ErrorKind.STOPPING, ErrorKind.BACKEND_FAILED}
 )
-# Used where the agent names no time.
+# Used if a refusal has no `retry_after`.
 _ALONE_RETRY_DELAY: Millis = 250.0
 _REPLICA_POLL_INTERVAL: Millis = 250.0
 
--- a/src/oleanderdyke/kernel/claims.py
+++ b/src/oleanderdyke/kernel/claims.py
@@ -273,7 +273,7 @@
             self._restore(record, place, at)
 
     def _may_replace(self, slot: _Slot | None, record: RenewalRecord) -> bool:
-        """Return whether a renewed claim may replace the claim in the slot.
+        """Return whether a renewed claim may replace another in the slot.
 
         If this table has applied every record after `through`, it would have
         seen the renewed claim end, so that claim is still the owner.
--- a/src/oleanderdyke/kernel/quarantine.py
+++ b/src/oleanderdyke/kernel/quarantine.py
@@ -13,7 +13,7 @@
 
 
 class QuarantineStatus(enum.StrEnum):
-    """Rate the suspicion against a request digest."""
+    """Classify a request digest by the crashes recorded against it."""
 
     CLEAN = 'clean'
     SUSPECT = 'suspect'
