--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -28,14 +28,14 @@
     assert case.head().actions == ()
 
 
-def test_attempt_proven_not_run_goes_elsewhere():
+def test_attempt_that_did_not_run_is_retried_elsewhere():
     case = make_run().fail(ErrorKind.LEAVING, Ran.NO).fire()
     assert case.find(ev.Route).exclude == {'agent-1'}
     case.route('agent-2')
     assert case.find(ev.SendDispatch).attempt == 2
 
 
-def test_unsent_attempt_goes_elsewhere():
+def test_unsent_dispatch_is_retried_elsewhere():
     case = make_run().on(ev.DispatchNotSent(1)).fire()
     assert case.find(ev.Route).exclude == {'agent-1'}
 
@@ -47,7 +47,7 @@
         Failed('r1', 1, ErrorKind.BACKEND_FAILED, Ran.YES),
     ],
 )
-def test_what_may_have_run_is_not_sent_again(failure):
+def test_attempt_that_may_have_run_is_not_retried(failure):
     case = make_run().on(ev.MessageReceived(failure))
     assert case.refusal() == (failure.kind, failure.ran)
 
@@ -104,13 +104,13 @@
     assert case.refusal() == (ErrorKind.OVERLOADED, Ran.MAYBE)
 
 
-def test_retries_end_with_the_budget_at_once():
+def test_request_is_refused_at_once_without_retry_budget():
     case = make_run(idempotent=True, burst=0.5)
     case.on(ev.LinkLost('agent-1', 'i1'))
     assert case.refusal() == (ErrorKind.BACKEND_LOST, Ran.MAYBE)
 
 
-def test_refusals_before_a_crash_do_not_cost_the_run_alone():
+def test_refusals_before_a_crash_leave_an_attempt_to_run_alone():
     case = make_run(idempotent=True, max_attempts=3)
     for agent in ('agent-2', 'agent-3'):
         case.fail(ErrorKind.OVERLOADED, Ran.NO).fire().route(agent)
@@ -123,13 +123,13 @@
 @pytest.mark.parametrize(
     'changes', [{'max_attempts': 1}, {'burst': 0.5}], ids=str
 )
-def test_crash_is_no_reason_to_exceed_the_settings(changes):
+def test_retry_after_a_crash_stays_within_the_settings(changes):
     case = make_run(idempotent=True, **changes)
     case.fail(ErrorKind.BACKEND_LOST, Ran.MAYBE)
     assert case.refusal() == (ErrorKind.BACKEND_LOST, Ran.MAYBE)
 
 
-def test_retries_end_with_the_attempts():
+def test_retries_stop_at_the_attempt_limit():
     case = Case(max_attempts=3)
     for agent in ('agent-1', 'agent-2'):
         case.route(agent).fail(ErrorKind.LEAVING, Ran.NO).fire()
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize('delivered', [False, True])
-def test_answer_that_broke_on_its_way_cancels_its_run(delivered):
+def test_answer_broken_in_transit_cancels_its_run(delivered):
     case = make_run(idempotent=True)
     if delivered:
         case.head().chunk()
@@ -177,14 +177,14 @@
     assert case.machine.done is delivered
 
 
-def test_claimed_answer_that_broke_on_its_way_is_never_cancelled():
+def test_claimed_run_is_not_cancelled_when_its_answer_breaks():
     case = make_claimed_run().head()
     case.fail(ErrorKind.STREAM_BROKEN, Ran.MAYBE).find(ev.QueryClaim)
     case.on(ev.DeadlinePassed())
     assert not any(isinstance(x, ev.SendCancel) for x in case.actions)
 
 
-def test_resume_that_is_never_answered_ends_the_stream():
+def test_unanswered_resume_breaks_the_stream():
     case = make_run(idempotent=True, max_queries=2).head('token').chunk()
     case.on(ev.LinkLost('agent-1', 'i1')).fire().fire()
     assert case.refusal() == (ErrorKind.STREAM_BROKEN, Ran.MAYBE)
@@ -247,13 +247,13 @@
 
 
 @pytest.mark.parametrize('lose', [lose_server, lose_stream])
-def test_lost_stream_that_may_not_repeat_gets_the_typed_error(lose):
+def test_lost_stream_of_a_non_idempotent_request_is_an_error(lose):
     case = make_run().head('token')
     lose(case)
     assert case.refusal() == (ErrorKind.BACKEND_LOST, Ran.MAYBE)
 
 
-def test_held_head_goes_out_with_the_rest_of_its_run():
+def test_held_head_is_delivered_with_the_resumed_chunks():
     case = make_run(idempotent=True).head('token')
     resume = case.on(ev.LinkLost('agent-1', 'i1')).find(ev.SendResume)
     assert (resume.token, resume.sequence) == ('token', 0)
@@ -276,12 +276,12 @@
     assert case.head().machine.hand_over() is None
 
 
-def test_caller_gone_cancels_what_needs_no_record():
+def test_disconnect_cancels_a_run_without_a_claim():
     case = make_run().on(ev.CallerGone())
     assert [type(a) for a in case.actions] == [ev.SendCancel, ev.Done]
 
 
-def test_planned_stop_lets_running_work_end_but_starts_none():
+def test_stopping_entry_finishes_running_work_but_starts_none():
     case = make_run().on(ev.Stopping())
     assert case.actions == ()
     case.fail(ErrorKind.LEAVING, Ran.NO)
@@ -292,7 +292,7 @@
     )
 
 
-def test_crashed_request_is_tried_alone_once():
+def test_crashed_request_is_retried_alone_once():
     case = make_run(idempotent=True)
     case.fail(ErrorKind.BACKEND_LOST, Ran.MAYBE).fire()
     assert case.find(ev.Route).alone
@@ -302,14 +302,14 @@
     assert case.refusal() == (ErrorKind.QUARANTINED, Ran.MAYBE)
 
 
-def test_innocent_request_is_cleared_by_running_alone():
+def test_suspect_is_cleared_by_running_alone():
     case = make_run(idempotent=True)
     case.fail(ErrorKind.BACKEND_LOST, Ran.MAYBE).fire().route('agent-2')
     case.head().end()
     assert case.find(ev.ClearSuspect).digest == 'd'
 
 
-def test_a_resumable_answer_goes_on_at_another_server():
+def test_resumable_answer_continues_at_another_server():
     case = make_run(resumable=True).head().chunk()
     case.fail(ErrorKind.STREAM_BROKEN, Ran.MAYBE)
     case.fire()
@@ -320,7 +320,7 @@
     assert case.machine.done
 
 
-def test_a_resumable_answer_runs_no_more_often_than_allowed():
+def test_resumable_answer_respects_the_attempt_limit():
     case = make_run(resumable=True, max_attempts=2).head().chunk()
     case.fail(ErrorKind.STREAM_BROKEN, Ran.MAYBE).fire()
     case.route('agent-2', 'i2').head().chunk()
@@ -328,7 +328,7 @@
     assert case.refusal() == (ErrorKind.STREAM_BROKEN, Ran.MAYBE)
 
 
-def test_what_did_not_run_is_tried_elsewhere_beside_the_attempts():
+def test_refusals_have_a_limit_separate_from_attempts():
     case = make_run(max_attempts=1, max_refusals=2)
     for agent in ('agent-2', 'agent-3'):
         case.fail(ErrorKind.OVERLOADED, Ran.NO).fire()
@@ -337,14 +337,14 @@
     assert case.refusal() == (ErrorKind.OVERLOADED, Ran.NO)
 
 
-def test_refusals_draw_on_the_budget_too():
+def test_retries_of_refusals_use_the_budget():
     case = make_run(max_refusals=9, burst=1.0)
     case.fail(ErrorKind.OVERLOADED, Ran.NO).fire()
     case.route('agent-2', 'i2').fail(ErrorKind.OVERLOADED, Ran.NO)
     assert case.refusal() == (ErrorKind.OVERLOADED, Ran.NO)
 
 
-def test_a_failure_is_welcome_only_where_it_leads_to_another_run():
+def test_retry_is_reserved_only_if_a_failure_leads_to_another_run():
     assert make_run(idempotent=True).machine.reserve_retry()
     assert make_run(resumable=True).head().chunk().machine.reserve_retry()
     assert not make_run().machine.reserve_retry()
@@ -365,7 +365,7 @@
     assert first.fail(ErrorKind.STREAM_BROKEN, Ran.MAYBE).find(ev.StartTimer)
 
 
-def test_a_reserved_retry_is_paid_for_once():
+def test_reserved_retry_is_withdrawn_from_the_budget_once():
     budget = make_budget(2.0)
     case = make_run(resumable=True, budget=budget).head().chunk()
     assert case.machine.reserve_retry()
--- a/tests/test_claimed_attempts.py
+++ b/tests/test_claimed_attempts.py
@@ -31,13 +31,13 @@
 
 
 @pytest.mark.parametrize('event', [ev.OutcomeFailed(), ev.DeadlinePassed()])
-def test_receipt_that_is_not_recorded_says_so(event):
+def test_unrecorded_receipt_is_marked_unrecorded(event):
     case = make_claimed_run().head().chunk().end().on(event)
     head = case.find(ev.DeliverHead)
     assert (RECEIPT_HEADER, 'unrecorded') in head.headers
 
 
-def test_long_receipt_flows_and_only_its_digest_is_recorded():
+def test_long_answer_is_streamed_and_recorded_as_digest():
     case = make_claimed_run().head().chunk(b'x' * (MAX_RECORDED_BODY_BYTES + 1))
     assert case.find(ev.DeliverChunk)
     assert case.chunk(b'y').actions == (ev.DeliverChunk(b'y'),)
@@ -76,7 +76,7 @@
     assert case.find(ev.AppendRelease)
 
 
-def test_caller_gone_while_claiming_withdraws_in_silence():
+def test_disconnect_while_claiming_withdraws_the_claim():
     case = Case(key=KEY).route().on(ev.CallerGone())
     assert [type(a) for a in case.actions] == [ev.AppendRelease, ev.Done]
 
@@ -88,26 +88,26 @@
     assert append.record.claim_id == 'r1.2'
 
 
-def test_refused_claim_is_released_on_giving_up():
+def test_refused_claim_is_released_with_the_final_refusal():
     case = make_claimed_run().fail(ErrorKind.FORBIDDEN, Ran.NO)
     assert case.refusal() == (ErrorKind.FORBIDDEN, Ran.NO)
     assert case.find(ev.AppendRelease).record.offset == 7
 
 
-def test_lost_link_asks_the_agent():
+def test_lost_link_queries_the_agent():
     case = make_claimed_run().on(ev.LinkLost('agent-1', 'i1'))
     assert case.find(ev.QueryClaim).claim == MINE
     case.answer(ClaimState.UNKNOWN)
     assert case.refusal() == (ErrorKind.OUTCOME_UNKNOWN, Ran.MAYBE)
 
 
-def test_answer_found_by_asking_is_recorded_and_delivered():
+def test_answer_found_by_a_query_is_recorded():
     case = make_claimed_run().head().chunk(b'boo')
     case.on(ev.LinkLost('agent-1', 'i1')).answer(ClaimState.FINISHED)
     assert case.find(ev.AppendOutcome).record.body == b'booked'
 
 
-def test_barred_claim_is_tried_again_elsewhere():
+def test_barred_claim_is_retried_elsewhere():
     case = make_claimed_run().on(ev.LinkLost('agent-1', 'i1'))
     case.answer(ClaimState.BARRED).fire()
     assert case.find(ev.Route).exclude == {'agent-1'}
@@ -158,7 +158,7 @@
         (ev.DeadlinePassed(), ErrorKind.IN_PROGRESS),
     ],
 )
-def test_second_call_never_says_not_run(event, kind):
+def test_second_call_never_reports_not_run(event, kind):
     case = Case(key=KEY, verdict=OwnedByOther(OTHER)).on(event)
     assert case.refusal() == (kind, Ran.MAYBE)
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -182,50 +182,50 @@
     assert decode_batch(dump_cbor(items)) == (make_record('a'),)
 
 
-def carry(table: ClaimTable) -> list[RenewalRecord]:
+def list_renewals(table: ClaimTable) -> list[RenewalRecord]:
     return list(table.list_due_renewals(float('inf'), 10))
 
 
-def test_reader_after_the_log_forgot_learns_claims_from_carried_records():
+def test_new_reader_restores_expired_claims_from_renewals():
     old = read_log([make_record('a')], [make_outcome(0)])
-    new = read_log(carry(old), start=2)
+    new = read_log(list_renewals(old), start=2)
     assert isinstance(new.get_verdict(KEY, 'd'), Finished)
     assert new.get_verdict(KEY, 'd') == old.get_verdict(KEY, 'd')
 
 
-def test_carried_record_does_not_revive_a_released_claim():
+def test_renewal_does_not_restore_a_released_claim():
     release = ReleaseRecord(KEY, 0, 0, 'i1')
     before = read_log([make_record('a')])
-    late = carry(before)
+    late = list_renewals(before)
     table = read_log([make_record('a')], [release, make_record('b')], late)
     assert find_owner(table) == 'b'
     fresh = read_log([release, make_record('b')], late, start=1)
     assert find_owner(fresh) == 'b'
 
 
-def test_doubtful_carried_claim_is_neither_freed_nor_carried_on():
-    late = carry(read_log([make_record('a')]))
+def test_unconfirmed_claim_is_neither_freed_nor_renewed():
+    late = list_renewals(read_log([make_record('a')]))
     release = ReleaseRecord(KEY, 0, 0, 'i1')
     table = read_log(late, [release, make_record('b')], start=5)
     assert isinstance(table.get_claim_verdict('b', KEY, 'd'), OwnedByOther)
-    assert carry(table) == []
+    assert list_renewals(table) == []
 
 
-def test_gap_starts_the_table_anew():
+def test_gap_resets_the_table():
     table = read_log([make_record('a')])
     table.apply(9, 9.0, encode_batch([]))
     assert table.get_verdict(KEY, 'd') == Free()
     assert not table.caught_up
 
 
-def test_only_claims_with_old_records_are_due():
+def test_only_claims_with_old_records_are_due_for_renewal():
     table = read_log(
         [make_record('a')], [make_record('b', key=make_key('t', 's', 'k2'))]
     )
     due = table.list_due_renewals(1.0, 10)
     assert [record.claim.claim_id for record in due] == ['a']
     table.apply(2, 2.0, encode_batch(due))
-    assert carry(table)[0].claim.claim_id == 'b'
+    assert list_renewals(table)[0].claim.claim_id == 'b'
 
 
 texts = st.text(st.characters(exclude_categories=['Cs']), max_size=8)
--- a/tests/test_durations.py
+++ b/tests/test_durations.py
@@ -3,7 +3,7 @@
 from oleanderdyke.kernel.durations import DurationEstimator
 
 
-def test_the_bound_of_a_duration_fades():
+def test_estimate_decays_with_further_requests():
     durations = DurationEstimator()
     assert durations.estimate_bound('letter', 9_000.0, 0.0) == 9_000.0
     durations.record('letter', 5_000.0)
@@ -13,7 +13,7 @@
     assert durations.estimate_bound('letter', 9_000.0, 0.0) < 1_000.0
 
 
-def test_what_still_runs_tells_how_long_a_request_may_last():
+def test_running_requests_raise_the_estimate():
     """Lest a stream is taken by a stopping entry and cut at its end.
 
     One was taken 3.4 s after the signal to stop, as those that had ended were
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -15,7 +15,7 @@
 SETTINGS = QuarantineSettings(capacity=4, expiry=100.0)
 
 
-def tell(source, target, now=0.0):
+def send_heartbeat(source, target, now=0.0):
     """Send one heartbeat's worth from one process to another."""
     target.merge(source.list_quarantined(now), source.list_suspects(now), now)
 
@@ -23,60 +23,60 @@
 def test_second_crash_anywhere_quarantines_everywhere():
     first, entry, second = (make_quarantine(SETTINGS) for _ in range(3))
     assert first.record_crash('a:1', ['bad', 'good'], 0.0) == ()
-    tell(first, entry)
-    tell(entry, second)
+    send_heartbeat(first, entry)
+    send_heartbeat(entry, second)
     assert second.get_status('bad', 0.0) is QuarantineStatus.SUSPECT
     assert second.record_crash('b:1', ['bad'], 1.0) == ('bad',)
-    tell(second, entry, 1.0)
+    send_heartbeat(second, entry, 1.0)
     assert entry.get_status('bad', 1.0) is QuarantineStatus.QUARANTINED
     assert entry.get_status('good', 1.0) is QuarantineStatus.SUSPECT
 
 
-def test_two_crashes_noted_apart_add_up_when_told():
+def test_crashes_of_two_processes_add_up_after_a_heartbeat():
     first, second = make_quarantine(SETTINGS), make_quarantine(SETTINGS)
     first.record_crash('a:1', ['bad'], 0.0)
     second.record_crash('b:1', ['bad'], 0.0)
-    tell(first, second)
+    send_heartbeat(first, second)
     assert second.get_status('bad', 0.0) is QuarantineStatus.QUARANTINED
 
 
-def test_one_crash_told_by_many_counts_once():
+def test_crash_reported_repeatedly_counts_once():
     first, second = make_quarantine(SETTINGS), make_quarantine(SETTINGS)
     first.record_crash('a:1', ['bad'], 0.0)
     for _ in range(5):
-        tell(first, second)
-        tell(second, first)
+        send_heartbeat(first, second)
+        send_heartbeat(second, first)
     assert first.get_status('bad', 0.0) is QuarantineStatus.SUSPECT
 
 
-def test_crash_alone_is_proof():
+def test_crash_while_alone_quarantines_at_once():
     quarantine = make_quarantine(SETTINGS)
     assert quarantine.record_crash('a:1', ['bad'], 0.0, alone=True) == ('bad',)
 
 
-def test_innocent_that_ran_alone_is_cleared_of_that_crash_only():
+def test_suspect_that_ran_alone_is_cleared_of_that_crash_only():
     first, second = make_quarantine(SETTINGS), make_quarantine(SETTINGS)
     first.record_crash('a:1', ['good'], 0.0)
-    tell(first, second)
+    send_heartbeat(first, second)
     second.clear('good')
-    tell(first, second)
+    send_heartbeat(first, second)
     assert second.get_status('good', 0.0) is QuarantineStatus.CLEAN
     second.record_crash('b:1', ['good'], 1.0)
     assert second.get_status('good', 1.0) is QuarantineStatus.SUSPECT
 
 
-def test_quarantine_ends_although_heartbeats_keep_telling_it():
+def test_quarantine_expires_despite_late_heartbeats():
     first, second = make_quarantine(SETTINGS), make_quarantine(SETTINGS)
     first.record_crash('a:1', ['bad'], 0.0, alone=True)
-    tell(first, second, 50.0)
+    send_heartbeat(first, second, 50.0)
     for now in range(50, 400, 10):
-        tell(first, second, float(now))
-        tell(second, first, float(now))
+        send_heartbeat(first, second, float(now))
+        send_heartbeat(second, first, float(now))
     assert first.get_status('bad', 400.0) is QuarantineStatus.CLEAN
     assert second.get_status('bad', 400.0) is QuarantineStatus.CLEAN
 
 
-def test_new_crash_after_the_end_counts_again():
+def test_crash_after_expiry_counts_again():
     quarantine = make_quarantine(SETTINGS)
     quarantine.record_crash('a:1', ['bad'], 0.0, alone=True)
     quarantine.record_crash('a:2', ['bad'], 150.0)
@@ -142,10 +142,10 @@
         self.crashes += 1
         self.gates[agent].crash(0.0)
         for entry in self.entries:
-            tell(self.agents[agent], entry)
+            send_heartbeat(self.agents[agent], entry)
         for entry in self.entries:
             for each in self.agents:
-                tell(entry, each)
+                send_heartbeat(entry, each)
 
     def send_poison(self):
         self.send('good', 0, 0)
@@ -161,7 +161,7 @@
     assert servers.send('good', 1, 2)
 
 
-def test_count_of_crashes_catches_a_quarantine_that_is_not_told():
+def test_crash_count_catches_a_quarantine_without_heartbeats():
     servers = Servers(SilentQuarantine)
     servers.send_poison()
     assert servers.crashes > 2
--- a/tests/test_receiver.py
+++ b/tests/test_receiver.py
@@ -70,7 +70,7 @@
     assert caller.take(*make_run(2, b'two', b'three')) == []
 
 
-def test_another_run_follows_one_of_which_nothing_was_passed_on() -> None:
+def test_another_run_may_follow_before_anything_was_passed_on() -> None:
     caller = Caller()
     caller.receiver.expect(1)
     expect_failure(caller.take(AnswerChunk('r', 1, 1_000, b'far')))
@@ -83,7 +83,7 @@
     assert caller.take(*run) == run
 
 
-def test_rest_follows_what_came_before_too_many_chunks() -> None:
+def test_resume_continues_after_too_many_buffered_chunks() -> None:
     caller = Caller()
     caller.receiver.expect(1)
     head, *chunks, _ = make_run(1, *[b'x'] * 600)
@@ -96,7 +96,7 @@
     assert passed == [[head], *([each] for each in chunks[kept:]), [end]]
 
 
-def test_splice_after_too_many_chunks_is_refused() -> None:
+def test_another_run_after_delivered_chunks_is_refused() -> None:
     caller = Caller()
     caller.receiver.expect(1)
     caller.take(*make_run(1, *[b'x'] * 600))
--- a/tests/test_request_safety.py
+++ b/tests/test_request_safety.py
@@ -256,7 +256,7 @@
     assert walk_until_violation(variants, WALKS) == promise
 
 
-def test_checker_catches_table_that_ignores_carried_records():
+def test_checker_catches_table_that_ignores_renewals():
     variants = Variants(table=ForgetfulTable)
     found = walk_until_violation(variants, WALKS, FORGETTING_STEPS)
     assert found == 'at most once'
@@ -277,7 +277,7 @@
         entry.read(limit=100)
 
 
-def run_with_late_carried_record(variants: Variants) -> World:
+def run_with_late_renewal(variants: Variants) -> World:
     """Carry a claim twice; the copy from before its release comes last."""
     world = World(variants)
     world.call('entry-1', 'team-1', 'key')
@@ -306,13 +306,13 @@
     return world
 
 
-def test_late_carried_record_revives_no_released_claim():
-    world = run_with_late_carried_record(Variants())
+def test_late_renewal_does_not_restore_a_released_claim():
+    world = run_with_late_renewal(Variants())
     world.check()
     assert len(world.runs) == 1
 
 
-def test_checker_catches_table_that_believes_late_carried_records():
-    world = run_with_late_carried_record(Variants(table=CarelessTable))
+def test_checker_catches_table_that_accepts_late_renewals():
+    world = run_with_late_renewal(Variants(table=CarelessTable))
     with pytest.raises(Violation, match='at most once'):
         world.check()
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -34,7 +34,7 @@
     assert ceiling * 3 / 4 < max(delays) <= ceiling
 
 
-def test_a_budget_that_is_shared_by_more_gives_less():
+def test_smaller_burst_drops_excess_tokens():
     budget = make_retry_budget(RetrySettings(burst=9.0), Random(1))
     budget.resize(RetrySettings(burst=2.0))
     assert [budget.try_withdraw() for _ in range(3)] == [True, True, False]
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -211,7 +211,7 @@
     )
 
 
-def test_a_second_reader_takes_over_and_the_first_is_told():
+def test_a_second_reader_takes_over_and_the_first_is_notified():
     buffer = make_buffer()
     fill(buffer, 2)
     resumed = buffer.resume_from(1, Reader('other', 's', 2), 0)
@@ -225,7 +225,7 @@
 
 
 @pytest.mark.parametrize('sequence', [-1, 0, 7])
-def test_a_chunk_that_is_gone_or_never_was_is_not_resumed(sequence):
+def test_resume_at_a_dropped_or_future_chunk_is_refused(sequence):
     buffer = make_buffer(replace(LIMITS, credit=9))
     fill(buffer, 6)
     assert buffer.resume_from(sequence, READER, 0) is None
@@ -259,7 +259,7 @@
     assert isinstance(known, Resumed)
 
 
-def test_streams_expire_when_nobody_takes_from_them():
+def test_idle_streams_expire():
     table, buffer = open_table()
     table.open('team', make_head(token='b'), Reader('b', 'b', 1), 0)
     fill(buffer, 1)
@@ -272,7 +272,7 @@
     assert table.held_bytes == 0
 
 
-def test_a_sent_stream_makes_room_and_a_running_one_does_not():
+def test_only_a_sent_stream_is_evicted_from_a_full_table():
     table, buffer = open_table()
     for token in 'bc':
         table.open('team', make_head(token=token), READER, 0)
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -36,73 +36,75 @@
 from oleanderdyke.logs import make_event_log, parse_line
 from oleanderdyke.metrics import Count, Timing
 
-OWED = Targets(first_token=600, between_tokens=37, recomputed_share=0.5)
+TARGETS = Targets(first_token=600, between_tokens=37, recomputed_share=0.5)
 SPECS = {
     'model': ServiceSpec(
-        ServiceKind.MODEL, model='m', version='1', targets=OWED
+        ServiceKind.MODEL, model='m', version='1', targets=TARGETS
     ),
     'plain': ServiceSpec(ServiceKind.PLAIN),
 }
 
 
-def add(book: TargetMonitor, *times: float, now: float = 0.0) -> None:
+def add(monitor: TargetMonitor, *times: float, now: float = 0.0) -> None:
     for number, time in enumerate(times):
         served = ServedRequest(f'r{number}', first_token=time)
-        book.add(served, OWED, now=now, wall=now)
+        monitor.add(served, TARGETS, now=now, wall=now)
 
 
-def judge(book: TargetMonitor, now: float = 0.0) -> dict[Target, bool]:
-    return {item.target: item.met for item in book.evaluate(OWED, now)}
+def evaluate(monitor: TargetMonitor, now: float = 0.0) -> dict[Target, bool]:
+    return {item.target: item.met for item in monitor.evaluate(TARGETS, now)}
 
 
 @pytest.mark.parametrize(('late', 'met'), [(5, True), (6, False)])
-def test_time_is_owed_to_95_in_100(late, met):
-    book = TargetMonitor()
-    add(book, *[600.0] * (100 - late), *[600.1] * late)
-    assert judge(book)[Target.FIRST_TOKEN] is met
-    assert len(book.list_missed()) == late
+def test_time_target_must_be_met_by_95_percent(late, met):
+    monitor = TargetMonitor()
+    add(monitor, *[600.0] * (100 - late), *[600.1] * late)
+    assert evaluate(monitor)[Target.FIRST_TOKEN] is met
+    assert len(monitor.list_missed()) == late
 
 
-def test_recomputed_share_is_owed_over_all_tokens():
-    book = TargetMonitor()
+def test_recomputed_share_is_evaluated_over_all_tokens():
+    monitor = TargetMonitor()
     for request, prompt, recomputed in (('new', 100, 100), ('old', 300, 99)):
         served = ServedRequest(
             request, prompt_tokens=prompt, recomputed_tokens=recomputed
         )
-        book.add(served, OWED, now=0, wall=0)
-    assert judge(book)[Target.RECOMPUTED_SHARE]
-    (missed,) = book.list_missed()
+        monitor.add(served, TARGETS, now=0, wall=0)
+    assert evaluate(monitor)[Target.RECOMPUTED_SHARE]
+    (missed,) = monitor.list_missed()
     assert (missed.request, missed.value) == ('new', 1.0)
 
 
-def test_window_forgets_but_the_missed_requests_stay():
-    book = TargetMonitor()
-    add(book, 700.0)
-    assert not judge(book, WINDOW / 2)[Target.FIRST_TOKEN]
-    assert judge(book, WINDOW)[Target.FIRST_TOKEN]
-    assert [item.request for item in book.list_missed()] == ['r0']
+def test_missed_requests_outlast_the_window():
+    monitor = TargetMonitor()
+    add(monitor, 700.0)
+    assert not evaluate(monitor, WINDOW / 2)[Target.FIRST_TOKEN]
+    assert evaluate(monitor, WINDOW)[Target.FIRST_TOKEN]
+    assert [item.request for item in monitor.list_missed()] == ['r0']
 
 
-def test_books_stay_bounded_with_18_models():
-    books = TargetMonitors()
+def test_monitors_stay_within_memory_bound_with_18_models():
+    monitors = TargetMonitors()
     tracemalloc.start()
     for number in range(20_000):
         served = ServedRequest(f'{number:032x}', 700.0, 50.0, 100, 100)
         now = number * WINDOW / 5_000
-        books.get(f'model-{number % 18}').add(served, OWED, now=now, wall=now)
+        monitors.get(f'model-{number % 18}').add(
+            served, TARGETS, now=now, wall=now
+        )
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     for number in range(500):
-        books.get(f'other-{number}')
-    assert len(books.get('model-0').list_missed()) == 0
+        monitors.get(f'other-{number}')
+    assert len(monitors.get('model-0').list_missed()) == 0
     assert size < 1024 * 1024
-    book = TargetMonitor()
-    add(book, *[700.0] * (3 * MAX_KEPT_MISSES))
-    assert len(book.list_missed()) == MAX_KEPT_MISSES
-    assert len(book.list_missed(3)) == 3
+    monitor = TargetMonitor()
+    add(monitor, *[700.0] * (3 * MAX_KEPT_MISSES))
+    assert len(monitor.list_missed()) == MAX_KEPT_MISSES
+    assert len(monitor.list_missed(3)) == 3
 
 
-class Bench:
+class EntryFixture:
     """Answer calls of one entry on a clock of its own."""
 
     def __init__(self, name: str = 'entry-a') -> None:
@@ -162,38 +164,38 @@
 
 
 def test_each_missed_target_is_one_event_with_its_request():
-    bench = Bench()
-    bench.answer(bench.call('quick'), 600, 37, 37)
-    bench.answer(bench.call('slow'), 601, 30, 50)
-    bench.answer(bench.call('letter', background=True), 9_000)
-    bench.answer(bench.call('desk', 'plain'), 9_000)
+    entry = EntryFixture()
+    entry.answer(entry.call('quick'), 600, 37, 37)
+    entry.answer(entry.call('slow'), 601, 30, 50)
+    entry.answer(entry.call('letter', background=True), 9_000)
+    entry.answer(entry.call('desk', 'plain'), 9_000)
     # Nobody can tell when the first token of such an answer came.
-    bench.answer(bench.call('whole'), 9_000, media='application/json')
-    highest = bench.core.metrics.read_quantile(Timing.FIRST_TOKEN, 100, 'model')
+    entry.answer(entry.call('whole'), 9_000, media='application/json')
+    highest = entry.core.metrics.read_quantile(Timing.FIRST_TOKEN, 100, 'model')
     assert highest < 700
-    assert bench.list_missed() == [
+    assert entry.list_missed() == [
         ('slow', 'first_token', '601.0'),
         ('slow', 'between_tokens', '40.0'),
     ]
 
 
 def test_refusal_counts_as_missed_unless_the_caller_is_at_fault():
-    bench = Bench()
-    call = bench.call('lost')
-    note_refused(bench.core, call, ErrorKind.DEADLINE, duration=30.0)
+    entry = EntryFixture()
+    call = entry.call('lost')
+    note_refused(entry.core, call, ErrorKind.DEADLINE, duration=30.0)
     note_refused(
-        bench.core, bench.call('much'), ErrorKind.RATE_LIMITED, duration=1.0
+        entry.core, entry.call('much'), ErrorKind.RATE_LIMITED, duration=1.0
     )
-    begun = bench.call('begun')
+    begun = entry.call('begun')
     note_refused(
-        bench.core,
+        entry.core,
         begun,
         ErrorKind.STREAM_BROKEN,
         duration=900.0,
-        delivery=bench.deliver(begun, 100, 10),
+        delivery=entry.deliver(begun, 100, 10),
     )
-    assert bench.list_missed() == [('lost', 'first_token', '30.0')]
-    (service, _) = bench.read_status()['services']
+    assert entry.list_missed() == [('lost', 'first_token', '30.0')]
+    (service, _) = entry.read_status()['services']
     assert service['missed_requests'][0]['refused'] == 'deadline'
     assert service['refusals'] == {
         'deadline': 1,
@@ -203,16 +205,16 @@
 
 
 def test_status_adds_up_over_entries():
-    first, second = Bench(), Bench('entry-b')
+    first, second = EntryFixture(), EntryFixture('entry-b')
     for number in range(9):
         first.answer(first.call(f'a{number}'), 100, 10)
     second.answer(second.call('b'), 5_000, 10)
     note_refused(
         second.core, second.call('c'), ErrorKind.OVERLOADED, duration=0
     )
-    for bench in (first, second):
-        bench.core.metrics.add(Count.REQUESTS, 10, 'model')
-        bench.core.metrics.add(Count.LINK_BYTES, 7, 'model')
+    for entry in (first, second):
+        entry.core.metrics.add(Count.REQUESTS, 10, 'model')
+        entry.core.metrics.add(Count.LINK_BYTES, 7, 'model')
     model, plain = summarise([first.read_status(), second.read_status()])
     assert (model.requests, model.link_bytes) == (20, 14)
     assert model.refusals == {'overloaded': 1}
@@ -230,10 +232,10 @@
     assert [item.request for item in model.missed_requests] == ['c']
 
 
-def test_status_that_waits_poll_holds_no_requests():
-    bench = Bench()
-    bench.answer(bench.call('slow'), 5_000)
-    (service, _) = make_status(bench.core).services
+def test_status_for_polling_omits_missed_requests():
+    entry = EntryFixture()
+    entry.answer(entry.call('slow'), 5_000)
+    (service, _) = make_status(entry.core).services
     assert (service.missed, service.missed_requests) == (1, ())
     assert service.timings == {}
-    assert bench.core.metrics.encode_timing(Timing.CLAIM) == ''
+    assert entry.core.metrics.encode_timing(Timing.CLAIM) == ''
