--- a/src/oleanderdyke/agent/prepare.py
+++ b/src/oleanderdyke/agent/prepare.py
@@ -17,8 +17,8 @@
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 from oleanderdyke.kernel.blocks import Namespace, SegmentId, make_namespace
 from oleanderdyke.kernel.demand import SEGMENT_TOKENS
-from oleanderdyke.kernel.gate import Loaded
-from oleanderdyke.kernel.routing import BACKGROUND_LAST, lower_priority
+from oleanderdyke.kernel.gate import LoadedWeights
+from oleanderdyke.kernel.routing import BACKGROUND_PRIORITY, lower_priority
 from oleanderdyke.links.messages import Dispatch, FetchPlan, Headers
 
 _REQUEST_ID = 'x-request-id'
@@ -90,7 +90,7 @@
             fetched = await self._fetch(run, dispatch.fetch, namespace)
             priority = self._find_priority(dispatch, dispatch.fetch, fetched)
         if dispatch.background:
-            priority = BACKGROUND_LAST
+            priority = BACKGROUND_PRIORITY
         self._check_weights(dispatch)
         headers = _drop(_make_headers(dispatch), _LENGTH, _JSON[0])
         return Prepared(
@@ -102,7 +102,7 @@
         dispatch = run.dispatch
         if self._engine.loaded.digest != dispatch.weight_digest:
             return
-        self._engine.note_used(dispatch.segments)
+        self._engine.record_use(dispatch.segments)
         if dispatch.keep is not None:
             depth = _find_depth(dispatch.segments, dispatch.keep.segments)
             self._exporter.offer(dispatch.keep, dispatch.namespace, depth=depth)
@@ -133,7 +133,7 @@
         )
 
     def _check_weights(self, dispatch: Dispatch) -> None:
-        wanted = Loaded(
+        wanted = LoadedWeights(
             dispatch.model,
             dispatch.weight_version,
             dispatch.weight_digest,
--- a/src/oleanderdyke/entry/core.py
+++ b/src/oleanderdyke/entry/core.py
@@ -14,6 +14,10 @@
 from oleanderdyke.kernel.attempts import AttemptSettings
 from oleanderdyke.kernel.catalog import Catalog
 from oleanderdyke.kernel.claims import ClaimTable
+from oleanderdyke.kernel.configuration import (
+    ConfigurationReader,
+    ReaderSettings,
+)
 from oleanderdyke.kernel.demand import Admission, Admitted, Refusal, Router
 from oleanderdyke.kernel.drain import Drain
 from oleanderdyke.kernel.membership import FleetState
@@ -28,13 +32,12 @@
     RetrySettings,
     make_retry_budget,
 )
-from oleanderdyke.kernel.spread import ConfigurationReader, ReaderSettings
 from oleanderdyke.kernel.targets import TargetMonitors
 from oleanderdyke.links.link import Link
 from oleanderdyke.links.messages import PROTOCOL_VERSION, Hello, Message, Role
 from oleanderdyke.logs import EventLog, make_event_log
 from oleanderdyke.metrics import Metrics
-from oleanderdyke.policies.exports import ExportChooser
+from oleanderdyke.policies.exports import ExportPolicy
 from oleanderdyke.policies.registries import ADMISSIONS, ROUTERS, TeamTerms
 
 _INCARNATION_BYTES = 8
@@ -96,7 +99,7 @@
     budget: RetryBudget
     router: Router
     admission: Admission
-    exports: ExportChooser
+    exports: ExportPolicy
     drain: Drain
     machine: AttemptSettings
     running: dict[str, Running] = field(default_factory=dict)
@@ -175,7 +178,7 @@
         admission=ADMISSIONS.find(settings.plugins.admission)(
             settings.policies, find_terms
         ),
-        exports=ExportChooser(settings.policies),
+        exports=ExportPolicy(settings.policies),
         drain=Drain(settings.drain),
         machine=AttemptSettings(
             claim_timeout=settings.claims.wait,
--- a/src/oleanderdyke/entry/hosted/driver.py
+++ b/src/oleanderdyke/entry/hosted/driver.py
@@ -130,7 +130,7 @@
             return
         attempt.withdraw_superseded()
         attempt.withdraw_late()
-        if self._is_given_up(attempt.find_silence(now)):
+        if self._is_given_up(attempt.find_overdue_time(now)):
             attempt.fail('the server is silent')
 
     def _is_given_up(self, silence: Millis) -> bool:
@@ -200,7 +200,7 @@
         self._starts[record.server] = record.start
         core = self._core
         self._chosen_at = core.clock.now()
-        core.limits.note_sent(choice.backend, self._chosen_at)
+        core.limits.record_sent(choice.backend, self._chosen_at)
         self._told.tell_routed(choice)
         reason = f'{choice.score:.1f} ms of {choice.candidates}'
         plan = Plan(agent=record.server, reason=reason)
@@ -336,5 +336,5 @@
         phase=AgentPhase.SERVING,
         load=Load(),
         beat=0,
-        heard=backend.heard,
+        heard=backend.last_heard_at,
     )
--- a/src/oleanderdyke/entry/hosted/shell.py
+++ b/src/oleanderdyke/entry/hosted/shell.py
@@ -104,14 +104,16 @@
         while True:
             now = core.clock.now()
             if now - last > _STALL:
-                core.book.note_awake(now)
+                core.backends.reset_silence(now)
                 core.log.write(
                     EventName.PROCESS_STALLED, duration=round(now - last)
                 )
             last = now
             for running in tuple(core.running.values()):
                 running.check_attempt(now)
-            core.rollout.tick(now=now, shift=core.engine_clock.most)
+            core.rollout.tick(
+                now=now, clock_offset=core.engine_clock.max_offset
+            )
             fault = core.find_fault()
             if fault != told:
                 told = fault
--- a/src/oleanderdyke/entry/sender.py
+++ b/src/oleanderdyke/entry/sender.py
@@ -20,7 +20,7 @@
     SendDispatch,
     SendResume,
 )
-from oleanderdyke.kernel.blocks import hint
+from oleanderdyke.kernel.blocks import make_hint
 from oleanderdyke.links.link import Link
 from oleanderdyke.links.messages import (
     BodyChunk,
@@ -182,11 +182,11 @@
     def _count_worthy(self) -> int:
         """Count one use of the prompt, however often it is sent."""
         exports = self._core.exports
-        hints = [hint(segment) for segment in self._call.segments]
+        hints = [make_hint(segment) for segment in self._call.segments]
         if not self._counted:
-            exports.note_used(hints)
+            exports.record_use(hints)
         self._counted = True
-        return exports.count_worthy(hints)
+        return exports.count_worth_exporting(hints)
 
     def _log(self, event: EventName) -> None:
         self._core.log.write(
--- a/src/oleanderdyke/kernel/backends.py
+++ b/src/oleanderdyke/kernel/backends.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from oleanderdyke.clock import MINUTE, SECOND, Millis
-from oleanderdyke.kernel.backend import Owed
+from oleanderdyke.kernel.backend import PendingAttempt
 from oleanderdyke.kernel.server_list import ServerList
 from oleanderdyke.kernel.servers import (
     AnswerField,
@@ -34,17 +34,17 @@
 _ERROR_WEIGHT = 0.2
 
 
-class BackendBook(ServerList):
+class BackendRegistry(ServerList):
     """Record what requests and answers show of the servers' present starts.
 
     What an earlier start showed changes nothing.
     """
 
-    def note_sent(
+    def record_sent(
         self,
         start: ServerStart,
         attempt: str,
-        owed: Owed,
+        owed: PendingAttempt,
     ) -> None:
         """Count an attempt that was sent."""
         backend = self.find_start(start)
@@ -53,21 +53,25 @@
             backend.running_tokens += owed.memory
             backend.waiting[attempt] = owed
 
-    def note_awake(self, now: Millis) -> None:
+    def reset_silence(self, now: Millis) -> None:
         """Blame nobody for a time in which this process read nothing."""
         for backend in self._backends.values():
-            backend.heard = max(backend.heard, now)
+            backend.last_heard_at = max(backend.last_heard_at, now)
 
-    def note_heard(self, start: ServerStart, attempt: str, now: Millis) -> None:
+    def record_received(
+        self, start: ServerStart, attempt: str, now: Millis
+    ) -> None:
         """Learn that bytes of an attempt came."""
         backend = self.find_start(start)
         if backend is not None:
-            backend.heard = now
+            backend.last_heard_at = now
             owed = backend.waiting.pop(attempt, None)
             if owed is not None:
-                backend.note_first_byte(owed, now)
+                backend.record_first_byte(owed, now)
 
-    def note_ended(self, start: ServerStart, attempt: str, memory: int) -> None:
+    def record_ended(
+        self, start: ServerStart, attempt: str, memory: int
+    ) -> None:
         """Forget an attempt that was sent and the tokens it took."""
         backend = self.find_start(start)
         if backend is not None:
@@ -75,7 +79,7 @@
             backend.running_tokens = max(backend.running_tokens - memory, 0)
             backend.waiting.pop(attempt, None)
 
-    def note_good(self, start: ServerStart) -> None:
+    def record_success(self, start: ServerStart) -> None:
         """Learn that a server answered well."""
         backend = self.find_start(start)
         if backend is not None:
@@ -83,7 +87,7 @@
             backend.refusals = 0
             backend.errors *= 1 - _ERROR_WEIGHT
 
-    def note_failed(self, start: ServerStart, now: Millis) -> None:
+    def record_failure(self, start: ServerStart, now: Millis) -> None:
         """Learn that a server failed a request; leave it out for a while."""
         backend = self.find_start(start)
         if backend is None:
@@ -92,15 +96,15 @@
         pause = _FIRST_EJECTION * 2**backend.failures
         backend.failures += 1
         until = now + min(pause, _LONGEST_EJECTION)
-        backend.out_until = max(backend.out_until, until)
+        backend.excluded_until = max(backend.excluded_until, until)
 
-    def note_error(self, start: ServerStart) -> None:
+    def record_error(self, start: ServerStart) -> None:
         """Learn that a server answered with an error of its own."""
         backend = self.find_start(start)
         if backend is not None:
             backend.errors += _ERROR_WEIGHT * (1 - backend.errors)
 
-    def note_refused(self, start: ServerStart, now: Millis) -> None:
+    def record_refusal(self, start: ServerStart, now: Millis) -> None:
         """Learn that a server refused a request without running it."""
         backend = self.find_start(start)
         if backend is None:
@@ -108,15 +112,15 @@
         pause = _REFUSAL_PAUSE * 2**backend.refusals
         backend.refusals += 1
         until = now + min(pause, _LONGEST_REFUSAL_PAUSE)
-        backend.out_until = max(backend.out_until, until)
+        backend.excluded_until = max(backend.excluded_until, until)
 
-    def note_reloading(self, start: ServerStart, now: Millis) -> None:
+    def record_reload(self, start: ServerStart, now: Millis) -> None:
         """Learn that an engine refuses while it takes new weights."""
         backend = self.find_start(start)
         if backend is not None:
             backend.reload_until = now + _RELOAD_PAUSE
 
-    def note_load(
+    def record_load(
         self, start: ServerStart, load: ServerLoad, now: Millis
     ) -> None:
         """Take the load that a server told with an answer."""
@@ -125,7 +129,7 @@
             backend.load = load
             backend.load_at = now
 
-    def note_limit(
+    def record_rate_limit(
         self,
         start: ServerStart,
         per_second: float,
@@ -139,9 +143,9 @@
         backend = self.find_start(start)
         if backend is None:
             return False
-        return backend.limit.note(per_second, told_at, now)
+        return backend.limit.update(per_second, told_at, now)
 
-    def note_backoff(
+    def record_backoff(
         self, start: ServerStart, pause: Millis, now: Millis
     ) -> bool:
         """Send nothing for as long as a server asks; return whether it began.
@@ -156,7 +160,7 @@
         backend.backoff_until = max(backend.backoff_until, until)
         return not is_backing_off and backend.backoff_until > now
 
-    def note_malformed(self, start: ServerStart, named: AnswerField) -> bool:
+    def record_malformed(self, start: ServerStart, named: AnswerField) -> bool:
         """Learn that a field can't be read; return whether it is the first."""
         backend = self.find_start(start)
         if backend is None or named in backend.malformed:
@@ -164,7 +168,7 @@
         backend.malformed.add(named)
         return True
 
-    def note_version(
+    def record_version(
         self, start: ServerStart, model: str, version: int
     ) -> None:
         """Take newer weights that a server was shown to hold."""
@@ -177,9 +181,9 @@
         versions[model] = version
         backend.record = replace(backend.record, versions=versions)
         backend.reload_until = 0.0
-        backend.forget_kept()
+        backend.clear_cache()
 
-    def note_kept(
+    def record_kept(
         self, start: ServerStart, parts: Sequence[PromptPart], capacity: int
     ) -> None:
         """Assume that a server keeps a prompt's parts, the latest ones."""
@@ -187,9 +191,9 @@
         if backend is None:
             return
         for part in parts:
-            backend.kept_tokens -= backend.kept.pop(part.name, 0)
-            backend.kept[part.name] = part.tokens
-            backend.kept_tokens += part.tokens
-        while backend.kept_tokens > capacity and backend.kept:
-            _, tokens = backend.kept.popitem(last=False)
-            backend.kept_tokens -= tokens
+            backend.cached_tokens -= backend.cached_parts.pop(part.name, 0)
+            backend.cached_parts[part.name] = part.tokens
+            backend.cached_tokens += part.tokens
+        while backend.cached_tokens > capacity and backend.cached_parts:
+            _, tokens = backend.cached_parts.popitem(last=False)
+            backend.cached_tokens -= tokens
--- a/src/oleanderdyke/platform/documents.py
+++ b/src/oleanderdyke/platform/documents.py
@@ -144,7 +144,7 @@
         is_resumable=(
             kind is CallKind.STREAM and bool(found.get('resumable', False))
         ),
-        homes=_read_homes(found),
+        allowed_regions=_read_homes(found),
     )
 
 
@@ -168,7 +168,7 @@
     engine = found.get('engine')
     return ServiceTraits(
         name=str(found['name']),
-        cold_lasts=float(found.get('coldStartS') or 0.0) * SECOND,
+        cold_duration=float(found.get('coldStartS') or 0.0) * SECOND,
         cold_rate=float(found.get('coldPerS') or 0.0),
         engine=_make_engine(engine) if engine else None,
         store=_make_store(found) if found.get('kvStoreAddr') else None,
@@ -209,7 +209,7 @@
             team=str(team['name']),
             is_isolated=bool(team.get('isolated', False)),
             priority=None if priority is None else int(priority),
-            homes=_read_homes(team),
+            allowed_regions=_read_homes(team),
         )
         for key in team.get('apiKeys', ()):
             yield str(key), owner
@@ -239,9 +239,9 @@
         slots=read_integer(found, 'slots'),
         versions=_read_versions(found),
         # The wire's `seq` counts what this start of a server has written.
-        beat=read_integer(found, 'seq'),
+        revision=read_integer(found, 'seq'),
         born=decode_born(found),
-        cold=read_number(found, 'coldRemainingMs'),
+        cold_remaining=read_number(found, 'coldRemainingMs'),
     )
 
 
--- a/src/oleanderdyke/policies/routing.py
+++ b/src/oleanderdyke/policies/routing.py
@@ -21,14 +21,14 @@
 )
 from oleanderdyke.kernel.prediction import BacklogTracker
 from oleanderdyke.kernel.routing import (
-    LONG_NEXT,
-    SHORT_FIRST,
+    LONG_PRIORITY,
+    SHORT_PRIORITY,
     Costs,
-    Source,
-    Standing,
-    choose_source,
+    PrefillPlan,
+    ReplicaEstimate,
+    plan_prefill,
 )
-from oleanderdyke.policies.candidates import find_candidates, fits
+from oleanderdyke.policies.candidates import find_candidates, is_eligible
 from oleanderdyke.policies.pressure import CachePressure
 from oleanderdyke.policies.registries import ROUTERS
 from oleanderdyke.policies.settings import PolicySettings
@@ -47,7 +47,7 @@
     replica: Replica
     store: str
     reach: Reach
-    source: Source
+    source: PrefillPlan
 
 
 class PredictedRouter:
@@ -90,41 +90,45 @@
         best = self._weigh_pressure(demand, choices, now)
         return _make_plan(best, self._settings)
 
-    def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
+    def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Count the prefill, the fetch and the prefixes soon to be there."""
         present = (plan.cached + plan.fetched) * SEGMENT_TOKENS
         tokens = max(0, demand.tokens - present)
         brought = demand.tokens - plan.cached * SEGMENT_TOKENS
-        self._pressure.note_brought(plan.agent, brought, now)
-        self._backlog.note_sent(
+        self._pressure.record_added(plan.agent, brought, now)
+        self._backlog.record_sent(
             demand.request,
             plan.agent,
             tokens,
             now,
-            short=plan.priority == SHORT_FIRST,
+            short=plan.priority == SHORT_PRIORITY,
         )
-        self._links.note_sent(demand.request, plan, now)
-        self._soon.note_sent(demand, plan, now)
+        self._links.record_sent(demand.request, plan, now)
+        self._soon.record_sent(demand, plan, now)
 
-    def note_first_token(self, request: str, now: Millis) -> None:
+    def record_first_token(self, request: str, now: Millis) -> None:
         """Learn that a request's context is there."""
-        self._backlog.note_first_token(request, now)
+        self._backlog.record_first_token(request, now)
         self._links.note_done(request)
         self._soon.note_ready(request, now)
 
-    def note_finished(self, request: str, now: Millis) -> None:
+    def record_finished(self, request: str, now: Millis) -> None:
         """Forget a request."""
-        self._backlog.note_finished(request, now)
+        self._backlog.record_finished(request, now)
         self._links.note_done(request)
-        self._soon.note_finished(request)
+        self._soon.record_finished(request)
 
-    def note_removed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
+    def record_segments_removed(
+        self, agent: str, segments: Sequence[SegmentHint]
+    ) -> None:
         """Stop counting on what an agent no longer holds."""
-        self._soon.note_removed(agent, segments)
+        self._soon.record_segments_removed(agent, segments)
 
-    def note_listed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
+    def record_segments_listed(
+        self, agent: str, segments: Sequence[SegmentHint]
+    ) -> None:
         """Stop counting on what an agent doesn't list."""
-        self._soon.note_listed(agent, segments)
+        self._soon.record_segments_listed(agent, segments)
 
     def _weigh(
         self,
@@ -137,7 +141,7 @@
         held = fleet.count_leading(replica.agent, demand.segments)
         reach = self._soon.extend(replica.agent, demand.segments, held, now)
         store = stores.find(reach.cached)
-        standing = Standing(
+        standing = ReplicaEstimate(
             wait=self._backlog.estimate_wait(replica, now),
             short_wait=self._backlog.estimate_short_wait(replica, now),
             tokens_per_second=self._backlog.find_rate(replica),
@@ -148,13 +152,13 @@
             link=store.link,
             latency=self._find_latency(demand, replica),
         )
-        source = choose_source(self._costs, standing)
+        source = plan_prefill(self._costs, standing)
         return _Choice(replica, store.agent, reach, source)
 
     def _weigh_pressure(
         self, demand: Demand, choices: Sequence[_Choice], now: Millis
     ) -> _Choice:
-        pushed = self._pressure.weigh(
+        pushed = self._pressure.estimate_displaced(
             {
                 each.replica.agent: demand.tokens
                 - each.reach.cached * SEGMENT_TOKENS
@@ -201,7 +205,7 @@
         replicas = [
             each
             for each in fleet.replicas(demand.service)
-            if fits(each, demand, exclude)
+            if is_eligible(each, demand, exclude)
         ]
         if not replicas:
             return _NO_REPLICA
@@ -212,21 +216,25 @@
         held = fleet.count_leading(least.agent, demand.segments)
         return Plan(least.agent, 'least outstanding', cached=held)
 
-    def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
+    def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Count a dispatch."""
-        self._backlog.note_sent(demand.request, plan.agent, 0, now)
+        self._backlog.record_sent(demand.request, plan.agent, 0, now)
 
-    def note_first_token(self, request: str, now: Millis) -> None:
+    def record_first_token(self, request: str, now: Millis) -> None:
         """Learn nothing."""
 
-    def note_finished(self, request: str, now: Millis) -> None:
+    def record_finished(self, request: str, now: Millis) -> None:
         """Forget a request."""
-        self._backlog.note_finished(request, now)
+        self._backlog.record_finished(request, now)
 
-    def note_removed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
+    def record_segments_removed(
+        self, agent: str, segments: Sequence[SegmentHint]
+    ) -> None:
         """Learn nothing."""
 
-    def note_listed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
+    def record_segments_listed(
+        self, agent: str, segments: Sequence[SegmentHint]
+    ) -> None:
         """Learn nothing."""
 
     def _count(self, replica: Replica) -> int:
@@ -275,7 +283,7 @@
         fetched=source.fetched + reach.joined,
         predicted=source.time,
         joined=reach.joined,
-        priority=SHORT_FIRST if short else LONG_NEXT,
+        priority=SHORT_PRIORITY if short else LONG_PRIORITY,
     )
 
 
--- a/tests/test_dispatches.py
+++ b/tests/test_dispatches.py
@@ -11,12 +11,12 @@
 from oleanderdyke.entry.inbox import Inbox
 from oleanderdyke.entry.sender import AttemptSender
 from oleanderdyke.kernel.attempt_events import SendDispatch
-from oleanderdyke.kernel.blocks import hint
+from oleanderdyke.kernel.blocks import make_hint
 from oleanderdyke.kernel.demand import Plan
 from oleanderdyke.kernel.objects import ServiceKind, ServiceSpec
 from oleanderdyke.links.messages import BackendKind, Dispatch
 from oleanderdyke.links.messages.segments import SegmentEvents
-from oleanderdyke.policies.exports import ExportChooser
+from oleanderdyke.policies.exports import ExportPolicy
 from oleanderdyke.policies.settings import COUNCIL
 
 pytestmark = pytest.mark.anyio
@@ -33,7 +33,7 @@
     """Build an entry that exports what has come back, with one store."""
     edge = Edge()
     core = edge.core
-    core.exports = ExportChooser(COUNCIL)
+    core.exports = ExportPolicy(COUNCIL)
     edge.add_agent(MODEL, BackendKind.ENGINE)
     edge.add_agent('memoria', BackendKind.STORE)
     stores = [core.fleet.find('agent-memoria')]
@@ -81,7 +81,7 @@
 
 async def test_what_the_store_holds_is_not_kept_again() -> None:
     edge = make_edge()
-    held = SegmentEvents(0, tuple(hint(each) for each in SEGMENTS[:3]))
+    held = SegmentEvents(0, tuple(make_hint(each) for each in SEGMENTS[:3]))
     now = edge.core.clock.now()
     edge.core.fleet.on_segments('agent-memoria', 'i1', held, now)
     await send(edge, SEGMENTS[:3])
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -7,13 +7,13 @@
 from bench.views import LateFleet
 from oleanderdyke.errors import ErrorKind
 from oleanderdyke.kernel.demand import Demand, Plan, Refusal, Replica
-from oleanderdyke.kernel.links_meter import LinkMeter
+from oleanderdyke.kernel.link_meter import LinkMeter
 from oleanderdyke.kernel.prediction import BacklogTracker
 from oleanderdyke.kernel.routing import (
     Costs,
     LinkView,
-    Standing,
-    choose_source,
+    ReplicaEstimate,
+    plan_prefill,
     should_drop_fetch,
 )
 from oleanderdyke.links.messages import AgentPhase, BackendKind, Load
@@ -101,9 +101,11 @@
 
 def test_part_is_fetched_while_the_request_waits_anyway():
     link = LinkView(0.0, 4e8)
-    source = choose_source(
+    source = plan_prefill(
         COSTS,
-        Standing(1_000, 1_000, 8_000.0, TOKENS, 0, covered=40, link=link),
+        ReplicaEstimate(
+            1_000, 1_000, 8_000.0, TOKENS, 0, covered=40, link=link
+        ),
     )
     assert 0 < source.fetched < 40
 
@@ -121,7 +123,7 @@
     add_store(fleet)
     router = make_predicted(AGENCY)
     first = choose(fleet, router)
-    router.note_sent(demand(), first, 1_000.0)
+    router.record_sent(demand(), first, 1_000.0)
     second = choose(fleet, router, request='r2', now=1_010.0)
     assert second.agent == first.agent
     assert (second.joined, second.fetched) == (40, 40)
@@ -141,8 +143,8 @@
     router = make_predicted(AGENCY)
     first = choose(fleet, router)
     for agent in ('e0', 'e1'):
-        router.note_sent(demand(), Plan(agent, ''), 1_000.0)
-    router.note_finished('r1', 1_500.0)
+        router.record_sent(demand(), Plan(agent, ''), 1_000.0)
+    router.record_finished('r1', 1_500.0)
     again = choose(fleet, router, request='r2', now=1_600.0)
     assert (again.agent, again.cached) == (first.agent, 0)
 
@@ -187,15 +189,15 @@
 def test_own_dispatches_count_before_reports_show_them():
     tracker = BacklogTracker(200.0, 8_000.0)
     quiet = replica('e0')
-    tracker.note_sent('r1', 'e0', 8_000, 100.0)
+    tracker.record_sent('r1', 'e0', 8_000, 100.0)
     assert tracker.estimate_wait(quiet, 100.0) == pytest.approx(1_000.0)
-    tracker.note_first_token('r1', 1_100.0)
+    tracker.record_first_token('r1', 1_100.0)
     assert tracker.estimate_wait(quiet, 1_100.0) == 0.0
 
 
 def test_reported_work_is_not_counted_twice():
     tracker = BacklogTracker(200.0, 8_000.0)
-    tracker.note_sent('r1', 'e0', 8_000, 0.0)
+    tracker.record_sent('r1', 'e0', 8_000, 0.0)
     load = Load(waiting_tokens=12_000, prefill_tokens_per_second=8_000.0)
     shown = replica('e0', load=load, beat=2, heard=300.0)
     assert tracker.estimate_tokens(shown, 0.0) == pytest.approx(12_000)
@@ -211,8 +213,8 @@
 
 def test_meter_learns_a_degraded_link():
     meter = LinkMeter(1e9)
-    meter.note_asked(10**9, 0.0)
+    meter.record_requested(10**9, 0.0)
     for second in range(1, 9):
-        meter.note_carried(10**8, second * 1_000.0)
-    assert meter.read_rate(8_000.0) < 2e8
+        meter.record_sent(10**8, second * 1_000.0)
+    assert meter.estimate_rate(8_000.0) < 2e8
     assert meter.bytes_in_flight == 2 * 10**8
--- a/tests/test_store_restores.py
+++ b/tests/test_store_restores.py
@@ -7,10 +7,10 @@
 import anyio
 import pytest
 
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.evacuations import Evacuations
 from oleanderdyke.kernel.load_queue import LoadNotice, LoadStep
-from oleanderdyke.kernel.news_tails import RecordTail
+from oleanderdyke.kernel.read_buffers import RecordBuffer
 from oleanderdyke.kernel.servers import ServerRecord
 from oleanderdyke.platform.entries import EntryFeed
 from oleanderdyke.platform.eras import EraFault, StoreEra
@@ -191,9 +191,9 @@
 
 
 def test_records_of_an_earlier_era_are_not_passed_on():
-    tail = RecordTail()
-    tail.note(0, (b'a', b'b'), known_at=1.0, now=1.0, era=1)
-    tail.note(2, (b'c',), known_at=2.0, now=2.0, era=2)
+    tail = RecordBuffer()
+    tail.add(0, (b'a', b'b'), known_at=1.0, now=1.0, era=1)
+    tail.add(2, (b'c',), known_at=2.0, now=2.0, era=2)
     assert tail.find(0) is None
     assert tail.find(2) == (b'c',)
 
@@ -217,13 +217,13 @@
 
 
 def test_a_server_that_a_copy_lacks_is_gone_only_after_two_seconds():
-    book = BackendBook()
+    book = BackendRegistry()
     record = ServerRecord('a', 'desk', 'a:1', 'hall')
     book.replace([record], 0.0)
-    book.note_read(0.0)
-    book.note_restored(600.0)
+    book.complete_read(0.0)
+    book.record_restore(600.0)
     book.replace([], 600.0)
-    book.note_read(600.0)
+    book.complete_read(600.0)
     assert book.list_service('desk', 2_500.0)
     assert not book.list_service('desk', 2_601.0)
 
@@ -254,7 +254,7 @@
     store = make_store()
     store.back_up()
     async with staging(tmp_path, answer, store=store) as stage:
-        book = stage.core.book
+        book = stage.core.backends
         record = make_record(book.find('i-0').record.address, seq=3)
         store.restore()
         await anyio.sleep(1)
