--- a/tests/attempt_case.py
+++ b/tests/attempt_case.py
@@ -1,4 +1,4 @@
-"""Lead one request through its machine, event by event."""
+"""Drive the state machine of one request event by event."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 class Case:
-    """Drive one machine and keep its latest actions."""
+    """Feed events to one state machine and keep its latest actions."""
 
     def __init__(
         self,
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -58,7 +58,7 @@
 def test_lost_run_waits_for_a_replica_and_is_sent_again():
     case = make_run(idempotent=True).on(ev.LinkLost('agent-1', 'i1')).fire()
     assert case.find(ev.Route).exclude == {'agent-1'}
-    # The server that was lost counts again when no other serves.
+    # The lost server is no longer excluded if no other one serves.
     case.on(NO_REPLICA).fire()
     assert case.find(ev.Route).exclude == frozenset()
     case.route('agent-1', 'i2')
@@ -195,7 +195,7 @@
 
 
 def lose_link(case):
-    """Lose a link and what was asked for over the next one."""
+    """Lose the link and leave every resume request unanswered."""
     case.on(ev.LinkLost('agent-1', 'i1'))
     while case.find(ev.StartTimer).kind is ev.TimerKind.RESUME:
         case.fire()
@@ -223,7 +223,7 @@
     assert case.fire().find(ev.Route).exclude == {'agent-1'}
     dispatch = case.route('agent-2', 'i2').find(ev.SendDispatch)
     assert dispatch.alone is (lose is lose_server)
-    # Nothing of the first run may stand in for what the second one lacks.
+    # The head and token of the first run must not be used for the second.
     assert case.machine.hand_over() is None
     case.head('other').chunk()
     head = ev.DeliverHead(201, (('a', 'b'),), 'other')
--- a/tests/test_durations.py
+++ b/tests/test_durations.py
@@ -14,10 +14,11 @@
 
 
 def test_running_requests_raise_the_estimate():
-    """Lest a stream is taken by a stopping entry and cut at its end.
+    """Guard against a stopping entry accepting a stream that it must cut.
 
-    One was taken 3.4 s after the signal to stop, as those that had ended were
-    short, and cut 4.0 s later; no trace of what else ran then was kept.
+    A stream was accepted 3.4 s after the stop signal, as all finished ones had
+    been short, and cut 4.0 s later. Which other requests were running then is
+    not known.
     """
     durations = DurationEstimator()
     durations.record('letter', 1_000.0)
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -1,4 +1,4 @@
-"""Hold on real processes that a poison request crashes at most two servers."""
+"""Check with real processes that poison crashes at most two servers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 pytestmark = pytest.mark.xdist_group('poison')
 
-# Two may crash and load their weights at once; one is left to serve.
+# Two engines may crash and reload their weights at once; a third serves.
 SIZES = {BackendKind.ENGINE: 3, BackendKind.PLAIN: 1, BackendKind.STORE: 1}
 INNOCENTS = 6
 
@@ -62,10 +62,10 @@
 
 @pytest.fixture
 def untouched(tmp_path: Path) -> Iterator[Deployment]:
-    """Run servers that are kept for no suspect of another test.
+    """Run servers of which none is reserved for a suspect of another test.
 
-    One that is refuses other requests for some heartbeats after the last try of
-    its suspect.
+    A reserved server refuses other requests for some heartbeats after the last
+    attempt of its suspect.
     """
     with deploying(tmp_path) as running:
         yield running
@@ -96,7 +96,7 @@
 
 
 def is_each_loaded(deployment: Deployment) -> bool:
-    """Tell whether every server holds weights and every entry knows it."""
+    """Return whether all servers have weights and all entries list them."""
     servers = deployment.find(MODEL)
     states = [call(each.address, 'GET', '/state').json for each in servers]
     if not all(each['digest'] for each in states):
@@ -122,11 +122,11 @@
 
 
 def wait_settled(deployment: Deployment) -> None:
-    """Wait for servers that load, or wait for a suspect, after a crash.
+    """Wait until all servers are loaded and idle after a crash.
 
-    Only requests that shared a crash are promised to be served after it; new
-    ones may be refused as not run while it lasts. Whether requests meet every
-    server is up to the router, so the servers are asked.
+    Only requests that were running at a crash are guaranteed to be served;
+    new ones may be refused as not run until servers have recovered. The router
+    need not use every server, so each server is queried directly.
     """
     wait_until(lambda: is_each_loaded(deployment), 'every server is loaded')
     with ThreadPoolExecutor(INNOCENTS) as pool:
@@ -139,7 +139,7 @@
 def is_refused(
     deployment: Deployment, pool: Executor, text: str, at_once: int
 ) -> bool:
-    """Send a poison through every entry; tell whether all have learned."""
+    """Send a poison request to every entry; return whether all refuse it."""
     kinds = set()
     for start in range(0, 2, at_once):
         sent = [
@@ -160,7 +160,7 @@
     before = count_crashes(deployment)
     servers = list_backends(deployment, MODEL)
     with ThreadPoolExecutor(INNOCENTS + at_once) as pool:
-        # None ends before the last has begun, however slowly they come.
+        # No request ends before the last one has started, however late.
         with failing(deployment, *servers, hold=True):
             innocents = [
                 pool.submit(
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -16,7 +16,7 @@
 
 
 def send_heartbeat(source, target, now=0.0):
-    """Send one heartbeat's worth from one process to another."""
+    """Send the quarantine part of one heartbeat to another process."""
     target.merge(source.list_quarantined(now), source.list_suspects(now), now)
 
 
@@ -95,14 +95,14 @@
 
 
 class SilentQuarantine(Quarantine):
-    """Keep to itself what it has seen."""
+    """Ignore the crashes reported by other processes."""
 
     def merge(self, quarantined, suspects, now):
         return None
 
 
 class Servers:
-    """Three servers, two entries and a caller who sends again and again."""
+    """Simulate three servers, two entries and a caller that keeps resending."""
 
     def __init__(self, make):
         self.crashes = 0
@@ -126,14 +126,14 @@
         return gate
 
     def send(self, name, entry, agent):
-        """Send a request through an entry; tell whether it was admitted."""
+        """Send a request through an entry; return whether it was admitted."""
         self.sent += 1
         digest = make_dispatch(name).digest
-        standing = self.entries[entry].get_status(digest, 0.0)
-        if standing is QuarantineStatus.QUARANTINED:
+        status = self.entries[entry].get_status(digest, 0.0)
+        if status is QuarantineStatus.QUARANTINED:
             return False
         dispatch = make_dispatch(
-            name, attempt=self.sent, alone=standing is QuarantineStatus.SUSPECT
+            name, attempt=self.sent, alone=status is QuarantineStatus.SUSPECT
         )
         return self.gates[agent].admit(dispatch, 0.0) == Accepted()
 
--- a/tests/test_receiver.py
+++ b/tests/test_receiver.py
@@ -20,7 +20,7 @@
 
 
 class Caller:
-    """Read what a receiver passes on."""
+    """Feed a receiver and read the messages that it passes on."""
 
     def __init__(self) -> None:
         self._inbox = Inbox()
@@ -77,7 +77,7 @@
     caller.receiver.expect(2)
     head = make_run(2)[0]
     assert caller.take(head) == [head]
-    # The machine holds the head of a run back until its first chunk.
+    # The state machine holds the head of a run back until its first chunk.
     caller.receiver.expect(3)
     run = make_run(3, b'three')
     assert caller.take(*run) == run
--- a/tests/test_request_safety.py
+++ b/tests/test_request_safety.py
@@ -1,6 +1,6 @@
-"""Prove the promises about one request on a model world.
+"""Check the guarantees about one request in a simulated deployment.
 
-Each checker is shown to fail on an unsafe variant that lives only here.
+Unsafe variants defined here show that each violation is detected.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class Requests(RuleBasedStateMachine):
-    """Take any step at any time."""
+    """Apply the steps in any order."""
 
     @initialize()
     def begin(self):
@@ -46,7 +46,7 @@
 
 
 def walk_until_violation(variants, walks, steps=STEPS) -> str:
-    """Return the first promise that seeded random walks see broken."""
+    """Return the first promise violated on random walks with fixed seeds."""
     for seed in range(walks):
         try:
             Walk(variants).run(seed, STEPS_OF_WALK, steps)
@@ -75,7 +75,7 @@
 
 
 def find_unanswered(variants: Variants) -> set[str]:
-    """Return calls that stay open after walks whose faults have ended."""
+    """Return calls that stay unanswered after the faults have ended."""
     unanswered = set()
     for seed in range(WALKS // 5):
         walk = Walk(variants)
@@ -89,7 +89,7 @@
 
 
 class DeafMachine(RequestStateMachine):
-    """Wait for ever for an agent's answer."""
+    """Never give up waiting for an agent's answer."""
 
     def _give_up_querying(self):
         return ()
@@ -100,7 +100,7 @@
 
 
 class ForgivingGate(Gate):
-    """Run whatever claim it is shown."""
+    """Admit every claim without checking it."""
 
     def _check_claim(self, _dispatch, _now):
         return None
@@ -119,7 +119,7 @@
 
 
 class ForgetfulGate(Gate):
-    """Deny a claim that it does not know, without barring it."""
+    """Report an unknown claim as barred without barring it."""
 
     def answer_query(self, query):
         answer = super().answer_query(query)
@@ -131,7 +131,7 @@
 
 
 class AgelessGate(Gate):
-    """Forget attempts with age, but start old ones."""
+    """Evict old attempts, but still start them."""
 
     def _check_age(self, _dispatch, _now):
         return None
@@ -145,14 +145,14 @@
 
 
 class ForgetfulTable(ClaimTable):
-    """Ignore what was carried over before the log forgot it."""
+    """Ignore renewals of claims whose own records expire."""
 
     def _apply_renewal(self, _append_outcome, _at):
         return None
 
 
 class EagerTable(ClaimTable):
-    """Believe in a claim before it is read back."""
+    """Treat a claim as owned before it is read back from the log."""
 
     def get_claim_verdict(self, claim_id, key, digest):
         if isinstance(self.get_verdict(key, digest), Free):
@@ -161,14 +161,14 @@
 
 
 class CarelessTable(ClaimTable):
-    """Believe every carried record."""
+    """Accept every renewal record."""
 
     def _has_read_since(self, _append_outcome):
         return True
 
 
 class StubbornMachine(RequestStateMachine):
-    """Send again what may have run."""
+    """Retry an attempt that may have run."""
 
     def _after_lost_attempt(self):
         return self._retry(ErrorKind.BACKEND_LOST)
@@ -179,7 +179,7 @@
 
 
 class ImpatientMachine(RequestStateMachine):
-    """Take silence for a lapsed lease and release the claim."""
+    """Treat an agent's silence as an expired lease and release the claim."""
 
     def _give_up_querying(self):
         self._queries = 0
@@ -187,7 +187,7 @@
 
 
 class HopefulMachine(RequestStateMachine):
-    """Call a lost attempt not run."""
+    """Report a lost attempt as not run."""
 
     @property
     def ran(self):
@@ -198,7 +198,7 @@
 
 
 class SplicingMachine(RequestStateMachine):
-    """Go on with another run where the first one broke off."""
+    """Continue with another run where the first one broke off."""
 
     def _on_failed(self, failed):
         self._record_ran(failed.ran)
@@ -206,7 +206,7 @@
 
 
 class MixingMachine(RequestStateMachine):
-    """Give later callers something else than the first."""
+    """Give later callers a different answer than the first."""
 
     def _load_outcome(self, outcome):
         body = outcome.body[len(outcome.body) // 2 :]
@@ -218,7 +218,7 @@
 
 
 class OpenGate(Gate):
-    """Answer whoever asks about a claim."""
+    """Answer queries about a claim from any team."""
 
     def answer_query(self, query):
         runs = self._claims._runs
@@ -278,7 +278,7 @@
 
 
 def run_with_late_renewal(variants: Variants) -> World:
-    """Carry a claim twice; the copy from before its release comes last."""
+    """Renew a claim twice; the renewal from before its release comes last."""
     world = World(variants)
     world.call('entry-1', 'team-1', 'key')
     append_all(world)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -309,10 +309,10 @@
 
 
 class AnswerWorld(RuleBasedStateMachine):
-    """Send an answer over a network that reorders, repeats and breaks.
+    """Send an answer over a network that reorders, duplicates and drops.
 
-    Checks what the caller gets: `spliced` is not a prefix of one run,
-    `short` is called whole but isn't.
+    Assertions on the caller's side: `spliced` fails if the data is not a
+    prefix of one run, `short` if an incomplete answer is called complete.
     """
 
     make_assembler = AnswerAssembler
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -105,7 +105,7 @@
 
 
 class EntryFixture:
-    """Answer calls of one entry on a clock of its own."""
+    """Record answered calls at one entry with a manual clock."""
 
     def __init__(self, name: str = 'entry-a') -> None:
         self.clock = ManualClock()
@@ -169,7 +169,7 @@
     entry.answer(entry.call('slow'), 601, 30, 50)
     entry.answer(entry.call('letter', background=True), 9_000)
     entry.answer(entry.call('desk', 'plain'), 9_000)
-    # Nobody can tell when the first token of such an answer came.
+    # The time of the first token of an unstreamed answer is unknown.
     entry.answer(entry.call('whole'), 9_000, media='application/json')
     highest = entry.core.metrics.read_quantile(Timing.FIRST_TOKEN, 100, 'model')
     assert highest < 700
