--- a/src/oleanderdyke/kernel/stream_buffer.py
+++ b/src/oleanderdyke/kernel/stream_buffer.py
@@ -22,7 +22,7 @@
 Outgoing: TypeAlias = AnswerHead | AnswerChunk | AnswerEnd
 
 # Bytes charged for each buffered chunk in addition to its data.
-CHUNK_OVERHEAD = 64
+CHUNK_OVERHEAD_BYTES = 64
 
 
 @dataclass(frozen=True, slots=True)
@@ -143,9 +143,9 @@
 
         A reader whose link then breaks could not resume at that chunk.
         """
-        cost = len(data) + CHUNK_OVERHEAD
-        over = self._held_bytes + cost > self._limits.stream_bytes
-        return over and self._unsent_bytes > 0
+        cost = len(data) + CHUNK_OVERHEAD_BYTES
+        exceeds = self._held_bytes + cost > self._limits.stream_bytes
+        return exceeds and self._unsent_bytes > 0
 
     def add(self, data: bytes, now: Millis) -> tuple[Outgoing, ...]:
         """Add a chunk from the producer; return the messages to send now.
@@ -157,7 +157,7 @@
                 ErrorKind.INTERNAL,
                 'chunk added to a stream that is full or finished',
             )
-        cost = len(data) + CHUNK_OVERHEAD
+        cost = len(data) + CHUNK_OVERHEAD_BYTES
         self._chunks.append(_Chunk(data, now, cost))
         self._digest.update(data)
         self._unsent_bytes += cost
--- a/src/oleanderdyke/kernel/targets.py
+++ b/src/oleanderdyke/kernel/targets.py
@@ -180,18 +180,18 @@
     """Hold a monitor for each service, for a limited number of services."""
 
     def __init__(self) -> None:
-        self._books: dict[str, TargetMonitor] = {}
+        self._monitors: dict[str, TargetMonitor] = {}
 
     def get(self, service: str) -> TargetMonitor:
         """Return the monitor of a service; create it if needed.
 
         Creating one in a full table drops the monitor that was created first.
         """
-        if service not in self._books:
-            while len(self._books) >= _MAX_SERVICES:
-                del self._books[next(iter(self._books))]
-            self._books[service] = TargetMonitor()
-        return self._books[service]
+        if service not in self._monitors:
+            while len(self._monitors) >= _MAX_SERVICES:
+                del self._monitors[next(iter(self._monitors))]
+            self._monitors[service] = TargetMonitor()
+        return self._monitors[service]
 
 
 def get_limit(targets: Targets, target: Target) -> float:
--- a/tests/test_request_safety.py
+++ b/tests/test_request_safety.py
@@ -29,8 +29,8 @@
 from tests.safety_walk import FORGETTING_STEPS, STEPS, Walk
 
 WALKS = 1_000
-STEPS_OF_WALK = 80
-ROUNDS_OF_CALM = 20
+WALK_STEPS = 80
+RECOVERY_ROUNDS = 20
 
 
 class Requests(RuleBasedStateMachine):
@@ -49,7 +49,7 @@
     """Return the first promise violated on random walks with fixed seeds."""
     for seed in range(walks):
         try:
-            Walk(variants).run(seed, STEPS_OF_WALK, steps)
+            Walk(variants).run(seed, WALK_STEPS, steps)
         except Violation as violation:
             return violation.promise
     return ''
@@ -79,8 +79,8 @@
     unanswered = set()
     for seed in range(WALKS // 5):
         walk = Walk(variants)
-        walk.run(seed, STEPS_OF_WALK, STEPS)
-        unanswered |= walk.calm_down(ROUNDS_OF_CALM)
+        walk.run(seed, WALK_STEPS, STEPS)
+        unanswered |= walk.calm_down(RECOVERY_ROUNDS)
     return unanswered
 
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -10,7 +10,7 @@
 from machines import assert_caught, assert_holds
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 from oleanderdyke.kernel.stream_buffer import (
-    CHUNK_OVERHEAD,
+    CHUNK_OVERHEAD_BYTES,
     AnswerTotals,
     BufferBudget,
     Reader,
@@ -35,7 +35,7 @@
 )
 
 CHUNK = 36
-COST = CHUNK + CHUNK_OVERHEAD
+COST = CHUNK + CHUNK_OVERHEAD_BYTES
 LIMITS = StreamLimits(
     stream_bytes=4 * COST, total_bytes=8 * COST, streams=3, hold=100, credit=2
 )
@@ -346,7 +346,7 @@
             mark = f'{self.runs}:{len(self.produced)};'.encode()
             self.produced.append(mark)
             self.wire += self.buffer.add(mark, 0)
-            cost = len(mark) + CHUNK_OVERHEAD
+            cost = len(mark) + CHUNK_OVERHEAD_BYTES
             bound = LIMITS.stream_bytes + cost
             assert self.buffer.held_bytes <= bound, 'memory'
 
