--- a/src/oleanderdyke/kernel/claim_runs.py
+++ b/src/oleanderdyke/kernel/claim_runs.py
@@ -49,8 +49,8 @@
     """Track claims in bounded memory.
 
     A claim may start only within `max_age` heartbeats; claims are not evicted
-    before that. Older claims are evicted oldest first. Queries for a claim as
-    old as an evicted claim are answered with UNKNOWN.
+    before that. Older claims are evicted oldest first. Queries for an unknown
+    claim that is no newer than an evicted one are answered with UNKNOWN.
     """
 
     def __init__(
--- a/src/oleanderdyke/kernel/stream_buffer.py
+++ b/src/oleanderdyke/kernel/stream_buffer.py
@@ -191,7 +191,7 @@
     ) -> Resumed | None:
         """Hand the stream to a new reader from a sequence on.
 
-        Returns None if that chunk is no longer buffered or does not exist yet.
+        Returns None if that chunk was dropped or lies beyond the next chunk.
         """
         if not self._first <= sequence <= self._first + len(self._chunks):
             return None
