--- a/src/oleanderdyke/kernel/stream_buffer.py
+++ b/src/oleanderdyke/kernel/stream_buffer.py
@@ -1,4 +1,4 @@
-"""Keep the recent chunks of running answers so that they can be resumed."""
+"""Buffer the recent chunks of running answers so they can be resumed."""
 
 from __future__ import annotations
 
@@ -21,13 +21,17 @@
 
 Outgoing: TypeAlias = AnswerHead | AnswerChunk | AnswerEnd
 
-# What holding a chunk costs beside its data.
-CHUNK_OVERHEAD = 64
+# Bytes charged for each buffered chunk in addition to its data.
+CHUNK_OVERHEAD_BYTES = 64
 
 
 @dataclass(frozen=True, slots=True)
 class StreamLimits:
-    """Bound what the buffers of one agent hold."""
+    """Limit the stream buffers of one agent.
+
+    `hold` is how long sent chunks and idle streams are kept; `credit` is the
+    number of chunks that a new reader may receive before it grants more.
+    """
 
     stream_bytes: int = 256 * 1024
     total_bytes: int = 16 * 1024 * 1024
@@ -38,20 +42,20 @@
 
 @dataclass(slots=True)
 class BufferBudget:
-    """Count the bytes that all buffers of an agent hold."""
+    """Count the bytes held by all buffers of an agent."""
 
     limit: int
     used: int = 0
 
     @property
     def is_over(self) -> bool:
-        """Return whether the buffers hold too much together."""
+        """Return whether the buffers together exceed the limit."""
         return self.used > self.limit
 
 
 @dataclass(frozen=True, slots=True)
 class Reader:
-    """Name who receives a stream: a link, and the ids it goes by there."""
+    """Identify the receiver of a stream: a link, request id and attempt."""
 
     link: str
     request: str
@@ -60,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resumed:
-    """Send the messages to the new reader and the notice to the older one."""
+    """Hold messages for the new reader and a notice for the previous one."""
 
     stream: StreamBuffer
     messages: tuple[Outgoing, ...]
@@ -70,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerTotals:
-    """Hold what the end of an answer reports beside count and digest."""
+    """Hold the totals that the end of an answer reports."""
 
     recomputed_tokens: int = 0
     prompt_tokens: int = 0
@@ -84,9 +88,9 @@
 
 
 class StreamBuffer:
-    """Hold one answer's chunks between its producer and its reader.
+    """Buffer one answer's chunks between its producer and its reader.
 
-    The shell sends the head itself when it opens the stream.
+    The code that opens the stream must send the head itself.
     """
 
     def __init__(
@@ -105,15 +109,15 @@
         self._unsent_bytes = 0
         self._digest = _make_digest()
         self._totals: AnswerTotals | None = None
-        self._touched = now
+        self._last_activity = now
         self._held_bytes = 0
         self.reader: Reader | None = None
         self._attach(reader, 0, now)
 
     @property
     def is_full(self) -> bool:
-        """Return whether the producer must wait until messages are sent."""
-        # Without a reader, what was sent last may have to be sent again.
+        """Return whether the producer must wait for chunks to be sent."""
+        # Without a reader, chunks already sent may have to be sent again.
         needed = self._held_bytes if self.reader is None else self._unsent_bytes
         if needed >= self._limits.stream_bytes:
             return True
@@ -121,36 +125,39 @@
 
     @property
     def is_finished(self) -> bool:
-        """Return whether the producer has closed the answer."""
+        """Return whether the producer has ended the answer."""
         return self._totals is not None
 
     @property
     def is_sent(self) -> bool:
-        """Return whether the end was sent to the present reader."""
+        """Return whether the end was sent to the current reader."""
         return self._is_end_sent
 
     @property
     def held_bytes(self) -> int:
-        """Return what the chunks held cost."""
+        """Return the bytes charged for the buffered chunks."""
         return self._held_bytes
 
     def would_drop(self, data: bytes) -> bool:
-        """Return whether adding drops a sent chunk while others wait.
+        """Return whether adding drops a sent chunk while others are unsent.
 
-        A reader whose link breaks then would miss that chunk.
+        A reader whose link then breaks could not resume at that chunk.
         """
-        cost = len(data) + CHUNK_OVERHEAD
-        over = self._held_bytes + cost > self._limits.stream_bytes
-        return over and self._unsent_bytes > 0
+        cost = len(data) + CHUNK_OVERHEAD_BYTES
+        exceeds = self._held_bytes + cost > self._limits.stream_bytes
+        return exceeds and self._unsent_bytes > 0
 
     def add(self, data: bytes, now: Millis) -> tuple[Outgoing, ...]:
-        """Take a chunk from the producer; return what may be sent now.
+        """Add a chunk from the producer; return the messages to send now.
 
         Raises OleanderError INTERNAL while `is_full` or once finished.
         """
         if self.is_full or self.is_finished:
-            raise OleanderError(ErrorKind.INTERNAL, 'stream takes no chunk')
-        cost = len(data) + CHUNK_OVERHEAD
+            raise OleanderError(
+                ErrorKind.INTERNAL,
+                'chunk added to a stream that is full or finished',
+            )
+        cost = len(data) + CHUNK_OVERHEAD_BYTES
         self._chunks.append(_Chunk(data, now, cost))
         self._digest.update(data)
         self._unsent_bytes += cost
@@ -158,34 +165,37 @@
         return self._flush(now)
 
     def finish(self, totals: AnswerTotals, now: Millis) -> tuple[Outgoing, ...]:
-        """Close the answer; return what may be sent now."""
+        """End the answer; return the messages to send now."""
         self._totals = totals
         return self._flush(now)
 
     def grant(self, credit: Credit, now: Millis) -> tuple[Outgoing, ...]:
-        """Let the present reader have more chunks."""
+        """Add credit of the current reader; return the messages to send now."""
         reader = self.reader
         if reader is None or credit.chunks <= 0:
             return ()
         if (credit.request, credit.attempt) != (reader.request, reader.attempt):
             return ()
         self._credit += credit.chunks
-        self._touched = now
+        self._last_activity = now
         return self._flush(now)
 
     def detach(self, link: str, now: Millis) -> None:
-        """Forget the reader whose link is gone."""
+        """Remove the reader if it is on the given lost link."""
         if self.reader is not None and self.reader.link == link:
             self.reader = None
-            self._touched = now
+            self._last_activity = now
 
     def resume_from(
         self, sequence: int, reader: Reader, now: Millis
     ) -> Resumed | None:
-        """Give the stream to a reader; None when a chunk is gone."""
+        """Hand the stream to a new reader from a sequence on.
+
+        Returns None if that chunk was dropped or lies beyond the next chunk.
+        """
         if not self._first <= sequence <= self._first + len(self._chunks):
             return None
-        older = self.reader
+        previous = self.reader
         self._attach(reader, sequence, now)
         head = replace(
             self._head, request=reader.request, attempt=reader.attempt
@@ -193,27 +203,30 @@
         return Resumed(
             stream=self,
             messages=(head, *self._flush(now)),
-            superseded=older,
-            notice=None if older is None else _make_notice(older),
+            superseded=previous,
+            notice=None if previous is None else _make_superseded(previous),
         )
 
     def is_expired(self, now: Millis) -> bool:
-        """Return whether nobody has taken from the stream for too long."""
-        if now - self._touched < self._limits.hold:
+        """Return whether the stream was idle for the hold time.
+
+        A running stream with a reader and no unsent chunks does not expire.
+        """
+        if now - self._last_activity < self._limits.hold:
             return False
         if self.reader is None or self.is_finished:
             return True
         return self._unsent_bytes > 0
 
     def trim(self, now: Millis) -> None:
-        """Drop sent chunks that are too many or too old."""
+        """Drop sent chunks that exceed the limits in size or age."""
         while self._first < self._sent and self._is_surplus(now):
             cost = self._chunks.popleft().cost
             self._first += 1
             self._charge(-cost)
 
     def clear(self) -> None:
-        """Give back what the chunks cost."""
+        """Drop all chunks and release their bytes from the budget."""
         self._charge(-self._held_bytes)
         self._chunks.clear()
 
@@ -224,14 +237,14 @@
         self._resumed_digest = _make_digest()
         self._credit = self._limits.credit
         self._is_end_sent = False
-        self._touched = now
+        self._last_activity = now
         unsent = islice(self._chunks, sequence - self._first, None)
         self._unsent_bytes = sum(chunk.cost for chunk in unsent)
 
     def _flush(self, now: Millis) -> tuple[Outgoing, ...]:
         messages = () if self.reader is None else self._send(self.reader)
         if messages:
-            self._touched = now
+            self._last_activity = now
         self.trim(now)
         return messages
 
@@ -289,10 +302,10 @@
     return hashlib.blake2b(digest_size=ANSWER_DIGEST_BYTES)
 
 
-def _make_notice(older: Reader) -> Failed:
+def _make_superseded(previous: Reader) -> Failed:
     return Failed(
-        request=older.request,
-        attempt=older.attempt,
+        request=previous.request,
+        attempt=previous.attempt,
         kind=ErrorKind.STREAM_GONE,
         ran=Ran.MAYBE,
         detail='superseded by another reader',
--- a/tests/test_receiver.py
+++ b/tests/test_receiver.py
@@ -20,7 +20,7 @@
 
 
 class Caller:
-    """Read what a receiver passes on."""
+    """Feed a receiver and read the messages that it passes on."""
 
     def __init__(self) -> None:
         self._inbox = Inbox()
@@ -70,20 +70,20 @@
     assert caller.take(*make_run(2, b'two', b'three')) == []
 
 
-def test_another_run_follows_one_of_which_nothing_was_passed_on() -> None:
+def test_another_run_may_follow_before_anything_was_passed_on() -> None:
     caller = Caller()
     caller.receiver.expect(1)
     expect_failure(caller.take(AnswerChunk('r', 1, 1_000, b'far')))
     caller.receiver.expect(2)
     head = make_run(2)[0]
     assert caller.take(head) == [head]
-    # The machine holds the head of a run back until its first chunk.
+    # The state machine holds the head of a run back until its first chunk.
     caller.receiver.expect(3)
     run = make_run(3, b'three')
     assert caller.take(*run) == run
 
 
-def test_rest_follows_what_came_before_too_many_chunks() -> None:
+def test_resume_continues_after_too_many_buffered_chunks() -> None:
     caller = Caller()
     caller.receiver.expect(1)
     head, *chunks, _ = make_run(1, *[b'x'] * 600)
@@ -96,7 +96,7 @@
     assert passed == [[head], *([each] for each in chunks[kept:]), [end]]
 
 
-def test_splice_after_too_many_chunks_is_refused() -> None:
+def test_another_run_after_delivered_chunks_is_refused() -> None:
     caller = Caller()
     caller.receiver.expect(1)
     caller.take(*make_run(1, *[b'x'] * 600))
