--- a/src/oleanderdyke/kernel/admission.py
+++ b/src/oleanderdyke/kernel/admission.py
@@ -11,7 +11,7 @@
 from oleanderdyke.kernel.demand import Demand
 
 _BURST: Millis = SECOND
-_SPREAD_STEPS = 1024
+_HASH_STEPS = 1024
 _SLACK_TEAMS = 64
 
 
@@ -75,9 +75,9 @@
 
     def __init__(self) -> None:
         self._teams: dict[str, _TeamQueue] = {}
-        self._finish: dict[str, float] = {}
+        self._finish_tags: dict[str, float] = {}
         self._heap: list[tuple[float, int, str]] = []
-        self._virtual = 0.0
+        self._virtual_time = 0.0
         self._sequence = 0
         self._length = 0
         self.cost = 0.0
@@ -91,7 +91,7 @@
         queue = self._teams.get(team)
         if queue is None:
             queue = self._teams[team] = _TeamQueue(weight)
-            self._enter(team)
+            self._schedule(team)
         queue.items.append(waiting)
         queue.cost += waiting.cost
         self.cost += waiting.cost
@@ -100,13 +100,13 @@
     def pop(self) -> QueuedRequest:
         """Take the request whose turn it is; the queue must not be empty."""
         start, _, team = heapq.heappop(self._heap)
-        self._virtual = max(self._virtual, start)
+        self._virtual_time = max(self._virtual_time, start)
         queue = self._teams[team]
         waiting = queue.items.popleft()
-        self._finish[team] = start + waiting.cost / queue.weight
-        self._leave(team, queue, waiting)
+        self._finish_tags[team] = start + waiting.cost / queue.weight
+        self._remove(team, queue, waiting)
         if team in self._teams:
-            self._enter(team)
+            self._schedule(team)
         return waiting
 
     def remove(self, waiting: QueuedRequest) -> None:
@@ -114,16 +114,16 @@
         team = waiting.demand.team
         queue = self._teams[team]
         queue.items.remove(waiting)
-        self._leave(team, queue, waiting)
+        self._remove(team, queue, waiting)
         if team not in self._teams:
             self._heap = [entry for entry in self._heap if entry[2] != team]
             heapq.heapify(self._heap)
 
     def charge(self, team: str, cost: float, weight: float) -> None:
         """Count work that needed no queueing."""
-        start = max(self._virtual, self._finish.get(team, 0.0))
-        self._finish[team] = start + cost / weight
-        self._forget_idle()
+        start = max(self._virtual_time, self._finish_tags.get(team, 0.0))
+        self._finish_tags[team] = start + cost / weight
+        self._drop_idle_teams()
 
     def estimate_ahead(self, team: str, cost: float, weight: float) -> float:
         """Estimate the work that is served before a new request ends.
@@ -140,12 +140,12 @@
                 ahead += min(other.cost, rounds * other.weight)
         return ahead
 
-    def _enter(self, team: str) -> None:
-        start = max(self._virtual, self._finish.get(team, 0.0))
+    def _schedule(self, team: str) -> None:
+        start = max(self._virtual_time, self._finish_tags.get(team, 0.0))
         self._sequence += 1
         heapq.heappush(self._heap, (start, self._sequence, team))
 
-    def _leave(
+    def _remove(
         self, team: str, queue: _TeamQueue, waiting: QueuedRequest
     ) -> None:
         queue.cost -= waiting.cost
@@ -154,23 +154,23 @@
         if queue.items:
             return
         del self._teams[team]
-        self._forget_idle()
+        self._drop_idle_teams()
 
-    def _forget_idle(self) -> None:
+    def _drop_idle_teams(self) -> None:
         if not self._teams:
-            self._virtual = 0.0
+            self._virtual_time = 0.0
             self.cost = 0.0
-            self._finish.clear()
+            self._finish_tags.clear()
             return
-        if len(self._finish) <= 2 * len(self._teams) + _SLACK_TEAMS:
+        if len(self._finish_tags) <= 2 * len(self._teams) + _SLACK_TEAMS:
             return
-        self._finish = {
+        self._finish_tags = {
             team: tag
-            for team, tag in self._finish.items()
-            if tag > self._virtual or team in self._teams
+            for team, tag in self._finish_tags.items()
+            if tag > self._virtual_time or team in self._teams
         }
 
 
 def hash_to_fraction(request: str) -> float:
     """Return a number in [0, 1) that differs between requests."""
-    return zlib.crc32(request.encode()) % _SPREAD_STEPS / _SPREAD_STEPS
+    return zlib.crc32(request.encode()) % _HASH_STEPS / _HASH_STEPS
--- a/src/oleanderdyke/kernel/backend.py
+++ b/src/oleanderdyke/kernel/backend.py
@@ -19,19 +19,19 @@
 
 # What a first byte takes beside reading, where nothing waits: the first step
 # of an engine and two ways over the network.
-_FIRST_BYTE: Millis = 45.0
+_BASE_FIRST_BYTE: Millis = 45.0
 # The share of the latest first byte in what is known of a server's queue.
 _DELAY_WEIGHT = 0.3
 # What a first byte told of a queue counts less and less until then.
-_DELAY_LIFE: Millis = 1_500.0
+_DELAY_LIFETIME: Millis = 1_500.0
 # For longer than that no server is waited for as one that reads: a frozen one
 # may owe any number of tokens, and callers of streams leave after two seconds.
-_LONGEST_READING: Millis = 1.5 * SECOND
+_MAX_READING_TIME: Millis = 1.5 * SECOND
 # A server that told a neighbour of its load within this lives.
-_HEARD_LIFE: Millis = 800.0
-_HEARD_GRACE: Millis = 1 * SECOND
+_REPORT_LIFETIME: Millis = 800.0
+_REPORT_GRACE: Millis = 1 * SECOND
 # A load that was told longer ago says nothing.
-_LOAD_LIFE: Millis = 3 * SECOND
+_LOAD_LIFETIME: Millis = 3 * SECOND
 
 
 @dataclass(slots=True)
@@ -88,24 +88,24 @@
         one as urgent is still owed and has waited longer.
         """
         known = self.delays.get(rank)
-        shown = 0.0 if known is None else known.find_left(now)
+        observed = 0.0 if known is None else known.find_remaining(now)
         if not self.waiting:
-            return shown
+            return observed
         owed = (
-            self._find_excess(owed, now)
+            self._find_queue_time(owed, now)
             for owed in self.waiting.values()
             if owed.rank <= rank
         )
-        return max(shown, *owed, 0.0)
+        return max(observed, *owed, 0.0)
 
     def record_first_byte(self, owed: PendingAttempt, now: Millis) -> None:
         """Learn from a first byte how long requests of its rank wait."""
-        excess = max(self._find_excess(owed, now), 0.0)
+        excess = max(self._find_queue_time(owed, now), 0.0)
         if owed.is_alone:
-            self.reading.note(owed.tokens, now - owed.since - _FIRST_BYTE)
+            self.reading.note(owed.tokens, now - owed.since - _BASE_FIRST_BYTE)
         known = self.find_queue_delay(owed.rank, now)
-        shown = known + _DELAY_WEIGHT * (excess - known)
-        self.delays[owed.rank] = QueueDelay(shown, now)
+        observed = known + _DELAY_WEIGHT * (excess - known)
+        self.delays[owed.rank] = QueueDelay(observed, now)
 
     def count_waiting(self, now: Millis) -> int:
         """Return how many requests wait there, fewer the longer ago told.
@@ -114,12 +114,12 @@
         """
         if self.load is None:
             return 0
-        left = max(1 - (now - self.load_at) / _LOAD_LIFE, 0.0)
+        left = max(1 - (now - self.load_at) / _LOAD_LIFETIME, 0.0)
         return round(self.load.waiting * left)
 
     def count_active(self, now: Millis) -> int:
         """Return how many requests run or wait there."""
-        if self.load is None or now - self.load_at > _LOAD_LIFE:
+        if self.load is None or now - self.load_at > _LOAD_LIFETIME:
             return self.running
         return max(self.load.running + self.load.waiting, self.running)
 
@@ -135,7 +135,7 @@
             return 0.0
         since = [owed.since for owed in self.waiting.values()]
         tokens = sum(owed.tokens for owed in self.waiting.values())
-        reading = min(self.reading.find_time(tokens), _LONGEST_READING)
+        reading = min(self.reading.find_time(tokens), _MAX_READING_TIME)
         quiet = now - max(min(since, default=0.0), self.last_heard_at)
         return max(quiet - reading - self._find_grace(now), 0.0)
 
@@ -147,15 +147,15 @@
         """
         if (
             self.load_at <= self.last_heard_at
-            or now - self.load_at > _HEARD_LIFE
+            or now - self.load_at > _REPORT_LIFETIME
         ):
             return 0.0
-        return _HEARD_GRACE
+        return _REPORT_GRACE
 
-    def _find_excess(self, owed: PendingAttempt, now: Millis) -> Millis:
+    def _find_queue_time(self, owed: PendingAttempt, now: Millis) -> Millis:
         """Return how much longer a first byte has taken than reading alone."""
         reading = self.reading.find_time(owed.tokens)
-        return now - owed.since - reading - _FIRST_BYTE
+        return now - owed.since - reading - _BASE_FIRST_BYTE
 
     def clear_cache(self) -> None:
         """Forget what it kept: new weights discard it."""
@@ -176,12 +176,12 @@
 class QueueDelay:
     """Hold how long requests of one rank waited, and when that was seen."""
 
-    shown: Millis
+    observed: Millis
     at: Millis
 
-    def find_left(self, now: Millis) -> Millis:
+    def find_remaining(self, now: Millis) -> Millis:
         """Return it, less the longer ago it was seen."""
-        return self.shown * max(1 - (now - self.at) / _DELAY_LIFE, 0.0)
+        return self.observed * max(1 - (now - self.at) / _DELAY_LIFETIME, 0.0)
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/oleanderdyke/kernel/catalog.py
+++ b/src/oleanderdyke/kernel/catalog.py
@@ -53,11 +53,11 @@
     'RejectionReason',
 )
 
-_TAIL_COUNT = 1_024
-_TAIL_BYTES = 1024 * 1024
-_CACHE = 512
-_SCAN = 500
-_ABSENT = 0
+_RECENT_LIMIT = 1_024
+_RECENT_BYTES_LIMIT = 1024 * 1024
+_CACHE_SIZE = 512
+_PAGE_SIZE = 500
+_NO_GENERATION = 0
 _DIGEST_BYTES = 32
 
 
@@ -80,8 +80,8 @@
         self.skipped = 0
         self.skipped_reason = ''
         self._state = State()
-        self._tail: deque[tuple[int, bytes]] = deque()
-        self._tail_bytes = 0
+        self._recent: deque[tuple[int, bytes]] = deque()
+        self._recent_bytes = 0
         self._cache: dict[tuple[ObjectKind, str], StoredObject] = {}
 
     def apply(self, offset: int, change: Change) -> Outcome:
@@ -98,7 +98,7 @@
         record = decode_record(data)
         outcome = None
         if isinstance(record, PackedChange):
-            outcome = self._settle(offset, record)
+            outcome = self._apply_change(offset, record)
         elif isinstance(record, UnreadableRecord):
             self.skipped += 1
             self.skipped_reason = f'offset {offset}: {record.reason}'
@@ -106,7 +106,7 @@
             # A peer needs its place in the log only, not the whole state.
             data = encode_chunk(replace(record, items=b'', digest=b''))
         self.offset = offset
-        self._keep(offset, data)
+        self._add_recent(offset, data)
         return outcome
 
     def get(self, kind: ObjectKind, name: str) -> StoredObject | None:
@@ -117,9 +117,9 @@
         row = self._state.rows[kind].get(name)
         if row is None:
             return None
-        if len(self._cache) >= _CACHE:
+        if len(self._cache) >= _CACHE_SIZE:
             self._cache.clear()
-        self._cache[key] = _unpack(kind, name, row)
+        self._cache[key] = _unpack_object(kind, name, row)
         return self._cache[key]
 
     def list(
@@ -128,9 +128,11 @@
         """Return the objects of a kind in order of name."""
         rows = self._state.rows[kind]
         # A few objects are read again and again, many would flood the cache.
-        cached = len(rows) < _CACHE // len(ObjectKind)
+        cached = len(rows) < _CACHE_SIZE // len(ObjectKind)
         found = (
-            self.get(kind, name) if cached else _unpack(kind, name, rows[name])
+            self.get(kind, name)
+            if cached
+            else _unpack_object(kind, name, rows[name])
             for name in sorted(rows)
         )
         return tuple(_filter(found, selector))
@@ -141,13 +143,13 @@
         selector: Labels | None = None,
         *,
         after: str = '',
-        limit: int = _SCAN,
+        limit: int = _PAGE_SIZE,
     ) -> ObjectPage:
         """Look at a bounded number of objects after a name."""
         rows = self._state.rows[kind]
         names = sorted(name for name in rows if name > after)
         chosen = names[:limit]
-        found = (_unpack(kind, name, rows[name]) for name in chosen)
+        found = (_unpack_object(kind, name, rows[name]) for name in chosen)
         more = chosen[-1] if len(names) > len(chosen) else ''
         return ObjectPage(tuple(_filter(found, selector)), more)
 
@@ -165,11 +167,13 @@
 
     def find_team(self, token_hash: str) -> StoredObject | None:
         """Return the team of a token's hex SHA-256 digest."""
-        return self._find_holder(self._state.tokens, 'token_hashes', token_hash)
+        return self._find_token_team(
+            self._state.tokens, 'token_hashes', token_hash
+        )
 
     def find_administered_team(self, token_hash: str) -> StoredObject | None:
         """Return the team that a token may administer."""
-        return self._find_holder(
+        return self._find_token_team(
             self._state.admin_tokens, 'admin_token_hashes', token_hash
         )
 
@@ -190,7 +194,7 @@
         row = self._state.rows[kind].get(name)
         if row is None or any(item.offset == row.offset for item in found):
             return found
-        return (_recall(kind, name, row), *found)
+        return (_make_outcome(kind, name, row), *found)
 
     def iterate_snapshot(self) -> Iterator[bytes]:
         """Encode the state as records; equal at equal offsets.
@@ -214,8 +218,8 @@
             return False
         self.offset = loaded.through
         self._state = loaded.state
-        self._tail.clear()
-        self._tail_bytes = 0
+        self._recent.clear()
+        self._recent_bytes = 0
         self._cache.clear()
         return True
 
@@ -223,9 +227,9 @@
         """Return the records after an offset; None where not held."""
         if after >= self.offset:
             return ()
-        if not self._tail or self._tail[0][0] > after + 1:
+        if not self._recent or self._recent[0][0] > after + 1:
             return None
-        return tuple(item for item in self._tail if item[0] > after)
+        return tuple(item for item in self._recent if item[0] > after)
 
     def digest(self) -> bytes:
         """Identify the state; equal at equal offsets."""
@@ -234,15 +238,16 @@
             digest.update(chunk)
         return digest.digest()
 
-    def _keep(self, offset: int, data: bytes) -> None:
-        self._tail.append((offset, data))
-        self._tail_bytes += len(data)
-        while self._tail and (
-            len(self._tail) > _TAIL_COUNT or self._tail_bytes > _TAIL_BYTES
+    def _add_recent(self, offset: int, data: bytes) -> None:
+        self._recent.append((offset, data))
+        self._recent_bytes += len(data)
+        while self._recent and (
+            len(self._recent) > _RECENT_LIMIT
+            or self._recent_bytes > _RECENT_BYTES_LIMIT
         ):
-            self._tail_bytes -= len(self._tail.popleft()[1])
+            self._recent_bytes -= len(self._recent.popleft()[1])
 
-    def _find_holder(
+    def _find_token_team(
         self, index: TokenIndex, field: str, token_hash: str
     ) -> StoredObject | None:
         try:
@@ -257,43 +262,43 @@
                 return team
         return None
 
-    def _settle(self, offset: int, change: PackedChange) -> Outcome:
+    def _apply_change(self, offset: int, change: PackedChange) -> Outcome:
         known = self._state.outcomes.get(change.record_id)
         if known is not None:
             return known
-        loss = self._find_loss(change)
+        loss = self._find_rejection(change)
         if loss is None:
-            outcome = self._put(offset, change)
+            outcome = self._store_change(offset, change)
         else:
-            outcome = self._lose(offset, change, *loss)
-        self._state.remember(outcome)
+            outcome = self._reject(offset, change, *loss)
+        self._state.add_outcome(outcome)
         return outcome
 
-    def _find_loss(
+    def _find_rejection(
         self, change: PackedChange
     ) -> tuple[RejectionReason, str] | None:
-        fault = _find_fault(change)
+        fault = _find_change_fault(change)
         if fault:
             return RejectionReason.INVALID, fault
         row = self._state.rows[change.kind].get(change.name)
-        generation = _ABSENT if row is None else row.generation
+        generation = _NO_GENERATION if row is None else row.generation
         if generation != change.expected:
             detail = f'expected {change.expected}, found {generation}'
             return RejectionReason.GENERATION, detail
         if row is None and change.spec is None:
             return RejectionReason.ABSENT, 'there is no such object'
-        if self._takes_token(change):
+        if self._has_token_conflict(change):
             detail = 'a token hash belongs to another team'
             return RejectionReason.TOKEN_TAKEN, detail
         return None
 
-    def _takes_token(self, change: PackedChange) -> bool:
+    def _has_token_conflict(self, change: PackedChange) -> bool:
         if change.kind is not ObjectKind.TEAM or change.spec is None:
             return False
         owners = self._state.find_owners(change.spec)
         return any(owner not in {'', change.name} for owner in owners)
 
-    def _put(self, offset: int, change: PackedChange) -> Outcome:
+    def _store_change(self, offset: int, change: PackedChange) -> Outcome:
         state = self._state
         rows = state.rows[change.kind]
         old = rows.pop(change.name, None)
@@ -321,7 +326,7 @@
             change.spec is None,
         )
 
-    def _lose(
+    def _reject(
         self,
         offset: int,
         change: PackedChange,
@@ -336,13 +341,13 @@
             change.name,
             offset,
             change.at,
-            _ABSENT if row is None else row.generation,
+            _NO_GENERATION if row is None else row.generation,
             reason,
             detail,
-            self._find_winner(change, row),
+            self._find_last_operator(change, row),
         )
 
-    def _find_winner(self, change: PackedChange, row: Row | None) -> str:
+    def _find_last_operator(self, change: PackedChange, row: Row | None) -> str:
         if row is not None:
             return row.operator
         past = self.history(change.kind, change.name)
@@ -350,7 +355,7 @@
         return changes[-1].operator if changes else ''
 
 
-def _find_fault(change: PackedChange) -> str:
+def _find_change_fault(change: PackedChange) -> str:
     if not change.record_id or not change.operator:
         return 'record_id or operator is empty'
     if change.spec is not None and len(change.spec) > PACKED_LIMIT:
@@ -364,7 +369,7 @@
     return '; '.join(find_faults(change.name, spec))
 
 
-def _unpack(kind: ObjectKind, name: str, row: Row) -> StoredObject:
+def _unpack_object(kind: ObjectKind, name: str, row: Row) -> StoredObject:
     spec = unpack_spec(kind, row.packed)
     return StoredObject(kind, name, row.generation, spec)
 
@@ -378,7 +383,7 @@
             yield item
 
 
-def _recall(kind: ObjectKind, name: str, row: Row) -> Applied:
+def _make_outcome(kind: ObjectKind, name: str, row: Row) -> Applied:
     return Applied(
         '', row.operator, kind, name, row.offset, row.at, row.generation
     )
--- a/src/oleanderdyke/kernel/configuration.py
+++ b/src/oleanderdyke/kernel/configuration.py
@@ -20,7 +20,7 @@
 
 _MESSAGE_BYTES = 48 * 1024
 _JITTER = 0.2
-_PAUSE = 0.125
+_SNAPSHOT_PAUSE = 0.125
 
 
 class Record(Protocol):
@@ -89,21 +89,21 @@
     ) -> None:
         self.catalog = Catalog() if catalog is None else catalog
         self._settings = settings or ReaderSettings()
-        self._spread = 1 - _JITTER * random.random()
+        self._snapshot_jitter = 1 - _JITTER * random.random()
         self._sharing = ChunkSharing(self.catalog)
         self._loaded = False
-        self._scan = 0
-        self._first = 0
-        self._end = 0
+        self._scan_offset = 0
+        self._log_first = 0
+        self._log_end = 0
         self._watch = SnapshotWatch()
         self._watched_since: Millis | None = None
-        self._told_at: Millis | None = None
-        self._from_peer: SnapshotLoader | None = None
-        self._grown_at: Millis = 0.0
-        self._heard: dict[str, int] = {}
+        self._snapshot_due_at: Millis | None = None
+        self._peer_snapshot: SnapshotLoader | None = None
+        self._chunk_received_at: Millis = 0.0
+        self._peer_offsets: dict[str, int] = {}
         self._behind_since: Millis | None = None
-        self._asked = ''
-        self._asked_at: Millis = 0.0
+        self._requested_peer = ''
+        self._requested_at: Millis = 0.0
 
     @property
     def offset(self) -> int:
@@ -113,43 +113,48 @@
     @property
     def log_position(self) -> int:
         """Return the offset from which to read the log next."""
-        return self._scan if self._is_cut_off() else self.offset + 1
+        return self._scan_offset if self._has_log_gap() else self.offset + 1
 
     def on_page(self, page: Page, now: Millis) -> bool:
         """Take a page of the log; tell whether the offset moved."""
         before = self.offset
-        self._first = max(self._first, page.first)
-        self._end = max(self._end, page.end)
-        self._scan = max(self._scan, self._first)
+        self._log_first = max(self._log_first, page.first)
+        self._log_end = max(self._log_end, page.end)
+        self._scan_offset = max(self._scan_offset, self._log_first)
         for record in page.records:
-            self._take(record)
-        if not self._is_cut_off() and self.offset + 1 >= self._end:
+            self._apply_record(record)
+        if not self._has_log_gap() and self.offset + 1 >= self._log_end:
             self._loaded = True
-        self._note_progress(before, now)
+        self._update_behind_since(before, now)
         return self.offset > before
 
     def on_peer_offset(
         self, peer: str, offset: int, now: Millis
     ) -> ConfigurationRequest | None:
         """Learn a peer's offset; return what to ask this peer, if anything."""
-        self._heard[peer] = max(offset, self._heard.get(peer, START_OFFSET))
-        if offset <= self.offset and not self._needs_first(offset):
+        self._peer_offsets[peer] = max(
+            offset, self._peer_offsets.get(peer, START_OFFSET)
+        )
+        if offset <= self.offset and not self._needs_initial(offset):
             return None
         if self._behind_since is None:
             self._behind_since = now
         if now - self._behind_since < self._settings.ask_after:
             return None
-        if self._asked and now - self._asked_at < self._settings.ask_again:
+        if (
+            self._requested_peer
+            and now - self._requested_at < self._settings.ask_again
+        ):
             return None
-        self._asked = peer
-        self._asked_at = now
+        self._requested_peer = peer
+        self._requested_at = now
         return ConfigurationRequest(self.offset)
 
     def on_peer_disconnected(self, peer: str) -> None:
         """Forget a peer whose link has ended."""
-        self._heard.pop(peer, None)
-        if self._asked == peer:
-            self._asked = ''
+        self._peer_offsets.pop(peer, None)
+        if self._requested_peer == peer:
+            self._requested_peer = ''
 
     def on_difference(
         self, peer: str, message: ConfigurationDifference, now: Millis
@@ -161,13 +166,13 @@
             grown = self._take_peer_chunk(message, now)
         else:
             self._take_peer_records(message)
-        if grown or self._asked == peer:
+        if grown or self._requested_peer == peer:
             # While a snapshot arrives, from whomever, nobody is asked.
-            self._asked = '' if message.last else peer
-            self._asked_at = now
+            self._requested_peer = '' if message.last else peer
+            self._requested_at = now
         if message.last and START_OFFSET < message.through <= self.offset:
             self._loaded = True
-        self._note_progress(before, now)
+        self._update_behind_since(before, now)
         return self.offset > before
 
     def answer(
@@ -185,12 +190,12 @@
     def readiness(self, now: Millis) -> Readiness:
         """Return whether the configuration may be served from."""
         if not self._loaded:
-            return Readiness(ready=False, reason=self._explain_start())
+            return Readiness(ready=False, reason=self._explain_waiting())
         since = self._behind_since
         if since is None or now - since <= self._settings.stale_after:
             return Readiness(ready=True)
-        if self._is_cut_off():
-            return Readiness(ready=False, reason=self._explain_start())
+        if self._has_log_gap():
+            return Readiness(ready=False, reason=self._explain_waiting())
         known = self._find_highest()
         reason = f'configuration is at offset {self.offset} of {known}'
         return Readiness(ready=False, reason=reason)
@@ -201,19 +206,19 @@
         The limits differ a little between processes, so that one is first.
         After a yes there is a pause, also where clocks are far apart.
         """
-        pause = self._settings.snapshot_age * _PAUSE
-        told = self._told_at
+        pause = self._settings.snapshot_age * _SNAPSHOT_PAUSE
+        told = self._snapshot_due_at
         if told is not None and abs(wall - told) < pause:
             return False
         if not self._needs_snapshot(wall):
             return False
-        self._told_at = wall
+        self._snapshot_due_at = wall
         return True
 
     def _needs_snapshot(self, wall: Millis) -> bool:
         if not self._loaded or self.offset == START_OFFSET:
             return False
-        if self._is_cut_off():
+        if self._has_log_gap():
             return False
         if self._watched_since is None:
             self._watched_since = wall
@@ -222,42 +227,43 @@
         covered = START_OFFSET if kept is None else kept.through
         settings = self._settings
         return (
-            wall - since > settings.snapshot_age * self._spread
-            or self.offset - covered > settings.snapshot_records * self._spread
+            wall - since > settings.snapshot_age * self._snapshot_jitter
+            or self.offset - covered
+            > settings.snapshot_records * self._snapshot_jitter
         )
 
-    def _is_cut_off(self) -> bool:
-        return self.offset + 1 < self._first
+    def _has_log_gap(self) -> bool:
+        return self.offset + 1 < self._log_first
 
-    def _needs_first(self, offset: int) -> bool:
+    def _needs_initial(self, offset: int) -> bool:
         return not self._loaded and offset > START_OFFSET
 
     def _find_highest(self) -> int:
-        heard = max(self._heard.values(), default=START_OFFSET)
-        return max(heard, self._end - 1)
+        heard = max(self._peer_offsets.values(), default=START_OFFSET)
+        return max(heard, self._log_end - 1)
 
-    def _explain_start(self) -> str:
-        if self._is_cut_off():
+    def _explain_waiting(self) -> str:
+        if self._has_log_gap():
             return (
-                f'the log starts at offset {self._first}; waiting for a '
+                f'the log starts at offset {self._log_first}; waiting for a '
                 'snapshot from it or from a peer'
             )
-        if self.offset + 1 < self._end:
-            return f'reading the log: at {self.offset} of {self._end - 1}'
+        if self.offset + 1 < self._log_end:
+            return f'reading the log: at {self.offset} of {self._log_end - 1}'
         return 'no configuration yet from the log or from a peer'
 
-    def _note_progress(self, before: int, now: Millis) -> None:
+    def _update_behind_since(self, before: int, now: Millis) -> None:
         if self._find_highest() <= self.offset:
             self._behind_since = None
         elif self._behind_since is None or self.offset > before:
             self._behind_since = now
 
-    def _take(self, record: Record) -> None:
+    def _apply_record(self, record: Record) -> None:
         whole = self._watch.add(
             record.offset, record.at, record.data, self.offset
         )
-        if record.offset == self._scan:
-            self._scan += 1
+        if record.offset == self._scan_offset:
+            self._scan_offset += 1
         if record.offset == self.offset + 1:
             self.catalog.apply_record(record.offset, record.data)
         elif whole is not None:
@@ -271,19 +277,19 @@
         The chunks of one snapshot are the same from every peer.
         """
         if message.chunk == 0 and self._may_load(message.through, now):
-            self._from_peer = SnapshotLoader(message.through)
-        loader = self._from_peer
+            self._peer_snapshot = SnapshotLoader(message.through)
+        loader = self._peer_snapshot
         if loader is None:
             return False
         records = [decode_record(data) for _, data in message.records]
         chunks = [each for each in records if isinstance(each, SnapshotChunk)]
         if sum(map(loader.add, chunks)) == 0:
             return False
-        self._grown_at = now
+        self._chunk_received_at = now
         if loader.loaded is not None:
             self.catalog.replace_state(loader.loaded)
         if loader.ended:
-            self._from_peer = None
+            self._peer_snapshot = None
         return True
 
     def _may_load(self, through: int, now: Millis) -> bool:
@@ -292,10 +298,10 @@
         One that is half-way is kept for the rest from any peer, and given up
         for another only where nothing more of it came for a while.
         """
-        loader = self._from_peer
+        loader = self._peer_snapshot
         if loader is None:
             return True
-        stalled = now - self._grown_at >= self._settings.ask_again
+        stalled = now - self._chunk_received_at >= self._settings.ask_again
         return stalled and loader.through != through
 
     def _take_peer_records(self, message: ConfigurationDifference) -> None:
--- a/src/oleanderdyke/kernel/drain.py
+++ b/src/oleanderdyke/kernel/drain.py
@@ -73,8 +73,8 @@
         self.phase = DrainPhase.SERVING
         self._stopped_at: Millis = 0.0
         # Whether each running request can be resumed elsewhere.
-        self._work: dict[str, bool] = {}
-        self._handed: set[str] = set()
+        self._requests: dict[str, bool] = {}
+        self._handed_over: set[str] = set()
         self._cut: tuple[str, ...] = ()
 
     @property
@@ -85,11 +85,11 @@
     @property
     def running(self) -> tuple[str, ...]:
         """List the requests that have not ended."""
-        return tuple(self._work)
+        return tuple(self._requests)
 
     def has_work(self, request: str) -> bool:
         """Return whether a request of this name has not ended."""
-        return request in self._work
+        return request in self._requests
 
     def accepts(self, now: Millis, duration: Millis | None = None) -> bool:
         """Return whether new work may start; `duration` is how long it lasts.
@@ -119,28 +119,28 @@
         """Count a request; False when no new work may start."""
         if not self.accepts(now, duration):
             return False
-        self._work[request] = resumable
+        self._requests[request] = resumable
         return True
 
     def mark_resumable(
         self, request: str, now: Millis
     ) -> tuple[DrainAction, ...]:
         """Note that a running request can be resumed elsewhere."""
-        if request not in self._work:
+        if request not in self._requests:
             return ()
-        self._work[request] = True
+        self._requests[request] = True
         return self.tick(now)
 
     def mark_not_resumable(self, request: str) -> None:
         """Note that a request can't be resumed elsewhere, or not yet."""
-        if request in self._work:
-            self._work[request] = False
-        self._handed.discard(request)
+        if request in self._requests:
+            self._requests[request] = False
+        self._handed_over.discard(request)
 
     def end_work(self, request: str, now: Millis) -> tuple[DrainAction, ...]:
         """Forget a request that has ended or was handed over."""
-        self._work.pop(request, None)
-        self._handed.discard(request)
+        self._requests.pop(request, None)
+        self._handed_over.discard(request)
         return self.tick(now)
 
     def signal(self, now: Millis) -> tuple[DrainAction, ...]:
@@ -148,7 +148,7 @@
         if self.phase is DrainPhase.DONE:
             return ()
         if self.phase is not DrainPhase.SERVING:
-            return self._hurry()
+            return self._stop_now()
         self.phase = DrainPhase.ANNOUNCED
         self._stopped_at = now
         return (Announce(), *self.tick(now))
@@ -158,27 +158,27 @@
         if self.phase in {DrainPhase.SERVING, DrainPhase.DONE}:
             return ()
         elapsed = now - self._stopped_at
-        if elapsed < self._announce_time():
+        if elapsed < self._get_announce_time():
             return ()
         if elapsed >= self._settings.limit:
-            return self._hurry()
+            return self._stop_now()
         return self._drain(elapsed)
 
     def next_time(self) -> Millis | None:
         """Return when `tick` is due next, or None."""
         times = {
-            DrainPhase.ANNOUNCED: self._announce_time(),
+            DrainPhase.ANNOUNCED: self._get_announce_time(),
             DrainPhase.DRAINING: self._settings.drain,
             DrainPhase.HANDING_OVER: self._settings.limit,
         }
         due = times.get(self.phase)
         return None if due is None else self._stopped_at + due
 
-    def _announce_time(self) -> Millis:
+    def _get_announce_time(self) -> Millis:
         return max(self._settings.announce, self._settings.accept)
 
     def _drain(self, elapsed: Millis) -> tuple[DrainAction, ...]:
-        if not self._work:
+        if not self._requests:
             return self._exit()
         if elapsed < self._settings.drain:
             self.phase = DrainPhase.DRAINING
@@ -186,15 +186,15 @@
         self.phase = DrainPhase.HANDING_OVER
         ready = [
             request
-            for request, resumable in self._work.items()
-            if resumable and request not in self._handed
+            for request, resumable in self._requests.items()
+            if resumable and request not in self._handed_over
         ]
-        self._handed.update(ready)
+        self._handed_over.update(ready)
         return tuple(HandOver(request) for request in ready)
 
-    def _hurry(self) -> tuple[DrainAction, ...]:
-        self._cut = tuple(self._work)
-        self._work.clear()
+    def _stop_now(self) -> tuple[DrainAction, ...]:
+        self._cut = tuple(self._requests)
+        self._requests.clear()
         if not self._cut:
             return self._exit()
         return (CutOff(self._cut), *self._exit())
--- a/src/oleanderdyke/kernel/membership.py
+++ b/src/oleanderdyke/kernel/membership.py
@@ -29,9 +29,9 @@
     SegmentListRequest,
 )
 
-_ENDED_COUNT = 4_096
-_SILENT_COUNT = 1_024
-_NO_BEAT = -1
+_ENDED_LIMIT = 4_096
+_FORGOTTEN_LIMIT = 1_024
+_NO_HEARTBEAT = -1
 
 
 class VmView(Protocol):
@@ -91,7 +91,7 @@
     )
 
 
-class _Place(NamedTuple):
+class _GroupKey(NamedTuple):
     service: str
     condition: Condition
     store: bool = False
@@ -111,47 +111,58 @@
         self._directory = Directory() if directory is None else directory
         self._agents: dict[str, AgentView] = {}
         self._addresses: dict[str, str] = {}
-        self._placed: dict[_Place, dict[str, Replica]] = {}
-        self._ticked_at: Millis = float('inf')
-        self._ended: _Remembered[None] = _Remembered(_ENDED_COUNT)
-        self._latest: _Remembered[str] = _Remembered(_ENDED_COUNT)
-        self._silent: _Remembered[AgentView] = _Remembered(_SILENT_COUNT)
-        self._selected: dict[str, tuple[str, ...]] = {}
+        self._groups: dict[_GroupKey, dict[str, Replica]] = {}
+        self._last_tick_at: Millis = float('inf')
+        self._ended_incarnations: _BoundedDict[None] = _BoundedDict(
+            _ENDED_LIMIT
+        )
+        self._latest_incarnations: _BoundedDict[str] = _BoundedDict(
+            _ENDED_LIMIT
+        )
+        self._forgotten: _BoundedDict[AgentView] = _BoundedDict(
+            _FORGOTTEN_LIMIT
+        )
+        self._selected_stores: dict[str, tuple[str, ...]] = {}
         self._selected_at = catalog.offset
 
     def on_hello(self, hello: Hello, address: str, now: Millis) -> bool:
         """Take an agent's hello; False where its incarnation has ended."""
-        if hello.backend is None or hello.incarnation in self._ended:
+        if (
+            hello.backend is None
+            or hello.incarnation in self._ended_incarnations
+        ):
             return False
         known = self._agents.get(hello.process)
-        self._end_others(hello, address)
+        self._end_older_incarnations(hello, address)
         if known is None or known.replica.incarnation != hello.incarnation:
             # What a silent agent said last still holds when it is back.
-            known = self._silent.pop(hello.incarnation) or _make_view(
+            known = self._forgotten.pop(hello.incarnation) or _make_view(
                 hello, hello.backend, address, now
             )
         self._addresses.pop(known.replica.address, None)
         self._addresses[address] = hello.process
         replica = replace(known.replica, address=address, heard=now)
-        self._place(AgentView(replica, known.offset, Condition.HEARD))
+        self._store_view(AgentView(replica, known.offset, Condition.HEARD))
         return True
 
     def on_heartbeat(self, agent: str, beat: Heartbeat, now: Millis) -> bool:
         """Take a heartbeat; False where it is old or of an ended one."""
-        known = self._agents.get(agent) or self._recall(agent, beat.incarnation)
+        known = self._agents.get(agent) or self._find_forgotten(
+            agent, beat.incarnation
+        )
         if known is None or known.replica.incarnation != beat.incarnation:
             return False
         if beat.sequence <= known.replica.beat:
             return False
         short = beat.same_load or beat.same_weights
-        if short and known.replica.beat == _NO_BEAT:
+        if short and known.replica.beat == _NO_HEARTBEAT:
             # It leaves out what was told before, and nothing was told here.
             return False
-        replica = _update(known.replica, beat, now)
+        replica = _apply_heartbeat(known.replica, beat, now)
         offset = max(known.offset, beat.offset)
-        self._silent.pop(beat.incarnation)
+        self._forgotten.pop(beat.incarnation)
         self._addresses[replica.address] = agent
-        self._place(AgentView(replica, offset, Condition.HEARD))
+        self._store_view(AgentView(replica, offset, Condition.HEARD))
         return True
 
     def on_segments(
@@ -167,7 +178,7 @@
         """Take an agent out until it says hello again."""
         known = self._agents.get(agent)
         if known is not None and known.replica.incarnation == incarnation:
-            self._place(replace(known, condition=Condition.DROPPED))
+            self._store_view(replace(known, condition=Condition.DROPPED))
 
     def tick(self, now: Millis) -> None:
         """Suspect, drop and forget silent agents; call it regularly.
@@ -175,11 +186,11 @@
         After a pause of this process itself nobody is judged: what the agents
         sent meanwhile has not been read yet.
         """
-        paused = now - self._ticked_at > self._settings.suspect_after
-        self._ticked_at = now
+        paused = now - self._last_tick_at > self._settings.suspect_after
+        self._last_tick_at = now
         if not paused:
             for view in tuple(self._agents.values()):
-                self._judge(view, now - view.replica.heard)
+                self._update_condition(view, now - view.replica.heard)
         self._directory.sweep()
 
     def replicas(self, service: str) -> Sequence[Replica]:
@@ -187,18 +198,20 @@
 
         Suspected ones are only there where nobody else is.
         """
-        heard = self._placed.get(_Place(service, Condition.HEARD))
+        heard = self._groups.get(_GroupKey(service, Condition.HEARD))
         if heard:
             return tuple(heard.values())
-        suspected = self._placed.get(_Place(service, Condition.SUSPECTED), {})
+        suspected = self._groups.get(
+            _GroupKey(service, Condition.SUSPECTED), {}
+        )
         return tuple(suspected.values())
 
     def stores(self, service: str) -> Sequence[Replica]:
         """Return the serving agents of the stores a service selects."""
         names = self._select_stores(service)
         for condition in (Condition.HEARD, Condition.SUSPECTED):
-            places = (_Place(name, condition, store=True) for name in names)
-            groups = (self._placed.get(place, {}) for place in places)
+            places = (_GroupKey(name, condition, store=True) for name in names)
+            groups = (self._groups.get(place, {}) for place in places)
             found = tuple(item for group in groups for item in group.values())
             if found:
                 return found
@@ -227,40 +240,40 @@
         """Return the agents that hold a segment."""
         return self._directory.holders(segment)
 
-    def _place(self, view: AgentView) -> None:
+    def _store_view(self, view: AgentView) -> None:
         replica = view.replica
         serving = replica.phase is AgentPhase.SERVING
-        place = _find_place(view)
-        group = self._placed.get(place, {})
+        place = _make_group_key(view)
+        group = self._groups.get(place, {})
         if serving and replica.agent in group:
             # It keeps its place, as heartbeats must not change the order.
             group[replica.agent] = replica
             self._agents[replica.agent] = view
             return
-        self._unplace(replica.agent)
+        self._remove_from_group(replica.agent)
         self._agents[replica.agent] = view
         if serving:
-            grown = self._placed.get(place, {}) | {replica.agent: replica}
-            self._placed[place] = dict(sorted(grown.items()))
+            grown = self._groups.get(place, {}) | {replica.agent: replica}
+            self._groups[place] = dict(sorted(grown.items()))
 
-    def _unplace(self, agent: str) -> None:
+    def _remove_from_group(self, agent: str) -> None:
         view = self._agents.get(agent)
         if view is None:
             return
-        place = _find_place(view)
-        group = self._placed.get(place, {})
+        place = _make_group_key(view)
+        group = self._groups.get(place, {})
         group.pop(agent, None)
         if not group:
-            self._placed.pop(place, None)
+            self._groups.pop(place, None)
 
-    def _judge(self, view: AgentView, silence: Millis) -> None:
+    def _update_condition(self, view: AgentView, silence: Millis) -> None:
         if silence > self._settings.forget_after:
-            self._silent.add(view.replica.incarnation, view)
+            self._forgotten.add(view.replica.incarnation, view)
             self._forget(view.replica.agent)
             return
         condition = self._find_condition(silence)
-        if _is_worse(condition, view.condition):
-            self._place(replace(view, condition=condition))
+        if _is_later(condition, view.condition):
+            self._store_view(replace(view, condition=condition))
 
     def _find_condition(self, silence: Millis) -> Condition:
         if silence > self._settings.drop_after:
@@ -269,27 +282,27 @@
             return Condition.SUSPECTED
         return Condition.HEARD
 
-    def _end_others(self, hello: Hello, address: str) -> None:
+    def _end_older_incarnations(self, hello: Hello, address: str) -> None:
         for agent in (hello.process, self._addresses.get(address, '')):
             view = self._agents.get(agent)
             if view and view.replica.incarnation != hello.incarnation:
                 self._forget(agent)
         # These outlive the views of silent agents.
         for key in (f'agent {hello.process}', f'address {address}'):
-            old = self._latest.get(key)
+            old = self._latest_incarnations.get(key)
             if old is not None and old != hello.incarnation:
-                self._ended.add(old, None)
-            self._latest.add(key, hello.incarnation)
+                self._ended_incarnations.add(old, None)
+            self._latest_incarnations.add(key, hello.incarnation)
 
-    def _recall(self, agent: str, incarnation: str) -> AgentView | None:
+    def _find_forgotten(self, agent: str, incarnation: str) -> AgentView | None:
         """Return a forgotten agent that speaks again on its old link."""
-        view = self._silent.get(incarnation)
-        if view is None or incarnation in self._ended:
+        view = self._forgotten.get(incarnation)
+        if view is None or incarnation in self._ended_incarnations:
             return None
         return view if view.replica.agent == agent else None
 
     def _forget(self, agent: str) -> None:
-        self._unplace(agent)
+        self._remove_from_group(agent)
         address = self._agents.pop(agent).replica.address
         if self._addresses.get(address) == agent:
             del self._addresses[address]
@@ -297,14 +310,16 @@
 
     def _select_stores(self, service: str) -> tuple[str, ...]:
         if self._selected_at != self._catalog.offset:
-            self._selected.clear()
+            self._selected_stores.clear()
             self._selected_at = self._catalog.offset
-        if service not in self._selected:
-            self._selected[service] = _find_stores(self._catalog, service)
-        return self._selected[service]
+        if service not in self._selected_stores:
+            self._selected_stores[service] = _find_stores(
+                self._catalog, service
+            )
+        return self._selected_stores[service]
 
 
-class _Remembered(Generic[ValueT]):
+class _BoundedDict(Generic[ValueT]):
     """Remember a bounded number of values by text, the newest ones."""
 
     def __init__(self, limit: int) -> None:
@@ -330,13 +345,13 @@
             self._items.popitem(last=False)
 
 
-def _find_place(view: AgentView) -> _Place:
+def _make_group_key(view: AgentView) -> _GroupKey:
     replica = view.replica
     store = replica.backend is BackendKind.STORE
-    return _Place(replica.service, view.condition, store=store)
+    return _GroupKey(replica.service, view.condition, store=store)
 
 
-def _is_worse(condition: Condition, other: Condition) -> bool:
+def _is_later(condition: Condition, other: Condition) -> bool:
     order = list(Condition)
     return order.index(condition) > order.index(other)
 
@@ -353,13 +368,13 @@
         data_centre=hello.data_centre,
         phase=AgentPhase.STARTING,
         load=Load(),
-        beat=_NO_BEAT,
+        beat=_NO_HEARTBEAT,
         heard=now,
     )
     return AgentView(replica, hello.offset, Condition.HEARD)
 
 
-def _update(known: Replica, beat: Heartbeat, now: Millis) -> Replica:
+def _apply_heartbeat(known: Replica, beat: Heartbeat, now: Millis) -> Replica:
     leaving = known.phase is AgentPhase.LEAVING
     updated = replace(
         known,
--- a/src/oleanderdyke/kernel/read_buffers.py
+++ b/src/oleanderdyke/kernel/read_buffers.py
@@ -11,12 +11,12 @@
 
 # A neighbour asks again within a second or two; what has fallen further behind
 # reads for itself once.
-_MOST_RECORDS = 2_000
-_MOST_BYTES = 1024 * 1024
+_MAX_RECORDS = 2_000
+_MAX_BYTES = 1024 * 1024
 # One answer holds so much at most; the rest follows in the next.
-_ANSWER_BYTES = 256 * 1024
-_ANSWER_EVENTS = 2_000
-_MOST_EVENTS = 20_000
+_MAX_ANSWER_BYTES = 256 * 1024
+_MAX_ANSWER_EVENTS = 2_000
+_MAX_EVENTS = 20_000
 
 
 class RecordBuffer:
@@ -71,7 +71,7 @@
         size = 0
         for record in islice(self._records, start - self._first, None):
             size += len(record)
-            if found and size > _ANSWER_BYTES:
+            if found and size > _MAX_ANSWER_BYTES:
                 break
             found.append(record)
         return tuple(found)
@@ -83,7 +83,7 @@
 
     def _trim(self) -> None:
         while self._records and (
-            len(self._records) > _MOST_RECORDS or self._bytes > _MOST_BYTES
+            len(self._records) > _MAX_RECORDS or self._bytes > _MAX_BYTES
         ):
             self._bytes -= len(self._records.popleft())
             self._first += 1
@@ -108,7 +108,7 @@
             self._events.clear()
             self._first = since
         self._events.extend(found.events)
-        while len(self._events) > _MOST_EVENTS:
+        while len(self._events) > _MAX_EVENTS:
             self._first = self._events.popleft().number
         self.latest = found
         self.requested_at = asked_at
@@ -121,4 +121,4 @@
         if self.latest is None or since >= self.latest.next:
             return ()
         later = (each for each in self._events if each.number > since)
-        return tuple(islice(later, _ANSWER_EVENTS))
+        return tuple(islice(later, _MAX_ANSWER_EVENTS))
--- a/src/oleanderdyke/kernel/records.py
+++ b/src/oleanderdyke/kernel/records.py
@@ -19,7 +19,7 @@
 
 CONFIGURATION_LOG = 'configuration'
 RECORD_LIMIT = 256 * 1024
-_KIND = 'record'
+_KIND_KEY = 'record'
 
 
 class RecordKind(enum.StrEnum):
@@ -71,7 +71,7 @@
     spec = None if change.spec is None else pack_spec(change.spec)
     return cbor2.dumps(
         {
-            _KIND: RecordKind.CHANGE.value,
+            _KIND_KEY: RecordKind.CHANGE.value,
             'record_id': change.record_id,
             'operator': change.operator,
             'kind': change.kind.value,
@@ -88,7 +88,7 @@
     """Encode a part of a snapshot as a log record."""
     return cbor2.dumps(
         {
-            _KIND: RecordKind.SNAPSHOT.value,
+            _KIND_KEY: RecordKind.SNAPSHOT.value,
             'through': chunk.through,
             'index': chunk.index,
             'last': chunk.last,
@@ -109,9 +109,9 @@
         return UnreadableRecord(str(error))
     if not isinstance(raw, dict):
         return UnreadableRecord('no map')
-    if raw.get(_KIND) == RecordKind.CHANGE:
+    if raw.get(_KIND_KEY) == RecordKind.CHANGE:
         return _decode_change(raw)
-    if raw.get(_KIND) == RecordKind.SNAPSHOT:
+    if raw.get(_KIND_KEY) == RecordKind.SNAPSHOT:
         return _decode_chunk(raw)
     return UnreadableRecord('unknown kind of record')
 
@@ -119,13 +119,13 @@
 def _decode_change(raw: Mapping[str, Any]) -> ConfigurationRecord:
     try:
         return PackedChange(
-            _take(raw, 'record_id', str),
-            _take(raw, 'operator', str),
-            ObjectKind(_take(raw, 'kind', str)),
-            _take(raw, 'name', str),
-            _take(raw, 'expected', int),
-            float(_take(raw, 'at', int, float)),
-            _take(raw, 'spec', bytes, type(None)),
+            _get_field(raw, 'record_id', str),
+            _get_field(raw, 'operator', str),
+            ObjectKind(_get_field(raw, 'kind', str)),
+            _get_field(raw, 'name', str),
+            _get_field(raw, 'expected', int),
+            float(_get_field(raw, 'at', int, float)),
+            _get_field(raw, 'spec', bytes, type(None)),
         )
     except (ValueError, OverflowError) as error:
         return UnreadableRecord(f'not a change: {error}')
@@ -134,17 +134,17 @@
 def _decode_chunk(raw: Mapping[str, Any]) -> ConfigurationRecord:
     try:
         return SnapshotChunk(
-            _take(raw, 'through', int),
-            _take(raw, 'index', int),
-            _take(raw, 'last', bool),
-            _take(raw, 'items', bytes),
-            _take(raw, 'digest', bytes),
+            _get_field(raw, 'through', int),
+            _get_field(raw, 'index', int),
+            _get_field(raw, 'last', bool),
+            _get_field(raw, 'items', bytes),
+            _get_field(raw, 'digest', bytes),
         )
     except ValueError as error:
         return UnreadableRecord(f'not a part of a snapshot: {error}')
 
 
-def _take(raw: Mapping[str, Any], name: str, *types: type) -> Any:
+def _get_field(raw: Mapping[str, Any], name: str, *types: type) -> Any:
     value = raw.get(name)
     if type(value) in types:
         return value
--- a/src/oleanderdyke/kernel/snapshots.py
+++ b/src/oleanderdyke/kernel/snapshots.py
@@ -27,10 +27,10 @@
 
 START_OFFSET = -1
 _CHUNK_BYTES = 48 * 1024
-_OUTCOME_COUNT = 1_024
+_MAX_OUTCOMES = 1_024
 _DIGEST_SIZE = 32
 _TOKENS = 'token_hashes'
-_ADMINS = 'admin_token_hashes'
+_ADMIN_TOKENS = 'admin_token_hashes'
 
 
 class RejectionReason(enum.StrEnum):
@@ -113,10 +113,10 @@
     outcomes: dict[str, Outcome] = field(default_factory=dict)
     floor: int = 0
 
-    def remember(self, outcome: Outcome) -> None:
+    def add_outcome(self, outcome: Outcome) -> None:
         """Remember an outcome in place of the oldest."""
         self.outcomes[outcome.record_id] = outcome
-        while len(self.outcomes) > _OUTCOME_COUNT:
+        while len(self.outcomes) > _MAX_OUTCOMES:
             del self.outcomes[next(iter(self.outcomes))]
 
     def find_team(self, index: TokenIndex, field: str, digest: bytes) -> str:
@@ -129,23 +129,25 @@
 
     def find_owners(self, packed: bytes) -> Iterator[str]:
         """Return the teams that hold any token hash of a packed team."""
-        digests = list_hashes(packed, _TOKENS) + list_hashes(packed, _ADMINS)
+        digests = list_hashes(packed, _TOKENS) + list_hashes(
+            packed, _ADMIN_TOKENS
+        )
         for digest in digests:
             yield self.find_team(self.tokens, _TOKENS, digest)
-            yield self.find_team(self.admin_tokens, _ADMINS, digest)
+            yield self.find_team(self.admin_tokens, _ADMIN_TOKENS, digest)
 
     def add_tokens(self, name: str, packed: bytes) -> None:
         """Index the token hashes of a packed team."""
         for digest in list_hashes(packed, _TOKENS):
             self.tokens.add(digest, name)
-        for digest in list_hashes(packed, _ADMINS):
+        for digest in list_hashes(packed, _ADMIN_TOKENS):
             self.admin_tokens.add(digest, name)
 
     def drop_tokens(self, name: str, packed: bytes) -> None:
         """Remove the token hashes of a packed team from the index."""
         for digest in list_hashes(packed, _TOKENS):
             self.tokens.remove(digest, name)
-        for digest in list_hashes(packed, _ADMINS):
+        for digest in list_hashes(packed, _ADMIN_TOKENS):
             self.admin_tokens.remove(digest, name)
 
 
@@ -230,23 +232,23 @@
     outcomes: Iterable[Outcome],
     rows: dict[ObjectKind, dict[str, Row]],
 ) -> Iterator[bytes]:
-    yield _dump(_ItemKind.FLOOR, floor)
+    yield _encode_item(_ItemKind.FLOOR, floor)
     for outcome in outcomes:
         applied = isinstance(outcome, Applied)
         kind = _ItemKind.APPLIED if applied else _ItemKind.LOST
-        yield _dump(kind, *astuple(outcome))
+        yield _encode_item(kind, *astuple(outcome))
     for kind_of_object in ObjectKind:
         of_kind = rows[kind_of_object]
         for name in sorted(of_kind):
             fields = _list_fields(of_kind[name])
-            yield _dump(_ItemKind.ROW, kind_of_object, name, *fields)
+            yield _encode_item(_ItemKind.ROW, kind_of_object, name, *fields)
 
 
 def _list_fields(row: Row) -> tuple[Any, ...]:
     return row.generation, row.offset, row.at, row.operator, row.packed
 
 
-def _dump(kind: _ItemKind, *values: Any) -> bytes:
+def _encode_item(kind: _ItemKind, *values: Any) -> bytes:
     plain = [
         str(value) if isinstance(value, enum.StrEnum) else value
         for value in values
@@ -256,7 +258,7 @@
 
 def _encode_chunks(through: int, items: Iterator[bytes]) -> Iterator[bytes]:
     digest = make_digest(through)
-    groups = _group(items)
+    groups = _group_items(items)
     group = next(groups)
     index = 0
     for following in groups:
@@ -273,19 +275,19 @@
     )
 
 
-def _group(items: Iterator[bytes]) -> Iterator[bytes]:
+def _group_items(items: Iterator[bytes]) -> Iterator[bytes]:
     group: list[bytes] = []
     size = 0
     for item in items:
         if group and size + len(item) > _CHUNK_BYTES:
-            yield _join(group)
+            yield _encode_group(group)
             group, size = [], 0
         group.append(item)
         size += len(item)
-    yield _join(group)
+    yield _encode_group(group)
 
 
-def _join(group: list[bytes]) -> bytes:
+def _encode_group(group: list[bytes]) -> bytes:
     return cbor2.dumps(group)
 
 
@@ -296,7 +298,7 @@
     elif kind == _ItemKind.ROW:
         _load_row(state, *values)
     else:
-        state.remember(_load_outcome(kind, values))
+        state.add_outcome(_load_outcome(kind, values))
 
 
 def _load_row(state: State, kind: str, name: str, *fields: Any) -> None:
--- a/src/oleanderdyke/kernel/specs.py
+++ b/src/oleanderdyke/kernel/specs.py
@@ -27,10 +27,10 @@
 )
 
 PACKED_LIMIT = 16 * 1024
-_DEPTH = 16
+_MAX_DEPTH = 16
 _INT_LIMIT = 2**63
-_LABEL_COUNT = 32
-_HASH_COUNT = 64
+_MAX_LABELS = 32
+_MAX_HASHES = 64
 _HASH_FIELDS = ('token_hashes', 'admin_token_hashes')
 _HASH_FORM = 'hex SHA-256 digests of tokens, 64 lower-case characters'
 _NAME = re.compile(r'[a-z0-9]([a-z0-9._-]{0,61}[a-z0-9])?')
@@ -48,7 +48,7 @@
     try:
         return cbor2.loads(
             data,
-            max_depth=_DEPTH,
+            max_depth=_MAX_DEPTH,
             allow_duplicate_keys=False,
             strict_hashable_types=True,
             semantic_decoders={},
@@ -129,16 +129,16 @@
     yield from _check_labels('teams', spec.teams)
     yield from _check_labels('stores', spec.stores)
     if spec.kind is ServiceKind.MODEL:
-        yield from _check_filled(spec, ('model', 'version'))
+        yield from _check_not_empty(spec, ('model', 'version'))
     yield from _check_methods('methods', spec.methods)
     yield from _check_methods('idempotent_methods', spec.idempotent_methods)
-    yield from _check_above(spec, ('body_limit', 'deadline', 'horizon'))
+    yield from _check_positive(spec, ('body_limit', 'deadline', 'horizon'))
     yield from _check_targets(spec.targets)
 
 
 def _check_targets(targets: Targets) -> Iterator[str]:
     names = ('first_token', 'between_tokens')
-    yield from _check_above(targets, names, 'targets.')
+    yield from _check_positive(targets, names, 'targets.')
     share = targets.recomputed_share
     if not 0 <= share <= 1:
         yield f'targets.recomputed_share: found {share}; allowed: 0 to 1'
@@ -147,23 +147,23 @@
 def _check_team(spec: TeamSpec) -> Iterator[str]:
     for name in _HASH_FIELDS:
         yield from _check_hashes(name, getattr(spec, name))
-    yield from _check_above(spec, ('weight',))
+    yield from _check_positive(spec, ('weight',))
     names = tuple(item.name for item in dataclasses.fields(Limits))
-    yield from _check_not_below(spec.limits, names, 'limits.')
+    yield from _check_not_negative(spec.limits, names, 'limits.')
 
 
 def _check_model_version(spec: ModelVersionSpec) -> Iterator[str]:
-    yield from _check_filled(spec, ('model', 'version', 'digest'))
+    yield from _check_not_empty(spec, ('model', 'version', 'digest'))
 
 
 def _check_store(spec: StoreSpec) -> Iterator[str]:
     names = ('capacity_bytes', 'link_bytes_per_second')
-    yield from _check_not_below(spec, names)
+    yield from _check_not_negative(spec, names)
 
 
 def _check_labels(key: str, labels: Labels) -> Iterator[str]:
-    if len(labels) > _LABEL_COUNT:
-        yield f'{key}: found {len(labels)} pairs; allowed: {_LABEL_COUNT}'
+    if len(labels) > _MAX_LABELS:
+        yield f'{key}: found {len(labels)} pairs; allowed: {_MAX_LABELS}'
     for name, value in labels.items():
         if not (_LABEL.fullmatch(name) and _LABEL.fullmatch(value)):
             yield (
@@ -179,8 +179,8 @@
 
 
 def _check_hashes(key: str, hashes: tuple[str, ...]) -> Iterator[str]:
-    if len(hashes) > _HASH_COUNT:
-        yield f'{key}: found {len(hashes)} entries; allowed: {_HASH_COUNT}'
+    if len(hashes) > _MAX_HASHES:
+        yield f'{key}: found {len(hashes)} entries; allowed: {_MAX_HASHES}'
     if len(set(hashes)) != len(hashes):
         yield f'{key}: found one entry twice; allowed: different ones'
     if not all(_HASH.fullmatch(item) for item in hashes):
@@ -188,13 +188,13 @@
         yield f'{key}: found something else; allowed: {_HASH_FORM}'
 
 
-def _check_filled(spec: object, names: Iterable[str]) -> Iterator[str]:
+def _check_not_empty(spec: object, names: Iterable[str]) -> Iterator[str]:
     for name in names:
         if not getattr(spec, name):
             yield f'{name}: found nothing; allowed: a filled string'
 
 
-def _check_above(
+def _check_positive(
     spec: object, names: Iterable[str], prefix: str = ''
 ) -> Iterator[str]:
     for name in names:
@@ -203,7 +203,7 @@
             yield f'{prefix}{name}: found {value}; allowed: above 0'
 
 
-def _check_not_below(
+def _check_not_negative(
     spec: object, names: Iterable[str], prefix: str = ''
 ) -> Iterator[str]:
     for name in names:
@@ -251,7 +251,7 @@
     )
 
 
-def _check_exactly(target: type) -> Any:
+def _make_type_check(target: type) -> Any:
     def check(found: object, _: object) -> object:
         if type(found) is target:
             return found
@@ -283,8 +283,8 @@
 def _make_converter() -> cattrs.Converter:
     converter = cattrs.Converter(detailed_validation=False)
     checks = {
-        str: _check_exactly(str),
-        bool: _check_exactly(bool),
+        str: _make_type_check(str),
+        bool: _make_type_check(bool),
         int: _check_int,
         float: _check_number,
         # Without its own hook the one for `str` would take it.
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -164,7 +164,7 @@
     queue = FairQueue()
     for index in range(5_000):
         queue.charge(f't{index}', 1.0, 1.0)
-    assert not queue._finish
+    assert not queue._finish_tags
     chosen = admission()
     for index in range(5_000):
         fleet = fleet_with(IDLE)
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -241,7 +241,7 @@
 
 
 def test_difference_is_bounded_and_says_when_it_is_not_held(monkeypatch):
-    monkeypatch.setattr(catalog_module, '_TAIL_COUNT', 5)
+    monkeypatch.setattr(catalog_module, '_RECENT_LIMIT', 5)
     catalog = Catalog()
     fill(catalog, 9)
     assert [offset for offset, _ in catalog.difference(5)] == [6, 7, 8]
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -171,7 +171,7 @@
 
 
 class ForgetsCuts(Drain):
-    def _hurry(self):
+    def _stop_now(self):
         return self._exit()
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -359,7 +359,7 @@
     """Welcome incarnations that have ended."""
 
     def on_hello(self, hello, address, now):
-        self._ended = membership._Remembered(0)
+        self._ended_incarnations = membership._BoundedDict(0)
         return super().on_hello(hello, address, now)
 
 
@@ -371,7 +371,7 @@
         if view is not None:
             phase = AgentPhase.STARTING
             known = replace(view.replica, beat=-1, phase=phase)
-            self._place(replace(view, replica=known))
+            self._store_view(replace(view, replica=known))
         return super().on_heartbeat(agent, beat, now)
 
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -65,7 +65,7 @@
 def _small_parts(monkeypatch):
     monkeypatch.setattr(snapshots, '_CHUNK_BYTES', 100)
     monkeypatch.setattr(configuration, '_MESSAGE_BYTES', 200)
-    monkeypatch.setattr(catalog_module, '_TAIL_COUNT', 4)
+    monkeypatch.setattr(catalog_module, '_RECENT_LIMIT', 4)
 
 
 def make_reader(
@@ -524,8 +524,8 @@
 class UncheckedCatalog(Catalog):
     """Let the last writer win."""
 
-    def _find_loss(self, change):
-        loss = super()._find_loss(change)
+    def _find_rejection(self, change):
+        loss = super()._find_rejection(change)
         generation = (
             loss and loss[0] is catalog_module.RejectionReason.GENERATION
         )
