--- a/src/oleanderdyke/kernel/__init__.py
+++ b/src/oleanderdyke/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""Decide, without sockets, clocks or global randomness."""
+"""Decision logic, free of sockets, clocks and global randomness."""
--- a/src/oleanderdyke/kernel/admission.py
+++ b/src/oleanderdyke/kernel/admission.py
@@ -1,4 +1,4 @@
-"""Share out a service between teams by weight."""
+"""Queue and rate-limit requests, sharing a service between teams."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 class TokenBucket:
-    """Allow a rate with a burst of one second; the balance may go negative."""
+    """Limit a rate, with a burst of one second.
+
+    The balance may become negative, which delays later requests.
+    """
 
     __slots__ = ('_balance', '_burst', '_rate', '_read')
 
@@ -27,19 +30,19 @@
         self._read = now
 
     def wait(self, now: Millis) -> Millis:
-        """Return how long until the next take is allowed."""
+        """Return the time until the next request is allowed."""
         self._fill(now)
         if self._balance > 0:
             return 0.0
         return (1.0 - self._balance) * SECOND / self._rate
 
     def take(self, count: float, now: Millis) -> None:
-        """Use up a part of the rate."""
+        """Consume tokens from the bucket, possibly more than it holds."""
         self._fill(now)
         self._balance -= count
 
     def is_full(self, now: Millis) -> bool:
-        """Return whether forgetting this bucket changes nothing."""
+        """Return whether the bucket is full, so that it may be discarded."""
         self._fill(now)
         return self._balance >= self._burst
 
@@ -51,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedRequest:
-    """Hold one request in a fair queue."""
+    """Hold one request of a fair queue with its cost and arrival time."""
 
     demand: Demand
     cost: float
@@ -68,9 +71,10 @@
 
 
 class FairQueue:
-    """Order requests by start tags, so that teams share by weight.
+    """Order requests by start-time fair queueing, weighted by team.
 
-    Only teams with work, or with a debt, take any memory.
+    Only teams with queued requests, or whose finish tag is ahead of the virtual
+    time, take memory.
     """
 
     def __init__(self) -> None:
@@ -98,7 +102,7 @@
         self._length += 1
 
     def pop(self) -> QueuedRequest:
-        """Take the request whose turn it is; the queue must not be empty."""
+        """Remove and return the next request; the queue must not be empty."""
         start, _, team = heapq.heappop(self._heap)
         self._virtual_time = max(self._virtual_time, start)
         queue = self._teams[team]
@@ -110,7 +114,7 @@
         return waiting
 
     def remove(self, waiting: QueuedRequest) -> None:
-        """Take one request out, wherever it stands."""
+        """Remove one request from any position."""
         team = waiting.demand.team
         queue = self._teams[team]
         queue.items.remove(waiting)
@@ -120,16 +124,16 @@
             heapq.heapify(self._heap)
 
     def charge(self, team: str, cost: float, weight: float) -> None:
-        """Count work that needed no queueing."""
+        """Charge a team for a request that was not queued."""
         start = max(self._virtual_time, self._finish_tags.get(team, 0.0))
         self._finish_tags[team] = start + cost / weight
         self._drop_idle_teams()
 
     def estimate_ahead(self, team: str, cost: float, weight: float) -> float:
-        """Estimate the work that is served before a new request ends.
+        """Estimate the cost that is served until a new request ends.
 
-        Each other team gets at most its share while this team's own queue is
-        worked off, and no more than it has asked for.
+        While this team's queue is served, each other team gets at most its
+        weighted share, and at most the cost of its own queue.
         """
         queue = self._teams.get(team)
         own = cost + (queue.cost if queue else 0.0)
@@ -172,5 +176,5 @@
 
 
 def hash_to_fraction(request: str) -> float:
-    """Return a number in [0, 1) that differs between requests."""
+    """Return a number in [0, 1), derived from the request, for jitter."""
     return zlib.crc32(request.encode()) % _HASH_STEPS / _HASH_STEPS
--- a/src/oleanderdyke/kernel/backend.py
+++ b/src/oleanderdyke/kernel/backend.py
@@ -1,4 +1,4 @@
-"""Hold what is known of one backend server."""
+"""Hold the state of one backend server as an entry knows it."""
 
 from __future__ import annotations
 
@@ -17,29 +17,31 @@
     ServerRecord,
 )
 
-# What a first byte takes beside reading, where nothing waits: the first step
-# of an engine and two ways over the network.
+# The time to first byte without queueing and reading the prompt: the first step
+# of an engine and a network round trip.
 _BASE_FIRST_BYTE: Millis = 45.0
-# The share of the latest first byte in what is known of a server's queue.
+# The weight of the latest first byte in the average queue delay.
 _DELAY_WEIGHT = 0.3
-# What a first byte told of a queue counts less and less until then.
+# An observed queue delay decays to zero over this time.
 _DELAY_LIFETIME: Millis = 1_500.0
-# For longer than that no server is waited for as one that reads: a frozen one
-# may owe any number of tokens, and callers of streams leave after two seconds.
+# The longest time for which a server may be silent because it reads prompts: a
+# frozen one may have any number of tokens to read, and callers of streams leave
+# after two seconds.
 _MAX_READING_TIME: Millis = 1.5 * SECOND
-# A server that told a neighbour of its load within this lives.
+# A server whose load report reached any entry within this time is alive, and is
+# granted the grace time before it counts as overdue.
 _REPORT_LIFETIME: Millis = 800.0
 _REPORT_GRACE: Millis = 1 * SECOND
-# A load that was told longer ago says nothing.
+# Older load reports are ignored.
 _LOAD_LIFETIME: Millis = 3 * SECOND
 
 
 @dataclass(slots=True)
 class Backend:
-    """Hold one backend server; `record` is what it last told.
+    """Hold one backend server; `record` is the last record it published.
 
-    `waiting` has, by attempt, the moment from which on it owes a first byte
-    and the prompt tokens that it has to read before.
+    `waiting` maps the attempts whose first byte is outstanding. `cached_parts`
+    maps the prompt parts that the server likely has cached to their tokens.
     """
 
     record: ServerRecord
@@ -55,26 +57,27 @@
     refusals: int = 0
     errors: float = 0.0
     excluded_until: Millis = 0.0
-    # Until when it may crash under a rate that it bears later.
+    # Until then, a rate that it tolerates later may crash it.
     cold_until: Millis = 0.0
     sent_at: Millis = -math.inf
     reload_until: Millis = 0.0
     missing_since: Millis | None = None
-    # Its newest entry can't be read, so what it told before may be outdated.
+    # Its newest record can't be read, so `record` may be outdated.
     is_unread: bool = False
     limit: RateLimit = field(default_factory=RateLimit)
-    # Until when it wants no requests of this entry.
+    # Until then, it asked this entry to send no requests.
     backoff_until: Millis = 0.0
-    # What it named in answers and could not be read.
+    # The fields of its answers that could not be parsed.
     malformed: set[AnswerField] = field(default_factory=set)
-    # Another server told the same address later: this one has likely ended.
+    # A newer record of another server has the same address, so this server has
+    # likely ended.
     is_displaced: bool = False
     delays: dict[int, QueueDelay] = field(default_factory=dict)
     cached_parts: OrderedDict[str, int] = field(default_factory=OrderedDict)
     cached_tokens: int = 0
 
     def count_pending_tokens(self, rank: int) -> int:
-        """Count the prompt tokens that are read before those of a rank."""
+        """Return the pending prompt tokens of equal or more urgent rank."""
         if not self.waiting:
             return 0
         return sum(
@@ -82,10 +85,10 @@
         )
 
     def find_queue_delay(self, rank: int, now: Millis) -> Millis:
-        """Return how long a request of a rank waits before it is read.
+        """Estimate how long a request of a rank waits in the server's queue.
 
-        It is what the latest first bytes of the rank showed, or more where
-        one as urgent is still owed and has waited longer.
+        The estimate follows the latest first bytes of the rank. It is higher
+        if an attempt that is as urgent is already waiting for longer.
         """
         known = self.delays.get(rank)
         observed = 0.0 if known is None else known.find_remaining(now)
@@ -99,7 +102,7 @@
         return max(observed, *owed, 0.0)
 
     def record_first_byte(self, owed: PendingAttempt, now: Millis) -> None:
-        """Learn from a first byte how long requests of its rank wait."""
+        """Update the queue delay of a rank, and the reading rate."""
         excess = max(self._find_queue_time(owed, now), 0.0)
         if owed.is_alone:
             self.reading.note(owed.tokens, now - owed.since - _BASE_FIRST_BYTE)
@@ -108,9 +111,9 @@
         self.delays[owed.rank] = QueueDelay(observed, now)
 
     def count_waiting(self, now: Millis) -> int:
-        """Return how many requests wait there, fewer the longer ago told.
+        """Return the queued requests, decaying with the report's age.
 
-        A server that has told nothing lately must not look idle at once.
+        The decay keeps a server whose reports stop from looking idle at once.
         """
         if self.load is None:
             return 0
@@ -118,18 +121,18 @@
         return round(self.load.waiting * left)
 
     def count_active(self, now: Millis) -> int:
-        """Return how many requests run or wait there."""
+        """Return the number of requests that run or wait on the server."""
         if self.load is None or now - self.load_at > _LOAD_LIFETIME:
             return self.running
         return max(self.load.running + self.load.waiting, self.running)
 
     def find_overdue_time(self, now: Millis) -> Millis:
-        """Return for how long the server has owed a byte and sent none.
+        """Return for how long an expected byte is overdue.
 
-        An engine sends something of each run every few milliseconds, but
-        nothing while it reads the prompts of all that it was sent. Taken for
-        silent then, sound engines would get no work for half a second and
-        more, and what they had begun would be read again elsewhere.
+        An engine sends output of each run every few milliseconds, but none
+        while it reads the prompts of new requests. Without allowing for that
+        time, healthy engines would get no requests for half a second or more,
+        and other engines would read the same prompts again.
         """
         if not self.running:
             return 0.0
@@ -140,10 +143,10 @@
         return max(quiet - reading - self._find_grace(now), 0.0)
 
     def _find_grace(self, now: Millis) -> Millis:
-        """Return how much longer to wait for one that others hear.
+        """Return the extra time granted to a server that still reports load.
 
-        It lives, and lets this entry's few requests wait for more urgent ones.
-        What broke may still be a connection, so that the wait is bounded.
+        Such a server is alive and may delay this entry's requests for more
+        urgent ones. The grace is bounded, as the connection may be broken.
         """
         if (
             self.load_at <= self.last_heard_at
@@ -153,17 +156,17 @@
         return _REPORT_GRACE
 
     def _find_queue_time(self, owed: PendingAttempt, now: Millis) -> Millis:
-        """Return how much longer a first byte has taken than reading alone."""
+        """Return the wait beyond reading the prompt, which may be negative."""
         reading = self.reading.find_time(owed.tokens)
         return now - owed.since - reading - _BASE_FIRST_BYTE
 
     def clear_cache(self) -> None:
-        """Forget what it kept: new weights discard it."""
+        """Clear the cached parts, which new weights invalidate."""
         self.cached_parts.clear()
         self.cached_tokens = 0
 
     def count_cached_tokens(self, parts: Sequence[PromptPart]) -> int:
-        """Count the leading tokens of a prompt that it likely holds."""
+        """Count the leading tokens of a prompt that are likely cached."""
         count = 0
         for part in parts:
             if part.name not in self.cached_parts:
@@ -174,22 +177,23 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueDelay:
-    """Hold how long requests of one rank waited, and when that was seen."""
+    """Hold the queue delay of one rank and the time of observation."""
 
     observed: Millis
     at: Millis
 
     def find_remaining(self, now: Millis) -> Millis:
-        """Return it, less the longer ago it was seen."""
+        """Return the delay, decaying linearly with its age."""
         return self.observed * max(1 - (now - self.at) / _DELAY_LIFETIME, 0.0)
 
 
 @dataclass(frozen=True, slots=True)
 class PendingAttempt:
-    """Hold since when a first byte is owed, after how many tokens.
+    """Describe an attempt that waits for its first byte since `since`.
 
-    `memory` counts the tokens that the request takes until it has ended. It
-    `is_alone` where nothing else was known to wait there.
+    `tokens` are the prompt tokens to read first, `memory` the tokens of engine
+    memory that the request takes at its end. `is_alone` is set if no other
+    request was known to wait on the server.
     """
 
     since: Millis
--- a/src/oleanderdyke/kernel/catalog.py
+++ b/src/oleanderdyke/kernel/catalog.py
@@ -1,4 +1,4 @@
-"""Hold the configuration as the log ordered it."""
+"""Hold the configuration that results from the log's records in order."""
 
 from __future__ import annotations
 
@@ -63,16 +63,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectPage:
-    """Hold objects in order of name; `after` continues, empty at the end."""
+    """Hold one page of objects, sorted by name.
+
+    `after` is the name to continue from, empty on the last page.
+    """
 
     objects: tuple[StoredObject, ...]
     after: str = ''
 
 
 class Catalog:
-    """Apply records in offset order and answer what is configured.
+    """Apply the log's records in offset order and answer queries.
 
     `offset` is the offset of the last applied record, -1 before the first.
+    `skipped` counts unreadable records; `skipped_reason` describes the last.
     """
 
     def __init__(self) -> None:
@@ -85,14 +89,21 @@
         self._cache: dict[tuple[ObjectKind, str], StoredObject] = {}
 
     def apply(self, offset: int, change: Change) -> Outcome:
-        """Apply a change at the next offset."""
+        """Apply a change at the next offset.
+
+        Raise ValueError for any other offset, or if the change is too long.
+        """
         outcome = self.apply_record(offset, encode_change(change))
         if outcome is None:
-            raise ValueError('the change is too long for a record')
+            raise ValueError('the encoded change exceeds the record limit')
         return outcome
 
     def apply_record(self, offset: int, data: bytes) -> Outcome | None:
-        """Apply any record at the next offset; None where it is no change."""
+        """Apply any record at the next offset.
+
+        Return the outcome of a change, None for any other record. Raise
+        ValueError unless the offset follows the last one.
+        """
         if offset != self.offset + 1:
             raise ValueError(f'offset {offset} does not follow {self.offset}')
         record = decode_record(data)
@@ -103,14 +114,14 @@
             self.skipped += 1
             self.skipped_reason = f'offset {offset}: {record.reason}'
         elif isinstance(record, SnapshotChunk):
-            # A peer needs its place in the log only, not the whole state.
+            # Peers only need the chunk's offset, so its content is dropped.
             data = encode_chunk(replace(record, items=b'', digest=b''))
         self.offset = offset
         self._add_recent(offset, data)
         return outcome
 
     def get(self, kind: ObjectKind, name: str) -> StoredObject | None:
-        """Return an object by name."""
+        """Return an object by name, None if there is none."""
         key = (kind, name)
         if key in self._cache:
             return self._cache[key]
@@ -125,9 +136,9 @@
     def list(
         self, kind: ObjectKind, selector: Labels | None = None
     ) -> tuple[StoredObject, ...]:
-        """Return the objects of a kind in order of name."""
+        """Return the objects that match a selector, sorted by name."""
         rows = self._state.rows[kind]
-        # A few objects are read again and again, many would flood the cache.
+        # A long list would evict everything else from the cache.
         cached = len(rows) < _CACHE_SIZE // len(ObjectKind)
         found = (
             self.get(kind, name)
@@ -145,7 +156,10 @@
         after: str = '',
         limit: int = _PAGE_SIZE,
     ) -> ObjectPage:
-        """Look at a bounded number of objects after a name."""
+        """Return the matches among the next `limit` objects after a name.
+
+        A page may be empty although more pages follow.
+        """
         rows = self._state.rows[kind]
         names = sorted(name for name in rows if name > after)
         chosen = names[:limit]
@@ -166,25 +180,25 @@
         return len(self._state.rows[kind])
 
     def find_team(self, token_hash: str) -> StoredObject | None:
-        """Return the team of a token's hex SHA-256 digest."""
+        """Return the team that a token, given as hex SHA-256, belongs to."""
         return self._find_token_team(
             self._state.tokens, 'token_hashes', token_hash
         )
 
     def find_administered_team(self, token_hash: str) -> StoredObject | None:
-        """Return the team that a token may administer."""
+        """Return the team that a token, given as hex SHA-256, administers."""
         return self._find_token_team(
             self._state.admin_tokens, 'admin_token_hashes', token_hash
         )
 
     def find_outcome(self, record_id: str) -> Outcome | None:
-        """Return what became of a recent record."""
+        """Return the outcome of a recent change by its record id."""
         return self._state.outcomes.get(record_id)
 
     def history(self, kind: ObjectKind, name: str) -> tuple[Outcome, ...]:
         """Return the recent outcomes for one object, oldest first.
 
-        The change in force is always there, however long ago it was.
+        The change in force is always included, however old it is.
         """
         found = tuple(
             outcome
@@ -197,23 +211,24 @@
         return (_make_outcome(kind, name, row), *found)
 
     def iterate_snapshot(self) -> Iterator[bytes]:
-        """Encode the state as records; equal at equal offsets.
+        """Encode the state as records, which are equal at equal offsets.
 
-        The chunks show the state at the call, whatever is applied meanwhile.
+        The chunks hold the state at the time of the call, even if records are
+        applied during the iteration.
         """
         return encode_snapshot(self.offset, self._state)
 
     def snapshot(self) -> tuple[bytes, ...]:
-        """Return every chunk of the snapshot at once."""
+        """Return all chunks of a snapshot of the state."""
         return tuple(self.iterate_snapshot())
 
     def restore(self, chunks: Sequence[bytes]) -> bool:
-        """Take over a whole snapshot that is ahead; else change nothing."""
+        """Restore a complete snapshot; return False if invalid or not newer."""
         loaded = load_snapshot(chunks)
         return loaded is not None and self.replace_state(loaded)
 
     def replace_state(self, loaded: LoadedSnapshot) -> bool:
-        """Take over a loaded snapshot that is ahead; else change nothing."""
+        """Replace the state by a loaded snapshot; return False if not newer."""
         if loaded.through <= self.offset:
             return False
         self.offset = loaded.through
@@ -224,7 +239,7 @@
         return True
 
     def difference(self, after: int) -> tuple[tuple[int, bytes], ...] | None:
-        """Return the records after an offset; None where not held."""
+        """Return the records after an offset, None if some were evicted."""
         if after >= self.offset:
             return ()
         if not self._recent or self._recent[0][0] > after + 1:
@@ -232,7 +247,7 @@
         return tuple(item for item in self._recent if item[0] > after)
 
     def digest(self) -> bytes:
-        """Identify the state; equal at equal offsets."""
+        """Return a hash of the state, which is equal at equal offsets."""
         digest = hashlib.blake2b(digest_size=16)
         for chunk in self.iterate_snapshot():
             digest.update(chunk)
@@ -277,6 +292,11 @@
     def _find_rejection(
         self, change: PackedChange
     ) -> tuple[RejectionReason, str] | None:
+        """Return why a change is rejected, None if it applies.
+
+        The texts are stored in snapshots, so they must be the same in every
+        process and version.
+        """
         fault = _find_change_fault(change)
         if fault:
             return RejectionReason.INVALID, fault
--- a/src/oleanderdyke/kernel/configuration.py
+++ b/src/oleanderdyke/kernel/configuration.py
@@ -1,4 +1,4 @@
-"""Bring the configuration from the log and from peers into a process."""
+"""Read the configuration from the log and from peers."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 class Record(Protocol):
-    """See one record of the log."""
+    """Describe one record of the log."""
 
     @property
     def offset(self) -> int:
-        """Return the place in the log."""
+        """Return the record's offset in the log."""
 
     @property
     def at(self) -> Millis:
@@ -40,15 +40,15 @@
 
 
 class Page(Protocol):
-    """See a page read from the log."""
+    """Describe a page read from the log."""
 
     @property
     def records(self) -> Sequence[Record]:
-        """Return records in offset order."""
+        """Return the page's records in offset order."""
 
     @property
     def first(self) -> int:
-        """Return the oldest offset that the log keeps."""
+        """Return the oldest offset that the log still holds."""
 
     @property
     def end(self) -> int:
@@ -57,10 +57,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReaderSettings:
-    """Pace the spreading of configuration.
+    """Set the pace of reading configuration and appending snapshots.
 
-    `ask_after` gives the log a chance before peers are asked; `snapshot_age`
-    must be at most half of the log's retention.
+    A reader that is behind waits `ask_after` for the log before it asks a
+    peer, and `ask_again` before it asks another one. After `stale_after`
+    behind it is no longer ready. A snapshot is due after `snapshot_records`
+    records, or at `snapshot_age`, which must be at most half of the log's
+    retention.
     """
 
     ask_after: Millis = 0.0
@@ -72,14 +75,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Readiness:
-    """Tell whether a process has its configuration, and why not."""
+    """Tell whether the configuration may be used, and if not, why."""
 
     ready: bool
     reason: str = ''
 
 
 class ConfigurationReader:
-    """Feed a catalog, never backwards and never over a gap."""
+    """Keep a catalog up to date from the log and from peers.
+
+    The catalog's offset never decreases and no record is skipped.
+    """
 
     def __init__(
         self,
@@ -116,7 +122,7 @@
         return self._scan_offset if self._has_log_gap() else self.offset + 1
 
     def on_page(self, page: Page, now: Millis) -> bool:
-        """Take a page of the log; tell whether the offset moved."""
+        """Apply a page of the log; return whether the offset advanced."""
         before = self.offset
         self._log_first = max(self._log_first, page.first)
         self._log_end = max(self._log_end, page.end)
@@ -131,7 +137,7 @@
     def on_peer_offset(
         self, peer: str, offset: int, now: Millis
     ) -> ConfigurationRequest | None:
-        """Learn a peer's offset; return what to ask this peer, if anything."""
+        """Record a peer's offset; return the request to send it, if any."""
         self._peer_offsets[peer] = max(
             offset, self._peer_offsets.get(peer, START_OFFSET)
         )
@@ -151,7 +157,7 @@
         return ConfigurationRequest(self.offset)
 
     def on_peer_disconnected(self, peer: str) -> None:
-        """Forget a peer whose link has ended."""
+        """Remove a peer whose link has ended."""
         self._peer_offsets.pop(peer, None)
         if self._requested_peer == peer:
             self._requested_peer = ''
@@ -159,7 +165,7 @@
     def on_difference(
         self, peer: str, message: ConfigurationDifference, now: Millis
     ) -> bool:
-        """Take a peer's difference; tell whether the offset moved."""
+        """Apply a peer's difference; return whether the offset advanced."""
         before = self.offset
         grown = False
         if message.snapshot:
@@ -167,7 +173,7 @@
         else:
             self._take_peer_records(message)
         if grown or self._requested_peer == peer:
-            # While a snapshot arrives, from whomever, nobody is asked.
+            # While chunks of a snapshot arrive from any peer, no peer is asked.
             self._requested_peer = '' if message.last else peer
             self._requested_at = now
         if message.last and START_OFFSET < message.through <= self.offset:
@@ -178,7 +184,7 @@
     def answer(
         self, request: ConfigurationRequest
     ) -> Iterator[ConfigurationDifference]:
-        """Build the messages that bring a peer up to date, one at a time."""
+        """Return an iterator of the messages that bring a peer up to date."""
         through = self.offset
         if not self._loaded:
             return _answer_records(request.after, START_OFFSET, ())
@@ -188,7 +194,7 @@
         return _answer_records(request.after, through, records)
 
     def readiness(self, now: Millis) -> Readiness:
-        """Return whether the configuration may be served from."""
+        """Return whether the configuration is complete and recent."""
         if not self._loaded:
             return Readiness(ready=False, reason=self._explain_waiting())
         since = self._behind_since
@@ -203,8 +209,9 @@
     def is_snapshot_due(self, wall: Millis) -> bool:
         """Return whether to append a snapshot now; any process may do so.
 
-        The limits differ a little between processes, so that one is first.
-        After a yes there is a pause, also where clocks are far apart.
+        The limits are jittered per process, so that usually only one appends.
+        After True, False is returned for a pause, which bounds the rate of
+        snapshots even if the clocks of process and log differ widely.
         """
         pause = self._settings.snapshot_age * _SNAPSHOT_PAUSE
         told = self._snapshot_due_at
@@ -272,9 +279,10 @@
     def _take_peer_chunk(
         self, message: ConfigurationDifference, now: Millis
     ) -> bool:
-        """Take a chunk; tell whether it was the next of what is loaded.
+        """Add a chunk; return whether it was the next one expected.
 
-        The chunks of one snapshot are the same from every peer.
+        Every peer sends the same chunks of a snapshot, so that any peer may
+        continue it.
         """
         if message.chunk == 0 and self._may_load(message.through, now):
             self._peer_snapshot = SnapshotLoader(message.through)
@@ -293,10 +301,10 @@
         return True
 
     def _may_load(self, through: int, now: Millis) -> bool:
-        """Return whether to start with a peer's snapshot.
+        """Return whether to start loading the snapshot at an offset.
 
-        One that is half-way is kept for the rest from any peer, and given up
-        for another only where nothing more of it came for a while.
+        A partly loaded snapshot can be completed by any peer. It is discarded
+        for another one only after no chunk has arrived for `ask_again`.
         """
         loader = self._peer_snapshot
         if loader is None:
--- a/src/oleanderdyke/kernel/demand.py
+++ b/src/oleanderdyke/kernel/demand.py
@@ -1,4 +1,4 @@
-"""Define what the decisions under load see and what they answer."""
+"""Define the inputs, results and interfaces of routing and admission."""
 
 from __future__ import annotations
 
@@ -15,17 +15,18 @@
 SEGMENT_TOKENS = 256
 SEGMENT_BYTES = SEGMENT_TOKENS * BYTES_PER_TOKEN
 
-# First 8 bytes of a segment's digest: enough for a hint, never for proof.
+# The first 8 bytes of a segment's digest. They may collide, so that a match is
+# only a hint.
 SegmentHint: TypeAlias = bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Describe one request as routing and admission see it.
+    """Describe one request for routing and admission.
 
     `segments` are the hints of the prompt's complete segments, in order;
     `tokens` counts the whole prompt. Plain calls have neither. `deadline` is
-    a moment on the clock that `now` is read from.
+    a time on the same clock as `now`.
     """
 
     request: str
@@ -42,7 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Replica:
-    """Show one agent and its backend server as last heard."""
+    """Hold the last reported state of an agent and its backend server.
+
+    `beat` is the sequence number of the last heartbeat, `heard` its time.
+    """
 
     agent: str
     address: str
@@ -61,13 +65,13 @@
 
 
 class Fleet(Protocol):
-    """Answer what an entry knows about the agents; all of it may be stale."""
+    """Query the agents that an entry knows; every result may be stale."""
 
     def replicas(self, service: str) -> Sequence[Replica]:
-        """Return the serving agents of a service, in the order of names."""
+        """Return the serving agents of a service, sorted by name."""
 
     def stores(self, service: str) -> Sequence[Replica]:
-        """Return the serving agents of the stores a service selects."""
+        """Return the serving agents of the stores that a service selects."""
 
     def find(self, agent: str) -> Replica | None:
         """Return an agent by its process name."""
@@ -75,20 +79,21 @@
     def count_leading(
         self, agent: str, segments: Sequence[SegmentHint], start: int = 0
     ) -> int:
-        """Count the segments from `start` on that an agent holds in a row."""
+        """Count the consecutive segments from `start` that an agent holds."""
 
     def holders(self, segment: SegmentHint) -> Sequence[str]:
-        """Return the agents that hold a segment."""
+        """Return the process names of the agents that hold a segment."""
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Choose a replica and where its context comes from.
+    """Assign a request to a replica, with the sources of its context.
 
-    The first `cached` segments are there, the next `fetched` come from the
-    store, the rest is recomputed; `reason` is a short text for the log. Of
-    the fetched, `joined` are already on their way to that agent. The engine
-    runs a lower `priority` first; background work goes behind all.
+    The first `cached` segments are on the replica, the next `fetched` come
+    from the store, and the rest is recomputed. Of the fetched segments,
+    `joined` are already being transferred to the agent. `reason` is a short
+    text for the log, `predicted` the expected time to first token. Engines
+    run a lower `priority` first, and background requests last.
     """
 
     agent: str
@@ -103,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Refuse a request before anything was sent."""
+    """Reject a request before anything was sent to a backend server."""
 
     kind: ErrorKind
     reason: str
@@ -111,7 +116,7 @@
 
 
 class Router(Protocol):
-    """Choose a replica, and learn from what was sent since the last report."""
+    """Choose replicas, counting dispatches that reports don't include yet."""
 
     def choose(
         self,
@@ -122,71 +127,71 @@
         *,
         exclude: frozenset[str] = frozenset(),
     ) -> Plan | Refusal:
-        """Return a plan, or why there is none."""
+        """Return a plan, or a refusal if no replica can take the request."""
 
     def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
-        """Count a dispatch until the agent's reports include it."""
+        """Record a dispatch, counted until the agent's reports include it."""
 
     def record_first_token(self, request: str, now: Millis) -> None:
-        """Learn that the wait and the prefill of a request are over."""
+        """Record that the queueing and prefill of a request have ended."""
 
     def record_finished(self, request: str, now: Millis) -> None:
-        """Forget a request."""
+        """Remove a request that has ended."""
 
     def record_segments_removed(
         self, agent: str, segments: Sequence[SegmentHint]
     ) -> None:
-        """Learn that an agent told of segments that it lost."""
+        """Record the segments that an agent reported as removed."""
 
     def record_segments_listed(
         self, agent: str, segments: Sequence[SegmentHint]
     ) -> None:
-        """Learn that an agent began to list anew what it holds.
+        """Record the first part of a new list of an agent's segments.
 
-        What a long list lacks at first comes as further segment events.
+        The rest of a long list follows as further segment events.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """Let a request go on to routing now."""
+    """Pass a request on to routing now."""
 
 
 @dataclass(frozen=True, slots=True)
 class Queued:
-    """Hold a request until `Admission.release` names it."""
+    """Hold a request until `Admission.release` returns it."""
 
 
 class Admission(Protocol):
-    """Share capacity fairly between teams and refuse early."""
+    """Share capacity fairly between teams, rejecting excess load early."""
 
     def admit(
         self, demand: Demand, fleet: Fleet, now: Millis
     ) -> Admitted | Queued | Refusal:
-        """Decide about a new request."""
+        """Admit, queue or reject a new request."""
 
     def release(
         self, fleet: Fleet, now: Millis
     ) -> Sequence[tuple[str, Admitted | Refusal]]:
-        """Return queued requests that may go on, or have waited too long."""
+        """Return queued requests that are admitted, or waited too long."""
 
     def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
-        """Learn which work an admitted request brought to which agent."""
+        """Record the agent and the plan of an admitted request."""
 
     def record_first_token(self, request: str, now: Millis) -> None:
-        """Learn that the wait and the prefill of a request are over."""
+        """Record that the queueing and prefill of a request have ended."""
 
     def record_finished(self, request: str, now: Millis) -> None:
-        """Give back what a request held, also when its caller left."""
+        """Release the capacity of a request, also after a cancellation."""
 
 
 class RetentionPolicy(Protocol):
-    """Decide which segments a store keeps."""
+    """Decide which segments a store keeps and which it evicts."""
 
     def estimate_value(
         self, segment: SegmentHint, length: int, gap: Millis, now: Millis
     ) -> float:
-        """Return the expected saving per byte; higher is kept longer."""
+        """Return the expected saving per byte; the lowest is evicted first."""
 
     def record_use(self, segment: SegmentHint, now: Millis) -> None:
-        """Learn from a use of a segment."""
+        """Record a use of a segment."""
--- a/src/oleanderdyke/kernel/deployment.py
+++ b/src/oleanderdyke/kernel/deployment.py
@@ -1,4 +1,4 @@
-"""Describe what operators of the platform have configured."""
+"""Define the configuration that operators of the platform publish."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class CallKind(enum.StrEnum):
-    """Say what may be repeated of a call."""
+    """Classify calls by whether they may be repeated."""
 
     IDEMPOTENT = 'idempotent'
     ONCE = 'once'
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """Send a part of a route's calls, by weight, to a service."""
+    """Assign a weighted share of a route's calls to a service."""
 
     service: str
     weight: float = 1.0
@@ -28,12 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Lead calls under one host and path prefix to services.
+    """Route calls under one host and path prefix to services.
 
-    `target` is the time to the first byte that earns full credit, `gap` the
-    longest pause between events of a stream. `attempts` bounds the backend
-    servers that one call may run on. A lower `priority` is more urgent.
-    `homes` are the regions where calls may run; none means all.
+    `target` is the longest time to first byte that counts as on time, `gap`
+    the longest pause between events of a stream. `attempts` limits the backend
+    servers that one call may run on. A lower `priority` is more urgent. Calls
+    run in the `allowed_regions` only; an empty set allows all regions.
     """
 
     name: str
@@ -58,14 +58,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineTraits:
-    """Say what one model engine can hold."""
+    """Describe the capacity of one model engine."""
 
     memory_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
 class StoreTraits:
-    """Say where a store of kept context is and how fast it answers."""
+    """Describe the location, capacity and bandwidth of a context store."""
 
     address: str
     data_centre: str
@@ -78,8 +78,8 @@
 class ServiceTraits:
     """Describe one service; `engine` and `store` are set for their kinds.
 
-    Its servers are cold for `cold_lasts` after a start, and tolerate
-    `cold_rate` requests a second then; without a rate they are never cold.
+    Its servers are cold for `cold_duration` after a start and then tolerate
+    `cold_rate` requests per second; without a rate they are never cold.
     """
 
     name: str
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bound what callers may send, in bytes, and how long they may idle."""
+    """Limit the size of callers' request bodies and their idle time."""
 
     body_bytes: int = 4_194_304
     idle_timeout: Millis = 15_000.0
@@ -99,9 +99,9 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyOwner:
-    """Name the team that an API key belongs to.
+    """Identify the team that an API key belongs to.
 
-    `homes` are the regions where its calls may run; none means all.
+    Its calls run in the `allowed_regions` only; an empty set allows all.
     """
 
     team: str
@@ -112,9 +112,9 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """Hold one version of the operators' whole configuration.
+    """Hold one version of the complete configuration.
 
-    `key_owners` is empty where calls need no API key.
+    `key_owners` is empty if calls need no API key.
     """
 
     version: int
@@ -125,7 +125,7 @@
 
     @cached_property
     def _by_host(self) -> Mapping[str, tuple[Route, ...]]:
-        """List each host's routes, the longest prefix first."""
+        """Map each host to its routes, the longest prefix first."""
         hosts: dict[str, list[Route]] = {}
         ordered = sorted(self.routes, key=lambda route: -len(route.prefix))
         for route in ordered:
@@ -140,9 +140,9 @@
         return None
 
     def find_memory_tokens(self, service: str) -> int | None:
-        """Return how many tokens each engine of a service holds.
+        """Return the memory of each engine of a service in tokens.
 
-        None where the service is not known or has no engines.
+        Return None if the service is unknown or has no engines.
         """
         traits = self.services.get(service)
         if traits is None or traits.engine is None:
@@ -150,5 +150,5 @@
         return traits.engine.memory_tokens
 
     def needs_key(self, route: Route) -> bool:
-        """Return whether calls on a route must name a team by its key."""
+        """Return whether calls on a route must carry an API key."""
         return bool(self.key_owners) and not route.is_public
--- a/src/oleanderdyke/kernel/drain.py
+++ b/src/oleanderdyke/kernel/drain.py
@@ -1,4 +1,4 @@
-"""Stop a process without cutting off a request."""
+"""Stop a process gracefully, without aborting running requests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class DrainPhase(enum.StrEnum):
-    """Name the phase of a planned stop."""
+    """List the phases of a graceful stop."""
 
     SERVING = 'serving'
     ANNOUNCED = 'announced'
@@ -21,10 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainSettings:
-    """Time a planned stop; each time counts from the first signal.
+    """Set the times of a graceful stop, each counted from the first signal.
 
-    `accept` is how long new work is still taken after the announcement: an
-    entry waits for the balancer's next probe, an agent takes nothing.
+    `accept` is how long new requests are still accepted, `announce` the
+    minimum time before the exit, `drain` when streams are handed over, and
+    `limit` when the remaining requests are aborted. An entry accepts requests
+    until the load balancer's next probe, an agent accepts none.
     """
 
     accept: Millis = 0.0
@@ -38,26 +40,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """Tell the balancer `not ready`, or every link LEAVING."""
+    """Report `not ready` to the load balancer, or LEAVING on every link."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandOver:
-    """Let a stream go on through its resume token, then end it here."""
+    """End a stream here, so that it is resumed elsewhere by its token."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class CutOff:
-    """End the requests at once and log each of them."""
+    """Abort the requests at once and log each of them."""
 
     requests: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Exit:
-    """Close what is open and leave the process; name what was cut off."""
+    """Close all connections and exit; `cut` lists the aborted requests."""
 
     cut: tuple[str, ...] = ()
 
@@ -66,7 +68,7 @@
 
 
 class Drain:
-    """Drive a planned stop by signals, work and time."""
+    """Decide the actions of a graceful stop from signals, requests and time."""
 
     def __init__(self, settings: DrainSettings) -> None:
         self._settings = settings
@@ -84,19 +86,19 @@
 
     @property
     def running(self) -> tuple[str, ...]:
-        """List the requests that have not ended."""
+        """Return the names of the requests that have not ended."""
         return tuple(self._requests)
 
     def has_work(self, request: str) -> bool:
-        """Return whether a request of this name has not ended."""
+        """Return whether the request is running."""
         return request in self._requests
 
     def accepts(self, now: Millis, duration: Millis | None = None) -> bool:
-        """Return whether new work may start; `duration` is how long it lasts.
+        """Return whether a new request may start.
 
-        What surely ends in time may start after the announcement too: while
-        every process of a deployment is stopped in turn, callers have nowhere
-        better to go.
+        `duration` is the longest time that the request takes, if known. One
+        that ends before streams are handed over may start after `accept` too:
+        during a rolling stop callers find no better process.
         """
         if self.phase is DrainPhase.SERVING:
             return True
@@ -116,7 +118,7 @@
         resumable: bool = False,
         duration: Millis | None = None,
     ) -> bool:
-        """Count a request; False when no new work may start."""
+        """Add a running request; return False if no new one may start."""
         if not self.accepts(now, duration):
             return False
         self._requests[request] = resumable
@@ -125,26 +127,26 @@
     def mark_resumable(
         self, request: str, now: Millis
     ) -> tuple[DrainAction, ...]:
-        """Note that a running request can be resumed elsewhere."""
+        """Mark a running request as resumable by another process."""
         if request not in self._requests:
             return ()
         self._requests[request] = True
         return self.tick(now)
 
     def mark_not_resumable(self, request: str) -> None:
-        """Note that a request can't be resumed elsewhere, or not yet."""
+        """Mark a running request as not, or not yet, resumable elsewhere."""
         if request in self._requests:
             self._requests[request] = False
         self._handed_over.discard(request)
 
     def end_work(self, request: str, now: Millis) -> tuple[DrainAction, ...]:
-        """Forget a request that has ended or was handed over."""
+        """Remove a request that has ended or was handed over."""
         self._requests.pop(request, None)
         self._handed_over.discard(request)
         return self.tick(now)
 
     def signal(self, now: Millis) -> tuple[DrainAction, ...]:
-        """Take a stop signal; the second one hurries."""
+        """Start the stop, or abort all running requests on a second signal."""
         if self.phase is DrainPhase.DONE:
             return ()
         if self.phase is not DrainPhase.SERVING:
@@ -154,7 +156,7 @@
         return (Announce(), *self.tick(now))
 
     def tick(self, now: Millis) -> tuple[DrainAction, ...]:
-        """Act on the time that has passed."""
+        """Return the actions that are due at the given time."""
         if self.phase in {DrainPhase.SERVING, DrainPhase.DONE}:
             return ()
         elapsed = now - self._stopped_at
@@ -165,7 +167,7 @@
         return self._drain(elapsed)
 
     def next_time(self) -> Millis | None:
-        """Return when `tick` is due next, or None."""
+        """Return the time of the next `tick`, None if no time is pending."""
         times = {
             DrainPhase.ANNOUNCED: self._get_announce_time(),
             DrainPhase.DRAINING: self._settings.drain,
@@ -205,5 +207,5 @@
 
 
 def make_agent_drain(settings: DrainSettings | None = None) -> Drain:
-    """Build the drain of an agent."""
+    """Return a drain with the defaults of an agent, or other settings."""
     return Drain(settings or DrainSettings())
--- a/src/oleanderdyke/kernel/membership.py
+++ b/src/oleanderdyke/kernel/membership.py
@@ -1,4 +1,4 @@
-"""Know the agents by their own heartbeats."""
+"""Track the state of agents from their own heartbeats."""
 
 from __future__ import annotations
 
@@ -29,25 +29,26 @@
     SegmentListRequest,
 )
 
+# Bounds on memory: incarnations that have ended, and views of silent agents.
 _ENDED_LIMIT = 4_096
 _FORGOTTEN_LIMIT = 1_024
 _NO_HEARTBEAT = -1
 
 
 class VmView(Protocol):
-    """See one row of the platform's VM list."""
+    """Describe one row of the platform's VM list."""
 
     @property
     def address(self) -> str:
-        """Return where its process listens."""
+        """Return the `host:port` that the VM's process listens on."""
 
     @property
     def data_centre(self) -> str:
-        """Return where it stands."""
+        """Return the name of the data centre that the VM runs in."""
 
 
 class Condition(enum.StrEnum):
-    """Name what this process makes of an agent's silence."""
+    """Classify an agent by the time since its last heartbeat."""
 
     HEARD = 'heard'
     SUSPECTED = 'suspected'
@@ -56,7 +57,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """Say when a silent agent is suspected, dropped and forgotten."""
+    """Set the silence after which an agent is suspected, dropped, forgotten.
+
+    Suspected agents get requests only if no other agent serves, dropped ones
+    get none, and forgotten ones are removed from the fleet.
+    """
 
     suspect_after: Millis = 3 * SECOND
     drop_after: Millis = 6 * SECOND
@@ -65,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentView:
-    """Show an agent, its configuration offset and its condition."""
+    """Hold an agent, the configuration offset it reported, its condition."""
 
     replica: Replica
     offset: int
@@ -77,10 +82,10 @@
 
 
 def choose_vms(vms: Iterable[VmT], data_centre: str) -> tuple[VmT, ...]:
-    """Choose which VMs to connect to, those of one's own data centre first.
+    """Return the VMs to connect to, those of the own data centre first.
 
-    The list is a hint and lags: leaving VMs are chosen too, as only their
-    agents know whether they leave.
+    The platform's list lags behind, so VMs that it shows as leaving are
+    included: only the agent of a VM knows whether it is leaving.
     """
     unique = {vm.address: vm for vm in vms}
     return tuple(
@@ -98,7 +103,7 @@
 
 
 class FleetState:
-    """Answer what an entry knows about the agents."""
+    """Hold the agents that an entry knows, grouped by service and condition."""
 
     def __init__(
         self,
@@ -126,7 +131,10 @@
         self._selected_at = catalog.offset
 
     def on_hello(self, hello: Hello, address: str, now: Millis) -> bool:
-        """Take an agent's hello; False where its incarnation has ended."""
+        """Register an agent at an address.
+
+        Return False if a newer incarnation has replaced this one.
+        """
         if (
             hello.backend is None
             or hello.incarnation in self._ended_incarnations
@@ -135,7 +143,8 @@
         known = self._agents.get(hello.process)
         self._end_older_incarnations(hello, address)
         if known is None or known.replica.incarnation != hello.incarnation:
-            # What a silent agent said last still holds when it is back.
+            # The last reported state of a silent agent stays valid, so that
+            # its return can't undo a LEAVING phase or accept old heartbeats.
             known = self._forgotten.pop(hello.incarnation) or _make_view(
                 hello, hello.backend, address, now
             )
@@ -146,7 +155,11 @@
         return True
 
     def on_heartbeat(self, agent: str, beat: Heartbeat, now: Millis) -> bool:
-        """Take a heartbeat; False where it is old or of an ended one."""
+        """Apply a heartbeat.
+
+        Return False if it is out of order, belongs to an incarnation that
+        has ended, or omits values that were never received in full.
+        """
         known = self._agents.get(agent) or self._find_forgotten(
             agent, beat.incarnation
         )
@@ -156,7 +169,8 @@
             return False
         short = beat.same_load or beat.same_weights
         if short and known.replica.beat == _NO_HEARTBEAT:
-            # It leaves out what was told before, and nothing was told here.
+            # A short heartbeat omits unchanged values, but this process has
+            # received no full heartbeat to take them from.
             return False
         replica = _apply_heartbeat(known.replica, beat, now)
         offset = max(known.offset, beat.offset)
@@ -168,14 +182,14 @@
     def on_segments(
         self, agent: str, incarnation: str, events: SegmentEvents, now: Millis
     ) -> SegmentListRequest | None:
-        """Take segment events; return what to ask the agent, if anything."""
+        """Apply segment events; return the request to send back, if any."""
         known = self._agents.get(agent)
         if known is None or known.replica.incarnation != incarnation:
             return None
         return self._directory.on_events(agent, events, now)
 
     def on_link_down(self, agent: str, incarnation: str) -> None:
-        """Take an agent out until it says hello again."""
+        """Drop an agent until its next hello or heartbeat."""
         known = self._agents.get(agent)
         if known is not None and known.replica.incarnation == incarnation:
             self._store_view(replace(known, condition=Condition.DROPPED))
@@ -183,8 +197,8 @@
     def tick(self, now: Millis) -> None:
         """Suspect, drop and forget silent agents; call it regularly.
 
-        After a pause of this process itself nobody is judged: what the agents
-        sent meanwhile has not been read yet.
+        The first call after a pause of this process changes no agent's
+        condition, since heartbeats sent during the pause are still unread.
         """
         paused = now - self._last_tick_at > self._settings.suspect_after
         self._last_tick_at = now
@@ -194,9 +208,9 @@
         self._directory.sweep()
 
     def replicas(self, service: str) -> Sequence[Replica]:
-        """Return the serving agents of a service, in the order of names.
+        """Return the serving agents of a service, sorted by name.
 
-        Suspected ones are only there where nobody else is.
+        Suspected agents are returned only if no other agent serves.
         """
         heard = self._groups.get(_GroupKey(service, Condition.HEARD))
         if heard:
@@ -207,7 +221,7 @@
         return tuple(suspected.values())
 
     def stores(self, service: str) -> Sequence[Replica]:
-        """Return the serving agents of the stores a service selects."""
+        """Return the serving agents of the stores that a service selects."""
         names = self._select_stores(service)
         for condition in (Condition.HEARD, Condition.SUSPECTED):
             places = (_GroupKey(name, condition, store=True) for name in names)
@@ -223,21 +237,21 @@
         return None if view is None else view.replica
 
     def find_view(self, agent: str) -> AgentView | None:
-        """Return an agent with its offset and condition."""
+        """Return an agent with its configuration offset and condition."""
         return self._agents.get(agent)
 
     def views(self) -> tuple[AgentView, ...]:
-        """Return every known agent, also silent and leaving ones."""
+        """Return every known agent, including silent and leaving ones."""
         return tuple(self._agents.values())
 
     def count_leading(
         self, agent: str, segments: Sequence[SegmentHint], start: int = 0
     ) -> int:
-        """Count the segments from `start` on that an agent holds in a row."""
+        """Count the consecutive segments from `start` that an agent holds."""
         return self._directory.count_leading(agent, segments, start)
 
     def holders(self, segment: SegmentHint) -> Sequence[str]:
-        """Return the agents that hold a segment."""
+        """Return the process names of the agents that hold a segment."""
         return self._directory.holders(segment)
 
     def _store_view(self, view: AgentView) -> None:
@@ -246,7 +260,7 @@
         place = _make_group_key(view)
         group = self._groups.get(place, {})
         if serving and replica.agent in group:
-            # It keeps its place, as heartbeats must not change the order.
+            # Update in place: heartbeats must not change the order.
             group[replica.agent] = replica
             self._agents[replica.agent] = view
             return
@@ -287,7 +301,8 @@
             view = self._agents.get(agent)
             if view and view.replica.incarnation != hello.incarnation:
                 self._forget(agent)
-        # These outlive the views of silent agents.
+        # These records are kept after the views of silent agents are removed,
+        # so that an older incarnation can't register again.
         for key in (f'agent {hello.process}', f'address {address}'):
             old = self._latest_incarnations.get(key)
             if old is not None and old != hello.incarnation:
@@ -295,7 +310,7 @@
             self._latest_incarnations.add(key, hello.incarnation)
 
     def _find_forgotten(self, agent: str, incarnation: str) -> AgentView | None:
-        """Return a forgotten agent that speaks again on its old link."""
+        """Return a forgotten agent that sends again on its old link."""
         view = self._forgotten.get(incarnation)
         if view is None or incarnation in self._ended_incarnations:
             return None
@@ -320,27 +335,27 @@
 
 
 class _BoundedDict(Generic[ValueT]):
-    """Remember a bounded number of values by text, the newest ones."""
+    """Map strings to values, evicting the oldest entry over the limit."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
         self._items: OrderedDict[str, ValueT] = OrderedDict()
 
-    def __contains__(self, item: str) -> bool:
-        return item in self._items
+    def __contains__(self, key: str) -> bool:
+        return key in self._items
 
-    def get(self, item: str) -> ValueT | None:
-        """Return the value of a text."""
-        return self._items.get(item)
+    def get(self, key: str) -> ValueT | None:
+        """Return the value of a key without changing its age."""
+        return self._items.get(key)
 
-    def pop(self, item: str) -> ValueT | None:
-        """Forget a text and return its value."""
-        return self._items.pop(item, None)
+    def pop(self, key: str) -> ValueT | None:
+        """Remove a key and return its value, or None."""
+        return self._items.pop(key, None)
 
-    def add(self, item: str, value: ValueT) -> None:
-        """Remember one more."""
-        self._items[item] = value
-        self._items.move_to_end(item)
+    def add(self, key: str, value: ValueT) -> None:
+        """Set a key as the newest entry, evicting the oldest if needed."""
+        self._items[key] = value
+        self._items.move_to_end(key)
         while len(self._items) > self._limit:
             self._items.popitem(last=False)
 
--- a/src/oleanderdyke/kernel/neighbours.py
+++ b/src/oleanderdyke/kernel/neighbours.py
@@ -1,8 +1,8 @@
-"""Know the entries of one data centre, and who of them reads what for all.
+"""Choose which entry of a data centre reads a source for all the others.
 
-Each process draws the same order of readers for a source from the names of the
-entries, so nobody is elected. Two that read the same cost calls, none costs the
-time until someone notices; what is read is never wrong for it.
+Each process derives the same order of readers from the names of the entries, so
+that no election is needed. Two readers of one source only cost extra calls, and
+a missing reader only a delay; neither makes the data wrong.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from oleanderdyke.kernel.presence import ANNOUNCEMENT_LIFETIME
 from oleanderdyke.kernel.ranks import find_rank
 
-# Who failed is passed over for so long, and twice as long for each further
-# failure: a frozen or lost entry is asked in vain some ten times a minute.
+# An entry that failed is excluded for this time, doubled with each further
+# failure: a frozen or lost entry gets about ten futile requests a minute.
 _MIN_BACKOFF: Millis = 1 * SECOND
 _MAX_BACKOFF: Millis = 8 * SECOND
-# Who is asked for what it doesn't read, reads it for so long: its asker knows
-# other entries than it does.
+# An entry that is asked for a source that it does not read starts to read it
+# for this time, as the requesting process knows other entries than it does.
 _REQUESTED_READ_PERIOD: Millis = 3 * SECOND
 
-# Who reads one of the platform's topics reads all that are followed.
+# All topics of the platform that are followed have one common reader.
 RECORD_SOURCE = 'records'
-# Stores of context are read in so many groups, so that an entry has links to
-# few neighbours, and none reads all.
+# Context stores are divided into this many groups, so that an entry has links
+# to few neighbours and no entry reads all stores.
 _CONTEXT_GROUPS = 2
 CONTEXT_SOURCES = tuple(
     f'contexts-{number}' for number in range(_CONTEXT_GROUPS)
@@ -34,13 +34,16 @@
 
 
 def find_context_source(store: str) -> str:
-    """Return the source that a store of context is read with."""
+    """Return the source, a group of stores, that a context store is part of."""
     return CONTEXT_SOURCES[sum(store.encode()) % _CONTEXT_GROUPS]
 
 
 @dataclass(frozen=True, slots=True)
 class Neighbour:
-    """Name an entry, and the `host:port` that it takes links at, if any."""
+    """Identify an entry of the system.
+
+    `address` is the `host:port` at which it accepts links, empty for none.
+    """
 
     name: str
     address: str
@@ -50,8 +53,8 @@
 class Neighbours:
     """Rank the entries of a data centre as readers of each source.
 
-    `own` is the name of this process; an agent, which reads for nobody else,
-    is not among the entries.
+    `own` is the name of this process. An agent uses the readers too but reads
+    for no other process, so it is never one of the entries.
     """
 
     def __init__(self, own: str, data_centre: str) -> None:
@@ -64,30 +67,30 @@
         self._requested_at: dict[str, Millis] = {}
 
     def record_alive(self, neighbour: Neighbour, now: Millis) -> None:
-        """Learn that an entry is alive."""
+        """Record that an entry is alive, if it may be a reader here."""
         if neighbour.address and neighbour.data_centre == self._data_centre:
             self._entries[neighbour.name] = neighbour
             self._last_seen[neighbour.name] = now
 
     def record_success(self, name: str, now: Millis) -> None:
-        """Learn that an entry answered well."""
+        """Record a successful answer of an entry, ending its exclusion."""
         self._failures.pop(name, None)
         self._excluded_until.pop(name, None)
         if name in self._entries:
             self._last_seen[name] = now
 
     def record_failure(self, name: str, now: Millis) -> None:
-        """Pass an entry over for a while, this process too."""
+        """Exclude an entry, possibly this one, for a backoff time."""
         pause = _MIN_BACKOFF * 2 ** self._failures[name]
         self._failures[name] += 1
         self._excluded_until[name] = now + min(pause, _MAX_BACKOFF)
 
     def record_request(self, source: str, now: Millis) -> None:
-        """Learn that another process relies on this one for a source."""
+        """Record that another process asked this one for a source."""
         self._requested_at[source] = now
 
     def find_reader(self, source: str, now: Millis) -> Neighbour | None:
-        """Return who reads a source, None where this process does."""
+        """Return the reader of a source, None if it is this process."""
         asked_at = self._requested_at.get(source, -math.inf)
         if now - asked_at < _REQUESTED_READ_PERIOD and not self._is_excluded(
             self._own_name, now
@@ -99,15 +102,15 @@
         )
 
     def record_own_failure(self, now: Millis) -> None:
-        """Learn that this process can't read for itself, and pass it over."""
+        """Exclude this process as a reader after a failed read of its own."""
         self.record_failure(self._own_name, now)
 
     def record_own_success(self, now: Millis) -> None:
-        """Learn that this process reads for itself."""
+        """Record a successful read by this process, ending its exclusion."""
         self.record_success(self._own_name, now)
 
     def rank(self, source: str, now: Millis) -> list[Neighbour]:
-        """Return the entries that may read a source, the first one first."""
+        """Return the entries that may read a source, the preferred first."""
         alive = [
             each
             for name, each in self._entries.items()
--- a/src/oleanderdyke/kernel/objects.py
+++ b/src/oleanderdyke/kernel/objects.py
@@ -1,4 +1,4 @@
-"""Describe the objects that operators configure."""
+"""Define the objects that operators configure, and changes to them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ObjectKind(enum.StrEnum):
-    """Name the kinds of configured objects."""
+    """List the kinds of configured objects."""
 
     SERVICE = 'service'
     TEAM = 'team'
@@ -23,7 +23,7 @@
 
 
 class ServiceKind(enum.StrEnum):
-    """Tell model services from plain ones."""
+    """Distinguish services of model engines from plain HTTP services."""
 
     MODEL = 'model'
     PLAIN = 'plain'
@@ -31,7 +31,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Targets:
-    """Hold what a service owes its users, for 95 requests in 100."""
+    """Hold the service-level targets of a service.
+
+    95 in 100 requests must stay within `first_token` and `between_tokens`.
+    `recomputed_share` bounds the share of all prompt tokens that engines
+    compute rather than take from cached context.
+    """
 
     first_token: Millis = 600.0
     between_tokens: Millis = 37.0
@@ -40,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bound what one team may use; zero means no bound."""
+    """Limit the use by one team; zero means no limit."""
 
     requests_per_second: float = 0.0
     tokens_per_second: float = 0.0
@@ -80,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TeamSpec:
-    """Describe a team; tokens are kept as hex SHA-256 digests only."""
+    """Describe a team, whose tokens are stored as hex SHA-256 digests only."""
 
     labels: Labels = field(default_factory=dict)
     token_hashes: tuple[str, ...] = ()
@@ -91,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelVersionSpec:
-    """Describe one set of weights; the digest identifies its content."""
+    """Describe one set of weights, whose content the digest identifies."""
 
     model: str
     version: str
@@ -101,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreSpec:
-    """Describe a store of kept KV cache."""
+    """Describe a store of KV cache segments."""
 
     labels: Labels = field(default_factory=dict)
     capacity_bytes: int = 0
@@ -120,10 +125,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredObject:
-    """Pair a spec with its name and generation.
+    """Hold a spec with its name and generation.
 
-    A new object's generation is one above that of every deleted object, so
-    1 before anything was deleted.
+    A new object's generation is one above the highest generation of any
+    deleted object, or 1 if nothing was ever deleted.
     """
 
     kind: ObjectKind
@@ -134,10 +139,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """Ask for one object to be set, or deleted where the spec is None.
+    """Request that one object be set, or deleted if `spec` is None.
 
-    The change applies only when the object's generation equals `expected`;
-    0 means that the object must not exist. `at` is the publisher's wall time.
+    The change applies only if the object's generation equals `expected`; 0
+    means that the object must not exist. `at` is the publisher's wall time.
     """
 
     record_id: str
@@ -150,5 +155,5 @@
 
 
 def matches_selector(selector: Labels, labels: Labels) -> bool:
-    """Return whether labels carry every pair of the selector."""
+    """Return whether labels contain every pair of the selector."""
     return all(labels.get(key) == value for key, value in selector.items())
--- a/src/oleanderdyke/kernel/orders.py
+++ b/src/oleanderdyke/kernel/orders.py
@@ -1,4 +1,4 @@
-"""Choose the next order to a model engine."""
+"""Decide the next step that brings a model engine to its desired state."""
 
 from __future__ import annotations
 
@@ -18,14 +18,18 @@
 RECHECK_INTERVAL: Millis = 1 * SECOND
 ORDER_TIMEOUT: Millis = 10 * SECOND
 VALIDITY_PERIOD: Millis = 250.0
-# Confirming the right to an order asks one entry after the other for 200 ms;
-# two of them may be silent.
+# Confirming the right to order asks one entry after the other, with a timeout
+# of 200 ms each; this allows for two entries that do not answer.
 _CONFIRM_TIME: Millis = 500.0
 
 
 @dataclass(frozen=True, slots=True)
 class Fence:
-    """Order the orders: a configuration offset and who acts on it."""
+    """Hold the fencing token of an order.
+
+    Orders with a higher configuration offset supersede those with a lower
+    one; `incarnation` is that of the agent that sends the order.
+    """
 
     offset: int
     incarnation: str
@@ -33,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DesiredState:
-    """Hold the state that the configuration asks of an engine."""
+    """Hold the state that the configuration requires of an engine."""
 
     model: str
     version: str
@@ -46,9 +50,9 @@
 class ObservedState:
     """Hold the state that an engine has reported.
 
-    It is as old as the question, which was asked at `read_at`; the answer
-    came `took` later. A state read before the last order was answered must
-    not be used again.
+    The state was requested at `read_at` and may be as old as that; the answer
+    took `took`. A state that was read before the answer to the last order must
+    not be used.
     """
 
     model: str
@@ -62,20 +66,21 @@
 
     @property
     def due_at(self) -> Millis:
-        """Return when to read anew, never before an order can be given.
+        """Return when to read the state again.
 
-        Else an engine that takes a second for its state would get none.
+        The time always leaves room for one order after the read. Otherwise
+        an engine that takes a second to report its state would get no order.
         """
         return self.read_at + max(RECHECK_INTERVAL, self.took + _CONFIRM_TIME)
 
 
 @dataclass(frozen=True, slots=True)
 class Validity:
-    """Hold what an agent knows about its own right to order.
+    """Hold what an agent knows about its right to send orders.
 
-    `offset` is the highest configuration offset it has learned of from
-    anyone; `ended` tells that a newer incarnation has taken its place;
-    `read_at` is when an entry last confirmed both, by this process's clock.
+    `offset` is the highest configuration offset received from any process;
+    `ended` means that a newer incarnation has replaced the agent; `read_at`
+    is when an entry last confirmed both, by this process's clock.
     """
 
     incarnation: str
@@ -85,7 +90,7 @@
 
 
 class StaleReason(enum.StrEnum):
-    """Say why an agent must not order."""
+    """List the reasons for which an agent must not send orders."""
 
     ENDED = 'ended'
     OLD_OFFSET = 'old_offset'
@@ -94,10 +99,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """Send the desired state; not after the given time.
+    """Send the desired state to the engine, no later than `not_after`.
 
-    The shell compares the time directly before the write and starts over
-    when it has passed. After the answer, or its timeout, it reads the state.
+    The caller checks the time directly before the write and reconciles again
+    if it has passed. After the answer, or a timeout, it reads the state.
     """
 
     desired: DesiredState
@@ -107,24 +112,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadState:
-    """Read the engine's state, then reconcile."""
+    """Read the engine's state, then reconcile again."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfirmValidity:
-    """Ask an entry for its configuration offset, then reconcile."""
+    """Confirm the configuration offset with an entry, then reconcile again."""
 
 
 @dataclass(frozen=True, slots=True)
 class Converged:
-    """Do nothing until `check_at`, then read the state again."""
+    """Wait until `check_at`, as the engine is in the desired state."""
 
     check_at: Millis
 
 
 @dataclass(frozen=True, slots=True)
 class StopOrdering:
-    """Don't order; catch up or leave."""
+    """Send no order until the agent has caught up, or leave if it ended."""
 
     reason: StaleReason
 
@@ -135,7 +140,11 @@
 def find_desired(
     service: ServiceSpec, versions: Iterable[ModelVersionSpec]
 ) -> DesiredState | None:
-    """Return what the configuration asks; None unless it names one digest."""
+    """Return the desired state of a model service's engines.
+
+    Return None for a plain service, and unless exactly one digest is
+    configured for the model version.
+    """
     if service.kind is not ServiceKind.MODEL:
         return None
     wanted = (service.model, service.version)
@@ -164,8 +173,9 @@
 ) -> Step:
     """Return the next step towards the desired state.
 
-    `changed_at` is the offset of the last change of the desired state: a
-    server that checks fences must have seen an order at least that new.
+    `changed_at` is the offset of the last change of the desired state. With
+    `checks_fencing`, the engine itself rejects old orders, and it must have
+    accepted an order of at least this offset.
     """
     stale = _find_stale(observed, fence, validity)
     if stale is not None:
--- a/src/oleanderdyke/kernel/presence.py
+++ b/src/oleanderdyke/kernel/presence.py
@@ -1,4 +1,4 @@
-"""Estimate the number of live entries; never underestimates."""
+"""Estimate the number of live entries, erring on the high side."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 
 from oleanderdyke.clock import SECOND, Millis
 
-# Tolerates one lost announcement; entries announce at least every 20 s.
+# Entries announce themselves at least every 20 s, so one may be lost.
 ANNOUNCEMENT_LIFETIME: Millis = 40 * SECOND
-# Entries read the notices every 10 s. In a longer gap the store was probably
-# out, and then nobody could tell of itself.
+# Entries read the announcements every 10 s. A longer gap means that the store
+# was probably unavailable, so that no entry could announce itself.
 _MAX_READ_GAP: Millis = 15 * SECOND
-# Entries that start together have told of themselves so long after the first of
-# them has read the notices, if they reach the store.
+# Entries that start together have announced themselves within this time after
+# the first one has read the announcements, if they reach the store.
 _ANNOUNCEMENT_GRACE: Millis = 5 * SECOND
-# Some may not reach it for longer: while it turns away up to half of them, no
-# more are alive than this many times those that are known.
+# The store may reject requests for longer. While it rejects up to half of the
+# entries, at most this many times the known entries are alive.
 _UNANNOUNCED_FACTOR = 2
-# Entries may have started that nobody has told of yet.
+# Allows for entries that have started but not announced themselves yet.
 _SPARE_ENTRIES = 2
-# All others have read an announcement so long after it was made: they read
-# every 10 s, or what a neighbour read as long ago.
+# All other entries have read an announcement after this time: they read every
+# 10 s, possibly from a neighbour whose own read is up to 10 s old.
 _ANNOUNCEMENT_DELAY: Millis = 25 * SECOND
 
 
 class EntryCount:
-    """Remember who told of itself lately.
+    """Count the entries that announced themselves recently.
 
-    Where the whole system has run before, the notices of then name all that
-    may be alive now.
+    If the system has run before (`is_first_start` is False), the stored
+    announcements already name every entry that may be alive.
     """
 
     def __init__(self, *, is_first_start: bool = True) -> None:
@@ -41,20 +41,23 @@
         self._announced_at: Millis = -math.inf
 
     def record_entry(self, entry: str, now: Millis) -> None:
-        """Learn that an entry is alive."""
+        """Record an announcement by an entry, which shows that it is alive."""
         self._announced_by_entry[entry] = now
 
     def list_known(self) -> tuple[str, ...]:
-        """Return the names of the entries known to be alive."""
+        """Return the names of the entries that are known to be alive."""
         return tuple(self._announced_by_entry)
 
     def mark_incomplete(self) -> None:
-        """Learn that notices were dropped: not all that told are known."""
+        """Record that announcements were lost before the first read.
+
+        The stored announcements then don't name every live entry.
+        """
         if self._first_read_at is None:
             self._is_first_start = True
 
     def record_read(self, now: Millis) -> None:
-        """Learn that the notices have been read up to their end."""
+        """Record that the announcements have been read up to their end."""
         if self._first_read_at is None:
             self._first_read_at = now
         elif now - self._read_at > _MAX_READ_GAP:
@@ -62,9 +65,10 @@
         self._read_at = now
 
     def count(self, now: Millis) -> float:
-        """Return how many entries may be alive, without a bound if unknown.
+        """Return an upper estimate of the live entries, infinite if unknown.
 
-        This is as of the last read: silence since then tells nothing.
+        The estimate holds as of the last read, since missing announcements
+        mean nothing while this process has not read.
         """
         at = min(now, self._read_at)
         self._announced_by_entry = {
@@ -83,34 +87,35 @@
         return known + _SPARE_ENTRIES
 
     def record_announcement(self, now: Millis) -> None:
-        """Learn that this entry announced itself."""
+        """Record that this entry announced itself."""
         if now - self._announced_at >= ANNOUNCEMENT_LIFETIME:
             self._announced_since = now
         self._announced_at = now
 
     def count_sharing(self, now: Millis) -> float:
-        """Return among how many entries something may be shared.
+        """Return the number of entries to divide a shared limit by.
 
-        Infinite for an entry that some others may not count: they share all of
-        it. Where all start together, a spare is added at first.
+        Infinite if other entries may not count this one, since they then use
+        the whole limit. After a common start, spare entries are added until
+        every entry surely counts this one.
         """
         count = self.count(now)
         if self._is_known_to_all(now):
             return len(self._announced_by_entry)
         if not self._starts_together or math.isinf(count):
             return math.inf
-        # Those that could not announce themselves yet share nothing.
+        # Entries that could not announce themselves yet use no share.
         return len(self._announced_by_entry) + _SPARE_ENTRIES
 
     def _is_known_to_all(self, now: Millis) -> bool:
-        """Return whether all other entries surely count this one."""
+        """Return whether all other entries have read its announcement."""
         return (
             now - self._announced_since >= _ANNOUNCEMENT_DELAY
             and now - self._announced_at < ANNOUNCEMENT_LIFETIME
         )
 
     def _exclude_gap(self, begun: Millis, now: Millis) -> None:
-        """Leave out the time since the last read."""
+        """Shift all times by the gap since the last read."""
         gap = now - self._read_at
         self._first_read_at = begun + gap
         self._announced_by_entry = {
--- a/src/oleanderdyke/kernel/read_buffers.py
+++ b/src/oleanderdyke/kernel/read_buffers.py
@@ -1,4 +1,4 @@
-"""Keep the newest of what this process read, for its neighbours."""
+"""Buffer the newest records and events that were read, for neighbours."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from oleanderdyke.clock import Millis
 from oleanderdyke.kernel.context_stores import ContextEvent, ContextEvents
 
-# A neighbour asks again within a second or two; what has fallen further behind
-# reads for itself once.
+# Neighbours ask again within one or two seconds. One that is further behind
+# than the buffer reaches reads the source itself once.
 _MAX_RECORDS = 2_000
 _MAX_BYTES = 1024 * 1024
-# One answer holds so much at most; the rest follows in the next.
+# Limits of one answer; the rest follows in the next one.
 _MAX_ANSWER_BYTES = 256 * 1024
 _MAX_ANSWER_EVENTS = 2_000
 _MAX_EVENTS = 20_000
 
 
 class RecordBuffer:
-    """Keep the newest records of one topic.
+    """Buffer the newest records of one topic.
 
-    `known_at` is when surely no others followed them, None before that is
-    known; `read_at` is when the topic was last read. Offsets of another `era`
-    of the store name other records.
+    `known_at` is the latest time at which the buffer was known to reach the
+    end of the topic, None if unknown; `read_at` is the time of the last read.
+    Offsets identify records only within one `era` of the store.
     """
 
     def __init__(self) -> None:
@@ -49,9 +49,10 @@
         now: Millis,
         era: int | None = None,
     ) -> None:
-        """Take what a read from `start` on found.
+        """Append the result of a read that began at offset `start`.
 
-        `known_at` is None where more records were there than it returned.
+        `known_at` is None if the read did not reach the end of the topic. A
+        gap or a new era clears the buffer first.
         """
         self.read_at = now
         if start != self.end or era != self.era:
@@ -64,7 +65,7 @@
             self.known_at = max(known_at, self.known_at or known_at)
 
     def find(self, start: int) -> tuple[bytes, ...] | None:
-        """Return records from an offset on, None where it is not kept."""
+        """Return records from an offset on, None if it was evicted."""
         if start < self._first:
             return None
         found: list[bytes] = []
@@ -90,7 +91,11 @@
 
 
 class EventBuffer:
-    """Keep the newest events of one store of context."""
+    """Buffer the newest events of one context store.
+
+    `latest` is the result of the last read, which was requested at
+    `requested_at` and answered at `answered_at`.
+    """
 
     def __init__(self) -> None:
         self.latest: ContextEvents | None = None
@@ -102,7 +107,7 @@
     def add(
         self, since: int, found: ContextEvents, asked_at: Millis, now: Millis
     ) -> None:
-        """Take what a read from a position on found."""
+        """Append the result of a read that began at position `since`."""
         last = self.latest
         if last is None or last.boot != found.boot or last.next != since:
             self._events.clear()
@@ -115,7 +120,7 @@
         self.answered_at = now
 
     def find(self, since: int) -> tuple[ContextEvent, ...] | None:
-        """Return the events after a position, None where it is not kept."""
+        """Return the events after a position, None if it was evicted."""
         if since < self._first:
             return None
         if self.latest is None or since >= self.latest.next:
--- a/src/oleanderdyke/kernel/records.py
+++ b/src/oleanderdyke/kernel/records.py
@@ -1,7 +1,7 @@
 """Encode and decode the records of the configuration log.
 
-Unknown fields are ignored. A record that can't be decoded becomes
-`Unreadable`, which every reader skips in the same way.
+Unknown fields are ignored. A record that can't be decoded is returned as an
+`UnreadableRecord`, which every reader skips in the same way.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class RecordKind(enum.StrEnum):
-    """Name the kinds of records."""
+    """List the kinds of records."""
 
     CHANGE = 'change'
     SNAPSHOT = 'snapshot'
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PackedChange:
-    """Hold a change whose spec is still packed, and not yet checked."""
+    """Hold a change whose spec is still encoded and not yet validated."""
 
     record_id: str
     operator: str
@@ -44,9 +44,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotChunk:
-    """Hold one part of a snapshot of the state at offset `through`.
+    """Hold one chunk of a snapshot of the state at offset `through`.
 
-    The last chunk carries the digest over the items of all of them.
+    The last chunk contains the digest of the items of all chunks.
     """
 
     through: int
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnreadableRecord:
-    """Stand for a record that is skipped."""
+    """Represent a record that can't be decoded and is skipped."""
 
     reason: str
 
@@ -85,7 +85,7 @@
 
 
 def encode_chunk(chunk: SnapshotChunk) -> bytes:
-    """Encode a part of a snapshot as a log record."""
+    """Encode a chunk of a snapshot as a log record."""
     return cbor2.dumps(
         {
             _KIND_KEY: RecordKind.SNAPSHOT.value,
@@ -100,20 +100,20 @@
 
 
 def decode_record(data: bytes) -> ConfigurationRecord:
-    """Decode any record of the log; never raise."""
+    """Decode any record of the log; return UnreadableRecord on errors."""
     if len(data) > RECORD_LIMIT:
-        return UnreadableRecord('longer than a record may be')
+        return UnreadableRecord(f'{len(data)} bytes exceed the record limit')
     try:
         raw = load_cbor(data)
     except InvalidSpec as error:
         return UnreadableRecord(str(error))
     if not isinstance(raw, dict):
-        return UnreadableRecord('no map')
+        return UnreadableRecord(f'found {type(raw).__name__}; expected a map')
     if raw.get(_KIND_KEY) == RecordKind.CHANGE:
         return _decode_change(raw)
     if raw.get(_KIND_KEY) == RecordKind.SNAPSHOT:
         return _decode_chunk(raw)
-    return UnreadableRecord('unknown kind of record')
+    return UnreadableRecord(f'unknown kind in the field {_KIND_KEY!r}')
 
 
 def _decode_change(raw: Mapping[str, Any]) -> ConfigurationRecord:
@@ -128,7 +128,7 @@
             _get_field(raw, 'spec', bytes, type(None)),
         )
     except (ValueError, OverflowError) as error:
-        return UnreadableRecord(f'not a change: {error}')
+        return UnreadableRecord(f'invalid change: {error}')
 
 
 def _decode_chunk(raw: Mapping[str, Any]) -> ConfigurationRecord:
@@ -141,11 +141,11 @@
             _get_field(raw, 'digest', bytes),
         )
     except ValueError as error:
-        return UnreadableRecord(f'not a part of a snapshot: {error}')
+        return UnreadableRecord(f'invalid snapshot chunk: {error}')
 
 
 def _get_field(raw: Mapping[str, Any], name: str, *types: type) -> Any:
     value = raw.get(name)
     if type(value) in types:
         return value
-    raise ValueError(f'{name} is missing or of the wrong type')
+    raise ValueError(f'{name} is missing or has the wrong type')
--- a/src/oleanderdyke/kernel/snapshots.py
+++ b/src/oleanderdyke/kernel/snapshots.py
@@ -1,7 +1,7 @@
-"""Hold the catalog's state, and turn it into records and back.
+"""Hold the catalog's state, and encode and load snapshots of it.
 
-A snapshot is a pure function of the state at an offset, so that two processes
-that append one at once append the same bytes.
+A snapshot is a pure function of the state at an offset: processes that append
+one concurrently append the same bytes.
 """
 
 from __future__ import annotations
@@ -34,7 +34,11 @@
 
 
 class RejectionReason(enum.StrEnum):
-    """Name why a change is not in force."""
+    """Classify the reasons for which a change was rejected.
+
+    GENERATION means that another change came first, ABSENT that the object
+    to delete does not exist, TOKEN_TAKEN that another team has the token.
+    """
 
     GENERATION = 'generation'
     INVALID = 'invalid'
@@ -44,7 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """A change is in force, and since which offset."""
+    """Describe a change that was applied at an offset.
+
+    `generation` is that of the object after the change.
+    """
 
     record_id: str
     operator: str
@@ -58,9 +65,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """Tell why a change is not in force, and who changed the object last.
+    """Describe a change that was rejected at an offset.
 
-    `generation` is the one that the object had instead, 0 for none.
+    `generation` is the actual generation of the object, 0 if it did not
+    exist; `winner` is the operator who last changed it.
     """
 
     record_id: str
@@ -80,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """Keep one object; its spec stays packed as it came from the log."""
+    """Hold one object, whose spec stays encoded as read from the log."""
 
     generation: int
     offset: int
@@ -102,7 +110,7 @@
 
 @dataclass(slots=True)
 class State:
-    """Hold everything that the log decides.
+    """Hold the state that results from the records of the log.
 
     `floor` is the highest generation of any deleted object.
     """
@@ -114,13 +122,13 @@
     floor: int = 0
 
     def add_outcome(self, outcome: Outcome) -> None:
-        """Remember an outcome in place of the oldest."""
+        """Add an outcome, evicting the oldest over the limit."""
         self.outcomes[outcome.record_id] = outcome
         while len(self.outcomes) > _MAX_OUTCOMES:
             del self.outcomes[next(iter(self.outcomes))]
 
     def find_team(self, index: TokenIndex, field: str, digest: bytes) -> str:
-        """Return the team that has a digest in a field, or an empty name."""
+        """Return the name of the team with a digest in a field, or ''."""
         for name in index.get(digest):
             packed = self.rows[ObjectKind.TEAM][name].packed
             if digest in list_hashes(packed, field):
@@ -128,7 +136,7 @@
         return ''
 
     def find_owners(self, packed: bytes) -> Iterator[str]:
-        """Return the teams that hold any token hash of a packed team."""
+        """Yield for each token hash of a packed team its owners, or ''."""
         digests = list_hashes(packed, _TOKENS) + list_hashes(
             packed, _ADMIN_TOKENS
         )
@@ -153,19 +161,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedSnapshot:
-    """Pair a state with the offset that it holds at."""
+    """Hold a state with the offset of the last record that it includes."""
 
     through: int
     state: State
 
 
 def make_digest(through: int) -> hashlib.blake2b:
-    """Start the digest over a snapshot's items."""
+    """Return a new hash for the items of a snapshot at an offset."""
     return hashlib.blake2b(str(through).encode(), digest_size=_DIGEST_SIZE)
 
 
 def encode_snapshot(through: int, state: State) -> Iterator[bytes]:
-    """Freeze the state now and encode it chunk by chunk."""
+    """Copy the state at once, and encode the copy chunk by chunk."""
     rows = {kind: dict(state.rows[kind]) for kind in ObjectKind}
     outcomes = tuple(state.outcomes.values())
     items = _list_items(state.floor, outcomes, rows)
@@ -175,9 +183,9 @@
 class SnapshotLoader:
     """Build a state from the chunks of one snapshot as they arrive.
 
-    No chunk is kept, so that a large snapshot takes little more memory than
-    its state. The state counts only once `loaded` gives it; `ended` tells that
-    the last chunk was taken.
+    Chunks are not kept, so that loading a large snapshot takes little more
+    memory than its state. `loaded` is set once all chunks were added and their
+    digest matches; `ended` is set after the last chunk even if it does not.
     """
 
     def __init__(self, through: int) -> None:
@@ -189,9 +197,9 @@
         self.ended = False
 
     def add(self, chunk: SnapshotChunk) -> bool:
-        """Take the next chunk, ignoring all others; tell if it was the next.
+        """Add the next chunk; return False and ignore any other chunk.
 
-        After a malformed chunk nothing will be loaded.
+        After a malformed chunk `loaded` stays None.
         """
         if (chunk.through, chunk.index) != (self.through, self._next):
             return False
@@ -215,7 +223,7 @@
 
 
 def load_snapshot(chunks: Sequence[bytes]) -> LoadedSnapshot | None:
-    """Build the state of a whole, undamaged snapshot; else return None."""
+    """Load a snapshot; return None if it is incomplete or damaged."""
     loader: SnapshotLoader | None = None
     for data in chunks:
         chunk = decode_record(data)
--- a/src/oleanderdyke/kernel/specs.py
+++ b/src/oleanderdyke/kernel/specs.py
@@ -1,4 +1,4 @@
-"""Check specs, and pack them for the log and for memory."""
+"""Validate specs, and encode them for the log and for memory."""
 
 from __future__ import annotations
 
@@ -40,11 +40,14 @@
 
 
 class InvalidSpec(ValueError):
-    """A packed spec can't be read."""
+    """Raised for data that is not valid CBOR or not a valid spec."""
 
 
 def load_cbor(data: bytes) -> Any:
-    """Decode untrusted CBOR with the same limits everywhere."""
+    """Decode untrusted CBOR; raise InvalidSpec.
+
+    Every reader must use the same limits, so that all skip the same records.
+    """
     try:
         return cbor2.loads(
             data,
@@ -58,7 +61,7 @@
 
 
 def pack_spec(spec: Spec) -> bytes:
-    """Encode what differs from the defaults, in canonical CBOR."""
+    """Encode the fields that differ from the defaults in canonical CBOR."""
     return cbor2.dumps(_to_plain(spec), canonical=True)
 
 
@@ -84,7 +87,7 @@
 
 
 def list_hashes(packed: bytes, name: str) -> tuple[bytes, ...]:
-    """Return the digests in one field of a packed, valid team."""
+    """Return the token digests in one field of a valid, packed team."""
     return tuple(
         item if isinstance(item, bytes) else bytes.fromhex(item)
         for item in load_cbor(packed).get(name, ())
@@ -92,7 +95,7 @@
 
 
 def describe_spec(spec: Spec) -> dict[str, Any]:
-    """Return the fields that differ from the defaults, for reading."""
+    """Return the fields that differ from the defaults, in readable form."""
     plain = _to_plain(spec)
     for name in _HASH_FIELDS:
         if name in plain:
@@ -101,7 +104,10 @@
 
 
 def find_faults(name: str, spec: Spec | None) -> tuple[str, ...]:
-    """Return everything wrong with an object, each with the key's name."""
+    """Return a message for each invalid field, naming field and value.
+
+    Catalogs store the messages, so they must be the same in every version.
+    """
     faults: list[str] = []
     if not _NAME.fullmatch(name):
         faults.append(
@@ -184,7 +190,7 @@
     if len(set(hashes)) != len(hashes):
         yield f'{key}: found one entry twice; allowed: different ones'
     if not all(_HASH.fullmatch(item) for item in hashes):
-        # A token put here by mistake must not be repeated in a message.
+        # The value may be a token entered by mistake, so it is not shown.
         yield f'{key}: found something else; allowed: {_HASH_FORM}'
 
 
@@ -255,7 +261,7 @@
     def check(found: object, _: object) -> object:
         if type(found) is target:
             return found
-        raise ValueError(f'not {target.__name__}')
+        raise ValueError(f'expected {target.__name__}')
 
     return check
 
@@ -263,21 +269,21 @@
 def _check_int(found: object, _: object) -> int:
     if type(found) is int and abs(found) < _INT_LIMIT:
         return found
-    raise ValueError('not a whole number of 64 bits')
+    raise ValueError('expected a signed 64-bit integer')
 
 
 def _check_number(found: object, _: object) -> float:
     if type(found) in {int, float}:
         return float(found)  # type: ignore[arg-type]  # just checked
-    raise ValueError('not a number')
+    raise ValueError('expected a number')
 
 
 def _check_mapping(found: object, _: object) -> Mapping[str, str]:
     if not isinstance(found, dict):
-        raise TypeError('not a map')
+        raise TypeError('expected a map')
     if all(type(x) is str for pair in found.items() for x in pair):
         return found
-    raise ValueError('not strings')
+    raise ValueError('expected string keys and values')
 
 
 def _make_converter() -> cattrs.Converter:
@@ -287,7 +293,8 @@
         bool: _make_type_check(bool),
         int: _check_int,
         float: _check_number,
-        # Without its own hook the one for `str` would take it.
+        # ServiceKind is a `str`, so without its own hook it would get that of
+        # `str`, which accepts no other type.
         ServiceKind: lambda found, _: ServiceKind(found),
     }
     for target, check in checks.items():
