--- a/src/oleanderdyke/kernel/backend.py
+++ b/src/oleanderdyke/kernel/backend.py
@@ -40,8 +40,9 @@
 class Backend:
     """Hold one backend server; `record` is the last record it published.
 
-    `waiting` maps the attempts whose first byte is outstanding. `cached_parts`
-    maps the prompt parts that the server likely has cached to their tokens.
+    `waiting` holds by name the attempts whose first byte is outstanding,
+    `delays` the queue delay by rank, and `cached_parts` the token counts of
+    the prompt parts that the server has likely cached.
     """
 
     record: ServerRecord
@@ -81,7 +82,9 @@
         if not self.waiting:
             return 0
         return sum(
-            owed.tokens for owed in self.waiting.values() if owed.rank <= rank
+            attempt.tokens
+            for attempt in self.waiting.values()
+            if attempt.rank <= rank
         )
 
     def find_queue_delay(self, rank: int, now: Millis) -> Millis:
@@ -94,21 +97,23 @@
         observed = 0.0 if known is None else known.find_remaining(now)
         if not self.waiting:
             return observed
-        owed = (
-            self._find_queue_time(owed, now)
-            for owed in self.waiting.values()
-            if owed.rank <= rank
+        attempt = (
+            self._find_queue_time(attempt, now)
+            for attempt in self.waiting.values()
+            if attempt.rank <= rank
         )
-        return max(observed, *owed, 0.0)
+        return max(observed, *attempt, 0.0)
 
-    def record_first_byte(self, owed: PendingAttempt, now: Millis) -> None:
+    def record_first_byte(self, attempt: PendingAttempt, now: Millis) -> None:
         """Update the queue delay of a rank, and the reading rate."""
-        excess = max(self._find_queue_time(owed, now), 0.0)
-        if owed.is_alone:
-            self.reading.note(owed.tokens, now - owed.since - _BASE_FIRST_BYTE)
-        known = self.find_queue_delay(owed.rank, now)
-        observed = known + _DELAY_WEIGHT * (excess - known)
-        self.delays[owed.rank] = QueueDelay(observed, now)
+        queue_time = max(self._find_queue_time(attempt, now), 0.0)
+        if attempt.is_alone:
+            self.reading.note(
+                attempt.tokens, now - attempt.since - _BASE_FIRST_BYTE
+            )
+        known = self.find_queue_delay(attempt.rank, now)
+        observed = known + _DELAY_WEIGHT * (queue_time - known)
+        self.delays[attempt.rank] = QueueDelay(observed, now)
 
     def count_waiting(self, now: Millis) -> int:
         """Return the queued requests, decaying with the report's age.
@@ -117,8 +122,8 @@
         """
         if self.load is None:
             return 0
-        left = max(1 - (now - self.load_at) / _LOAD_LIFETIME, 0.0)
-        return round(self.load.waiting * left)
+        remaining = max(1 - (now - self.load_at) / _LOAD_LIFETIME, 0.0)
+        return round(self.load.waiting * remaining)
 
     def count_active(self, now: Millis) -> int:
         """Return the number of requests that run or wait on the server."""
@@ -136,11 +141,11 @@
         """
         if not self.running:
             return 0.0
-        since = [owed.since for owed in self.waiting.values()]
-        tokens = sum(owed.tokens for owed in self.waiting.values())
+        since = [attempt.since for attempt in self.waiting.values()]
+        tokens = sum(attempt.tokens for attempt in self.waiting.values())
         reading = min(self.reading.find_time(tokens), _MAX_READING_TIME)
-        quiet = now - max(min(since, default=0.0), self.last_heard_at)
-        return max(quiet - reading - self._find_grace(now), 0.0)
+        silence = now - max(min(since, default=0.0), self.last_heard_at)
+        return max(silence - reading - self._find_grace(now), 0.0)
 
     def _find_grace(self, now: Millis) -> Millis:
         """Return the extra time granted to a server that still reports load.
@@ -155,10 +160,10 @@
             return 0.0
         return _REPORT_GRACE
 
-    def _find_queue_time(self, owed: PendingAttempt, now: Millis) -> Millis:
+    def _find_queue_time(self, attempt: PendingAttempt, now: Millis) -> Millis:
         """Return the wait beyond reading the prompt, which may be negative."""
-        reading = self.reading.find_time(owed.tokens)
-        return now - owed.since - reading - _BASE_FIRST_BYTE
+        reading = self.reading.find_time(attempt.tokens)
+        return now - attempt.since - reading - _BASE_FIRST_BYTE
 
     def clear_cache(self) -> None:
         """Clear the cached parts, which new weights invalidate."""
--- a/src/oleanderdyke/kernel/catalog.py
+++ b/src/oleanderdyke/kernel/catalog.py
@@ -278,14 +278,14 @@
         return None
 
     def _apply_change(self, offset: int, change: PackedChange) -> Outcome:
-        known = self._state.outcomes.get(change.record_id)
-        if known is not None:
-            return known
-        loss = self._find_rejection(change)
-        if loss is None:
+        previous = self._state.outcomes.get(change.record_id)
+        if previous is not None:
+            return previous
+        rejection = self._find_rejection(change)
+        if rejection is None:
             outcome = self._store_change(offset, change)
         else:
-            outcome = self._reject(offset, change, *loss)
+            outcome = self._reject(offset, change, *rejection)
         self._state.add_outcome(outcome)
         return outcome
 
@@ -370,8 +370,8 @@
     def _find_last_operator(self, change: PackedChange, row: Row | None) -> str:
         if row is not None:
             return row.operator
-        past = self.history(change.kind, change.name)
-        changes = [item for item in past if isinstance(item, Applied)]
+        outcomes = self.history(change.kind, change.name)
+        changes = [item for item in outcomes if isinstance(item, Applied)]
         return changes[-1].operator if changes else ''
 
 
@@ -397,9 +397,9 @@
 def _filter(
     objects: Iterator[StoredObject | None], selector: Labels | None
 ) -> Iterator[StoredObject]:
-    wanted = selector or {}
+    required = selector or {}
     for item in objects:
-        if item is not None and matches_selector(wanted, item.spec.labels):
+        if item is not None and matches_selector(required, item.spec.labels):
             yield item
 
 
--- a/src/oleanderdyke/kernel/configuration.py
+++ b/src/oleanderdyke/kernel/configuration.py
@@ -19,8 +19,10 @@
 )
 
 _MESSAGE_BYTES = 48 * 1024
+# The relative spread of the snapshot limits between processes.
 _JITTER = 0.2
-_SNAPSHOT_PAUSE = 0.125
+# The pause after a due snapshot, as a share of `snapshot_age`.
+_SNAPSHOT_PAUSE_SHARE = 0.125
 
 
 class Record(Protocol):
@@ -141,7 +143,9 @@
         self._peer_offsets[peer] = max(
             offset, self._peer_offsets.get(peer, START_OFFSET)
         )
-        if offset <= self.offset and not self._needs_initial(offset):
+        if offset <= self.offset and not self._needs_first_configuration(
+            offset
+        ):
             return None
         if self._behind_since is None:
             self._behind_since = now
@@ -167,12 +171,12 @@
     ) -> bool:
         """Apply a peer's difference; return whether the offset advanced."""
         before = self.offset
-        grown = False
+        is_next_chunk = False
         if message.snapshot:
-            grown = self._take_peer_chunk(message, now)
+            is_next_chunk = self._add_peer_chunk(message, now)
         else:
-            self._take_peer_records(message)
-        if grown or self._requested_peer == peer:
+            self._apply_peer_records(message)
+        if is_next_chunk or self._requested_peer == peer:
             # While chunks of a snapshot arrive from any peer, no peer is asked.
             self._requested_peer = '' if message.last else peer
             self._requested_at = now
@@ -213,9 +217,9 @@
         After True, False is returned for a pause, which bounds the rate of
         snapshots even if the clocks of process and log differ widely.
         """
-        pause = self._settings.snapshot_age * _SNAPSHOT_PAUSE
-        told = self._snapshot_due_at
-        if told is not None and abs(wall - told) < pause:
+        pause = self._settings.snapshot_age * _SNAPSHOT_PAUSE_SHARE
+        last_due_at = self._snapshot_due_at
+        if last_due_at is not None and abs(wall - last_due_at) < pause:
             return False
         if not self._needs_snapshot(wall):
             return False
@@ -229,25 +233,31 @@
             return False
         if self._watched_since is None:
             self._watched_since = wall
-        kept = self._watch.newest
-        since = self._watched_since if kept is None else kept.at
-        covered = START_OFFSET if kept is None else kept.through
+        latest_snapshot = self._watch.newest
+        since = (
+            self._watched_since
+            if latest_snapshot is None
+            else latest_snapshot.at
+        )
+        covered_offset = (
+            START_OFFSET if latest_snapshot is None else latest_snapshot.through
+        )
         settings = self._settings
         return (
             wall - since > settings.snapshot_age * self._snapshot_jitter
-            or self.offset - covered
+            or self.offset - covered_offset
             > settings.snapshot_records * self._snapshot_jitter
         )
 
     def _has_log_gap(self) -> bool:
         return self.offset + 1 < self._log_first
 
-    def _needs_initial(self, offset: int) -> bool:
+    def _needs_first_configuration(self, offset: int) -> bool:
         return not self._loaded and offset > START_OFFSET
 
     def _find_highest(self) -> int:
-        heard = max(self._peer_offsets.values(), default=START_OFFSET)
-        return max(heard, self._log_end - 1)
+        highest_offset = max(self._peer_offsets.values(), default=START_OFFSET)
+        return max(highest_offset, self._log_end - 1)
 
     def _explain_waiting(self) -> str:
         if self._has_log_gap():
@@ -266,17 +276,17 @@
             self._behind_since = now
 
     def _apply_record(self, record: Record) -> None:
-        whole = self._watch.add(
+        snapshot = self._watch.add(
             record.offset, record.at, record.data, self.offset
         )
         if record.offset == self._scan_offset:
             self._scan_offset += 1
         if record.offset == self.offset + 1:
             self.catalog.apply_record(record.offset, record.data)
-        elif whole is not None:
-            self.catalog.replace_state(whole)
+        elif snapshot is not None:
+            self.catalog.replace_state(snapshot)
 
-    def _take_peer_chunk(
+    def _add_peer_chunk(
         self, message: ConfigurationDifference, now: Millis
     ) -> bool:
         """Add a chunk; return whether it was the next one expected.
@@ -312,7 +322,7 @@
         stalled = now - self._chunk_received_at >= self._settings.ask_again
         return stalled and loader.through != through
 
-    def _take_peer_records(self, message: ConfigurationDifference) -> None:
+    def _apply_peer_records(self, message: ConfigurationDifference) -> None:
         for offset, data in message.records:
             if offset == self.offset + 1:
                 self.catalog.apply_record(offset, data)
--- a/src/oleanderdyke/kernel/membership.py
+++ b/src/oleanderdyke/kernel/membership.py
@@ -167,8 +167,8 @@
             return False
         if beat.sequence <= known.replica.beat:
             return False
-        short = beat.same_load or beat.same_weights
-        if short and known.replica.beat == _NO_HEARTBEAT:
+        omits_values = beat.same_load or beat.same_weights
+        if omits_values and known.replica.beat == _NO_HEARTBEAT:
             # A short heartbeat omits unchanged values, but this process has
             # received no full heartbeat to take them from.
             return False
@@ -224,8 +224,8 @@
         """Return the serving agents of the stores that a service selects."""
         names = self._select_stores(service)
         for condition in (Condition.HEARD, Condition.SUSPECTED):
-            places = (_GroupKey(name, condition, store=True) for name in names)
-            groups = (self._groups.get(place, {}) for place in places)
+            keys = (_GroupKey(name, condition, store=True) for name in names)
+            groups = (self._groups.get(key, {}) for key in keys)
             found = tuple(item for group in groups for item in group.values())
             if found:
                 return found
@@ -257,8 +257,8 @@
     def _store_view(self, view: AgentView) -> None:
         replica = view.replica
         serving = replica.phase is AgentPhase.SERVING
-        place = _make_group_key(view)
-        group = self._groups.get(place, {})
+        key = _make_group_key(view)
+        group = self._groups.get(key, {})
         if serving and replica.agent in group:
             # Update in place: heartbeats must not change the order.
             group[replica.agent] = replica
@@ -267,18 +267,18 @@
         self._remove_from_group(replica.agent)
         self._agents[replica.agent] = view
         if serving:
-            grown = self._groups.get(place, {}) | {replica.agent: replica}
-            self._groups[place] = dict(sorted(grown.items()))
+            members = self._groups.get(key, {}) | {replica.agent: replica}
+            self._groups[key] = dict(sorted(members.items()))
 
     def _remove_from_group(self, agent: str) -> None:
         view = self._agents.get(agent)
         if view is None:
             return
-        place = _make_group_key(view)
-        group = self._groups.get(place, {})
+        key = _make_group_key(view)
+        group = self._groups.get(key, {})
         group.pop(agent, None)
         if not group:
-            self._groups.pop(place, None)
+            self._groups.pop(key, None)
 
     def _update_condition(self, view: AgentView, silence: Millis) -> None:
         if silence > self._settings.forget_after:
--- a/src/oleanderdyke/kernel/neighbours.py
+++ b/src/oleanderdyke/kernel/neighbours.py
@@ -81,9 +81,9 @@
 
     def record_failure(self, name: str, now: Millis) -> None:
         """Exclude an entry, possibly this one, for a backoff time."""
-        pause = _MIN_BACKOFF * 2 ** self._failures[name]
+        backoff = _MIN_BACKOFF * 2 ** self._failures[name]
         self._failures[name] += 1
-        self._excluded_until[name] = now + min(pause, _MAX_BACKOFF)
+        self._excluded_until[name] = now + min(backoff, _MAX_BACKOFF)
 
     def record_request(self, source: str, now: Millis) -> None:
         """Record that another process asked this one for a source."""
@@ -96,9 +96,11 @@
             self._own_name, now
         ):
             return None
-        found = self.rank(source, now)
+        readers = self.rank(source, now)
         return (
-            None if not found or found[0].name == self._own_name else found[0]
+            None
+            if not readers or readers[0].name == self._own_name
+            else readers[0]
         )
 
     def record_own_failure(self, now: Millis) -> None:
@@ -112,12 +114,12 @@
     def rank(self, source: str, now: Millis) -> list[Neighbour]:
         """Return the entries that may read a source, the preferred first."""
         alive = [
-            each
-            for name, each in self._entries.items()
+            entry
+            for name, entry in self._entries.items()
             if now - self._last_seen[name] < ANNOUNCEMENT_LIFETIME
             and not self._is_excluded(name, now)
         ]
-        return sorted(alive, key=lambda each: find_rank(source, each.name))
+        return sorted(alive, key=lambda entry: find_rank(source, entry.name))
 
     def _is_excluded(self, name: str, now: Millis) -> bool:
         return self._excluded_until.get(name, -math.inf) > now
--- a/src/oleanderdyke/kernel/presence.py
+++ b/src/oleanderdyke/kernel/presence.py
@@ -72,9 +72,9 @@
         """
         at = min(now, self._read_at)
         self._announced_by_entry = {
-            entry: heard_at
-            for entry, heard_at in self._announced_by_entry.items()
-            if at - heard_at < ANNOUNCEMENT_LIFETIME
+            entry: announced_at
+            for entry, announced_at in self._announced_by_entry.items()
+            if at - announced_at < ANNOUNCEMENT_LIFETIME
         }
         known = len(self._announced_by_entry)
         if self._first_read_at is None:
@@ -114,10 +114,10 @@
             and now - self._announced_at < ANNOUNCEMENT_LIFETIME
         )
 
-    def _exclude_gap(self, begun: Millis, now: Millis) -> None:
+    def _exclude_gap(self, first_read_at: Millis, now: Millis) -> None:
         """Shift all times by the gap since the last read."""
         gap = now - self._read_at
-        self._first_read_at = begun + gap
+        self._first_read_at = first_read_at + gap
         self._announced_by_entry = {
             entry: min(at + gap, now)
             for entry, at in self._announced_by_entry.items()
--- a/src/oleanderdyke/kernel/snapshots.py
+++ b/src/oleanderdyke/kernel/snapshots.py
@@ -207,8 +207,8 @@
         self._digest.update(chunk.items)
         self._load(chunk.items)
         self.ended = chunk.last
-        whole = chunk.last and self._digest.digest() == chunk.digest
-        if whole and self._state is not None:
+        is_complete = chunk.last and self._digest.digest() == chunk.digest
+        if is_complete and self._state is not None:
             self.loaded = LoadedSnapshot(self.through, self._state)
         return True
 
@@ -245,11 +245,11 @@
         applied = isinstance(outcome, Applied)
         kind = _ItemKind.APPLIED if applied else _ItemKind.LOST
         yield _encode_item(kind, *astuple(outcome))
-    for kind_of_object in ObjectKind:
-        of_kind = rows[kind_of_object]
-        for name in sorted(of_kind):
-            fields = _list_fields(of_kind[name])
-            yield _encode_item(_ItemKind.ROW, kind_of_object, name, *fields)
+    for object_kind in ObjectKind:
+        rows_by_name = rows[object_kind]
+        for name in sorted(rows_by_name):
+            fields = _list_fields(rows_by_name[name])
+            yield _encode_item(_ItemKind.ROW, object_kind, name, *fields)
 
 
 def _list_fields(row: Row) -> tuple[Any, ...]:
