--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Hold the counts and bytes on which the capacity page rests."""
+"""Check the message counts and sizes that the capacity page states."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
     assert len(encode(message)) <= 420
 
 
-def test_snapshot_in_the_log_costs_peers_only_its_places(catalog):
+def test_peers_get_only_the_offsets_of_a_snapshot_in_the_log(catalog):
     chunks = catalog.snapshot()
     for place, chunk in enumerate(chunks):
         catalog.apply_record(TEAMS + place, chunk)
@@ -78,7 +78,7 @@
     assert sum(map(len, chunks)) > 100 * TEAMS
 
 
-def test_peer_that_follows_named_chunks_reaches_the_same_state(catalog):
+def test_peer_that_gets_only_chunk_offsets_reaches_the_same_state(catalog):
     peer = Catalog()
     for offset, data in catalog.difference(-1):
         peer.apply_record(offset, data)
@@ -129,7 +129,7 @@
     return request
 
 
-def test_peer_asked_again_does_not_undo_what_came_of_a_snapshot(catalog):
+def test_second_peer_does_not_discard_received_chunks(catalog):
     source = make_source(catalog)
     reader = ConfigurationReader(Random(2))
     first = iter(tuple(source.answer(ask_for_all(reader, 'slow', 0.0))))
@@ -158,7 +158,7 @@
     assert counted.call_count == 2
 
 
-def test_nobody_is_asked_while_a_snapshot_arrives(catalog):
+def test_no_peer_is_asked_while_a_snapshot_arrives(catalog):
     source = make_source(catalog)
     reader = ConfigurationReader(Random(2))
     messages = source.answer(ask_for_all(reader, 'asked first', 0.0))
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -59,7 +59,7 @@
     return catalog
 
 
-def test_first_of_two_racing_operators_wins_and_the_other_learns_of_it():
+def test_second_of_two_concurrent_changes_is_rejected_naming_the_first():
     catalog = make_catalog(make_change('1'))
     first = catalog.apply(1, make_change('2', expected=1, operator='bo'))
     second = catalog.apply(2, make_change('3', expected=1, operator='cy'))
@@ -69,16 +69,16 @@
     assert (second.winner, second.generation) == ('bo', 2)
 
 
-def test_loser_of_a_deletion_learns_who_deleted():
+def test_change_after_a_deletion_is_rejected_naming_the_operator():
     catalog = make_catalog(
         make_change('1'), make_change('2', expected=1, spec=None, operator='bo')
     )
-    lost = catalog.apply(2, make_change('3', expected=1))
-    assert isinstance(lost, Rejected)
-    assert (lost.winner, lost.generation) == ('bo', 0)
+    rejected = catalog.apply(2, make_change('3', expected=1))
+    assert isinstance(rejected, Rejected)
+    assert (rejected.winner, rejected.generation) == ('bo', 0)
 
 
-def test_generation_of_a_deleted_object_never_comes_back():
+def test_generation_of_a_deleted_object_is_never_reused():
     catalog = make_catalog(
         make_change('1'),
         make_change('2', expected=1, spec=None),
@@ -102,12 +102,12 @@
 def test_token_hash_belongs_to_one_team_only(place):
     taken = TeamSpec(**{place: (HASH_A,)})
     catalog = make_catalog(make_change('1', spec=taken))
-    lost = catalog.apply(
+    rejected = catalog.apply(
         1, make_change('2', name='bats', spec=TeamSpec(token_hashes=(HASH_A,)))
     )
-    assert isinstance(lost, Rejected)
-    assert lost.reason is RejectionReason.TOKEN_TAKEN
-    assert 'owls' not in lost.detail
+    assert isinstance(rejected, Rejected)
+    assert rejected.reason is RejectionReason.TOKEN_TAKEN
+    assert 'owls' not in rejected.detail
     found = catalog.find_team(HASH_A) or catalog.find_administered_team(HASH_A)
     assert found.name == 'owls'
 
@@ -142,12 +142,14 @@
         (TEAM, 'owls', TeamSpec(labels={'k': 'v' * 20_000})),
     ],
 )
-def test_invalid_change_loses_and_shows_no_token(kind, name, spec):
+def test_invalid_change_is_rejected_without_showing_a_token(kind, name, spec):
     catalog = Catalog()
-    lost = catalog.apply(0, make_change('1', kind=kind, name=name, spec=spec))
-    assert isinstance(lost, Rejected)
-    assert lost.reason is RejectionReason.INVALID
-    assert 'secret-token' not in lost.detail
+    rejected = catalog.apply(
+        0, make_change('1', kind=kind, name=name, spec=spec)
+    )
+    assert isinstance(rejected, Rejected)
+    assert rejected.reason is RejectionReason.INVALID
+    assert 'secret-token' not in rejected.detail
     assert catalog.get(kind, name) is None
 
 
@@ -183,7 +185,7 @@
         catalog.apply(catalog.offset + 1, change)
 
 
-def test_snapshot_brings_another_process_to_the_same_state(monkeypatch):
+def test_snapshot_restores_the_same_state_in_another_process(monkeypatch):
     monkeypatch.setattr(snapshots, '_CHUNK_BYTES', 500)
     catalog = make_catalog(make_change('1'), make_change('2', expected=9))
     fill(catalog, 30)
@@ -240,7 +242,7 @@
     assert catalog.offset == 1
 
 
-def test_difference_is_bounded_and_says_when_it_is_not_held(monkeypatch):
+def test_difference_is_bounded_and_none_after_eviction(monkeypatch):
     monkeypatch.setattr(catalog_module, '_RECENT_LIMIT', 5)
     catalog = Catalog()
     fill(catalog, 9)
@@ -282,7 +284,7 @@
     assert not unreadable or outcome is None
 
 
-def test_bytes_that_once_harmed_a_reader_are_skipped():
+def test_corpus_of_malformed_records_is_skipped():
     for path in sorted((ROOT / 'tests/corpus/codec').iterdir()):
         data = bytes.fromhex(path.read_text())
         assert isinstance(decode_record(data), UnreadableRecord), path.name
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -27,7 +27,7 @@
     return drain
 
 
-def test_an_idle_process_announces_first_and_leaves_in_time():
+def test_idle_process_announces_its_stop_before_it_exits():
     drain = make_drain()
     assert drain.next_time() is None
     assert drain.signal(5) == (Announce(),)
@@ -48,7 +48,7 @@
     assert drain.end_work('b', 30) == (Exit(),)
 
 
-def test_long_streams_are_handed_over_and_calls_are_waited_for():
+def test_long_streams_are_handed_over_and_calls_may_finish():
     drain = make_drain('stream', 'call', resumable=('stream',))
     drain.signal(0)
     assert drain.tick(50) == (HandOver('stream'),)
@@ -60,7 +60,7 @@
     assert drain.end_work('call', 54) == (Exit(),)
 
 
-def test_stream_taken_back_is_handed_over_once_it_can_be_resumed():
+def test_stream_marked_not_resumable_is_handed_over_once_resumable():
     drain = make_drain('stream', resumable=('stream',))
     drain.signal(0)
     assert drain.tick(50) == (HandOver('stream'),)
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize('by', ['signal', 'limit'])
-def test_a_hurried_stop_names_what_it_cuts(by):
+def test_forced_stop_names_the_aborted_requests(by):
     drain = make_drain('a', 'b')
     drain.signal(0)
     drain.end_work('a', 1)
@@ -82,13 +82,13 @@
     assert drain.running == ()
 
 
-def test_a_hurried_stop_without_work_cuts_nothing():
+def test_forced_stop_without_requests_aborts_none():
     drain = make_drain()
     drain.signal(0)
     assert drain.signal(1) == (Exit(),)
 
 
-def test_an_entry_accepts_until_the_balancer_has_seen_it_and_an_agent_not():
+def test_entry_accepts_until_the_next_probe_and_an_agent_does_not():
     entry, agent = Drain(ENTRY_DRAIN), make_agent_drain()
     entry.signal(0)
     agent.signal(0)
@@ -102,10 +102,11 @@
 
 
 class DrainWorld(CheckedMachine):
-    """Stop a process at any moment of its work.
+    """Stop a process at any time while requests run.
 
-    Checks `late` work, which starts when none may, and `lost` work, which is
-    neither ended nor named as cut when the process leaves.
+    Checks `late`, a request that starts after the stop; `lost`, a request that
+    neither ended nor is named as aborted at the exit; `unknown`, the handover
+    of a request that does not run; `stuck`, a stop that never ends.
     """
 
     make_drain = Drain
@@ -160,29 +161,33 @@
             self.check(self.drain.phase is DrainPhase.DONE, 'stuck')
 
 
-class KeepsAccepting(Drain):
+class AcceptsAfterStop(Drain):
     def accepts(self, now, duration=None):
         return self.phase is not DrainPhase.DONE
 
 
-class LeavesWork(Drain):
+class ExitsEarly(Drain):
     def _drain(self, elapsed):
         return self._exit()
 
 
-class ForgetsCuts(Drain):
+class ForgetsAborted(Drain):
     def _stop_now(self):
         return self._exit()
 
 
-def test_a_planned_stop_takes_no_new_work_and_loses_none():
+def test_stop_accepts_no_new_request_and_loses_none():
     assert_holds(DrainWorld)
 
 
 @pytest.mark.parametrize(
     ('kind', 'check'),
-    [(KeepsAccepting, 'late'), (LeavesWork, 'lost'), (ForgetsCuts, 'lost')],
+    [
+        (AcceptsAfterStop, 'late'),
+        (ExitsEarly, 'lost'),
+        (ForgetsAborted, 'lost'),
+    ],
 )
-def test_the_check_of_stops_catches_an_unsafe_drain(kind, check):
+def test_drain_checks_catch_an_unsafe_drain(kind, check):
     world = type('UnsafeWorld', (DrainWorld,), {'make_drain': kind})
     assert_caught(world, check)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -76,7 +76,7 @@
     return [item.agent for item in fleet.replicas(service)]
 
 
-def test_agent_serves_only_after_its_own_word():
+def test_agent_serves_only_after_its_first_serving_heartbeat():
     fleet = make_fleet(silent=True)
     assert not list_agents(fleet)
     fleet.on_heartbeat('a', make_beat(phase=AgentPhase.STARTING), 1)
@@ -86,7 +86,7 @@
     assert fleet.find_view('a').offset == 5
 
 
-def test_replicas_stand_in_the_order_of_names_whoever_spoke_last():
+def test_replicas_are_sorted_by_name_in_any_order_of_heartbeats():
     fleet = make_fleet(silent=True)
     for name in 'cab':
         fleet.on_hello(make_hello(name, name), f'{name}:1', 0)
@@ -132,7 +132,7 @@
     assert fleet.find(name).incarnation == 'i2'
 
 
-def test_same_incarnation_may_come_back_at_another_address():
+def test_same_incarnation_may_reconnect_from_another_address():
     fleet = make_fleet()
     fleet.on_link_down('a', 'i1')
     assert not list_agents(fleet)
@@ -143,7 +143,7 @@
     assert fleet.find('a') is not None
 
 
-def test_link_of_an_ended_incarnation_takes_nobody_out():
+def test_link_end_of_an_old_incarnation_drops_no_agent():
     fleet = make_fleet()
     fleet.on_link_down('a', 'i0')
     assert list_agents(fleet) == ['a']
@@ -168,7 +168,7 @@
     assert fleet.find('a') is None
 
 
-def test_forgotten_agent_that_speaks_again_is_what_it_was():
+def test_returning_agent_keeps_its_last_reported_state():
     fleet = make_fleet()
     fleet.on_heartbeat('a', make_beat(5), 0)
     tick(fleet, *range(0, 62_000, 500))
@@ -181,7 +181,7 @@
     assert not list_agents(fleet)
 
 
-def test_suspected_agents_serve_where_nobody_else_does():
+def test_suspected_agents_serve_if_no_other_agent_does():
     fleet = make_fleet()
     tick(fleet, *range(0, 4_001, 500))
     assert fleet.find_view('a').condition is Condition.SUSPECTED
@@ -190,7 +190,7 @@
     assert not list_agents(fleet)
 
 
-def test_own_pause_drops_nobody_before_the_waiting_messages_are_read():
+def test_own_pause_drops_no_agent_before_unread_heartbeats_are_read():
     fleet = make_fleet()
     tick(fleet, 0, 500, 20_000)
     assert list_agents(fleet) == ['a']
@@ -241,19 +241,19 @@
     leaving: bool = False
 
 
-def test_every_listed_vm_is_a_hint_to_connect_to():
+def test_every_listed_vm_is_chosen_even_if_leaving():
     vms = [Vm('z', 'quito'), Vm('a', 'ibarra', leaving=True), Vm('b', 'quito')]
     chosen = choose_vms([*vms, replace(vms[0])], 'quito')
     assert [vm.address for vm in chosen] == ['b', 'z', 'a']
 
 
-class Broken(AssertionError):
-    """Tell that the fleet broke one of the promises."""
+class InvariantViolation(AssertionError):
+    """Raised if the fleet violates an invariant."""
 
 
 @dataclass
 class Checker:
-    """Remember which incarnations have ended or are leaving."""
+    """Check a fleet against the incarnations that ended or are leaving."""
 
     current: dict[str, str] = field(default_factory=dict)
     ended: set[str] = field(default_factory=set)
@@ -263,16 +263,18 @@
     def check(self, fleet: FleetState) -> None:
         for replica in fleet.replicas('desk'):
             if replica.incarnation in self.ended:
-                raise Broken('an ended incarnation serves')
+                raise InvariantViolation('an ended incarnation serves')
             if replica.incarnation in self.leaving:
-                raise Broken('a leaving agent is offered work')
+                raise InvariantViolation('a leaving agent is offered work')
             if replica.beat < self.beats.get(replica.incarnation, -1):
-                raise Broken('an old heartbeat replaced a newer one')
+                raise InvariantViolation(
+                    'an old heartbeat replaced a newer one'
+                )
             self.beats[replica.incarnation] = replica.beat
 
 
 class Beating(RuleBasedStateMachine):
-    """Start, end and mute agents while their messages come in any order."""
+    """Start and end agents, delivering their messages late or reordered."""
 
     make_fleet = FleetState
     agents = st.sampled_from('ab')
@@ -351,20 +353,20 @@
             self.checker.leaving.add(message.incarnation)
 
     @invariant()
-    def promises_hold(self):
+    def invariants_hold(self):
         self.checker.check(self.fleet)
 
 
-class ReturningFleet(FleetState):
-    """Welcome incarnations that have ended."""
+class AcceptsEndedFleet(FleetState):
+    """Accept incarnations that have ended."""
 
     def on_hello(self, hello, address, now):
         self._ended_incarnations = membership._BoundedDict(0)
         return super().on_hello(hello, address, now)
 
 
-class ForgivingFleet(FleetState):
-    """Let any heartbeat replace what was known."""
+class AcceptsOldHeartbeatsFleet(FleetState):
+    """Apply any heartbeat, however old."""
 
     def on_heartbeat(self, agent, beat, now):
         view = self._agents.get(agent)
@@ -389,11 +391,13 @@
     )
 
 
-def test_fleet_keeps_its_promises_in_any_order_of_messages():
+def test_fleet_holds_its_invariants_in_any_order_of_messages():
     run_machine(FleetState)
 
 
-@pytest.mark.parametrize('unsafe', [ReturningFleet, ForgivingFleet])
+@pytest.mark.parametrize(
+    'unsafe', [AcceptsEndedFleet, AcceptsOldHeartbeatsFleet]
+)
 def test_checker_catches_an_unsafe_fleet(unsafe):
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantViolation):
         run_machine(unsafe)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -92,7 +92,7 @@
         (3_000, 3_500),
     ],
 )
-def test_a_state_that_took_long_serves_for_one_order(took, due_at):
+def test_state_that_was_slow_to_read_allows_one_order(took, due_at):
     valid = replace(VALID, read_at=took)
     old, done = replace(OLD, took=took), replace(DONE, took=took)
     order = Order(WANTED, FENCE, took + VALIDITY_PERIOD)
@@ -157,7 +157,7 @@
 
 
 class Engine:
-    """Hold a model; refuse old fences if it checks them."""
+    """Hold a model, rejecting older fences if it checks them."""
 
     def __init__(self, *, checks):
         self.checks = checks
@@ -173,7 +173,7 @@
         return True
 
     def read(self, now):
-        # A server that checks nothing reports no fence either.
+        # A server that does not check fences reports none.
         fence = self.fence if self.checks else None
         state = self.desired
         return ObservedState(
@@ -189,20 +189,20 @@
 
 @dataclass(eq=False)
 class Agent:
-    """Act on the steps as the agent's shell does."""
+    """Execute the steps as the agent's order loop does."""
 
     incarnation: str
     offset: int
     checks: bool
-    learned: int
+    known_offset: int
     ended: bool = False
     confirmed: float = -1e9
     observed: ObservedState | None = None
     pending: Order | None = None
 
-    def know(self, now):
+    def make_validity(self, now):
         return Validity(
-            self.incarnation, self.learned, self.ended, self.confirmed
+            self.incarnation, self.known_offset, self.ended, self.confirmed
         )
 
     def decide(self, now):
@@ -210,7 +210,7 @@
             make_desired(self.offset),
             self.observed,
             Fence(self.offset, self.incarnation),
-            self.know(now),
+            self.make_validity(now),
             now,
             checks_fencing=self.checks,
             changed_at=self.offset,
@@ -226,10 +226,10 @@
 class UncheckedWorld(CheckedMachine):
     """Replace and pause the agents of one engine while operators publish.
 
-    Checks `reverted`: an order lands after a newer one, on a server that
-    checks fences at any time, on another one later than the stated window;
-    `stale`: an agent sends an order older than what it knows; `unsettled`:
-    the engine doesn't reach the desired state once things are quiet.
+    Checks `reverted`: the engine applies an order after a newer one, at any
+    time if it checks fences, otherwise after the validity period; `stale`: an
+    agent sends an order older than the offset that it knows; `unsettled`: the
+    engine does not reach the desired state after the last change.
     """
 
     checks = False
@@ -260,9 +260,9 @@
 
     @rule(by=st.sampled_from([100.0, 300.0]), pending=st.booleans())
     def succeed(self, by, pending):
-        """Let an agent order, or pause before that, and its successor act."""
+        """Let an agent order, or pause before it, then replace the agent."""
         self.publish(by)
-        self.hear(self.agents[-1])
+        self.receive_offset(self.agents[-1])
         for _ in range(6):
             is_paused = pending and self.agents[-1].pending is not None
             if not is_paused:
@@ -283,13 +283,13 @@
         self.now += pause
         agent = self.agents[-1 - back % len(self.agents)]
         if has_heard:
-            self.hear(agent)
+            self.receive_offset(agent)
         for _ in range(steps):
             self.step(agent)
 
-    def hear(self, agent):
-        agent.learned = self.offset
-        # The shell decides anew on any news.
+    def receive_offset(self, agent):
+        agent.known_offset = self.offset
+        # The order loop reconciles again on any new offset.
         agent.pending = None
 
     def step(self, agent):
@@ -302,7 +302,7 @@
         if isinstance(step, Order):
             agent.pending = step
         if isinstance(step, ConfirmValidity | StopOrdering):
-            agent.offset = agent.learned = self.offset
+            agent.offset = agent.known_offset = self.offset
             agent.ended = agent is not self.agents[-1]
             agent.confirmed = self.now
 
@@ -312,7 +312,7 @@
         if not agent.may_send(order, self.now):
             return
         offset = order.fence.offset
-        self.check(offset >= agent.learned, 'stale')
+        self.check(offset >= agent.known_offset, 'stale')
         self.check(not agent.ended, 'stale')
         if not self.engine.apply(order.desired, agent.get_fence(order)):
             return
@@ -326,7 +326,7 @@
         if self.is_broken or not self.is_settling:
             return
         agent = self.agents[-1]
-        self.hear(agent)
+        self.receive_offset(agent)
         for _ in range(4):
             self.now += RECHECK_INTERVAL
             for _ in range(6):
@@ -339,9 +339,9 @@
     checks = True
 
 
-class IgnoresNews(Agent):
-    def know(self, now):
-        known = super().know(now)
+class IgnoresNewOffset(Agent):
+    def make_validity(self, now):
+        known = super().make_validity(now)
         return replace(known, offset=self.offset, ended=False)
 
 
@@ -351,8 +351,8 @@
 
 
 class NeverConfirms(Agent):
-    def know(self, now):
-        return replace(super().know(now), read_at=now)
+    def make_validity(self, now):
+        return replace(super().make_validity(now), read_at=now)
 
 
 class SendsNoFence(Agent):
@@ -368,14 +368,14 @@
 @pytest.mark.parametrize(
     ('world', 'kind', 'check'),
     [
-        (UncheckedWorld, IgnoresNews, 'stale'),
+        (UncheckedWorld, IgnoresNewOffset, 'stale'),
         (UncheckedWorld, IgnoresTime, 'reverted'),
         (UncheckedWorld, NeverConfirms, 'reverted'),
-        (CheckedWorld, IgnoresNews, 'stale'),
+        (CheckedWorld, IgnoresNewOffset, 'stale'),
         (CheckedWorld, SendsNoFence, 'reverted'),
     ],
 )
-def test_the_check_of_orders_catches_an_unsafe_agent(world, kind, check):
+def test_order_checks_catch_an_unsafe_agent(world, kind, check):
     changes = {'make_agent': kind, 'is_settling': False}
     unsafe = type('UnsafeWorld', (world,), changes)
     assert_caught(unsafe, check)
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -46,7 +46,7 @@
 
 @dataclass
 class Log:
-    """Keep every record for the checks, and forget the oldest for readers."""
+    """Hold every record, but hide those before `first` from readers."""
 
     records: list[LogRecord] = field(default_factory=list)
     first: int = 0
@@ -87,7 +87,7 @@
         reader.on_page(log.read(reader.log_position), now)
 
 
-def pass_difference(
+def transfer_difference(
     source: ConfigurationReader, target: ConfigurationReader, now: float = 0.0
 ) -> None:
     request = target.on_peer_offset('peer', source.offset, now)
@@ -107,7 +107,7 @@
     assert reader.offset == 4
 
 
-def test_empty_log_makes_ready_but_no_answer_does_not():
+def test_reader_is_ready_at_an_empty_log_but_not_without_an_answer():
     reader = make_reader()
     assert 'no configuration yet' in reader.readiness(0).reason
     reader.on_page(Log().read(0), 0)
@@ -140,7 +140,7 @@
     assert 'the log starts at offset 6' in reader.readiness(0).reason
 
 
-def test_page_taken_in_parts_gives_the_state_of_the_whole_page():
+def test_page_applied_in_parts_gives_the_state_of_the_whole_page():
     log = make_log(40)
     source = make_reader()
     follow(source, log)
@@ -166,7 +166,7 @@
     follow(full, log)
     chunks = full.catalog.snapshot()
     assert len(chunks) > 4
-    # The first writer dies half-way, the others interleave.
+    # The first writer stops half-way, the others interleave.
     log.append(*chunks[:3])
     log.append(chunks[0], chunks[1], chunks[0], *chunks[2:4], *chunks[1:])
     log.append(*chunks[4:])
@@ -178,7 +178,7 @@
 
 
 @pytest.mark.parametrize('first', [0, 5, 8])
-def test_snapshot_that_claims_the_future_is_ignored(first):
+def test_snapshot_of_a_later_offset_is_ignored(first):
     log = make_log(8)
     ahead = Catalog()
     for record in make_log(40).records:
@@ -209,12 +209,12 @@
     follow(source, log)
     if known:
         target.on_page(log.read(0, limit=known), 0)
-    pass_difference(source, target)
+    transfer_difference(source, target)
     assert target.readiness(0).ready
     assert target.catalog.digest() == source.catalog.digest()
 
 
-def test_process_without_configuration_gives_none():
+def test_process_without_configuration_sends_none():
     source, target = make_reader(), make_reader()
     source.on_page(make_log(8).read(0, limit=4), 0)
     request = ConfigurationRequest(-1)
@@ -223,7 +223,7 @@
     assert not target.readiness(0).ready
 
 
-def test_old_or_tampered_difference_never_moves_back():
+def test_old_or_tampered_difference_never_moves_the_offset_back():
     log = make_log(8)
     source, target = make_reader(), make_reader()
     follow(source, log)
@@ -241,7 +241,7 @@
     assert behind.offset == -1
 
 
-def test_lost_or_disordered_chunk_leaves_the_state_alone():
+def test_lost_or_reordered_chunk_changes_nothing():
     source, target = make_reader(), make_reader()
     follow(source, make_log(8))
     messages = tuple(source.answer(ConfigurationRequest(-1)))
@@ -264,7 +264,7 @@
     assert reader.on_peer_offset('p2', 9, 2_001) is not None
 
 
-def test_log_gets_a_chance_before_peers_are_asked():
+def test_reader_waits_for_the_log_before_it_asks_a_peer():
     reader = make_reader(ask_after=500)
     assert reader.on_peer_offset('peer', 9, 0) is None
     assert reader.on_peer_offset('peer', 9, 499) is None
@@ -284,7 +284,7 @@
     assert reader.readiness(10_002).ready
 
 
-def test_reader_that_retention_has_passed_says_so_until_a_peer_helps():
+def test_reader_behind_the_log_start_is_not_ready_until_a_peer_answers():
     log = make_log(8)
     source, reader = make_reader(), make_reader()
     follow(source, log)
@@ -293,12 +293,12 @@
     follow(reader, log, now=1)
     assert not reader.is_snapshot_due(2 * HOUR)
     assert 'the log starts at offset 6' in reader.readiness(20_000).reason
-    pass_difference(source, reader, now=20_000)
+    transfer_difference(source, reader, now=20_000)
     assert reader.readiness(20_001).ready
     assert reader.catalog.digest() == source.catalog.digest()
 
 
-def test_snapshot_falls_due_by_age_and_count_until_somebody_appends():
+def test_snapshot_is_due_by_age_and_count_until_one_is_appended():
     log = make_log(8)
     reader = make_reader(snapshot_age=HOUR, snapshot_records=1_000)
     assert not reader.is_snapshot_due(0)
@@ -329,15 +329,16 @@
     assert 0 < appended <= 240 / 7.5
 
 
-class Broken(AssertionError):
-    """Tell that a reader broke one of the promises."""
+class InvariantViolation(AssertionError):
+    """Raised if a reader violates an invariant."""
 
 
 @dataclass
 class Checker:
-    """Judge every reader against the untruncated log.
+    """Check every reader against the complete log.
 
-    The winners are found by a model of its own: the generations alone.
+    An independent model, based on generations alone, decides which changes
+    apply.
     """
 
     log: Log
@@ -347,7 +348,7 @@
     seen: dict[int, int] = field(default_factory=dict)
     generations: dict[str, int] = field(default_factory=dict)
 
-    def note_change(self, change: Change) -> None:
+    def record_change(self, change: Change) -> None:
         found = self.generations.get(change.name, 0)
         wins = found == change.expected
         if wins:
@@ -364,20 +365,24 @@
     def check_reader(self, reader: ConfigurationReader) -> None:
         before = self.seen.get(id(reader), -1)
         if reader.offset < before:
-            raise Broken(f'went back from {before} to {reader.offset}')
+            raise InvariantViolation(
+                f'went back from {before} to {reader.offset}'
+            )
         self.seen[id(reader)] = reader.offset
         if reader.offset < 0:
             return
         if reader.catalog.digest() != self.digests[reader.offset]:
-            raise Broken(f'differs at offset {reader.offset}')
+            raise InvariantViolation(f'differs at offset {reader.offset}')
         for record_id, wins in self.winners.items():
             outcome = reader.catalog.find_outcome(record_id)
             if outcome and isinstance(outcome, Applied) != wins:
-                raise Broken(f'record {record_id} has another outcome')
+                raise InvariantViolation(
+                    f'record {record_id} has another outcome'
+                )
 
 
 class Spreading(RuleBasedStateMachine):
-    """Let readers live through lost, late and repeated messages."""
+    """Deliver messages to readers lost, late, repeated or reordered."""
 
     make_catalog: Callable[[], Catalog] = Catalog
     places = st.integers(0, 2)
@@ -414,7 +419,7 @@
                 max(0, expected - late),
                 spec,
             )
-            self.checker.note_change(change)
+            self.checker.record_change(change)
             self.log.append(encode_change(change))
 
     @rule(place=places, limit=st.integers(1, 30))
@@ -469,7 +474,7 @@
 
     @rule(place=places, other=places, cut=st.integers(0, 2))
     def append_snapshots(self, place, other, cut):
-        """Interleave two snapshots; the writer of one may die half-way."""
+        """Interleave two snapshots, of which one may stay incomplete."""
         for index in range(cut + 1):
             for reader in (self.readers[place], self.readers[other]):
                 chunks = reader.catalog.snapshot()
@@ -487,7 +492,7 @@
         self.now += by
 
     @invariant()
-    def promises_hold(self):
+    def invariants_hold(self):
         self.checker.check(self.readers)
 
     def repeat_everything(self):
@@ -497,7 +502,7 @@
         self.checker.check(self.readers)
 
     def teardown(self):
-        """Whoever is ahead and ready brings the others to the same state."""
+        """Check that the reader furthest ahead brings the others up to date."""
         self.repeat_everything()
         best = max(self.readers, key=lambda item: item.offset)
         if not best.readiness(self.now).ready or best.offset < 0:
@@ -509,12 +514,12 @@
                 for message in best.answer(request):
                     reader.on_difference('best', message, self.now)
             if reader.offset != best.offset:
-                raise Broken('did not catch up')
+                raise InvariantViolation('did not catch up')
         self.checker.check(self.readers)
 
 
 class BackwardCatalog(Catalog):
-    """Take over any whole snapshot, also an older one."""
+    """Restore any complete snapshot, including older ones."""
 
     def replace_state(self, loaded):
         self.offset = -1
@@ -522,18 +527,19 @@
 
 
 class UncheckedCatalog(Catalog):
-    """Let the last writer win."""
+    """Apply changes whose expected generation is outdated."""
 
     def _find_rejection(self, change):
-        loss = super()._find_rejection(change)
+        rejection = super()._find_rejection(change)
         generation = (
-            loss and loss[0] is catalog_module.RejectionReason.GENERATION
+            rejection
+            and rejection[0] is catalog_module.RejectionReason.GENERATION
         )
-        return None if generation else loss
+        return None if generation else rejection
 
 
 class GappyCatalog(Catalog):
-    """Apply a snapshot of which chunks are missing."""
+    """Lose an object when restoring a snapshot."""
 
     def replace_state(self, loaded):
         changed = super().replace_state(loaded)
@@ -566,5 +572,5 @@
     'unsafe', [BackwardCatalog, UncheckedCatalog, GappyCatalog]
 )
 def test_checker_catches_an_unsafe_catalog(unsafe):
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantViolation):
         run_machine(unsafe, examples=300)
