--- a/src/oleanderdyke/entry/hosted/core.py
+++ b/src/oleanderdyke/entry/hosted/core.py
@@ -16,14 +16,14 @@
 from oleanderdyke.entry.hosted.news import SharedNews
 from oleanderdyke.entry.stopping import StoppableRequest
 from oleanderdyke.events import EventName
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.cold_starts import ColdLimit
 from oleanderdyke.kernel.context_stores import ContextStores
 from oleanderdyke.kernel.deployment import Deployment
 from oleanderdyke.kernel.drain import Drain, DrainSettings
-from oleanderdyke.kernel.durations import Durations
+from oleanderdyke.kernel.durations import DurationEstimator
 from oleanderdyke.kernel.engine_clock import EngineClock
-from oleanderdyke.kernel.load_board import TimedLoad
+from oleanderdyke.kernel.load_table import TimedLoad
 from oleanderdyke.kernel.presence import EntryCount
 from oleanderdyke.kernel.retries import (
     RetryBudget,
@@ -75,9 +75,9 @@
     news: SharedNews
     limits: SendLimits
     entries: EntryCount = field(default_factory=EntryCount)
-    book: BackendBook = field(default_factory=BackendBook)
+    backends: BackendRegistry = field(default_factory=BackendRegistry)
     deployment: Deployment | None = None
-    durations: Durations = field(default_factory=Durations)
+    durations: DurationEstimator = field(default_factory=DurationEstimator)
     rollout: Rollout = field(default_factory=lambda: Rollout(math.inf))
     contexts: ContextStores = field(default_factory=ContextStores)
     # Set once the stores of context were read, or were waited for in vain.
@@ -104,24 +104,24 @@
 
     def note_load(self, start: ServerStart, load: ServerLoad) -> None:
         """Take the load that a server told, and keep it for neighbours."""
-        backend = self.book.find_start(start)
+        backend = self.backends.find_start(start)
         rate_limit = None
-        if backend is not None and backend.limit.was_named:
+        if backend is not None and backend.limit.was_ever_set:
             rate_limit = backend.limit.per_second
         told = TimedLoad(start, load, self.clock.now(), rate_limit)
-        self.book.note_load(start, load, told.at)
-        self.news.desk.loads.note(told)
-        self.news.desk.own_loads.note(told)
+        self.backends.record_load(start, load, told.at)
+        self.news.desk.loads.update(told)
+        self.news.desk.own_loads.update(told)
 
     def take_shared_load(self, told: TimedLoad) -> None:
         """Take the load that a server told a neighbour."""
-        if not self.news.desk.loads.note(told):
+        if not self.news.desk.loads.update(told):
             return
-        self.book.note_load(told.start, told.load, told.at)
+        self.backends.record_load(told.start, told.load, told.at)
         if told.rate_limit is not None:
-            self.note_limit(told.start, told.rate_limit, told_at=told.at)
+            self.record_rate_limit(told.start, told.rate_limit, told_at=told.at)
 
-    def note_limit(
+    def record_rate_limit(
         self,
         start: ServerStart,
         per_second: float,
@@ -136,7 +136,7 @@
         """
         now = self.clock.now()
         told_at = now if told_at is None else told_at
-        if not self.book.note_limit(start, per_second, told_at, now):
+        if not self.backends.record_rate_limit(start, per_second, told_at, now):
             return
         self.log.write(
             EventName.BACKEND_LIMITED,
@@ -147,9 +147,9 @@
             age=round(now - told_at),
         )
 
-    def note_leaving(self, start: ServerStart, request: str) -> None:
+    def mark_leaving(self, start: ServerStart, request: str) -> None:
         """Send nothing more to a start whose answer to a request says so."""
-        if self.book.note_leaving(start):
+        if self.backends.mark_leaving(start):
             self.log.write(
                 EventName.BACKEND_LEAVING,
                 peer=start.server,
@@ -157,11 +157,11 @@
                 request=request,
             )
 
-    def note_backoff(
+    def record_backoff(
         self, start: ServerStart, pause: Millis, request: str
     ) -> None:
         """Send nothing to a start that refused a request, for a pause."""
-        if self.book.note_backoff(start, pause, self.clock.now()):
+        if self.backends.record_backoff(start, pause, self.clock.now()):
             self.log.write(
                 EventName.BACKEND_BACKOFF,
                 peer=start.server,
@@ -204,13 +204,13 @@
             version,
             within=self.settings.version_limit - margin,
             now=self.clock.now(),
-            shift=self.engine_clock.most,
+            clock_offset=self.engine_clock.max_offset,
         )
 
     def find_replaced(self, model: str, version: int) -> Millis | None:
         """Return before when newer weights were not named, None if none are."""
-        return self.rollout.weights.find_replaced(
-            model, version, self.clock.now(), self.engine_clock.most
+        return self.rollout.weights.find_replaced_at(
+            model, version, self.clock.now(), self.engine_clock.max_offset
         )
 
     def make_store_dependency(self, name: str) -> Dependency:
--- a/src/oleanderdyke/entry/hosted/placing.py
+++ b/src/oleanderdyke/entry/hosted/placing.py
@@ -11,7 +11,7 @@
 from oleanderdyke.entry.hosted.core import HostedCore
 from oleanderdyke.errors import ErrorKind
 from oleanderdyke.kernel.backend import Backend
-from oleanderdyke.kernel.overload import find_wait, should_refuse
+from oleanderdyke.kernel.overload import find_server_wait, should_refuse
 from oleanderdyke.kernel.placement import (
     CallDemand,
     Choice,
@@ -46,7 +46,7 @@
 _PAUSES: Mapping[Obstacle, Pause] = {
     Obstacle.OUTDATED: _LONG_PAUSE,
     Obstacle.EVACUATED: _LONG_PAUSE,
-    Obstacle.FOREIGN: _LONG_PAUSE,
+    Obstacle.REGION: _LONG_PAUSE,
 }
 # Callers are told when the first server takes requests of this entry again, at
 # most so late: another entry may have a turn at a limited server sooner.
@@ -87,7 +87,7 @@
         not sent back for the crowd that it would join.
         """
         now = self._core.clock.now()
-        listed = self._core.book.list_service(self._call.service, now)
+        listed = self._core.backends.list_service(self._call.service, now)
         demand = make_demand(self._core, self._call, listed, tried)
         choice = choose_among(demand, listed, now)
         if choice is None:
@@ -126,12 +126,12 @@
             for backend in listed
             if demand.blocked.get(backend.record.start) in _LONGEST_TURNS
         ]
-        return self._core.limits.find_first_turn(waited_for, now)
+        return self._core.limits.find_next_send_time(waited_for, now)
 
     def _may_wait(self, now: Millis) -> bool:
         """Return whether a server may still come that takes the call."""
         if self._wait_until is None:
-            self._wait_until = now + find_wait(self._call.deadline - now)
+            self._wait_until = now + find_server_wait(self._call.deadline - now)
         return now < self._wait_until
 
     def _is_crowded(self, choice: Choice) -> bool:
@@ -144,7 +144,7 @@
             waiting=choice.waiting,
             fill=choice.fill,
             size=choice.size,
-            drawn=self._core.random.random(),
+            random_value=self._core.random.random(),
         )
 
 
--- a/src/oleanderdyke/entry/hosted/watch.py
+++ b/src/oleanderdyke/entry/hosted/watch.py
@@ -10,7 +10,7 @@
 from oleanderdyke.entry.hosted.core import HostedCore
 from oleanderdyke.entry.hosted.roster import Roster
 from oleanderdyke.events import EventName
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.deployment import Deployment
 from oleanderdyke.platform.documents import MalformedRecord, NamedVersion
 from oleanderdyke.platform.feed import (
@@ -108,17 +108,19 @@
         core = self._core
         notices = await self._loads.read()
         if notices is None:
-            core.rollout.queue.forget()
+            core.rollout.queue.clear()
             return
         for notice in notices:
-            core.rollout.take(
-                notice, now=core.clock.now(), shift=core.engine_clock.most
+            core.rollout.apply(
+                notice,
+                now=core.clock.now(),
+                clock_offset=core.engine_clock.max_offset,
             )
             # The list tells the same up to two seconds later.
-            backend = core.book.find(notice.server)
+            backend = core.backends.find(notice.server)
             if backend is not None and notice.held:
                 start = backend.record.start
-                core.book.note_version(start, notice.model, notice.held)
+                core.backends.record_version(start, notice.model, notice.held)
         if notices and not self._long_loads.was_shared:
             await anyio.sleep(_LOADS_HOLD / SECOND)
 
@@ -136,7 +138,7 @@
                 # An answer that comes late, or that a suspended entry finds
                 # once it goes on, tells nothing of the time in between.
                 core.configuration_read = asked_at + news.waited
-                core.rollout.weights.note_read(asked_at + news.waited)
+                core.rollout.weights.record_read(asked_at + news.waited)
                 core.configuration_asked = asked_at + min(news.waited, 0.0)
 
     async def _read_servers(self) -> None:
@@ -148,14 +150,14 @@
         now = core.clock.now()
         # What a neighbour tells may be older than the way that it came.
         read_at = asked_at + news.waited if self._short.was_shared else now
-        core.book.note_answer(now, read_at)
-        _take_servers(core.book, news, now)
-        core.book.note_read(now, read_at)
-        self._roster.note(core.book, now, now - (core.servers_read or now))
+        core.backends.record_list_read(now, read_at)
+        _take_servers(core.backends, news, now)
+        core.backends.complete_read(now, read_at)
+        self._roster.note(core.backends, now, now - (core.servers_read or now))
         core.servers_read = now
         # Connections to a start that has ended may be dead without a sign, as
         # behind a cut; each would cost a request half a second.
-        for ended in core.book.take_superseded():
+        for ended in core.backends.take_superseded():
             core.pool.drop_idle(ended.address)
 
     async def _follow(
@@ -185,7 +187,7 @@
 
     def _name(self, named: NamedVersion) -> None:
         core = self._core
-        if not core.rollout.weights.name(named.model, named.version):
+        if not core.rollout.weights.add(named.model, named.version):
             return
         core.log.write(
             EventName.VERSION_NAMED, model=named.model, version=named.version
@@ -224,7 +226,7 @@
         if known is not None and deployment.version <= known.version:
             return
         self._core.deployment = deployment
-        self._core.limits.cold = self._core.find_cold_limits(deployment)
+        self._core.limits.cold_limits = self._core.find_cold_limits(deployment)
         self._core.log.write(
             EventName.CONFIGURATION_APPLIED,
             version=deployment.version,
@@ -232,10 +234,10 @@
         )
 
 
-def _take_servers(book: BackendBook, news: ServerNews, now: Millis) -> None:
+def _take_servers(book: BackendRegistry, news: ServerNews, now: Millis) -> None:
     """Take the whole list, or what has changed in it."""
     if news.is_restored:
-        book.note_restored(now)
+        book.record_restore(now)
     if news.is_whole:
         book.replace(news.listed, now, unread=news.unread)
         return
@@ -243,4 +245,4 @@
         book.remove(server, now)
     for record in news.listed:
         book.put(record, now)
-    book.note_unread(news.unread)
+    book.mark_unreadable(news.unread)
--- a/src/oleanderdyke/kernel/backend.py
+++ b/src/oleanderdyke/kernel/backend.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 
 from oleanderdyke.clock import SECOND, Millis
+from oleanderdyke.kernel.prefill_rate import PrefillRate
 from oleanderdyke.kernel.rate_limits import RateLimit
-from oleanderdyke.kernel.read_rate import ReadRate
 from oleanderdyke.kernel.servers import (
     AnswerField,
     PromptPart,
@@ -47,7 +47,7 @@
 
     record: ServerRecord
     listed_at: Millis = 0.0
-    reading: ReadRate = field(default_factory=ReadRate)
+    reading: PrefillRate = field(default_factory=PrefillRate)
     running: int = 0
     running_tokens: int = 0
     waiting: dict[str, PendingAttempt] = field(default_factory=dict)
@@ -108,7 +108,7 @@
         """Update the queue delay of a rank, and the reading rate."""
         queue_time = max(self._find_queue_time(attempt, now), 0.0)
         if attempt.is_alone:
-            self.reading.note(
+            self.reading.add_sample(
                 attempt.tokens, now - attempt.since - _BASE_FIRST_BYTE
             )
         known = self.find_queue_delay(attempt.rank, now)
@@ -143,7 +143,7 @@
             return 0.0
         since = [attempt.since for attempt in self.waiting.values()]
         tokens = sum(attempt.tokens for attempt in self.waiting.values())
-        reading = min(self.reading.find_time(tokens), _MAX_READING_TIME)
+        reading = min(self.reading.estimate_time(tokens), _MAX_READING_TIME)
         silence = now - max(min(since, default=0.0), self.last_heard_at)
         return max(silence - reading - self._find_grace(now), 0.0)
 
@@ -162,7 +162,7 @@
 
     def _find_queue_time(self, attempt: PendingAttempt, now: Millis) -> Millis:
         """Return the wait beyond reading the prompt, which may be negative."""
-        reading = self.reading.find_time(attempt.tokens)
+        reading = self.reading.estimate_time(attempt.tokens)
         return now - attempt.since - reading - _BASE_FIRST_BYTE
 
     def clear_cache(self) -> None:
--- a/src/oleanderdyke/kernel/placement.py
+++ b/src/oleanderdyke/kernel/placement.py
@@ -9,7 +9,7 @@
 
 from oleanderdyke.clock import Millis
 from oleanderdyke.kernel.backend import Backend
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.ranks import find_rank
 from oleanderdyke.kernel.send_limits import Obstacle
 from oleanderdyke.kernel.servers import ModelDemand, ServerStart
@@ -54,7 +54,7 @@
     Obstacle.BACKOFF,
     Obstacle.OUTDATED,
     Obstacle.EVACUATED,
-    Obstacle.FOREIGN,
+    Obstacle.REGION,
 )
 _NONE = Obstacle.UNLISTED
 
@@ -83,7 +83,7 @@
     outdated: frozenset[int | None] = frozenset()
     blocked: Mapping[ServerStart, Obstacle] = field(default_factory=dict)
     memory_tokens: int = 0
-    drawn: float = 0.0
+    random_value: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,7 +121,7 @@
 
 
 def choose_backend(
-    demand: CallDemand, book: BackendBook, now: Millis
+    demand: CallDemand, book: BackendRegistry, now: Millis
 ) -> Choice | None:
     """Return the server with the least expected time to the first byte."""
     return choose_among(demand, book.list_service(demand.service, now), now)
@@ -218,10 +218,10 @@
     if demand.model is None:
         return 0.0
     fetched, missing = _split_prompt(demand, demand.model, backend)
-    find_time = backend.reading.find_time
-    owed = find_time(backend.count_pending_tokens(demand.rank))
+    estimate_time = backend.reading.estimate_time
+    owed = estimate_time(backend.count_pending_tokens(demand.rank))
     delay = max(backend.find_queue_delay(demand.rank, now), owed)
-    return delay + find_time(missing) + fetched / _FETCH_RATE
+    return delay + estimate_time(missing) + fetched / _FETCH_RATE
 
 
 def _score(
@@ -260,7 +260,7 @@
     score += backend.count_waiting(now) * _WAITING_COST
     is_fetchable = version is not None and demand.fetchable.get(version, 0)
     if backend.record.server not in terms.homes and not is_fetchable:
-        shared = backend.reading.find_time(_find_shared_tokens(model))
+        shared = backend.reading.estimate_time(_find_shared_tokens(model))
         score += shared / _HOMES
     return score
 
@@ -285,7 +285,7 @@
     return _Terms(
         homes=_find_homes(demand.model, usable),
         older=older,
-        old_cost=_OLD_WEIGHTS_COST if demand.drawn < share else 0.0,
+        old_cost=_OLD_WEIGHTS_COST if demand.random_value < share else 0.0,
     )
 
 
--- a/src/oleanderdyke/kernel/read_rate.py
+++ b/src/oleanderdyke/kernel/prefill_rate.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class ReadRate:
+class PrefillRate:
     """Hold the tokens per millisecond that engines of one service read."""
 
     _seen: deque[float] = field(
@@ -30,7 +30,7 @@
     )
     _rate: float = _FIRST_RATE
 
-    def note(self, tokens: int, duration: Millis) -> None:
+    def add_sample(self, tokens: int, duration: Millis) -> None:
         """Learn from a prompt that was read with nothing known before it."""
         if tokens < _LEAST_TOKENS or duration <= 0:
             return
@@ -38,6 +38,6 @@
         self._seen.append(min(max(rate, _SLOWEST), _FASTEST))
         self._rate = statistics.median(self._seen)
 
-    def find_time(self, tokens: float) -> Millis:
+    def estimate_time(self, tokens: float) -> Millis:
         """Return how long reading takes."""
         return tokens / self._rate
--- a/src/oleanderdyke/kernel/keeping.py
+++ b/src/oleanderdyke/kernel/reuse_model.py
@@ -24,7 +24,7 @@
     uses: int = 1
 
 
-class ReturnModel:
+class ReuseModel:
     """Estimate the rate of return from the gaps between uses."""
 
     def __init__(self, limit: int) -> None:
--- a/tests/test_hosted_safety.py
+++ b/tests/test_hosted_safety.py
@@ -137,12 +137,12 @@
     monkeypatch.setattr(
         driver,
         '_make_settings',
-        lambda _: driver.MachineSettings(max_attempts=2),
+        lambda _: driver.AttemptSettings(max_attempts=2),
     )
     _assert_caught(Ask('/once/', (Act.RESET,)))
 
 
-@pytest.mark.parametrize('act', [Act.REFUSE_UNPROVED, Act.FOREIGN])
+@pytest.mark.parametrize('act', [Act.REFUSE_UNPROVED, Act.REGION])
 def test_the_answers_catch_an_entry_that_believes_all(monkeypatch, act):
     monkeypatch.setattr(attempts, 'find_fault', lambda *_: '')
     _assert_caught(Ask('/once/', (act,)))
--- a/tests/test_other_writers.py
+++ b/tests/test_other_writers.py
@@ -118,7 +118,7 @@
 def test_a_good_record_is_decoded_with_all_it_says():
     found = decode_server('i-1', GOOD)
     assert found.versions == {'m': 3}
-    assert (found.address, found.slots, found.beat) == ('10.0.0.2:80', 6, 1)
+    assert (found.address, found.slots, found.revision) == ('10.0.0.2:80', 6, 1)
 
 
 @each_broken
@@ -396,7 +396,7 @@
 
 def list_usable(stage) -> list[str]:
     core = stage.core
-    listed = core.book.list_service('desk', core.clock.now())
+    listed = core.backends.list_service('desk', core.clock.now())
     return [backend.record.server for backend in listed]
 
 
@@ -454,7 +454,7 @@
             SERVERS, 'i-9', make_record('127.0.0.1:9', state='draining')
         )
         with anyio.fail_after(5):
-            while stage.core.book.find('i-9') is None:
+            while stage.core.backends.find('i-9') is None:
                 await anyio.sleep(0.05)
         assert list_usable(stage) == ['i-0']
     assert json.loads(GOOD) == foreign.GOOD
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -7,13 +7,13 @@
 from bench.views import LateFleet
 from oleanderdyke.errors import ErrorKind
 from oleanderdyke.kernel.demand import Demand, Plan, Refusal, Replica
-from oleanderdyke.kernel.links_meter import LinkMeter
+from oleanderdyke.kernel.link_meter import LinkMeter
 from oleanderdyke.kernel.prediction import BacklogTracker
 from oleanderdyke.kernel.routing import (
     Costs,
     LinkView,
-    Standing,
-    choose_source,
+    ReplicaEstimate,
+    plan_prefill,
     should_drop_fetch,
 )
 from oleanderdyke.links.messages import AgentPhase, BackendKind, Load
@@ -101,9 +101,11 @@
 
 def test_part_is_fetched_while_the_request_waits_anyway():
     link = LinkView(0.0, 4e8)
-    source = choose_source(
+    source = plan_prefill(
         COSTS,
-        Standing(1_000, 1_000, 8_000.0, TOKENS, 0, covered=40, link=link),
+        ReplicaEstimate(
+            1_000, 1_000, 8_000.0, TOKENS, 0, covered=40, link=link
+        ),
     )
     assert 0 < source.fetched < 40
 
@@ -211,8 +213,8 @@
 
 def test_meter_learns_a_degraded_link():
     meter = LinkMeter(1e9)
-    meter.note_asked(10**9, 0.0)
+    meter.record_requested(10**9, 0.0)
     for second in range(1, 9):
-        meter.note_carried(10**8, second * 1_000.0)
-    assert meter.read_rate(8_000.0) < 2e8
+        meter.record_sent(10**8, second * 1_000.0)
+    assert meter.estimate_rate(8_000.0) < 2e8
     assert meter.bytes_in_flight == 2 * 10**8
