--- a/src/oleanderdyke/kernel/backend.py
+++ b/src/oleanderdyke/kernel/backend.py
@@ -17,17 +17,16 @@
     ServerRecord,
 )
 
-# The time to first byte without queueing and reading the prompt: the first step
-# of an engine and a network round trip.
+# The time to first byte without queueing and prefill: the first step of an
+# engine and a network round trip.
 _BASE_FIRST_BYTE: Millis = 45.0
 # The weight of the latest first byte in the average queue delay.
 _DELAY_WEIGHT = 0.3
 # An observed queue delay decays to zero over this time.
 _DELAY_LIFETIME: Millis = 1_500.0
-# The longest time for which a server may be silent because it reads prompts: a
-# frozen one may have any number of tokens to read, and callers of streams leave
-# after two seconds.
-_MAX_READING_TIME: Millis = 1.5 * SECOND
+# The longest silence that is attributed to prefill: a frozen server may have
+# any number of pending tokens, and callers of streams leave after two seconds.
+_MAX_PREFILL_TIME: Millis = 1.5 * SECOND
 # A server whose load report reached any entry within this time is alive, and is
 # granted the grace time before it counts as overdue.
 _REPORT_LIFETIME: Millis = 800.0
@@ -105,7 +104,7 @@
         return max(observed, *attempt, 0.0)
 
     def record_first_byte(self, attempt: PendingAttempt, now: Millis) -> None:
-        """Update the queue delay of a rank, and the reading rate."""
+        """Update the queue delay of a rank, and the prefill rate."""
         queue_time = max(self._find_queue_time(attempt, now), 0.0)
         if attempt.is_alone:
             self.reading.add_sample(
@@ -135,17 +134,19 @@
         """Return for how long an expected byte is overdue.
 
         An engine sends output of each run every few milliseconds, but none
-        while it reads the prompts of new requests. Without allowing for that
-        time, healthy engines would get no requests for half a second or more,
-        and other engines would read the same prompts again.
+        during the prefill of new requests. Without allowing for that time,
+        healthy engines would get no requests for half a second or more, and
+        other engines would repeat the prefill of their requests.
         """
         if not self.running:
             return 0.0
         since = [attempt.since for attempt in self.waiting.values()]
         tokens = sum(attempt.tokens for attempt in self.waiting.values())
-        reading = min(self.reading.estimate_time(tokens), _MAX_READING_TIME)
+        prefill_time = min(
+            self.reading.estimate_time(tokens), _MAX_PREFILL_TIME
+        )
         silence = now - max(min(since, default=0.0), self.last_heard_at)
-        return max(silence - reading - self._find_grace(now), 0.0)
+        return max(silence - prefill_time - self._find_grace(now), 0.0)
 
     def _find_grace(self, now: Millis) -> Millis:
         """Return the extra time granted to a server that still reports load.
@@ -161,9 +162,9 @@
         return _REPORT_GRACE
 
     def _find_queue_time(self, attempt: PendingAttempt, now: Millis) -> Millis:
-        """Return the wait beyond reading the prompt, which may be negative."""
-        reading = self.reading.estimate_time(attempt.tokens)
-        return now - attempt.since - reading - _BASE_FIRST_BYTE
+        """Return the wait beyond the prefill time, which may be negative."""
+        prefill_time = self.reading.estimate_time(attempt.tokens)
+        return now - attempt.since - prefill_time - _BASE_FIRST_BYTE
 
     def clear_cache(self) -> None:
         """Clear the cached parts, which new weights invalidate."""
@@ -196,8 +197,8 @@
 class PendingAttempt:
     """Describe an attempt that waits for its first byte since `since`.
 
-    `tokens` are the prompt tokens to read first, `memory` the tokens of engine
-    memory that the request takes at its end. `is_alone` is set if no other
+    `tokens` are the prompt tokens to prefill, `memory` the tokens of engine
+    memory that the request occupies at its end. `is_alone` is set if no other
     request was known to wait on the server.
     """
 
--- a/src/oleanderdyke/kernel/membership.py
+++ b/src/oleanderdyke/kernel/membership.py
@@ -212,9 +212,9 @@
 
         Suspected agents are returned only if no other agent serves.
         """
-        heard = self._groups.get(_GroupKey(service, Condition.HEARD))
-        if heard:
-            return tuple(heard.values())
+        active = self._groups.get(_GroupKey(service, Condition.HEARD))
+        if active:
+            return tuple(active.values())
         suspected = self._groups.get(
             _GroupKey(service, Condition.SUSPECTED), {}
         )
