--- a/src/oleanderdyke/entry/hosted/answers.py
+++ b/src/oleanderdyke/entry/hosted/answers.py
@@ -10,7 +10,7 @@
 _SUCCESS = range(200, 300)
 
 
-def find_fault(status: int, facts: AnswerFacts, request: str) -> str:
+def find_answer_fault(status: int, facts: AnswerFacts, request: str) -> str:
     """Return why an answer can't be that of the server to this request."""
     if facts.request and facts.request != request:
         # Also a late refusal: believed, it would leave this run unclosed
@@ -33,7 +33,7 @@
     return facts.request in {'', request} and facts.server in {'', server}
 
 
-def has_events(headers: Headers) -> bool:
+def is_event_stream(headers: Headers) -> bool:
     """Return whether the body is a stream of events."""
     return any(
         name == 'content-type' and content.startswith(_EVENT_STREAM)
@@ -41,10 +41,10 @@
     )
 
 
-def is_rest(status: int, headers: Headers) -> bool:
+def continues_stream(status: int, headers: Headers) -> bool:
     """Return whether an answer may follow the events that a caller has.
 
     A failure, or any other text, would be joined to them and end the stream as
     whole.
     """
-    return status in _SUCCESS and has_events(headers)
+    return status in _SUCCESS and is_event_stream(headers)
--- a/src/oleanderdyke/entry/hosted/app.py
+++ b/src/oleanderdyke/entry/hosted/app.py
@@ -11,7 +11,11 @@
     Send,
     parse_head,
 )
-from oleanderdyke.entry.hosted.call import Permit, find_permit, make_call
+from oleanderdyke.entry.hosted.call import (
+    AuthorizedRequest,
+    authorize_request,
+    make_call,
+)
 from oleanderdyke.entry.hosted.core import HostedCore
 from oleanderdyke.entry.hosted.driver import HostedDriver
 from oleanderdyke.entry.hosted.reply import Reply
@@ -35,7 +39,7 @@
         self._core = core
         self._stopper = stopper
         self._readiness_port = readiness_port
-        self._count = 0
+        self._sequence = 0
 
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
@@ -47,7 +51,7 @@
         if port == self._readiness_port:
             await self._answer_readiness(scope, send)
             return
-        reply = Reply(send, self._is_leaving)
+        reply = Reply(send, self._is_draining)
         try:
             await self._serve(scope, receive, reply)
         except CallerGone:
@@ -62,29 +66,29 @@
         started = core.clock.now()
         head = parse_head(scope, '')
         reply.request = head.find(names.REQUEST_ID) or ''
-        permit = find_permit(core, head)
-        key = self._find_key(reply.request)
-        route = permit.route
+        authorized = authorize_request(core, head)
+        key = self._make_key(reply.request)
+        route = authorized.route
         needs = core.durations.find_bound(route.name, route.timeout, started)
         self._stopper.begin(key, needs)
         core.durations.begin(key, route.name, started)
         try:
-            await self._lead(head, permit, receive, reply, key, started)
+            await self._handle(head, authorized, receive, reply, key, started)
         finally:
             core.durations.end(key)
             self._stopper.end(key)
 
-    def _find_key(self, request: str) -> str:
+    def _make_key(self, request: str) -> str:
         """Return what a stop knows a request by: its id, where it is free."""
-        self._count += 1
+        self._sequence += 1
         if request and not self._core.drain.has_work(request):
             return request
-        return f'{request}#{self._count}'
+        return f'{request}#{self._sequence}'
 
-    async def _lead(
+    async def _handle(
         self,
         head: Head,
-        permit: Permit,
+        authorized: AuthorizedRequest,
         receive: Receive,
         reply: Reply,
         key: str,
@@ -96,7 +100,7 @@
             limits = core.deployment.limits
         body = Body(receive, limits.body_bytes, limits.idle_timeout, head)
         data = await body.read()
-        call = make_call(core, head, permit, body=data, started=started)
+        call = make_call(core, head, authorized, body=data, started=started)
         core.metrics.add(Count.REQUESTS, label=call.service)
         core.log.write(
             EventName.REQUEST_ACCEPTED,
@@ -105,7 +109,7 @@
             service=call.service,
             name=call.route.name,
             limit=round(call.deadline - started),
-            offset=call.asked.last_event or None,
+            offset=call.parameters.last_event or None,
             **core.describe_configuration(),
         )
         await HostedDriver(core, call, body, reply).run(key)
@@ -123,17 +127,17 @@
         if reply.status:
             return
         if error.kind is ErrorKind.BODY_TOO_LARGE:
-            reply.closes = True
+            reply.closes_connection = True
         await reply.refuse(
             error.kind, error.ran, error.message, error.retry_after
         )
 
-    def _is_leaving(self) -> bool:
+    def _is_draining(self) -> bool:
         return self._core.drain.is_leaving
 
     async def _answer_readiness(self, scope: Scope, send: Send) -> None:
-        fault = self._core.find_fault()
-        reply = Reply(send, self._is_leaving)
+        fault = self._core.find_unready_reason()
+        reply = Reply(send, self._is_draining)
         if scope['path'] != names.READINESS_PATH:
             await reply.refuse(
                 ErrorKind.NOT_FOUND,
--- a/src/oleanderdyke/entry/hosted/attempt.py
+++ b/src/oleanderdyke/entry/hosted/attempt.py
@@ -11,11 +11,12 @@
 )
 from oleanderdyke.clock import Millis
 from oleanderdyke.entry.hosted.answers import (
-    find_fault,
-    has_events,
+    continues_stream,
+    find_answer_fault,
+    is_event_stream,
     is_own_answer,
-    is_rest,
 )
+from oleanderdyke.entry.hosted.backend_updates import BackendUpdates
 from oleanderdyke.entry.hosted.call import HostedCall, make_salt
 from oleanderdyke.entry.hosted.core import HostedCore
 from oleanderdyke.entry.hosted.dispatch import (
@@ -23,7 +24,6 @@
     plan_contexts,
 )
 from oleanderdyke.entry.hosted.events import EventSplitter
-from oleanderdyke.entry.hosted.lessons import Lessons
 from oleanderdyke.entry.hosted.weights import (
     Weights,
     find_weights,
@@ -52,7 +52,7 @@
 _SERVER_ERROR = 500
 # A body up to this size is held until it is whole, so that a broken one can
 # be asked for again and never looks complete.
-_HELD_BYTES = 256 * 1024
+_BUFFER_LIMIT = 256 * 1024
 
 
 class DirectAttempt:
@@ -84,18 +84,18 @@
         self._start = start
         self._chosen_at = chosen_at
         self.server = start.server
-        self._lessons = Lessons(core, call, start)
-        self._name = f'{id(self):x}'
+        self._updates = BackendUpdates(core, call, start)
+        self._attempt_id = f'{id(self):x}'
         self._connection: BackendConnection | None = None
         self._sequence = 0
-        self._memory = 0
+        self._memory_tokens = 0
         self._weights: Weights = {}
-        self._held: bytearray | None = bytearray()
+        self._buffered: bytearray | None = bytearray()
         self._head: AnswerHead | None = None
         self._is_stream = False
         self._has_answered = False
         # A stream begins with its first event: a head alone may be sent before.
-        self._has_begun = False
+        self._has_started = False
         self._address = ''
         self._sent = False
         self._done = False
@@ -124,12 +124,12 @@
             return
         self._send(connection, backend)
 
-    def withdraw_late(self) -> None:
+    def withdraw_outdated(self) -> None:
         """Take back what waits on weights whose time to begin runs out.
 
         What has its first token has begun and goes on.
         """
-        if self._done or not self._sent or self._has_begun:
+        if self._done or not self._sent or self._has_started:
             return
         if not may_begin(self._core, self._weights, BEGIN_MARGIN):
             self._close_failed(
@@ -158,7 +158,7 @@
     def fail(self, reason: str) -> None:
         """Give up on an answer that may still come."""
         if not self._done:
-            self._note_lost()
+            self._record_loss()
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, reason)
 
     def find_silence(self, now: Millis) -> Millis:
@@ -171,19 +171,19 @@
     def take_head(self, status: int, headers: Headers) -> None:
         """Judge the head of the answer."""
         facts = decode_answer(status, headers)
-        self._learn(facts)
+        self._record_facts(facts)
         if self._done:
             return
-        fault = find_fault(status, facts, self._call.request)
+        fault = find_answer_fault(status, facts, self._call.request)
         if fault:
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, fault)
         elif facts.is_not_run:
-            self._lessons.take_refusal(facts, self._weights)
+            self._updates.apply_refusal(facts, self._weights)
             self._report_failure(ErrorKind.OVERLOADED, Ran.NO, f'{status}')
         elif status >= _SERVER_ERROR and self._reserve_retry():
             self._core.backends.note_error(self._start)
             self._report_failure(ErrorKind.STREAM_BROKEN, Ran.YES, f'{status}')
-        elif self._goes_on() and not is_rest(status, headers):
+        elif self._is_continuation() and not continues_stream(status, headers):
             reason = f'{status} instead of the rest of the stream'
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, reason)
         else:
@@ -193,28 +193,32 @@
         """Pass on a part of the body, or hold it until the end."""
         if self._done:
             return
-        self._has_begun = True
-        self._note_heard()
+        self._has_started = True
+        self._record_activity()
         if self._splitter is not None and self._is_stream:
-            for event in self._splitter.take(data):
-                self._pass_on(event.data)
-        elif self._held is None:
-            self._pass_on(data)
+            for event in self._splitter.feed(data):
+                self._forward(event.data)
+        elif self._buffered is None:
+            self._forward(data)
         else:
-            self._held += data
-            if len(self._held) > _HELD_BYTES:
-                self._release()
+            self._buffered += data
+            if len(self._buffered) > _BUFFER_LIMIT:
+                self._flush()
 
     def take_end(self) -> None:
         """Report that the answer is whole."""
         if self._done:
             return
-        if self._is_stream and self._splitter and self._splitter.has_rest:
+        if (
+            self._is_stream
+            and self._splitter
+            and self._splitter.has_partial_event
+        ):
             self._close_failed(
                 ErrorKind.STREAM_BROKEN, Ran.MAYBE, 'ended within an event'
             )
             return
-        self._release()
+        self._flush()
         self._core.backends.note_good(self._start)
         self._finish()
         end = AnswerEnd(
@@ -225,14 +229,14 @@
     def lose(self, reason: str) -> None:
         """Report that the answer broke off."""
         if not self._done:
-            self._note_lost()
+            self._record_loss()
             self._report_failure(ErrorKind.STREAM_BROKEN, Ran.MAYBE, reason)
 
-    def _goes_on(self) -> bool:
+    def _is_continuation(self) -> bool:
         """Return whether the caller already has events of an earlier run."""
-        return self._splitter is not None and self._splitter.has_passed
+        return self._splitter is not None and self._splitter.has_yielded
 
-    def _note_lost(self) -> None:
+    def _record_loss(self) -> None:
         """Leave the server out, and its kept connections unless it answered.
 
         They end with a start of the server, also where a cut hides that, and
@@ -277,22 +281,22 @@
             call.host,
         )
         self._sent = True
-        demand = call.asked.demand
+        demand = call.parameters.demand
         tokens = 0
         if demand is not None:
             ready = backend.count_kept(demand.parts)
             ready = max(ready, dispatch.contexts.fetched_tokens)
             tokens = max(demand.prompt_tokens - ready, 0)
-        self._memory = 0 if demand is None else demand.memory_tokens
+        self._memory_tokens = 0 if demand is None else demand.memory_tokens
         now = core.clock.now()
         owed = Owed(
             now,
             tokens,
             call.priority,
-            self._memory,
+            self._memory_tokens,
             is_alone=not backend.waiting and not backend.count_waiting(now),
         )
-        core.backends.note_sent(self._start, self._name, owed)
+        core.backends.note_sent(self._start, self._attempt_id, owed)
         core.limits.note_sent(backend, now)
         connection.send(head, call.body, self)
         core.log.write(
@@ -309,11 +313,13 @@
 
     def _make_dispatch(self, backend: Backend) -> Dispatch:
         core, call = self._core, self._call
-        demand = call.asked.demand
+        demand = call.parameters.demand
         self._weights = find_weights(call, backend)
         version = None if demand is None else self._weights[demand.model]
         salt = make_salt(call, version)
-        last = self._splitter.last if self._splitter is not None else None
+        last = (
+            self._splitter.last_number if self._splitter is not None else None
+        )
         return Dispatch(
             server=self.server,
             wait=call.deadline - core.clock.now(),
@@ -325,42 +331,44 @@
             last_event='' if last is None else str(last),
         )
 
-    def _learn(self, facts: AnswerFacts) -> None:
+    def _record_facts(self, facts: AnswerFacts) -> None:
         core = self._core
-        core.backends.note_heard(self._start, self._name, core.clock.now())
+        core.backends.note_heard(
+            self._start, self._attempt_id, core.clock.now()
+        )
         if is_own_answer(facts, self._call.request, self.server):
-            self._lessons.take_facts(facts)
+            self._updates.apply_facts(facts)
         if self._connection is not None:
             set_idle_limit(self._connection, facts.idle_timeout)
 
     def _accept(self, status: int, headers: Headers) -> None:
         self._has_answered = True
-        self._is_stream = has_events(headers)
-        self._has_begun = not self._is_stream
+        self._is_stream = is_event_stream(headers)
+        self._has_started = not self._is_stream
         self._head = AnswerHead(
             self._call.request, self._number, status, headers
         )
         if self._is_stream:
-            self._release()
-            self._lessons.take_begun()
+            self._flush()
+            self._updates.apply_stream_start()
 
-    def _release(self) -> None:
+    def _flush(self) -> None:
         """Pass on the head and what was held of the body."""
         if self._head is not None:
             self._inbox.put(Received(self._head))
             self._head = None
-        held, self._held = self._held, None
+        held, self._buffered = self._buffered, None
         if held:
-            self._pass_on(bytes(held))
+            self._forward(bytes(held))
 
-    def _pass_on(self, data: bytes) -> None:
+    def _forward(self, data: bytes) -> None:
         chunk = AnswerChunk(
             self._call.request, self._number, self._sequence, data
         )
         self._sequence += 1
         self._inbox.put(Received(chunk))
 
-    def _note_heard(self) -> None:
+    def _record_activity(self) -> None:
         backend = self._core.backends.find_start(self._start)
         if backend is not None:
             backend.heard = self._core.clock.now()
@@ -373,7 +381,7 @@
     def _report_failure(self, kind: ErrorKind, ran: Ran, reason: str) -> None:
         self._finish()
         if self._splitter is not None:
-            self._splitter.restart()
+            self._splitter.discard_partial()
         self._log_broken(ran, reason)
         failed = Failed(self._call.request, self._number, kind, ran, reason)
         self._inbox.put(Received(failed))
@@ -397,5 +405,5 @@
         self._done = True
         if self._sent:
             self._core.backends.note_ended(
-                self._start, self._name, self._memory
+                self._start, self._attempt_id, self._memory_tokens
             )
--- a/src/oleanderdyke/entry/hosted/lessons.py
+++ b/src/oleanderdyke/entry/hosted/backend_updates.py
@@ -9,7 +9,7 @@
 from oleanderdyke.kernel.servers import AnswerFacts, ServerStart
 
 
-class Lessons:
+class BackendUpdates:
     """Records in the book of servers what one start's answer shows."""
 
     def __init__(
@@ -19,7 +19,7 @@
         self._call = call
         self._start = start
 
-    def take_facts(self, facts: AnswerFacts) -> None:
+    def apply_facts(self, facts: AnswerFacts) -> None:
         """Learn what an answer tells of its server."""
         if facts.is_leaving:
             self._core.mark_leaving(self._start, self._call.request)
@@ -33,8 +33,8 @@
             )
         self._log_malformed(facts)
         if facts.load is not None:
-            self._core.note_load(self._start, facts.load)
-        demand = self._call.asked.demand
+            self._core.record_load(self._start, facts.load)
+        demand = self._call.parameters.demand
         if demand is not None and facts.weight_version is not None:
             self._core.backends.note_version(
                 self._start, demand.model, facts.weight_version
@@ -52,9 +52,9 @@
                     detail=f'found {found.text!r}; allowed: at least 0',
                 )
 
-    def take_refusal(self, facts: AnswerFacts, sent: Weights) -> None:
+    def apply_refusal(self, facts: AnswerFacts, sent: Weights) -> None:
         """Learn why a call that was `sent` for some weights was not run."""
-        core, demand = self._core, self._call.asked.demand
+        core, demand = self._core, self._call.parameters.demand
         if facts.server and facts.server != self._start.server:
             core.backends.note_replaced(self._start)
             return
@@ -63,16 +63,16 @@
         if demand is not None and backend is not None:
             held = backend.record.versions.get(demand.model, 0)
             if facts.is_misdirected and facts.server:
-                self._take_newer(demand.model, held, sent)
+                self._record_newer_weights(demand.model, held, sent)
                 return
             if held < core.rollout.weights.find_newest(demand.model):
                 core.backends.note_reloading(self._start, now)
                 return
         core.backends.note_refused(self._start, now)
 
-    def take_begun(self) -> None:
+    def apply_stream_start(self) -> None:
         """Learn that a server has read a prompt, and likely keeps its parts."""
-        core, demand = self._core, self._call.asked.demand
+        core, demand = self._core, self._call.parameters.demand
         backend = core.backends.find_start(self._start)
         deployment = core.deployment
         if demand is None or backend is None or deployment is None:
@@ -81,7 +81,9 @@
         if memory is not None:
             core.backends.note_kept(self._start, demand.parts, memory)
 
-    def _take_newer(self, model: str, held: int, sent: Weights) -> None:
+    def _record_newer_weights(
+        self, model: str, held: int, sent: Weights
+    ) -> None:
         """Learn that a server no longer holds the weights that it told.
 
         A start's weights are only replaced by newer ones. An engine that is
--- a/src/oleanderdyke/entry/hosted/call.py
+++ b/src/oleanderdyke/entry/hosted/call.py
@@ -25,12 +25,12 @@
 from oleanderdyke.platform.requests import CallerRequest, decode_request
 
 # No region has this name.
-_NOWHERE = frozenset({''})
-_MOST_URGENT = 0
-_LEAST_URGENT = 9
+_NO_REGIONS = frozenset({''})
+_HIGHEST_PRIORITY = 0
+_LOWEST_PRIORITY = 9
 # Long enough for a store that answers in milliseconds to have told the
 # configuration or the list of servers to an entry that has just started.
-_START_PAUSE: Millis = 400.0
+_START_RETRY_DELAY: Millis = 400.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
     host: str
     headers: Headers
     body: bytes
-    asked: CallerRequest
+    parameters: CallerRequest
     route: Route
     service: str
     owner: KeyOwner | None
@@ -68,34 +68,36 @@
             rank = owner.priority
         if self.age.is_late:
             rank = LATE_RANK
-        return min(max(rank, _MOST_URGENT), _LEAST_URGENT)
+        return min(max(rank, _HIGHEST_PRIORITY), _LOWEST_PRIORITY)
 
     @property
-    def homes(self) -> frozenset[str]:
+    def regions(self) -> frozenset[str]:
         """Return the regions where the call may run; none means all."""
         route = self.route.homes
         owner = frozenset() if self.owner is None else self.owner.homes
         if not route or not owner:
             return route or owner
-        return route & owner or _NOWHERE
+        return route & owner or _NO_REGIONS
 
     @property
     def age(self) -> RequestAge:
         """Return how long the caller has waited before this try."""
         route = self.route
-        return find_request_age(self.asked.wait, route.timeout, route.target)
+        return find_request_age(
+            self.parameters.wait, route.timeout, route.target
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class Permit:
+class AuthorizedRequest:
     """Hold what the head of a request is allowed."""
 
-    asked: CallerRequest
+    parameters: CallerRequest
     route: Route
     owner: KeyOwner | None
 
 
-def find_permit(core: HostedCore, head: Head) -> Permit:
+def authorize_request(core: HostedCore, head: Head) -> AuthorizedRequest:
     """Find the route and the team; raise OleanderError.
 
     What may only be missing because this entry is behind is answered by
@@ -103,39 +105,39 @@
     """
     deployment = core.deployment
     if deployment is None:
-        raise make_not_ready('no configuration yet')
-    asked = decode_request(head.headers)
+        raise make_not_ready_error('no configuration yet')
+    parameters = decode_request(head.headers)
     host = (head.find('host') or '').lower()
     route = deployment.find_route(host, head.target)
     if route is None:
-        raise _deny(core, ErrorKind.NOT_FOUND, 'no route leads there')
-    owner = _find_owner(core, deployment, route, asked)
-    return Permit(asked, route, owner)
+        raise _make_denial(core, ErrorKind.NOT_FOUND, 'no route leads there')
+    owner = _find_owner(core, deployment, route, parameters)
+    return AuthorizedRequest(parameters, route, owner)
 
 
 def make_call(
     core: HostedCore,
     head: Head,
-    permit: Permit,
+    authorized: AuthorizedRequest,
     *,
     body: bytes,
     started: Millis,
 ) -> HostedCall:
     """Build the call that a permitted request asks for."""
-    asked, route = permit.asked, permit.route
-    wait = route.timeout if asked.wait is None else asked.wait
+    parameters, route = authorized.parameters, authorized.route
+    wait = route.timeout if parameters.wait is None else parameters.wait
     target = f'{head.target}?{head.query}' if head.query else head.target
     return HostedCall(
-        request=asked.request,
+        request=parameters.request,
         method=head.method,
         target=target,
         host=head.find('host') or '',
         headers=head.headers,
         body=body,
-        asked=asked,
+        parameters=parameters,
         route=route,
         service=_choose_service(route.shares, core.random),
-        owner=permit.owner,
+        owner=authorized.owner,
         started=started,
         deadline=started + min(wait, route.timeout),
     )
@@ -148,23 +150,23 @@
     excluded: frozenset[ServerStart],
 ) -> CallDemand:
     """Describe a call for the choice of one of the listed servers."""
-    model = call.asked.demand
+    demand = call.parameters.demand
     newest = (
-        0 if model is None else core.rollout.weights.find_newest(model.model)
+        0 if demand is None else core.rollout.weights.find_newest(demand.model)
     )
     now = core.clock.now()
     turns = core.rollout.queue.find_turns(now)
-    held = _list_held(call, listed)
+    held = _list_held_versions(call, listed)
     return CallDemand(
         service=call.service,
         data_centre=core.settings.data_centre,
-        model=model,
+        model=demand,
         rank=call.priority,
         newest_version=newest or None,
         drawn=core.random.random(),
-        outdated=_list_outdated(core, call, held),
-        fetchable=_count_fetchable(core, call, held),
-        blocked=core.limits.find_blocked(listed, call.homes, now),
+        outdated=_list_outdated_versions(core, call, held),
+        fetchable=_count_fetchable_tokens(core, call, held),
+        blocked=core.limits.find_blocked(listed, call.regions, now),
         excluded=excluded,
         loading=frozenset(turns.busy),
         draining=frozenset(turns.following),
@@ -172,29 +174,29 @@
     )
 
 
-def _list_held(
+def _list_held_versions(
     call: HostedCall, listed: Iterable[Backend]
 ) -> frozenset[int | None]:
     """Return the versions that engines hold, None where one isn't told."""
-    model = call.asked.demand
-    if model is None:
+    demand = call.parameters.demand
+    if demand is None:
         return frozenset()
     return frozenset(
-        backend.record.versions.get(model.model) for backend in listed
+        backend.record.versions.get(demand.model) for backend in listed
     )
 
 
-def _list_outdated(
+def _list_outdated_versions(
     core: HostedCore, call: HostedCall, held: frozenset[int | None]
 ) -> frozenset[int | None]:
     """Return the versions that listed engines hold and none may begin on."""
-    model = call.asked.demand
-    if model is None:
+    demand = call.parameters.demand
+    if demand is None:
         return frozenset()
     return frozenset(
         version
         for version in held
-        if not core.may_serve(model.model, version, SEND_MARGIN)
+        if not core.may_serve(demand.model, version, SEND_MARGIN)
     )
 
 
@@ -205,27 +207,27 @@
     return deployment.find_memory(call.service) or 0
 
 
-def _count_fetchable(
+def _count_fetchable_tokens(
     core: HostedCore, call: HostedCall, held: frozenset[int | None]
 ) -> dict[int, int]:
-    model = call.asked.demand
-    if model is None or not model.parts:
+    demand = call.parameters.demand
+    if demand is None or not demand.parts:
         return {}
     now = core.clock.now()
     return {
-        version: find_contexts(core, call).count_available(
-            make_salt(call, version), model.parts[:-1], now
+        version: find_context_stores(core, call).count_available(
+            make_salt(call, version), demand.parts[:-1], now
         )
         for version in held
         if version is not None
     }
 
 
-def find_contexts(core: HostedCore, call: HostedCall) -> ContextStores:
+def find_context_stores(core: HostedCore, call: HostedCall) -> ContextStores:
     """Return the stores where context of a call may be kept."""
-    if not call.homes:
+    if not call.regions:
         return core.contexts
-    return core.contexts.restrict(core.limits.list_homes(call.homes))
+    return core.contexts.restrict(core.limits.list_homes(call.regions))
 
 
 def make_salt(call: HostedCall, version: int | None) -> str:
@@ -234,17 +236,17 @@
     Context of other weights, or of another team where one is isolated, is
     under another text, so that no engine or store can find it.
     """
-    owner, demand = call.owner, call.asked.demand
+    owner, demand = call.owner, call.parameters.demand
     if demand is None or version is None:
         return ''
     team = owner.team if owner is not None and owner.is_isolated else ''
     return Salt(demand.model, version, team).encode()
 
 
-def make_not_ready(reason: str) -> OleanderError:
+def make_not_ready_error(reason: str) -> OleanderError:
     """Return the refusal of an entry that knows too little yet."""
     return OleanderError(
-        ErrorKind.NOT_READY, reason, ran=Ran.NO, retry_after=_START_PAUSE
+        ErrorKind.NOT_READY, reason, ran=Ran.NO, retry_after=_START_RETRY_DELAY
     )
 
 
@@ -252,19 +254,25 @@
     core: HostedCore,
     deployment: Deployment,
     route: Route,
-    asked: CallerRequest,
+    parameters: CallerRequest,
 ) -> KeyOwner | None:
     if not deployment.needs_key(route):
         return None
-    owner = deployment.key_owners.get(asked.api_key)
+    owner = deployment.key_owners.get(parameters.api_key)
     if owner is None:
-        raise _deny(core, ErrorKind.UNAUTHENTICATED, 'the key is not known')
+        raise _make_denial(
+            core, ErrorKind.UNAUTHENTICATED, 'the key is not known'
+        )
     return owner
 
 
-def _deny(core: HostedCore, kind: ErrorKind, reason: str) -> OleanderError:
+def _make_denial(
+    core: HostedCore, kind: ErrorKind, reason: str
+) -> OleanderError:
     if core.is_stale:
-        return make_not_ready(f'{reason}, but the configuration may be old')
+        return make_not_ready_error(
+            f'{reason}, but the configuration may be old'
+        )
     return OleanderError(kind, reason, ran=Ran.NO)
 
 
--- a/src/oleanderdyke/entry/hosted/call_log.py
+++ b/src/oleanderdyke/entry/hosted/call_log.py
@@ -22,11 +22,11 @@
     """Say who had a call last, and when its answer began after the call."""
 
     peer: str | None
-    first: Millis | None
+    first_byte: Millis | None
 
     def describe(self) -> Mapping[str, LogValue]:
         """Return it as keys of a line."""
-        first = None if self.first is None else round(self.first, 1)
+        first = None if self.first_byte is None else round(self.first_byte, 1)
         return {'peer': self.peer, 'first_token': first}
 
 
@@ -37,7 +37,7 @@
         self._core = core
         self._call = call
 
-    def tell_routed(self, choice: Choice) -> None:
+    def log_routed(self, choice: Choice) -> None:
         """Log which server was chosen, and what was known of it."""
         core, call = self._core, self._call
         now, backend = core.clock.now(), choice.backend
@@ -54,11 +54,11 @@
             running=None if load is None else load.running,
             waiting=None if load is None else load.waiting,
             load_age=None if load is None else _find_age(now, backend.load_at),
-            list_age=_find_age(now, core.servers_read),
+            list_age=_find_age(now, core.servers_read_at),
             limit=round(call.deadline - now),
         )
 
-    def tell_retried(self, attempt: int, server: str) -> None:
+    def log_retried(self, attempt: int, server: str) -> None:
         """Log that a call is sent again."""
         self._core.log.write(
             EventName.REQUEST_RETRIED,
@@ -67,7 +67,7 @@
             peer=server,
         )
 
-    def tell_refused(self, refusal: Refuse, progress: Progress) -> None:
+    def log_refused(self, refusal: Refuse, progress: Progress) -> None:
         """Log why a call gets no answer of a server."""
         call = self._call
         self._core.log.write(
@@ -81,7 +81,7 @@
             **progress.describe(),
         )
 
-    def tell_cancelled(self, progress: Progress) -> None:
+    def log_cancelled(self, progress: Progress) -> None:
         """Log that the caller has left before the end."""
         self._core.log.write_urgent(
             EventName.REQUEST_CANCELLED,
@@ -90,12 +90,12 @@
             **progress.describe(),
         )
 
-    def tell_finished(
+    def log_finished(
         self, status: int, duration: Millis, progress: Progress
     ) -> None:
         """Log how an answer ended; as a warning if it failed or was slow."""
         core, call = self._core, self._call
-        first = duration if progress.first is None else progress.first
+        first = duration if progress.first_byte is None else progress.first_byte
         is_late = first > call.route.target
         is_bad = is_late or status >= _SERVER_ERROR
         if is_late:
--- a/src/oleanderdyke/entry/hosted/contexts.py
+++ b/src/oleanderdyke/entry/hosted/contexts.py
@@ -31,7 +31,7 @@
 _START_PERIOD: Millis = 10.0
 # For so long an entry that has just started waits for what stores hold. Each
 # tells it within some milliseconds; one that is lost holds up nobody longer.
-_FIRST_READ_LIMIT: Millis = 400.0
+_FIRST_READ_TIMEOUT: Millis = 400.0
 # When the whole system starts for the first time stores hold nothing, and all
 # entries at once would find no place there. By then they know each other.
 _FIRST_START_PAUSE: Millis = 3 * SECOND
@@ -41,10 +41,10 @@
 # a view serves for longer than that.
 _SHARED_LIMIT: Millis = 2 * SECOND
 # Without an answer for so long each reads for itself.
-_SHARED_LIFE: Millis = 1.6 * SECOND
+_SHARED_TTL: Millis = 1.6 * SECOND
 # Entries don't all free the same parts at once.
-_FREE_SPREAD: Millis = 1.5 * SECOND
-_FREE_LIMIT: Millis = 1 * SECOND
+_FREE_JITTER: Millis = 1.5 * SECOND
+_FREE_TIMEOUT: Millis = 1 * SECOND
 
 
 class ContextWatch:
@@ -52,7 +52,7 @@
 
     def __init__(self, core: HostedCore) -> None:
         self._core = core
-        self._followed: dict[str, anyio.CancelScope] = {}
+        self._scopes: dict[str, anyio.CancelScope] = {}
         self._outdated = OutdatedContext()
         # Until when neighbours tell of a store, by its address.
         self._shared_until: dict[str, Millis] = {}
@@ -60,25 +60,25 @@
     async def run(self) -> None:
         """Follow the stores that the configuration names until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._tell_first_read)
+            tasks.start_soon(self._signal_first_read)
             if self._core.settings.is_first_start:
                 await anyio.sleep(_FIRST_START_PAUSE / SECOND)
             for source in CONTEXT_SOURCES:
                 tasks.start_soon(self._follow_shared, source)
             while True:
                 self._configure()
-                self._note_weights()
+                self._update_outdated()
                 views = self._core.contexts.views
-                for address in set(views) - set(self._followed):
-                    self._followed[address] = anyio.CancelScope()
+                for address in set(views) - set(self._scopes):
+                    self._scopes[address] = anyio.CancelScope()
                     tasks.start_soon(self._follow, views[address])
-                for address in set(self._followed) - set(views):
-                    self._followed.pop(address).cancel()
+                for address in set(self._scopes) - set(views):
+                    self._scopes.pop(address).cancel()
                 is_known = self._core.deployment is not None
                 period = _PERIOD if is_known else _START_PERIOD
                 await anyio.sleep(period / SECOND)
 
-    async def _tell_first_read(self) -> None:
+    async def _signal_first_read(self) -> None:
         """Let requests go on once all stores were read, or in a little while.
 
         What is sent before that is read from nothing, though stores hold it.
@@ -86,10 +86,10 @@
         core = self._core
         while core.deployment is None:
             await anyio.sleep(_START_PERIOD / SECOND)
-        with anyio.move_on_after(_FIRST_READ_LIMIT / SECOND):
+        with anyio.move_on_after(_FIRST_READ_TIMEOUT / SECOND):
             while not core.contexts.are_read(self._list_managed()):
                 await anyio.sleep(_START_PERIOD / SECOND)
-        core.contexts_known.set()
+        core.contexts_ready.set()
 
     def _configure(self) -> None:
         if self._core.deployment is not None:
@@ -106,8 +106,8 @@
         ]
 
     async def _follow(self, view: StoreView) -> None:
-        client = ContextClient(view.traits.address, self._refuse)
-        scope = self._followed[view.traits.address]
+        client = ContextClient(view.traits.address, self._log_refused_record)
+        scope = self._scopes[view.traits.address]
         store = self._make_dependency(view)
         turns = ReadingTurns(self._core.random)
         with scope:
@@ -118,7 +118,7 @@
                 try:
                     await self._read(client, view, turns.wait)
                 except ContextUnavailable as error:
-                    pause = self._note_unavailable(error, view, turns)
+                    pause = self._handle_unavailable(error, view, turns)
                     store.note_failed(error.message)
                     await anyio.sleep(pause / SECOND)
                     continue
@@ -126,7 +126,7 @@
                 await self._free_outdated(client, view)
                 await anyio.sleep(turns.find_pause() / SECOND)
 
-    def _note_unavailable(
+    def _handle_unavailable(
         self, error: ContextUnavailable, view: StoreView, turns: ReadingTurns
     ) -> Millis:
         """Return when to ask again; a store that only has no place holds on.
@@ -161,18 +161,18 @@
             found = await client.read_events(0, wait)
         since = view.position
         view.take(found, asked_at, self._core.clock.now())
-        self._core.news.desk.keep_events(
+        self._core.peers.desk.keep_events(
             view.traits.address, since, found, asked_at
         )
 
     async def _follow_shared(self, source: str) -> None:
         """Take what a neighbour reads of some stores, until cancelled."""
-        core, told = self._core, 0
+        core, sent = self._core, 0
         while True:
-            board, now = core.news.desk.own_loads, core.clock.now()
-            loads = encode_loads(board.list_later(told, now), now)
-            told = board.last
-            found = await core.news.reader.ask_events(
+            board, now = core.peers.desk.own_loads, core.clock.now()
+            loads = encode_loads(board.list_later(sent, now), now)
+            sent = board.last
+            found = await core.peers.reader.ask_events(
                 source,
                 self._list_positions(source),
                 loads=loads,
@@ -183,9 +183,9 @@
                 await anyio.sleep(_PERIOD / SECOND)
                 continue
             for news in found.stores:
-                self._take_shared(news)
+                self._apply_shared(news)
             for load in found.loads:
-                core.take_shared_load(load)
+                core.apply_shared_load(load)
             if not found.stores:
                 await anyio.sleep(_PERIOD / SECOND)
 
@@ -196,7 +196,7 @@
             if find_context_source(address) == source
         )
 
-    def _take_shared(self, news: SharedEvents) -> None:
+    def _apply_shared(self, news: SharedEvents) -> None:
         core = self._core
         now = core.clock.now()
         view = core.contexts.views.get(news.store)
@@ -205,13 +205,13 @@
         core.engine_clock.note(
             news.found.clock, asked_at=news.clock_from, now=now
         )
-        self._shared_until[news.store] = now + _SHARED_LIFE
+        self._shared_until[news.store] = now + _SHARED_TTL
 
     def _is_shared(self, view: StoreView) -> bool:
         until = self._shared_until.get(view.traits.address, -math.inf)
         return self._core.clock.now() < until
 
-    def _note_weights(self) -> None:
+    def _update_outdated(self) -> None:
         """Note which weights are newest and which engines still hold."""
         core = self._core
         now = core.clock.now()
@@ -230,11 +230,11 @@
         boot = view.boot
         if not outdated or boot is None:
             return
-        await anyio.sleep(core.random.uniform(0, _FREE_SPREAD) / SECOND)
+        await anyio.sleep(core.random.uniform(0, _FREE_JITTER) / SECOND)
         held = [part for part in outdated if part in view.parts]
         if not held:
             return
-        until = view.find_clock(core.clock.now()) + _FREE_LIMIT
+        until = view.find_clock(core.clock.now()) + _FREE_TIMEOUT
         is_freed = await client.free(held, boot, until)
         core.log.write(
             EventName.CONTEXT_FREED,
@@ -243,7 +243,7 @@
             reason='freed' if is_freed else 'refused',
         )
 
-    def _refuse(self, name: str, error: MalformedRecord) -> None:
+    def _log_refused_record(self, name: str, error: MalformedRecord) -> None:
         self._core.log.write(
             EventName.RECORD_REFUSED, name=name, detail=error.message
         )
--- a/src/oleanderdyke/entry/hosted/core.py
+++ b/src/oleanderdyke/entry/hosted/core.py
@@ -13,7 +13,7 @@
 from oleanderdyke.clients.direct import ConnectionPool
 from oleanderdyke.clock import SECOND, Clock, Millis
 from oleanderdyke.dependencies import Dependency
-from oleanderdyke.entry.hosted.news import SharedNews
+from oleanderdyke.entry.hosted.peer_sharing import PeerSharing
 from oleanderdyke.entry.stopping import StoppableRequest
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.backends import BackendBook
@@ -41,7 +41,7 @@
 # costs a second: another server is the better wait.
 CONNECT_LIMIT: Millis = 300.0
 # The balancer asks each second and takes a process out after two misses.
-_ANNOUNCE: Millis = 2.5 * SECOND
+_ANNOUNCE_PERIOD: Millis = 2.5 * SECOND
 # What is left of the grace time for closing connections and for the exit,
 # which take up to half a second on a busy machine.
 _EXIT_MARGIN: Millis = 600.0
@@ -50,7 +50,7 @@
 # A configuration that was read longer ago may lack a route or a key.
 STALE_AFTER: Millis = 3 * SECOND
 # What is used of the allowance that the operators bound.
-_BUDGET_USE = 0.8
+_BUDGET_SHARE = 0.8
 _RETRY_DELAY: Millis = 5.0
 
 
@@ -72,7 +72,7 @@
     metrics: Metrics
     drain: Drain
     pool: ConnectionPool
-    news: SharedNews
+    peers: PeerSharing
     limits: SendLimits
     entries: EntryCount = field(default_factory=EntryCount)
     backends: BackendBook = field(default_factory=BackendBook)
@@ -81,52 +81,58 @@
     rollout: Rollout = field(default_factory=lambda: Rollout(math.inf))
     contexts: ContextStores = field(default_factory=ContextStores)
     # Set once the stores of context were read, or were waited for in vain.
-    contexts_known: anyio.Event = field(default_factory=anyio.Event)
+    contexts_ready: anyio.Event = field(default_factory=anyio.Event)
     engine_clock: EngineClock = field(default_factory=EngineClock)
-    configuration_read: Millis | None = None
+    configuration_read_at: Millis | None = None
     # When that which was read last had been asked for.
-    configuration_asked: Millis = 0.0
-    servers_read: Millis | None = None
+    configuration_requested_at: Millis = 0.0
+    servers_read_at: Millis | None = None
     # Set while requests wait for a server and none is listed.
-    servers_wanted: anyio.Event = field(default_factory=anyio.Event)
+    servers_requested: anyio.Event = field(default_factory=anyio.Event)
     running: dict[str, HostedRequest] = field(default_factory=dict)
     _budgets: dict[str, RetryBudget] = field(default_factory=dict)
 
-    def find_fault(self) -> str:
+    def find_unready_reason(self) -> str:
         """Return why this entry is not ready, or nothing."""
         if self.drain.is_leaving:
             return 'stopping'
         if self.deployment is None:
             return 'no configuration yet'
-        if self.servers_read is None:
+        if self.servers_read_at is None:
             return 'no list of backend servers yet'
         return ''
 
-    def note_load(self, start: ServerStart, load: ServerLoad) -> None:
+    def record_load(self, start: ServerStart, load: ServerLoad) -> None:
         """Take the load that a server told, and keep it for neighbours."""
         backend = self.backends.find_start(start)
         rate_limit = None
         if backend is not None and backend.limit.was_named:
             rate_limit = backend.limit.per_second
-        told = TimedLoad(start, load, self.clock.now(), rate_limit)
-        self.backends.note_load(start, load, told.at)
-        self.news.desk.loads.note(told)
-        self.news.desk.own_loads.note(told)
+        timed_load = TimedLoad(start, load, self.clock.now(), rate_limit)
+        self.backends.note_load(start, load, timed_load.at)
+        self.peers.desk.loads.note(timed_load)
+        self.peers.desk.own_loads.note(timed_load)
 
-    def take_shared_load(self, told: TimedLoad) -> None:
+    def apply_shared_load(self, timed_load: TimedLoad) -> None:
         """Take the load that a server told a neighbour."""
-        if not self.news.desk.loads.note(told):
+        if not self.peers.desk.loads.note(timed_load):
             return
-        self.backends.note_load(told.start, told.load, told.at)
-        if told.rate_limit is not None:
-            self.record_rate_limit(told.start, told.rate_limit, told_at=told.at)
+        self.backends.note_load(
+            timed_load.start, timed_load.load, timed_load.at
+        )
+        if timed_load.rate_limit is not None:
+            self.record_rate_limit(
+                timed_load.start,
+                timed_load.rate_limit,
+                reported_at=timed_load.at,
+            )
 
     def record_rate_limit(
         self,
         start: ServerStart,
         per_second: float,
         *,
-        told_at: Millis | None = None,
+        reported_at: Millis | None = None,
         request: str | None = None,
     ) -> None:
         """Take the rate that a server accepts, infinite without a limit.
@@ -135,8 +141,8 @@
         earlier.
         """
         now = self.clock.now()
-        told_at = now if told_at is None else told_at
-        if not self.backends.note_limit(start, per_second, told_at, now):
+        reported_at = now if reported_at is None else reported_at
+        if not self.backends.note_limit(start, per_second, reported_at, now):
             return
         self.log.write(
             EventName.BACKEND_LIMITED,
@@ -144,7 +150,7 @@
             incarnation=start.born,
             request=request,
             value=None if math.isinf(per_second) else per_second,
-            age=round(now - told_at),
+            age=round(now - reported_at),
         )
 
     def mark_leaving(self, start: ServerStart, request: str) -> None:
@@ -170,18 +176,18 @@
                 duration=round(pause),
             )
 
-    def want_servers(self) -> None:
+    def request_servers(self) -> None:
         """Have the list of servers read sooner."""
-        self.servers_wanted.set()
+        self.servers_requested.set()
 
-    def are_servers_wanted(self) -> bool:
+    def are_servers_requested(self) -> bool:
         """Return whether requests wait for a server."""
-        return self.servers_wanted.is_set()
+        return self.servers_requested.is_set()
 
     @property
     def is_stale(self) -> bool:
         """Return whether the configuration may have changed unseen."""
-        read = self.configuration_read
+        read = self.configuration_read_at
         return read is None or self.clock.now() - read > STALE_AFTER
 
     def find_cold_limits(self, deployment: Deployment) -> dict[str, ColdLimit]:
@@ -205,7 +211,7 @@
             shift=self.engine_clock.most,
         )
 
-    def find_replaced(self, model: str, version: int) -> Millis | None:
+    def find_replacement_time(self, model: str, version: int) -> Millis | None:
         """Return before when newer weights were not named, None if none are."""
         return self.rollout.weights.find_replaced(
             model, version, self.clock.now(), self.engine_clock.most
@@ -225,17 +231,17 @@
 
     def describe_configuration(self) -> Mapping[str, LogValue]:
         """Return what log lines tell of the configuration that decided."""
-        read, deployment = self.configuration_read, self.deployment
+        read, deployment = self.configuration_read_at, self.deployment
         return {
             'version': None if deployment is None else deployment.version,
             'age': None if read is None else round(self.clock.now() - read),
         }
 
-    def note_levels(self) -> None:
+    def update_gauges(self) -> None:
         """Set the levels that are told only when they are asked for."""
         metrics = self.metrics
         metrics.set_gauge(Gauge.RUNNING, len(self.running))
-        metrics.set_gauge(Gauge.READY, float(not self.find_fault()))
+        metrics.set_gauge(Gauge.READY, float(not self.find_unready_reason()))
         metrics.set_count(Count.LINES_DROPPED, self.log.count_dropped())
         if self.deployment is not None:
             version = self.deployment.version
@@ -245,20 +251,20 @@
         """Return this entry's part of what may be sent again to a service."""
         if service not in self._budgets:
             self._budgets[service] = make_retry_budget(
-                self._share_budget(), self.random
+                self._make_budget_settings(), self.random
             )
         return self._budgets[service]
 
-    def share_budgets(self) -> None:
+    def resize_budgets(self) -> None:
         """Share what may be sent again among the entries that are alive."""
         for budget in self._budgets.values():
-            budget.resize(self._share_budget())
+            budget.resize(self._make_budget_settings())
 
-    def _share_budget(self) -> RetrySettings:
+    def _make_budget_settings(self) -> RetrySettings:
         settings = self.settings
-        slack = settings.retry_slack * _BUDGET_USE
+        slack = settings.retry_slack * _BUDGET_SHARE
         return RetrySettings(
-            share=settings.retry_share * _BUDGET_USE,
+            share=settings.retry_share * _BUDGET_SHARE,
             burst=max(slack / self.entries.count(self.clock.now()), 1.0),
             base_delay=_RETRY_DELAY,
         )
@@ -270,8 +276,8 @@
     """Build the state of an entry that has just started."""
     limit = settings.grace - _EXIT_MARGIN
     drain = DrainSettings(
-        accept=_ANNOUNCE,
-        announce=_ANNOUNCE,
+        accept=_ANNOUNCE_PERIOD,
+        announce=_ANNOUNCE_PERIOD,
         drain=limit - _CUT_MARGIN,
         limit=limit,
     )
@@ -286,9 +292,9 @@
         drain=Drain(drain),
         rollout=Rollout(settings.version_limit),
         pool=ConnectionPool(CONNECT_LIMIT),
-        news=SharedNews(settings, clock, log, metrics),
+        peers=PeerSharing(settings, clock, log, metrics),
         limits=SendLimits(settings.process, entries, settings.regions),
         entries=entries,
     )
-    core.news.desk.note_urgent = core.want_servers
+    core.peers.desk.note_urgent = core.request_servers
     return core
--- a/src/oleanderdyke/entry/hosted/dispatch.py
+++ b/src/oleanderdyke/entry/hosted/dispatch.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from oleanderdyke.entry.hosted.call import HostedCall, find_contexts
+from oleanderdyke.entry.hosted.call import HostedCall, find_context_stores
 from oleanderdyke.entry.hosted.core import HostedCore
 from oleanderdyke.kernel.backend import Backend
 from oleanderdyke.kernel.context_stores import NO_CONTEXTS, ContextPlan
@@ -15,11 +15,11 @@
 
     Where newer ones are known, that news is at most `age` old.
     """
-    now, demand = core.clock.now(), call.asked.demand
+    now, demand = core.clock.now(), call.parameters.demand
     limit: dict[str, float] = {'limit': round(call.deadline - now)}
     if demand is None or version is None:
         return limit
-    replaced = core.find_replaced(demand.model, version)
+    replaced = core.find_replacement_time(demand.model, version)
     if replaced is None:
         return limit
     newest = core.rollout.weights.find_newest(demand.model)
@@ -30,21 +30,21 @@
     core: HostedCore, call: HostedCall, backend: Backend, salt: str
 ) -> ContextPlan:
     """Say where context comes from and goes to, nowhere where in doubt."""
-    demand = call.asked.demand
+    demand = call.parameters.demand
     if demand is None or not salt or not demand.parts:
         return NO_CONTEXTS
     now = core.clock.now()
     held = backend.record.versions.get(demand.model, 0)
-    replaced = core.find_replaced(demand.model, held)
+    replaced = core.find_replacement_time(demand.model, held)
     if replaced is not None and backend.listed_at >= replaced:
         # Others may think that no engine is left on these weights.
         return NO_CONTEXTS
-    contexts = find_contexts(core, call)
+    contexts = find_context_stores(core, call)
     plan = contexts.plan(
         salt,
         demand.parts,
         data_centre=backend.record.data_centre,
-        relied_on=core.configuration_asked,
+        relied_on=core.configuration_requested_at,
         may_save=replaced is None,
         now=now,
     )
--- a/src/oleanderdyke/entry/hosted/driver.py
+++ b/src/oleanderdyke/entry/hosted/driver.py
@@ -16,8 +16,12 @@
 from oleanderdyke.entry.hosted.call_log import CallLog, Progress
 from oleanderdyke.entry.hosted.core import HostedCore
 from oleanderdyke.entry.hosted.events import EventSplitter
-from oleanderdyke.entry.hosted.placing import PAUSE, Placing, SentBack
 from oleanderdyke.entry.hosted.reply import Reply
+from oleanderdyke.entry.hosted.selection import (
+    RETRY_DELAY,
+    Rejection,
+    ServerSelector,
+)
 from oleanderdyke.entry.inbox import Inbox, Item
 from oleanderdyke.kernel.attempt_events import (
     Action,
@@ -58,9 +62,9 @@
 # waited for so long with the first byte: a fetch of context may wait two
 # seconds, and no caller of a stream waits less. It gets its final answer then,
 # not when its own patience ends, up to a second later or more.
-_GIVE_UP_AFTER: Millis = 2 * SECOND
+_SILENCE_TIMEOUT: Millis = 2 * SECOND
 # How often a call that waits for a server looks for one.
-_LOOK_PERIOD: Millis = 20.0
+_SELECTION_PERIOD: Millis = 20.0
 
 
 class BrokenAnswer(Exception):
@@ -77,7 +81,7 @@
         self._call = call
         self._body = body
         self._reply = reply
-        self._told = CallLog(core, call)
+        self._call_log = CallLog(core, call)
         self._inbox = Inbox()
         self._timers: list[asyncio.TimerHandle] = []
         self._attempt: DirectAttempt | None = None
@@ -86,11 +90,11 @@
         self._starts: dict[str, ServerStart] = {}
         self._chosen_at: Millis = 0.0
         self._splitter = _make_splitter(call)
-        self._first: Millis | None = None
+        self._first_byte: Millis | None = None
         # Who had the request last, or would have had it.
-        self._peer: str | None = None
-        self._pause = PAUSE
-        self._placing = Placing(core, call)
+        self._last_server: str | None = None
+        self._retry_delay = RETRY_DELAY
+        self._selector = ServerSelector(core, call)
         self._machine = RequestMachine(
             _make_facts(core, call),
             settings=_make_settings(call),
@@ -107,11 +111,11 @@
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._watch_caller)
-                await self._lead()
+                await self._run_machine()
                 tasks.cancel_scope.cancel()
         finally:
             del self._core.running[key]
-            self._forget()
+            self._clean_up()
         if not self._reply.ended and self._reply.status:
             raise BrokenAnswer
 
@@ -129,11 +133,11 @@
         if attempt is None:
             return
         attempt.withdraw_superseded()
-        attempt.withdraw_late()
-        if self._is_given_up(attempt.find_silence(now)):
+        attempt.withdraw_outdated()
+        if self._should_give_up(attempt.find_silence(now)):
             attempt.fail('the server is silent')
 
-    def _is_given_up(self, silence: Millis) -> bool:
+    def _should_give_up(self, silence: Millis) -> bool:
         """Return whether to wait no longer for what a server owes.
 
         An answer that has begun and can't go on elsewhere is only ended by its
@@ -144,20 +148,18 @@
             return False
         if self._machine.reserve_retry():
             return True
-        return silence >= _GIVE_UP_AFTER and not self._reply.status
+        return silence >= _SILENCE_TIMEOUT and not self._reply.status
 
-    async def _lead(self) -> None:
+    async def _run_machine(self) -> None:
         now = self._core.clock.now()
-        self._put_later(DeadlinePassed(), self._call.deadline - now)
-        await self._carry_out(self._machine.start(now))
+        self._post_later(DeadlinePassed(), self._call.deadline - now)
+        await self._execute(self._machine.start(now))
         while not self._machine.done:
             # Nothing but events of the machine comes here in this mode.
             event = cast('Event', await self._inbox.take())
-            await self._carry_out(
-                self._machine.on(event, self._core.clock.now())
-            )
+            await self._execute(self._machine.on(event, self._core.clock.now()))
 
-    async def _carry_out(self, actions: tuple[Action, ...]) -> None:
+    async def _execute(self, actions: tuple[Action, ...]) -> None:
         for action in actions:
             await self._handlers[type(action)](action)
 
@@ -177,8 +179,8 @@
         }
 
     async def _route(self, action: Route) -> None:
-        if self._call.asked.demand is not None:
-            await self._core.contexts_known.wait()
+        if self._call.parameters.demand is not None:
+            await self._core.contexts_ready.wait()
         self._choose(action)
 
     def _choose(self, action: Route) -> None:
@@ -186,38 +188,40 @@
         if self._machine.done:
             return
         tried = frozenset(self._starts[server] for server in action.exclude)
-        outcome = self._placing.look(tried)
+        outcome = self._selector.select(tried)
         if outcome is None:
-            look_again = functools.partial(self._choose, action)
-            self._call_later(look_again, _LOOK_PERIOD)
-        elif isinstance(outcome, SentBack):
-            self._send_back(outcome)
+            retry = functools.partial(self._choose, action)
+            self._call_later(retry, _SELECTION_PERIOD)
+        elif isinstance(outcome, Rejection):
+            self._reject(outcome)
         else:
-            self._take(outcome)
+            self._use_choice(outcome)
 
-    def _take(self, choice: Choice) -> None:
+    def _use_choice(self, choice: Choice) -> None:
         record = choice.backend.record
         self._starts[record.server] = record.start
         core = self._core
         self._chosen_at = core.clock.now()
         core.limits.note_sent(choice.backend, self._chosen_at)
-        self._told.tell_routed(choice)
+        self._call_log.log_routed(choice)
         reason = f'{choice.score:.1f} ms of {choice.candidates}'
         plan = Plan(agent=record.server, reason=reason)
         self._inbox.put(Routed(plan, _make_replica(choice.backend)))
 
-    def _send_back(self, outcome: SentBack) -> None:
-        self._peer = outcome.server or self._peer
-        self._pause = outcome.pause
+    def _reject(self, outcome: Rejection) -> None:
+        self._last_server = outcome.server or self._last_server
+        self._retry_delay = outcome.retry_delay
         # How long the caller waits is drawn where it is told.
-        refusal = Refusal(outcome.kind, outcome.reason, outcome.pause.most)
+        refusal = Refusal(
+            outcome.kind, outcome.reason, outcome.retry_delay.maximum
+        )
         self._inbox.put(NoRoute(refusal))
 
     async def _dispatch(self, action: SendDispatch) -> None:
         if action.attempt > 1:
             self._core.metrics.add(Count.RETRIES, label=self._call.service)
-            self._told.tell_retried(action.attempt, action.agent)
-        self._peer = action.agent
+            self._call_log.log_retried(action.attempt, action.agent)
+        self._last_server = action.agent
         self._attempt = DirectAttempt(
             self._core,
             self._call,
@@ -238,8 +242,8 @@
         await self._reply.start(action.status, action.headers)
 
     async def _deliver_chunk(self, action: DeliverChunk) -> None:
-        if self._first is None:
-            self._first = self._core.clock.now() - self._call.started
+        if self._first_byte is None:
+            self._first_byte = self._core.clock.now() - self._call.started
         await self._reply.send(action.data)
 
     async def _deliver_end(self, _: DeliverEnd) -> None:
@@ -249,18 +253,18 @@
     async def _refuse(self, action: Refuse) -> None:
         core = self._core
         core.metrics.add(Count.REFUSALS, label=action.kind.value)
-        self._told.tell_refused(action, self._find_progress())
+        self._call_log.log_refused(action, self._find_progress())
         if self._reply.status:
             return
         await self._reply.refuse(
             action.kind,
             action.ran,
             action.detail,
-            self._pause.draw(core.random),
+            self._retry_delay.draw(core.random),
         )
 
     async def _start_timer(self, action: StartTimer) -> None:
-        self._put_later(TimerFired(action.kind, action.number), action.delay)
+        self._post_later(TimerFired(action.kind, action.number), action.delay)
 
     async def _finish(self, _: Done) -> None:
         """Do nothing: the loop sees that the machine is done."""
@@ -268,10 +272,10 @@
     async def _watch_caller(self) -> None:
         await self._body.wait_gone()
         if not self._reply.ended:
-            self._told.tell_cancelled(self._find_progress())
+            self._call_log.log_cancelled(self._find_progress())
             self._inbox.put(CallerGone())
 
-    def _put_later(self, item: Item, delay: Millis) -> None:
+    def _post_later(self, item: Item, delay: Millis) -> None:
         self._call_later(functools.partial(self._inbox.put, item), delay)
 
     def _call_later(self, act: Callable[[], None], delay: Millis) -> None:
@@ -283,15 +287,17 @@
         duration = core.clock.now() - call.started
         core.durations.note(call.route.name, duration)
         core.metrics.time(Timing.REQUEST, duration, call.service)
-        if self._first is not None:
-            core.metrics.time(Timing.FIRST_TOKEN, self._first, call.service)
+        if self._first_byte is not None:
+            core.metrics.time(
+                Timing.FIRST_TOKEN, self._first_byte, call.service
+            )
         progress = self._find_progress()
-        self._told.tell_finished(self._reply.status, duration, progress)
+        self._call_log.log_finished(self._reply.status, duration, progress)
 
     def _find_progress(self) -> Progress:
-        return Progress(self._peer, self._first)
+        return Progress(self._last_server, self._first_byte)
 
-    def _forget(self) -> None:
+    def _clean_up(self) -> None:
         for timer in self._timers:
             timer.cancel()
         if self._attempt is not None:
@@ -319,7 +325,7 @@
 def _make_splitter(call: HostedCall) -> EventSplitter | None:
     if not call.route.is_resumable:
         return None
-    last = call.asked.last_event
+    last = call.parameters.last_event
     return EventSplitter(int(last) if last.isdigit() else None)
 
 
--- a/src/oleanderdyke/entry/hosted/events.py
+++ b/src/oleanderdyke/entry/hosted/events.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeEvent:
+class ServerSentEvent:
     """Hold the bytes of one event and its number, where it has one."""
 
     data: bytes
@@ -25,19 +25,19 @@
 
     def __init__(self, last: int | None) -> None:
         self._pending = bytearray()
-        self.last = last
-        self.has_passed = False
+        self.last_number = last
+        self.has_yielded = False
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Return whether the stream stopped in the middle of an event."""
         return bool(self._pending.strip())
 
-    def restart(self) -> None:
+    def discard_partial(self) -> None:
         """Drop the beginning of an event that another run will repeat."""
         self._pending.clear()
 
-    def take(self, data: bytes) -> Iterator[WholeEvent]:
+    def feed(self, data: bytes) -> Iterator[ServerSentEvent]:
         """Yield the events that are whole now and new to the reader."""
         self._pending += data
         while True:
@@ -49,11 +49,11 @@
             del self._pending[:end]
             number = _read_number(event)
             if number is not None:
-                if self.last is not None and number <= self.last:
+                if self.last_number is not None and number <= self.last_number:
                     continue
-                self.last = number
-            self.has_passed = True
-            yield WholeEvent(event, number)
+                self.last_number = number
+            self.has_yielded = True
+            yield ServerSentEvent(event, number)
 
 
 def _read_number(event: bytes) -> int | None:
--- a/src/oleanderdyke/entry/hosted/news.py
+++ b/src/oleanderdyke/entry/hosted/peer_sharing.py
@@ -29,10 +29,10 @@
 
 # What carries links takes long to load on a small share of a core. A process
 # reads for itself meanwhile, and serves sooner.
-_LOAD_AFTER: Millis = 1 * SECOND
+_LINKS_IMPORT_DELAY: Millis = 1 * SECOND
 
 
-class SharedNews:
+class PeerSharing:
     """Hold both sides of reading together."""
 
     def __init__(
@@ -56,7 +56,7 @@
         self._clock = clock
         self._incarnation = secrets.token_hex(8)
 
-    def share(
+    def make_sharing(
         self,
         *,
         wait: Millis,
@@ -81,7 +81,7 @@
         """
         if not self.own.address:
             return
-        await anyio.sleep(_LOAD_AFTER / SECOND)
+        await anyio.sleep(_LINKS_IMPORT_DELAY / SECOND)
         links = import_module('oleanderdyke.links.news_links')
         try:
             async with anyio.create_task_group() as tasks:
--- a/src/oleanderdyke/entry/hosted/presence.py
+++ b/src/oleanderdyke/entry/hosted/presence.py
@@ -17,8 +17,8 @@
 _PERIOD: Millis = 10 * SECOND
 # After a start it reads sooner: those that start with it have told of
 # themselves by the first, and may be counted from the second on.
-_FIRST_PERIODS: tuple[Millis, ...] = (1.5 * SECOND, 4 * SECOND)
-_NOTICE_PERIOD: Millis = 15 * SECOND
+_INITIAL_PERIODS: tuple[Millis, ...] = (1.5 * SECOND, 4 * SECOND)
+_ANNOUNCE_PERIOD: Millis = 15 * SECOND
 # A neighbour that reads does so every ten seconds, and answers within this.
 _SHARED_WAIT: Millis = 1 * SECOND
 _SHARED_LIMIT: Millis = 20 * SECOND
@@ -29,15 +29,17 @@
 
     def __init__(self, core: HostedCore) -> None:
         self._core = core
-        sharing = core.news.share(wait=_SHARED_WAIT, limit=_SHARED_LIMIT)
+        sharing = core.peers.make_sharing(
+            wait=_SHARED_WAIT, limit=_SHARED_LIMIT
+        )
         client = StoreClient(core.settings.store, sharing=sharing)
-        self._feed = EntryFeed(client, self._refuse)
+        self._feed = EntryFeed(client, self._log_refused_record)
         self._announced_at: Millis | None = None
 
     async def run(self) -> None:
         """Work until cancelled; without the store the last count stays."""
         store = self._core.make_store_dependency('entries')
-        pauses = chain(_FIRST_PERIODS, repeat(_PERIOD))
+        pauses = chain(_INITIAL_PERIODS, repeat(_PERIOD))
         while True:
             try:
                 await self._announce()
@@ -48,7 +50,7 @@
                 store.note_good()
             await anyio.sleep(next(pauses) / SECOND)
 
-    def _refuse(self, name: str, error: MalformedRecord) -> None:
+    def _log_refused_record(self, name: str, error: MalformedRecord) -> None:
         self._core.log.write(
             EventName.RECORD_REFUSED, name=name, detail=error.message
         )
@@ -57,25 +59,25 @@
         now = self._core.clock.now()
         if (
             self._announced_at is not None
-            and now - self._announced_at < _NOTICE_PERIOD
+            and now - self._announced_at < _ANNOUNCE_PERIOD
         ):
             return
-        await self._feed.announce(self._core.news.own)
+        await self._feed.announce(self._core.peers.own)
         self._announced_at = now
         self._core.entries.note_announced(now)
 
     async def _read(self) -> None:
         core = self._core
-        told = await self._feed.read()
-        if told is None:
+        notices = await self._feed.read()
+        if notices is None:
             core.entries.note_forgotten()
             if self._feed.was_restored:
                 # The copy may lack the last announcement of this entry.
                 self._announced_at = None
             return
         now = core.clock.now()
-        for entry in told:
+        for entry in notices:
             core.entries.note(entry.name, now)
-            core.news.neighbours.note(entry, now)
+            core.peers.neighbours.note(entry, now)
         core.entries.note_read(now)
-        core.share_budgets()
+        core.resize_budgets()
--- a/src/oleanderdyke/entry/hosted/reply.py
+++ b/src/oleanderdyke/entry/hosted/reply.py
@@ -16,7 +16,7 @@
 _BAD_GATEWAY = 502
 _UNAVAILABLE = 503
 # A fault of ours is no fault of the caller's.
-_NOT_TOLD = frozenset({409, 410, 422, 499})
+_INTERNAL_STATUSES = frozenset({409, 410, 422, 499})
 
 
 class Reply:
@@ -32,7 +32,7 @@
         self.request = ''
         self.status = 0
         self.ended = False
-        self.closes = False
+        self.closes_connection = False
 
     async def start(self, status: int, headers: Headers) -> None:
         """Send the head of a backend server's answer."""
@@ -74,7 +74,7 @@
 
     async def _start(self, headers: Headers) -> None:
         kept = list(_encode(headers))
-        if self.closes or self._is_closing():
+        if self.closes_connection or self._is_closing():
             kept.append((b'connection', b'close'))
         await self._send(
             {
@@ -88,11 +88,13 @@
 def find_status(kind: ErrorKind, ran: Ran) -> int:
     """Return the status of a final answer, never a promise that is untrue."""
     status = REPLIES[kind].status
-    if ran is Ran.NO and (kind is ErrorKind.DEADLINE or status in _NOT_TOLD):
+    if ran is Ran.NO and (
+        kind is ErrorKind.DEADLINE or status in _INTERNAL_STATUSES
+    ):
         return _UNAVAILABLE
     if ran is Ran.NO and kind in {ErrorKind.BACKEND_LOST, ErrorKind.PROTOCOL}:
         return _UNAVAILABLE
-    if status in _NOT_TOLD:
+    if status in _INTERNAL_STATUSES:
         return _BAD_GATEWAY
     if status in PROMISES and ran is not Ran.NO:
         return _BAD_GATEWAY
--- a/src/oleanderdyke/entry/hosted/placing.py
+++ b/src/oleanderdyke/entry/hosted/selection.py
@@ -23,43 +23,43 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pause:
+class RetryDelay:
     """Bounds of how long a caller that gets no answer is asked to wait.
 
     Drawn for each, so that callers don't return together.
     """
 
-    least: Millis
-    most: Millis
+    minimum: Millis
+    maximum: Millis
 
     def draw(self, random: Random) -> Millis:
         """Return how long one caller waits."""
-        return random.uniform(self.least, self.most)
+        return random.uniform(self.minimum, self.maximum)
 
 
 # A run ends at each engine every some ten milliseconds, and the answer of one
 # that comes back so soon is still in time.
-PAUSE = Pause(100.0, 200.0)
+RETRY_DELAY = RetryDelay(100.0, 200.0)
 # The same where every engine has to take new weights first, which takes two to
 # three seconds and began before, or where operators have to end an evacuation.
-_LONG_PAUSE = Pause(500.0, 1 * SECOND)
-_PAUSES: Mapping[Obstacle, Pause] = {
-    Obstacle.OUTDATED: _LONG_PAUSE,
-    Obstacle.EVACUATED: _LONG_PAUSE,
-    Obstacle.FOREIGN: _LONG_PAUSE,
+_LONG_RETRY_DELAY = RetryDelay(500.0, 1 * SECOND)
+_RETRY_DELAYS: Mapping[Obstacle, RetryDelay] = {
+    Obstacle.OUTDATED: _LONG_RETRY_DELAY,
+    Obstacle.EVACUATED: _LONG_RETRY_DELAY,
+    Obstacle.FOREIGN: _LONG_RETRY_DELAY,
 }
 # Callers are told when the first server takes requests of this entry again, at
 # most so late: another entry may have a turn at a limited server sooner.
-_LONGEST_TURNS: Mapping[Obstacle, Millis] = {
+_MAX_TURN_WAITS: Mapping[Obstacle, Millis] = {
     Obstacle.LIMITED: 1 * SECOND,
     Obstacle.BACKOFF: 10 * MINUTE,
 }
 # What ends by itself within a second; all else is told to the caller at once.
-_PASSING = frozenset({Obstacle.UNLISTED, Obstacle.COLD})
+_TRANSIENT_OBSTACLES = frozenset({Obstacle.UNLISTED, Obstacle.COLD})
 
 
 @dataclass(frozen=True, slots=True)
-class SentBack:
+class Rejection:
     """Say why a call goes to no server, and when its caller may return.
 
     `server` is the one that it would have gone to.
@@ -67,11 +67,11 @@
 
     kind: ErrorKind
     reason: str
-    pause: Pause = PAUSE
+    retry_delay: RetryDelay = RETRY_DELAY
     server: str | None = None
 
 
-class Placing:
+class ServerSelector:
     """Decide where one call goes."""
 
     def __init__(self, core: HostedCore, call: HostedCall) -> None:
@@ -80,7 +80,9 @@
         # Until when the call waits where no server takes any.
         self._wait_until: Millis | None = None
 
-    def look(self, tried: frozenset[ServerStart]) -> Choice | SentBack | None:
+    def select(
+        self, tried: frozenset[ServerStart]
+    ) -> Choice | Rejection | None:
         """Return where the call goes; None where it looks again later.
 
         Servers that were `tried` come last, and a call that has been tried is
@@ -94,39 +96,39 @@
             demand = replace(demand, excluded=frozenset())
             choice = choose_among(demand, listed, now)
         if choice is None:
-            return self._wait_for_server(demand, listed, now)
+            return self._wait_or_reject(demand, listed, now)
         if choice.is_loading and self._may_wait(now):
             return None
-        if not tried and self._is_crowded(choice):
-            return _explain_crowd(choice)
+        if not tried and self._is_overloaded(choice):
+            return _reject_overloaded(choice)
         return choice
 
-    def _wait_for_server(
+    def _wait_or_reject(
         self, demand: CallDemand, listed: Sequence[Backend], now: Millis
-    ) -> SentBack | None:
+    ) -> Rejection | None:
         """Return nothing while a server may still come that takes the call."""
         obstacle = find_obstacle(demand, listed)
-        if obstacle in _PASSING and self._may_wait(now):
+        if obstacle in _TRANSIENT_OBSTACLES and self._may_wait(now):
             if obstacle is Obstacle.UNLISTED:
-                self._core.servers_wanted.set()
+                self._core.servers_requested.set()
             return None
-        pause = _PAUSES.get(obstacle, PAUSE)
-        if obstacle in _LONGEST_TURNS:
+        retry_delay = _RETRY_DELAYS.get(obstacle, RETRY_DELAY)
+        if obstacle in _MAX_TURN_WAITS:
             turn = self._find_turn(demand, listed, now) - now
-            least = min(turn, _LONGEST_TURNS[obstacle])
-            pause = Pause(least, least + PAUSE.most)
-        return SentBack(ErrorKind.NO_REPLICA, obstacle.value, pause)
+            least = min(turn, _MAX_TURN_WAITS[obstacle])
+            retry_delay = RetryDelay(least, least + RETRY_DELAY.maximum)
+        return Rejection(ErrorKind.NO_REPLICA, obstacle.value, retry_delay)
 
     def _find_turn(
         self, demand: CallDemand, listed: Sequence[Backend], now: Millis
     ) -> Millis:
         """Return when the first server that only time blocks has a turn."""
-        waited_for = [
+        limited = [
             backend
             for backend in listed
-            if demand.blocked.get(backend.record.start) in _LONGEST_TURNS
+            if demand.blocked.get(backend.record.start) in _MAX_TURN_WAITS
         ]
-        return self._core.limits.find_first_turn(waited_for, now)
+        return self._core.limits.find_first_turn(limited, now)
 
     def _may_wait(self, now: Millis) -> bool:
         """Return whether a server may still come that takes the call."""
@@ -134,8 +136,8 @@
             self._wait_until = now + find_wait(self._call.deadline - now)
         return now < self._wait_until
 
-    def _is_crowded(self, choice: Choice) -> bool:
-        if self._call.asked.demand is None:
+    def _is_overloaded(self, choice: Choice) -> bool:
+        if self._call.parameters.demand is None:
             return False
         return should_refuse(
             self._call.age,
@@ -148,7 +150,7 @@
         )
 
 
-def _explain_crowd(choice: Choice) -> SentBack:
+def _reject_overloaded(choice: Choice) -> Rejection:
     reason = (
         f'at the best of {choice.candidates} servers '
         f'a first byte is expected after {choice.expected:.0f} ms, '
@@ -156,4 +158,4 @@
         f'{choice.fill:.2f} of the memory is likely taken'
     )
     server = choice.backend.record.server
-    return SentBack(ErrorKind.OVERLOADED, reason, server=server)
+    return Rejection(ErrorKind.OVERLOADED, reason, server=server)
--- a/src/oleanderdyke/entry/hosted/roster.py
+++ b/src/oleanderdyke/entry/hosted/server_changes.py
@@ -14,10 +14,10 @@
 
 # One read of the list names so many changes one by one, then their count: a
 # process that starts learns of all servers at once.
-_NAMED = 16
+_MAX_NAMED = 16
 
 
-class Standing(enum.StrEnum):
+class ServerState(enum.StrEnum):
     """Say whether a start of a server may get new work, or why not."""
 
     LISTED = 'listed'
@@ -26,44 +26,46 @@
     UNREADABLE = 'unreadable'
 
 
-class Roster:
+class ServerChangeLog:
     """Compare the servers after each read of the list with those before."""
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
-        self._known: Mapping[ServerStart, Standing] = {}
+        self._known: Mapping[ServerStart, ServerState] = {}
 
-    def note(self, book: BackendBook, now: Millis, age: Millis) -> None:
+    def log_changes(
+        self, backends: BackendBook, now: Millis, age: Millis
+    ) -> None:
         """Log what a read changed; `age` is how long before was the last."""
-        present = find_standings(book, now)
-        if present == self._known:
+        states = find_server_states(backends, now)
+        if states == self._known:
             return
         changes = [
-            (start, present.get(start))
-            for start in (*present, *(self._known.keys() - present.keys()))
-            if present.get(start) != self._known.get(start)
+            (start, states.get(start))
+            for start in (*states, *(self._known.keys() - states.keys()))
+            if states.get(start) != self._known.get(start)
         ]
-        self._known = present
-        for start, standing in changes[:_NAMED]:
-            self._tell(book, start, standing, age)
-        if len(changes) > _NAMED:
+        self._known = states
+        for start, state in changes[:_MAX_NAMED]:
+            self._log_change(backends, start, state, age)
+        if len(changes) > _MAX_NAMED:
             self._log.write(
                 EventName.BACKENDS_CHANGED,
-                count=len(changes) - _NAMED,
+                count=len(changes) - _MAX_NAMED,
                 age=round(age),
             )
 
-    def _tell(
+    def _log_change(
         self,
-        book: BackendBook,
+        backends: BackendBook,
         start: ServerStart,
-        standing: Standing | None,
+        state: ServerState | None,
         age: Millis,
     ) -> None:
         event = EventName.BACKEND_LOST
-        if standing is Standing.LISTED:
+        if state is ServerState.LISTED:
             event = EventName.BACKEND_UP
-        backend = book.find_start(start)
+        backend = backends.find_start(start)
         record = None if backend is None else backend.record
         self._log.write(
             event,
@@ -71,28 +73,28 @@
             incarnation=start.born,
             service=None if record is None else record.service,
             address=None if record is None else record.address,
-            reason='gone' if standing is None else standing.value,
+            reason='gone' if state is None else state.value,
             age=round(age),
         )
 
 
-def find_standings(
-    book: BackendBook, now: Millis
-) -> Mapping[ServerStart, Standing]:
+def find_server_states(
+    backends: BackendBook, now: Millis
+) -> Mapping[ServerStart, ServerState]:
     """Return how each known start of a server stands."""
     return {
-        backend.record.start: _find_standing(book, backend, now)
-        for backend in book.list_known()
+        backend.record.start: _find_server_state(backends, backend, now)
+        for backend in backends.list_known()
     }
 
 
-def _find_standing(
-    book: BackendBook, backend: Backend, now: Millis
-) -> Standing:
+def _find_server_state(
+    backends: BackendBook, backend: Backend, now: Millis
+) -> ServerState:
     if backend.record.is_leaving:
-        return Standing.LEAVING
+        return ServerState.LEAVING
     if backend.is_unread:
-        return Standing.UNREADABLE
-    if book.is_missing(backend, now):
-        return Standing.MISSING
-    return Standing.LISTED
+        return ServerState.UNREADABLE
+    if backends.is_missing(backend, now):
+        return ServerState.MISSING
+    return ServerState.LISTED
--- a/src/oleanderdyke/entry/hosted/shell.py
+++ b/src/oleanderdyke/entry/hosted/shell.py
@@ -28,14 +28,14 @@
 from oleanderdyke.platform.settings import HostSettings, load_host_settings
 from oleanderdyke.scrape import METRICS_PORT, MetricsServer
 
-_TICK: Millis = 50.0
+_TICK_PERIOD: Millis = 50.0
 # A process whose ticks are so far apart was suspended or stood still: what came
 # meanwhile is read only now. Half of the time after which a server is silent.
-_STALL: Millis = 250.0
+_STALL_THRESHOLD: Millis = 250.0
 _SETTINGS_PERIOD: Millis = 1 * SECOND
 # The grace time ends 600 ms after running work was cut off; the exit of the
 # interpreter needs the rest.
-_CLOSE_LIMIT: Millis = 400.0
+_CLOSE_TIMEOUT: Millis = 400.0
 _MIB = 1024 * 1024
 # The platform bounds a body by its configuration; this one only guards.
 _BODY_LIMIT = 64 * _MIB
@@ -69,7 +69,7 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(server.serve, [front, ready])
                 tasks.start_soon(self._serve_metrics)
-                tasks.start_soon(core.news.run, core.log, core.random)
+                tasks.start_soon(core.peers.run, core.log, core.random)
                 tasks.start_soon(self._watch.follow_operator)
                 tasks.start_soon(self._watch.follow_servers)
                 tasks.start_soon(self._watch.follow_loads)
@@ -87,7 +87,7 @@
     async def _serve_metrics(self) -> None:
         """Go on without metrics where their port can't be had."""
         core = self._core
-        server = MetricsServer(core.metrics, core.note_levels)
+        server = MetricsServer(core.metrics, core.update_gauges)
         try:
             await server.serve(core.settings.ip)
         except OSError as error:
@@ -99,11 +99,11 @@
 
     async def _tick(self, server: EdgeServer) -> None:
         """Look after silent servers and tell changes of readiness."""
-        core, told = self._core, 'starting'
+        core, logged = self._core, 'starting'
         last = core.clock.now()
         while True:
             now = core.clock.now()
-            if now - last > _STALL:
+            if now - last > _STALL_THRESHOLD:
                 core.backends.note_awake(now)
                 core.log.write(
                     EventName.PROCESS_STALLED, duration=round(now - last)
@@ -112,15 +112,15 @@
             for running in tuple(core.running.values()):
                 running.check_attempt(now)
             core.rollout.tick(now=now, shift=core.engine_clock.most)
-            fault = core.find_fault()
-            if fault != told:
-                told = fault
+            fault = core.find_unready_reason()
+            if fault != logged:
+                logged = fault
                 event = EventName.PROCESS_NOT_READY
                 if not fault:
                     event = EventName.PROCESS_READY
                 core.log.write(event, reason=fault or None)
             self._apply_limits(server)
-            await anyio.sleep(_TICK / SECOND)
+            await anyio.sleep(_TICK_PERIOD / SECOND)
 
     def _apply_limits(self, server: EdgeServer) -> None:
         """Keep idle connections as long as the configuration says."""
@@ -157,9 +157,9 @@
     async def _close(self, server: EdgeServer) -> None:
         """Let the last answers go out, within bounds."""
         server.should_exit = True
-        with anyio.move_on_after(_CLOSE_LIMIT / SECOND):
+        with anyio.move_on_after(_CLOSE_TIMEOUT / SECOND):
             while not server.closed:
-                await anyio.sleep(_TICK / SECOND)
+                await anyio.sleep(_TICK_PERIOD / SECOND)
         self._core.pool.close()
 
 
--- a/src/oleanderdyke/entry/hosted/watch.py
+++ b/src/oleanderdyke/entry/hosted/watch.py
@@ -8,7 +8,7 @@
 
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.entry.hosted.core import HostedCore
-from oleanderdyke.entry.hosted.roster import Roster
+from oleanderdyke.entry.hosted.server_changes import ServerChangeLog
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.backends import BackendBook
 from oleanderdyke.kernel.deployment import Deployment
@@ -33,7 +33,7 @@
 _SERVERS_PERIOD: Millis = 600.0
 # The same while requests wait for a server that none is listed for: new starts
 # are used up to half a second sooner, for ten calls a second at most.
-_WANTED_PERIOD: Millis = 100.0
+_REQUESTED_PERIOD: Millis = 100.0
 # Notices of loads come only when weights are named. Each of these waits is set
 # so that an entry at rest makes under three calls a second in all.
 _LOADS_WAIT: Millis = 10 * SECOND
@@ -48,12 +48,12 @@
 _LOADS_LIMIT: Millis = _LOADS_WAIT + 1 * SECOND
 # Engines that take turns append several notices together: those of so long are
 # read in one call, where each alone would wake every reader.
-_LOADS_HOLD: Millis = 40.0
+_LOADS_BATCH_PERIOD: Millis = 40.0
 # The store refuses what is over its rate and may be out for seconds; each
 # call is paid for, also a refused one. The longest pause leaves most of the two
 # seconds in which a configuration has to be in force once the store is back.
 _RETRY_PAUSE: Millis = 150.0
-_LONGEST_PAUSE: Millis = 600.0
+_MAX_RETRY_PAUSE: Millis = 600.0
 
 
 class StoreWatch:
@@ -62,29 +62,33 @@
     def __init__(self, core: HostedCore) -> None:
         self._core = core
         store = core.settings.store
-        share = core.news.share
-        self._long = StoreClient(
+        share = core.peers.make_sharing
+        self._operator_store = StoreClient(
             store,
             _CONFIGURATION_WAIT,
             share(wait=_SHARED_WAIT, limit=_CONFIGURATION_LIMIT),
         )
-        self._short = StoreClient(
+        self._servers_store = StoreClient(
             store,
             sharing=share(
                 wait=_SERVERS_LIMIT,
                 limit=_SERVERS_LIMIT,
-                is_urgent=core.are_servers_wanted,
+                is_urgent=core.are_servers_requested,
             ),
         )
-        self._long_loads = StoreClient(
+        self._loads_store = StoreClient(
             store,
             _LOADS_WAIT,
             share(wait=_SHARED_LOADS_WAIT, limit=_LOADS_LIMIT),
         )
-        self._loads = LoadFeed(self._long_loads, self._refuse)
-        self._operator = OperatorFeed(self._long, self._refuse)
-        self._servers = ServerFeed(self._short, self._refuse)
-        self._roster = Roster(core.log)
+        self._loads = LoadFeed(self._loads_store, self._log_refused_record)
+        self._operator = OperatorFeed(
+            self._operator_store, self._log_refused_record
+        )
+        self._servers = ServerFeed(
+            self._servers_store, self._log_refused_record
+        )
+        self._changes = ServerChangeLog(core.log)
 
     async def follow_operator(self) -> None:
         """Read configurations and versions until cancelled."""
@@ -98,7 +102,7 @@
         """Read which engines take new weights until cancelled."""
         await self._follow('loads', self._read_loads, 0.0)
 
-    def _refuse(self, name: str, error: MalformedRecord) -> None:
+    def _log_refused_record(self, name: str, error: MalformedRecord) -> None:
         """Keep the last good state where a record can't be read."""
         self._core.log.write(
             EventName.RECORD_REFUSED, name=name, detail=error.message
@@ -119,8 +123,8 @@
             if backend is not None and notice.held:
                 start = backend.record.start
                 core.backends.note_version(start, notice.model, notice.held)
-        if notices and not self._long_loads.was_shared:
-            await anyio.sleep(_LOADS_HOLD / SECOND)
+        if notices and not self._loads_store.was_shared:
+            await anyio.sleep(_LOADS_BATCH_PERIOD / SECOND)
 
     async def _read_operator(self) -> None:
         core = self._core
@@ -128,16 +132,18 @@
         news = await self._operator.read()
         if news is not None:
             for deployment in news.list_configurations():
-                self._apply(deployment)
+                self._apply_configuration(deployment)
             for named in news.list_versions():
-                self._name(named)
-            self._take_evacuations(news)
+                self._apply_version(named)
+            self._apply_evacuations(news)
             if news.is_complete:
                 # An answer that comes late, or that a suspended entry finds
                 # once it goes on, tells nothing of the time in between.
-                core.configuration_read = asked_at + news.waited
+                core.configuration_read_at = asked_at + news.waited
                 core.rollout.weights.note_read(asked_at + news.waited)
-                core.configuration_asked = asked_at + min(news.waited, 0.0)
+                core.configuration_requested_at = asked_at + min(
+                    news.waited, 0.0
+                )
 
     async def _read_servers(self) -> None:
         core = self._core
@@ -147,12 +153,16 @@
             return
         now = core.clock.now()
         # What a neighbour tells may be older than the way that it came.
-        read_at = asked_at + news.waited if self._short.was_shared else now
+        read_at = (
+            asked_at + news.waited if self._servers_store.was_shared else now
+        )
         core.backends.note_answer(now, read_at)
-        _take_servers(core.backends, news, now)
+        _apply_servers(core.backends, news, now)
         core.backends.note_read(now, read_at)
-        self._roster.note(core.backends, now, now - (core.servers_read or now))
-        core.servers_read = now
+        self._changes.log_changes(
+            core.backends, now, now - (core.servers_read_at or now)
+        )
+        core.servers_read_at = now
         # Connections to a start that has ended may be dead without a sign, as
         # behind a cut; each would cost a request half a second.
         for ended in core.backends.take_superseded():
@@ -168,22 +178,22 @@
             except StoreUnavailable as error:
                 store.note_failed(error.message)
                 await anyio.sleep(pause / SECOND)
-                pause = min(2 * pause, _LONGEST_PAUSE)
+                pause = min(2 * pause, _MAX_RETRY_PAUSE)
                 continue
             store.note_good()
             pause = _RETRY_PAUSE
-            if period and not self._short.was_shared:
+            if period and not self._servers_store.was_shared:
                 await self._pause(period)
 
     async def _pause(self, period: Millis) -> None:
         """Wait for a period, less where requests wait for a server."""
         core = self._core
-        await anyio.sleep(_WANTED_PERIOD / SECOND)
-        with anyio.move_on_after((period - _WANTED_PERIOD) / SECOND):
-            await core.servers_wanted.wait()
-        core.servers_wanted = anyio.Event()
+        await anyio.sleep(_REQUESTED_PERIOD / SECOND)
+        with anyio.move_on_after((period - _REQUESTED_PERIOD) / SECOND):
+            await core.servers_requested.wait()
+        core.servers_requested = anyio.Event()
 
-    def _name(self, named: NamedVersion) -> None:
+    def _apply_version(self, named: NamedVersion) -> None:
         core = self._core
         if not core.rollout.weights.name(named.model, named.version):
             return
@@ -191,12 +201,12 @@
             EventName.VERSION_NAMED, model=named.model, version=named.version
         )
 
-    def _take_evacuations(self, news: OperatorNews) -> None:
+    def _apply_evacuations(self, news: OperatorNews) -> None:
         """Stop new work where operators say so, until they take it back."""
         now, evacuations = self._core.clock.now(), self._core.limits.evacuations
         orders = tuple(news.list_evacuations())
         for order in orders:
-            self._take_evacuation(order)
+            self._apply_evacuation(order)
         ended = evacuations.find_expired(now)
         if news.is_whole:
             listed = [each.data_centre for each in orders if each.is_active]
@@ -204,9 +214,11 @@
                 listed, now, is_restored=news.is_restored
             )
         for data_centre in ended:
-            self._take_evacuation(EvacuationOrder(data_centre, is_active=False))
+            self._apply_evacuation(
+                EvacuationOrder(data_centre, is_active=False)
+            )
 
-    def _take_evacuation(self, order: EvacuationOrder) -> None:
+    def _apply_evacuation(self, order: EvacuationOrder) -> None:
         core = self._core
         evacuations = core.limits.evacuations
         if order.is_active:
@@ -218,7 +230,7 @@
         if is_news:
             core.log.write(event, name=order.data_centre)
 
-    def _apply(self, deployment: Deployment) -> None:
+    def _apply_configuration(self, deployment: Deployment) -> None:
         """Put a configuration in force; an older one never."""
         known = self._core.deployment
         if known is not None and deployment.version <= known.version:
@@ -232,15 +244,17 @@
         )
 
 
-def _take_servers(book: BackendBook, news: ServerNews, now: Millis) -> None:
+def _apply_servers(
+    backends: BackendBook, news: ServerNews, now: Millis
+) -> None:
     """Take the whole list, or what has changed in it."""
     if news.is_restored:
-        book.note_restored(now)
+        backends.note_restored(now)
     if news.is_whole:
-        book.replace(news.listed, now, unread=news.unread)
+        backends.replace(news.listed, now, unread=news.unread)
         return
     for server in news.gone:
-        book.remove(server, now)
+        backends.remove(server, now)
     for record in news.listed:
-        book.put(record, now)
-    book.note_unread(news.unread)
+        backends.put(record, now)
+    backends.note_unread(news.unread)
--- a/src/oleanderdyke/entry/hosted/weights.py
+++ b/src/oleanderdyke/entry/hosted/weights.py
@@ -20,7 +20,7 @@
     One that names no model may begin on any that the server holds.
     """
     held = backend.record.versions
-    demand = call.asked.demand
+    demand = call.parameters.demand
     if demand is None:
         return held
     return {demand.model: held.get(demand.model)}
--- a/tests/test_hosted_entry.py
+++ b/tests/test_hosted_entry.py
@@ -98,7 +98,7 @@
 async def test_what_an_old_configuration_lacks_is_not_denied(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         stage.store.faults = type(stage.store.faults)(down=True)
-        stage.core.configuration_read -= 60_000
+        stage.core.configuration_read_at -= 60_000
         assert (await stage.call('/other/1')).status == 503
         found = await stage.call('/once/1', oleanderdyke_key='new-key')
         assert found.status == 503
--- a/tests/test_hosted_log.py
+++ b/tests/test_hosted_log.py
@@ -6,7 +6,7 @@
 import pytest
 
 from oleanderdyke.clock import ManualClock
-from oleanderdyke.entry.hosted.roster import Roster
+from oleanderdyke.entry.hosted.server_changes import ServerChangeLog
 from oleanderdyke.kernel.backends import BackendBook
 from oleanderdyke.kernel.servers import ServerRecord
 from oleanderdyke.logs import make_event_log, parse_line
@@ -27,7 +27,9 @@
 def note(path, steps):
     book, clock = BackendBook(), ManualClock()
     with path.open('w', buffering=1) as stream:
-        roster = Roster(make_event_log('front-1', clock=clock, stream=stream))
+        roster = ServerChangeLog(
+            make_event_log('front-1', clock=clock, stream=stream)
+        )
         for records in steps:
             clock.advance(600)
             for record in records:
--- a/tests/test_hosted_news.py
+++ b/tests/test_hosted_news.py
@@ -12,7 +12,7 @@
 import pytest
 
 from oleanderdyke.clock import make_clock
-from oleanderdyke.entry.hosted import news, presence
+from oleanderdyke.entry.hosted import peer_sharing, presence
 from oleanderdyke.entry.hosted.core import HostedCore, make_hosted_core
 from oleanderdyke.entry.hosted.shell import HostedShell
 from oleanderdyke.kernel.neighbours import RECORD_SOURCE
@@ -50,7 +50,7 @@
 
     def find_reader(self) -> str:
         """Name who reads for this entry; itself where nobody else does."""
-        neighbours = self.core.news.neighbours
+        neighbours = self.core.peers.neighbours
         found = neighbours.find_reader(RECORD_SOURCE, self.core.clock.now())
         return self.name if found is None else found.name
 
@@ -77,8 +77,8 @@
     tmp_path, monkeypatch
 ) -> AsyncGenerator[tuple[RecordStore, list[Entry]], None]:
     """Run entries until they agree on who reads, and are linked to it."""
-    monkeypatch.setattr(news, '_LOAD_AFTER', 50.0)
-    monkeypatch.setattr(presence, '_FIRST_PERIODS', (300.0, 300.0))
+    monkeypatch.setattr(peer_sharing, '_LINKS_IMPORT_DELAY', 50.0)
+    monkeypatch.setattr(presence, '_INITIAL_PERIODS', (300.0, 300.0))
     store = RecordStore()
     store.put(OPERATOR, 'config', CONFIGURATION)
     store.put(SERVERS, 'i-0', make_record('127.0.0.1:9'))
@@ -109,7 +109,7 @@
     for entry in entries:
         if entry.find_reader() != reader:
             return False
-        links = entry.core.news.reader
+        links = entry.core.peers.reader
         if entry.name != reader and links._find_link(reader) is None:
             return False
     return True
@@ -182,7 +182,7 @@
 
     async def refuse(client, topic, start):
         sharing = client._sharing
-        if sharing is not None and sharing._reader is entry.core.news.reader:
+        if sharing is not None and sharing._reader is entry.core.peers.reader:
             raise StoreUnavailable('answered with 503')
         return await read(client, topic, start)
 
--- a/tests/test_hosted_safety.py
+++ b/tests/test_hosted_safety.py
@@ -144,7 +144,7 @@
 
 @pytest.mark.parametrize('act', [Act.REFUSE_UNPROVED, Act.FOREIGN])
 def test_the_answers_catch_an_entry_that_believes_all(monkeypatch, act):
-    monkeypatch.setattr(attempts, 'find_fault', lambda *_: '')
+    monkeypatch.setattr(attempts, 'find_answer_fault', lambda *_: '')
     _assert_caught(Ask('/once/', (act,)))
 
 
@@ -161,7 +161,7 @@
 
 
 def test_the_events_catch_an_entry_that_joins_any_answer(monkeypatch):
-    monkeypatch.setattr(attempts, 'is_rest', lambda *_: True)
+    monkeypatch.setattr(attempts, 'continues_stream', lambda *_: True)
     _assert_caught(Ask('/stream/', (Act.STREAM_CUT, Act.FAIL)))
 
 
--- a/tests/test_hosted_store.py
+++ b/tests/test_hosted_store.py
@@ -31,7 +31,9 @@
         ages = []
         for _ in range(80):
             await anyio.sleep(0.05)
-            ages.append(stage.core.clock.now() - stage.core.configuration_read)
+            ages.append(
+                stage.core.clock.now() - stage.core.configuration_read_at
+            )
         assert max(ages) < STALE_AFTER / 2
         assert (await stage.call('/other/1')).status == 404
 
@@ -66,9 +68,9 @@
 
 
 async def _wait_read(stage):
-    before = stage.core.configuration_read
+    before = stage.core.configuration_read_at
     with anyio.fail_after(5):
-        while stage.core.configuration_read == before:
+        while stage.core.configuration_read_at == before:
             await anyio.sleep(0.01)
 
 
