--- a/src/oleanderdyke/entry/hosted/__init__.py
+++ b/src/oleanderdyke/entry/hosted/__init__.py
@@ -1,1 +1,1 @@
-"""Serve callers on the users' platform."""
+"""Entry process for deployments on the users' platform."""
--- a/src/oleanderdyke/entry/hosted/answers.py
+++ b/src/oleanderdyke/entry/hosted/answers.py
@@ -1,4 +1,4 @@
-"""Judge the head of an answer of a backend server."""
+"""Validate the head of a backend server's response."""
 
 from __future__ import annotations
 
@@ -11,30 +11,33 @@
 
 
 def find_answer_fault(status: int, facts: AnswerFacts, request: str) -> str:
-    """Return why an answer can't be that of the server to this request."""
+    """Return why a response must be rejected, or '' if it is acceptable.
+
+    `request` is the id of the request that was sent.
+    """
     if facts.request and facts.request != request:
-        # Also a late refusal: believed, it would leave this run unclosed
-        # beside the next one.
-        return 'an answer to another request'
+        # This also covers a late refusal: accepting it would start the next
+        # attempt while the connection of this one is still open.
+        return 'response belongs to another request'
     if facts.is_not_run:
         return ''
     if status in _SUCCESS and not facts.is_sealed:
-        return 'a success without the mark of a server'
+        return 'success response without a response seal'
     if status in PROMISES:
-        return f'{status} without the promise that it has not run'
+        return f'status {status} without a not-executed header'
     return ''
 
 
 def is_own_answer(facts: AnswerFacts, request: str, server: str) -> bool:
-    """Return whether an answer is a server's own to a request, not a late one.
+    """Return whether a response comes from `server` and is for `request`.
 
-    A server that restarted may answer at the address of another.
+    After a restart, another server may answer at the same address.
     """
     return facts.request in {'', request} and facts.server in {'', server}
 
 
 def is_event_stream(headers: Headers) -> bool:
-    """Return whether the body is a stream of events."""
+    """Return whether the body is a stream of server-sent events."""
     return any(
         name == 'content-type' and content.startswith(_EVENT_STREAM)
         for name, content in headers
@@ -42,9 +45,9 @@
 
 
 def continues_stream(status: int, headers: Headers) -> bool:
-    """Return whether an answer may follow the events that a caller has.
+    """Return whether a response may continue a stream the caller has begun.
 
-    A failure, or any other text, would be joined to them and end the stream as
-    whole.
+    An error, or any other body, would be appended to the events sent so far
+    and make the stream look complete.
     """
     return status in _SUCCESS and is_event_stream(headers)
--- a/src/oleanderdyke/entry/hosted/app.py
+++ b/src/oleanderdyke/entry/hosted/app.py
@@ -1,4 +1,4 @@
-"""Answer callers and the balancer on the users' platform."""
+"""ASGI application for callers and the load balancer's readiness checks."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class HostedApp:
-    """Serve one request; answer every fault with a typed error."""
+    """Serve HTTP requests and answer every failure with a typed error."""
 
     def __init__(
         self, core: HostedCore, stopper: Stopper, readiness_port: int
@@ -44,7 +44,7 @@
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Serve one request."""
+        """Serve one ASGI request."""
         if scope['type'] != 'http':
             return
         port = scope['server'][1]
@@ -79,7 +79,10 @@
             self._stopper.end(key)
 
     def _make_key(self, request: str) -> str:
-        """Return what a stop knows a request by: its id, where it is free."""
+        """Return a unique key for graceful shutdown to track a request by.
+
+        It is the request id, with a number appended if that id is in use.
+        """
         self._sequence += 1
         if request and not self._core.drain.has_work(request):
             return request
@@ -142,7 +145,7 @@
             await reply.refuse(
                 ErrorKind.NOT_FOUND,
                 Ran.NO,
-                'only the readiness is told here',
+                'this port serves only the readiness check',
             )
             return
         await reply.start(_NOT_READY if fault else _READY, ())
--- a/src/oleanderdyke/entry/hosted/attempt.py
+++ b/src/oleanderdyke/entry/hosted/attempt.py
@@ -1,4 +1,4 @@
-"""Carry one attempt of a call straight to a backend server."""
+"""Send one attempt of a call directly to a backend server."""
 
 from __future__ import annotations
 
@@ -50,17 +50,17 @@
 )
 
 _SERVER_ERROR = 500
-# A body up to this size is held until it is whole, so that a broken one can
-# be asked for again and never looks complete.
+# Bodies up to this size in bytes are buffered until they are complete, so that
+# a truncated one can be retried and never reaches the caller.
 _BUFFER_LIMIT = 256 * 1024
 
 
 class DirectAttempt:
-    """Send one request to one start of a backend server; report its answer.
+    """Send a request to one incarnation of a server and report its response.
 
-    The only server that runs it is the one that was chosen: it is named in
-    the head, and any other refuses. The head can't name the start: what was
-    sent is given up once the server is known to have started anew.
+    The request head names the chosen server, and any other server refuses to
+    run the request. The head can't name the incarnation, so the attempt is
+    aborted once the server is known to have restarted.
     """
 
     def __init__(
@@ -94,18 +94,19 @@
         self._head: AnswerHead | None = None
         self._is_stream = False
         self._has_answered = False
-        # A stream begins with its first event: a head alone may be sent before.
+        # Set by the first body bytes for streams, whose head may be sent
+        # earlier, and by the head for all other responses.
         self._has_started = False
         self._address = ''
         self._sent = False
         self._done = False
 
     async def start(self) -> None:
-        """Send the request on a kept connection or a new one."""
+        """Send the request on an idle connection or a new one."""
         core = self._core
         backend = core.backends.find_start(self._start)
         if backend is None or core.backends.has_left(self._start):
-            self._report_unsent('the server has left')
+            self._report_unsent('server is leaving or gone')
             return
         address = self._address = backend.record.address
         connection = core.pool.take_idle(address)
@@ -125,51 +126,53 @@
         self._send(connection, backend)
 
     def withdraw_outdated(self) -> None:
-        """Take back what waits on weights whose time to begin runs out.
+        """Abort a request still queued on weights that are about to expire.
 
-        What has its first token has begun and goes on.
+        A request that has produced its first token continues.
         """
         if self._done or not self._sent or self._has_started:
             return
         if not may_begin(self._core, self._weights, BEGIN_MARGIN):
             self._close_failed(
-                ErrorKind.STREAM_BROKEN, Ran.MAYBE, 'it waits on old weights'
+                ErrorKind.STREAM_BROKEN,
+                Ran.MAYBE,
+                'request was still queued on outdated weights',
             )
 
     def withdraw_superseded(self) -> None:
-        """Take back what was sent to a start that has ended.
+        """Abort a request sent to an incarnation that has ended.
 
-        Nothing of it comes any more, but a dead connection doesn't tell.
+        No response can follow, but the dead connection may not show it.
         """
         if self._done or not self._sent:
             return
         if self._core.backends.is_superseded(self._start):
             self._close_failed(
-                ErrorKind.STREAM_BROKEN, Ran.MAYBE, 'its server started anew'
+                ErrorKind.STREAM_BROKEN, Ran.MAYBE, 'server restarted'
             )
 
     def cancel(self) -> None:
-        """Stop the run by closing its connection."""
+        """Stop the server's run by closing the connection."""
         if not self._done:
             self._finish()
             if self._connection is not None:
                 self._connection.close()
 
     def fail(self, reason: str) -> None:
-        """Give up on an answer that may still come."""
+        """Abort an attempt whose response may still arrive."""
         if not self._done:
             self._record_loss()
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, reason)
 
     def find_silence(self, now: Millis) -> Millis:
-        """Return for how long the server has owed bytes and sent none."""
+        """Return for how long the server has sent nothing while work is due."""
         backend = self._core.backends.find_start(self._start)
         if self._done or backend is None:
             return 0.0
         return backend.find_silence(now)
 
     def take_head(self, status: int, headers: Headers) -> None:
-        """Judge the head of the answer."""
+        """Validate the response head and accept it or report a failure."""
         facts = decode_answer(status, headers)
         self._record_facts(facts)
         if self._done:
@@ -184,13 +187,13 @@
             self._core.backends.note_error(self._start)
             self._report_failure(ErrorKind.STREAM_BROKEN, Ran.YES, f'{status}')
         elif self._is_continuation() and not continues_stream(status, headers):
-            reason = f'{status} instead of the rest of the stream'
+            reason = f'status {status} instead of the rest of the stream'
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, reason)
         else:
             self._accept(status, headers)
 
     def take_part(self, data: bytes) -> None:
-        """Pass on a part of the body, or hold it until the end."""
+        """Forward a part of the body, or buffer it until the end."""
         if self._done:
             return
         self._has_started = True
@@ -206,7 +209,7 @@
                 self._flush()
 
     def take_end(self) -> None:
-        """Report that the answer is whole."""
+        """Report that the response is complete."""
         if self._done:
             return
         if (
@@ -215,7 +218,7 @@
             and self._splitter.has_partial_event
         ):
             self._close_failed(
-                ErrorKind.STREAM_BROKEN, Ran.MAYBE, 'ended within an event'
+                ErrorKind.STREAM_BROKEN, Ran.MAYBE, 'stream ended mid-event'
             )
             return
         self._flush()
@@ -227,20 +230,20 @@
         self._inbox.put(Received(end))
 
     def lose(self, reason: str) -> None:
-        """Report that the answer broke off."""
+        """Report that the connection was lost before the response ended."""
         if not self._done:
             self._record_loss()
             self._report_failure(ErrorKind.STREAM_BROKEN, Ran.MAYBE, reason)
 
     def _is_continuation(self) -> bool:
-        """Return whether the caller already has events of an earlier run."""
+        """Return whether the caller has events from an earlier attempt."""
         return self._splitter is not None and self._splitter.has_yielded
 
     def _record_loss(self) -> None:
-        """Leave the server out, and its kept connections unless it answered.
+        """Mark the server as failed; drop idle connections without a response.
 
-        They end with a start of the server, also where a cut hides that, and
-        each would cost one more request.
+        Idle connections die when the server restarts, even if a network
+        partition hides it, and each of them would fail one more request.
         """
         core = self._core
         core.backends.note_failed(self._start, core.clock.now())
@@ -248,10 +251,10 @@
             core.pool.drop_idle(self._address)
 
     def _find_send_fault(self, backend: Backend) -> str:
-        """Return why nothing may be sent now, or nothing.
+        """Return why the request may no longer be sent, or ''.
 
-        What was true when the server was chosen may have changed while the
-        connection was opened, by 300 ms at most.
+        Conditions may have changed since the server was chosen, as opening the
+        connection takes up to 300 ms.
         """
         if self._core.backends.has_left(self._start):
             return 'the server left while connecting'
@@ -261,11 +264,12 @@
         if obstacle is not None:
             return obstacle.value
         weights = find_weights(self._call, backend)
-        # What would wait at the engine until its time is over runs late where
-        # a server doesn't drop the requests of closed connections.
+        # Include the expected queueing delay: a server that doesn't drop the
+        # requests of closed connections would run the request on weights that
+        # have expired by then.
         delay = backend.find_delay(self._call.priority, self._core.clock.now())
         if not may_begin(self._core, weights, SEND_MARGIN + delay):
-            return 'its weights were replaced too long ago'
+            return 'weights of the server were replaced too long ago'
         return ''
 
     def _send(self, connection: BackendConnection, backend: Backend) -> None:
@@ -353,7 +357,7 @@
             self._updates.apply_stream_start()
 
     def _flush(self) -> None:
-        """Pass on the head and what was held of the body."""
+        """Forward the head and the buffered part of the body."""
         if self._head is not None:
             self._inbox.put(Received(self._head))
             self._head = None
--- a/src/oleanderdyke/entry/hosted/backend_updates.py
+++ b/src/oleanderdyke/entry/hosted/backend_updates.py
@@ -1,4 +1,4 @@
-"""Learn about backend servers from how they answer."""
+"""Update the state of backend servers from their responses."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class BackendUpdates:
-    """Records in the book of servers what one start's answer shows."""
+    """Apply the responses to one call to the state of one incarnation."""
 
     def __init__(
         self, core: HostedCore, call: HostedCall, start: ServerStart
@@ -20,7 +20,7 @@
         self._start = start
 
     def apply_facts(self, facts: AnswerFacts) -> None:
-        """Learn what an answer tells of its server."""
+        """Record what the response headers report about their server."""
         if facts.is_leaving:
             self._core.mark_leaving(self._start, self._call.request)
         if facts.retry_after is not None:
@@ -53,7 +53,7 @@
                 )
 
     def apply_refusal(self, facts: AnswerFacts, sent: Weights) -> None:
-        """Learn why a call that was `sent` for some weights was not run."""
+        """Record why the server did not run a call sent for these weights."""
         core, demand = self._core, self._call.parameters.demand
         if facts.server and facts.server != self._start.server:
             core.backends.note_replaced(self._start)
@@ -71,7 +71,7 @@
         core.backends.note_refused(self._start, now)
 
     def apply_stream_start(self) -> None:
-        """Learn that a server has read a prompt, and likely keeps its parts."""
+        """Record that the server has read a prompt and likely caches it."""
         core, demand = self._core, self._call.parameters.demand
         backend = core.backends.find_start(self._start)
         deployment = core.deployment
@@ -84,11 +84,11 @@
     def _record_newer_weights(
         self, model: str, held: int, sent: Weights
     ) -> None:
-        """Learn that a server no longer holds the weights that it told.
+        """Assume newer weights after a server rejected the version it listed.
 
-        A start's weights are only replaced by newer ones. An engine that is
-        cut off from the store tells that no other way, and would serve nobody
-        until it is listed again.
+        An incarnation replaces weights only by newer ones. An engine cut off
+        from the store can't list its new version, so without this update it
+        would get no requests until its record is written again.
         """
         core = self._core
         later = core.rollout.weights.find_following(model, held)
--- a/src/oleanderdyke/entry/hosted/call.py
+++ b/src/oleanderdyke/entry/hosted/call.py
@@ -1,4 +1,4 @@
-"""Turn a caller's request into a call of a service."""
+"""Authorize a caller's request and turn it into a call of a service."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 from oleanderdyke.links.messages import Headers
 from oleanderdyke.platform.requests import CallerRequest, decode_request
 
-# No region has this name.
+# A region name that matches no server, as an empty set would mean "anywhere".
 _NO_REGIONS = frozenset({''})
 _HIGHEST_PRIORITY = 0
 _LOWEST_PRIORITY = 9
-# Long enough for a store that answers in milliseconds to have told the
-# configuration or the list of servers to an entry that has just started.
+# The store answers within milliseconds, so an entry that has just started has
+# read its configuration and server list by the time the caller retries.
 _START_RETRY_DELAY: Millis = 400.0
 
 
 @dataclass(frozen=True, slots=True)
 class HostedCall:
-    """Hold one call and what the configuration says of it.
+    """A call of a service with its route and caller.
 
-    `owner` is None where the route needs no key. `deadline` is a moment on
-    the entry's clock.
+    `owner` is None if the route needs no API key. `started` and `deadline` are
+    times on the entry's clock.
     """
 
     request: str
@@ -56,12 +56,12 @@
 
     @property
     def team(self) -> str:
-        """Return the team that the caller's key belongs to."""
+        """Return the team that owns the API key, '' without a key."""
         return '' if self.owner is None else self.owner.team
 
     @property
     def priority(self) -> int:
-        """Return the rank among the requests of an engine; 0 is first."""
+        """Return the scheduling priority at the engine; 0 is the highest."""
         owner = self.owner
         rank = self.route.priority
         if owner is not None and owner.priority is not None:
@@ -72,7 +72,7 @@
 
     @property
     def regions(self) -> frozenset[str]:
-        """Return the regions where the call may run; none means all."""
+        """Return the regions where the call may run; empty means any."""
         route = self.route.homes
         owner = frozenset() if self.owner is None else self.owner.homes
         if not route or not owner:
@@ -81,7 +81,7 @@
 
     @property
     def age(self) -> RequestAge:
-        """Return how long the caller has waited before this try."""
+        """Return how long the caller has waited across its retries."""
         route = self.route
         return find_request_age(
             self.parameters.wait, route.timeout, route.target
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AuthorizedRequest:
-    """Hold what the head of a request is allowed."""
+    """The route and owner found for a request head, before its body."""
 
     parameters: CallerRequest
     route: Route
@@ -98,10 +98,10 @@
 
 
 def authorize_request(core: HostedCore, head: Head) -> AuthorizedRequest:
-    """Find the route and the team; raise OleanderError.
+    """Find the route and the key's owner; raise OleanderError if denied.
 
-    What may only be missing because this entry is behind is answered by
-    NOT_READY, which promises that nothing ran.
+    A route or key that may only be missing because the configuration is stale
+    is refused with NOT_READY, which lets the caller retry safely.
     """
     deployment = core.deployment
     if deployment is None:
@@ -110,7 +110,9 @@
     host = (head.find('host') or '').lower()
     route = deployment.find_route(host, head.target)
     if route is None:
-        raise _make_denial(core, ErrorKind.NOT_FOUND, 'no route leads there')
+        raise _make_denial(
+            core, ErrorKind.NOT_FOUND, 'no route matches host and path'
+        )
     owner = _find_owner(core, deployment, route, parameters)
     return AuthorizedRequest(parameters, route, owner)
 
@@ -123,7 +125,7 @@
     body: bytes,
     started: Millis,
 ) -> HostedCall:
-    """Build the call that a permitted request asks for."""
+    """Build the call of an authorized request, choosing its service."""
     parameters, route = authorized.parameters, authorized.route
     wait = route.timeout if parameters.wait is None else parameters.wait
     target = f'{head.target}?{head.query}' if head.query else head.target
@@ -149,7 +151,7 @@
     listed: Sequence[Backend],
     excluded: frozenset[ServerStart],
 ) -> CallDemand:
-    """Describe a call for the choice of one of the listed servers."""
+    """Describe what a call requires of the listed servers."""
     demand = call.parameters.demand
     newest = (
         0 if demand is None else core.rollout.weights.find_newest(demand.model)
@@ -177,7 +179,7 @@
 def _list_held_versions(
     call: HostedCall, listed: Iterable[Backend]
 ) -> frozenset[int | None]:
-    """Return the versions that engines hold, None where one isn't told."""
+    """Return the weight versions engines hold; None for an unknown one."""
     demand = call.parameters.demand
     if demand is None:
         return frozenset()
@@ -189,7 +191,7 @@
 def _list_outdated_versions(
     core: HostedCore, call: HostedCall, held: frozenset[int | None]
 ) -> frozenset[int | None]:
-    """Return the versions that listed engines hold and none may begin on."""
+    """Return the held versions that requests may no longer start on."""
     demand = call.parameters.demand
     if demand is None:
         return frozenset()
@@ -224,17 +226,18 @@
 
 
 def find_context_stores(core: HostedCore, call: HostedCall) -> ContextStores:
-    """Return the stores where context of a call may be kept."""
+    """Return the context stores within the regions of a call."""
     if not call.regions:
         return core.contexts
     return core.contexts.restrict(core.limits.list_homes(call.regions))
 
 
 def make_salt(call: HostedCall, version: int | None) -> str:
-    """Return the text under which kept context may be shared.
+    """Return the cache salt, which limits with whom context is shared.
 
-    Context of other weights, or of another team where one is isolated, is
-    under another text, so that no engine or store can find it.
+    The salt differs by model, weight version and, for isolated teams, by team,
+    so engines and stores never match context across them. It is '' if no
+    context may be shared.
     """
     owner, demand = call.owner, call.parameters.demand
     if demand is None or version is None:
@@ -244,7 +247,7 @@
 
 
 def make_not_ready_error(reason: str) -> OleanderError:
-    """Return the refusal of an entry that knows too little yet."""
+    """Build the refusal of an entry whose state is missing or stale."""
     return OleanderError(
         ErrorKind.NOT_READY, reason, ran=Ran.NO, retry_after=_START_RETRY_DELAY
     )
@@ -260,9 +263,7 @@
         return None
     owner = deployment.key_owners.get(parameters.api_key)
     if owner is None:
-        raise _make_denial(
-            core, ErrorKind.UNAUTHENTICATED, 'the key is not known'
-        )
+        raise _make_denial(core, ErrorKind.UNAUTHENTICATED, 'unknown API key')
     return owner
 
 
@@ -271,7 +272,7 @@
 ) -> OleanderError:
     if core.is_stale:
         return make_not_ready_error(
-            f'{reason}, but the configuration may be old'
+            f'{reason}, but the configuration may be stale'
         )
     return OleanderError(kind, reason, ran=Ran.NO)
 
--- a/src/oleanderdyke/entry/hosted/call_log.py
+++ b/src/oleanderdyke/entry/hosted/call_log.py
@@ -1,4 +1,4 @@
-"""Log what decides a call and how it ends, and count what was late."""
+"""Log routing and outcome of a call, and count missed latency targets."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """Say who had a call last, and when its answer began after the call."""
+    """The last server of a call, and the time to its first byte."""
 
     peer: str | None
     first_byte: Millis | None
 
     def describe(self) -> Mapping[str, LogValue]:
-        """Return it as keys of a line."""
+        """Return the fields of a log line."""
         first = None if self.first_byte is None else round(self.first_byte, 1)
         return {'peer': self.peer, 'first_token': first}
 
 
 class CallLog:
-    """Write the lines of one call."""
+    """Write the log lines of one call."""
 
     def __init__(self, core: HostedCore, call: HostedCall) -> None:
         self._core = core
         self._call = call
 
     def log_routed(self, choice: Choice) -> None:
-        """Log which server was chosen, and what was known of it."""
+        """Log the chosen server and the estimates behind the choice."""
         core, call = self._core, self._call
         now, backend = core.clock.now(), choice.backend
         load = backend.load
@@ -59,7 +59,7 @@
         )
 
     def log_retried(self, attempt: int, server: str) -> None:
-        """Log that a call is sent again."""
+        """Log another attempt of a call."""
         self._core.log.write(
             EventName.REQUEST_RETRIED,
             request=self._call.request,
@@ -68,7 +68,7 @@
         )
 
     def log_refused(self, refusal: Refuse, progress: Progress) -> None:
-        """Log why a call gets no answer of a server."""
+        """Log why the entry itself answers a call with an error."""
         call = self._call
         self._core.log.write(
             EventName.REQUEST_REFUSED,
@@ -82,7 +82,7 @@
         )
 
     def log_cancelled(self, progress: Progress) -> None:
-        """Log that the caller has left before the end."""
+        """Log that the caller disconnected before the response ended."""
         self._core.log.write_urgent(
             EventName.REQUEST_CANCELLED,
             request=self._call.request,
@@ -93,7 +93,7 @@
     def log_finished(
         self, status: int, duration: Millis, progress: Progress
     ) -> None:
-        """Log how an answer ended; as a warning if it failed or was slow."""
+        """Log a finished response, as a warning if it failed or was slow."""
         core, call = self._core, self._call
         first = duration if progress.first_byte is None else progress.first_byte
         is_late = first > call.route.target
--- a/src/oleanderdyke/entry/hosted/contexts.py
+++ b/src/oleanderdyke/entry/hosted/contexts.py
@@ -1,4 +1,4 @@
-"""Follow the stores of kept context, and free what is outdated."""
+"""Track the contents of context stores, and free outdated context."""
 
 from __future__ import annotations
 
@@ -26,39 +26,40 @@
 
 _RETRY_PAUSE: Millis = 300.0
 _PERIOD: Millis = 250.0
-# The same until there is a configuration: whatever is asked in between is read
-# from nothing, though stores hold it.
+# Poll period until the first configuration is read. Requests sent meanwhile
+# would recompute context that the stores hold.
 _START_PERIOD: Millis = 10.0
-# For so long an entry that has just started waits for what stores hold. Each
-# tells it within some milliseconds; one that is lost holds up nobody longer.
+# After a start, requests wait at most this long for the contents of the stores.
+# A store lists them within some milliseconds unless it is down.
 _FIRST_READ_TIMEOUT: Millis = 400.0
-# When the whole system starts for the first time stores hold nothing, and all
-# entries at once would find no place there. By then they know each other.
+# On the first start of the whole system the stores are empty, and all entries
+# reading at once would exceed their reader limit. After this pause the entries
+# know each other and share reads.
 _FIRST_START_PAUSE: Millis = 3 * SECOND
-# A neighbour that reads answers with the first changes, or after this.
+# A reading peer answers with the first changes, or after this.
 _SHARED_WAIT: Millis = 1 * SECOND
-# Its own reads take up to a second, and it may leave its place for a while;
-# a view serves for longer than that.
+# Maximum age of shared changes. The peer's own reads take up to a second, and
+# it may lose its place at the store for a while; a view is valid for longer.
 _SHARED_LIMIT: Millis = 2 * SECOND
-# Without an answer for so long each reads for itself.
+# Without an answer from the peer for this long, each entry reads for itself.
 _SHARED_TTL: Millis = 1.6 * SECOND
-# Entries don't all free the same parts at once.
+# Random delay so that entries don't all free the same parts at once.
 _FREE_JITTER: Millis = 1.5 * SECOND
 _FREE_TIMEOUT: Millis = 1 * SECOND
 
 
 class ContextWatch:
-    """Keep the views of all stores of one entry."""
+    """Keep one entry's views of all context stores up to date."""
 
     def __init__(self, core: HostedCore) -> None:
         self._core = core
         self._scopes: dict[str, anyio.CancelScope] = {}
         self._outdated = OutdatedContext()
-        # Until when neighbours tell of a store, by its address.
+        # Until when peers are expected to share a store's changes, by address.
         self._shared_until: dict[str, Millis] = {}
 
     async def run(self) -> None:
-        """Follow the stores that the configuration names until cancelled."""
+        """Track the stores named in the configuration until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._signal_first_read)
             if self._core.settings.is_first_start:
@@ -79,9 +80,9 @@
                 await anyio.sleep(period / SECOND)
 
     async def _signal_first_read(self) -> None:
-        """Let requests go on once all stores were read, or in a little while.
+        """Release waiting requests once all stores are read or a timeout ends.
 
-        What is sent before that is read from nothing, though stores hold it.
+        Requests sent earlier would recompute context that the stores hold.
         """
         core = self._core
         while core.deployment is None:
@@ -129,10 +130,11 @@
     def _handle_unavailable(
         self, error: ContextUnavailable, view: StoreView, turns: ReadingTurns
     ) -> Millis:
-        """Return when to ask again; a store that only has no place holds on.
+        """Return the pause before the next read; forget a store that is down.
 
-        What is known of it serves for as long as it would after any read that
-        fails: without it, what others have saved would be read again.
+        The view of a store that only had no reader slot free stays, for as long
+        as it is valid without a read: forgetting it would make requests
+        recompute the context that others have saved.
         """
         if error.is_crowded:
             return turns.note_crowded()
@@ -155,7 +157,8 @@
                 generation=found.boot,
             )
         if view.boot is not None and found.boot != view.boot:
-            # Events of the new start begin anew, and may take a second to come.
+            # A restarted store numbers its events from 0 again, and they may
+            # take a second to arrive.
             view.forget()
             view.position = 0
             found = await client.read_events(0, wait)
@@ -166,7 +169,7 @@
         )
 
     async def _follow_shared(self, source: str) -> None:
-        """Take what a neighbour reads of some stores, until cancelled."""
+        """Apply store changes that a peer entry reads, until cancelled."""
         core, sent = self._core, 0
         while True:
             board, now = core.peers.desk.own_loads, core.clock.now()
@@ -212,7 +215,7 @@
         return self._core.clock.now() < until
 
     def _update_outdated(self) -> None:
-        """Note which weights are newest and which engines still hold."""
+        """Record the newest weights and the oldest that engines still hold."""
         core = self._core
         now = core.clock.now()
         for model, newest in core.rollout.weights.list_newest().items():
@@ -223,7 +226,7 @@
     async def _free_outdated(
         self, client: ContextClient, view: StoreView
     ) -> None:
-        """Free parts of old weights once no fetch of them can be running."""
+        """Free parts of outdated weights once no fetch can be using them."""
         core = self._core
         settled = self._outdated.list_settled(core.clock.now())
         outdated = tuple(view.list_outdated(settled))
--- a/src/oleanderdyke/entry/hosted/core.py
+++ b/src/oleanderdyke/entry/hosted/core.py
@@ -1,4 +1,4 @@
-"""Hold what all parts of an entry on the users' platform share."""
+"""Shared state of an entry on the users' platform."""
 
 from __future__ import annotations
 
@@ -37,33 +37,33 @@
 from oleanderdyke.metrics import Count, Gauge, Metrics
 from oleanderdyke.platform.settings import HostSettings
 
-# A connection within the deployment takes some milliseconds. One lost packet
-# costs a second: another server is the better wait.
+# A connection within the deployment opens within milliseconds. A lost packet
+# is retransmitted after a second, so trying another server is faster.
 CONNECT_LIMIT: Millis = 300.0
-# The balancer asks each second and takes a process out after two misses.
+# The balancer checks every second and removes a process after two failures.
 _ANNOUNCE_PERIOD: Millis = 2.5 * SECOND
-# What is left of the grace time for closing connections and for the exit,
-# which take up to half a second on a busy machine.
+# Grace time reserved for closing connections and exiting, which take up to
+# half a second on a busy machine.
 _EXIT_MARGIN: Millis = 600.0
-# New work has to end so long before running work is cut off.
+# New requests must be expected to end this long before the cut-off.
 _CUT_MARGIN: Millis = 500.0
-# A configuration that was read longer ago may lack a route or a key.
+# A configuration that was read longer ago may lack a new route or key.
 STALE_AFTER: Millis = 3 * SECOND
-# What is used of the allowance that the operators bound.
+# Share of the operators' retry limits that is used, as a safety margin.
 _BUDGET_SHARE = 0.8
 _RETRY_DELAY: Millis = 5.0
 
 
 class HostedRequest(StoppableRequest, Protocol):
-    """Lead one request; nothing here waits."""
+    """A running request, whose methods never block."""
 
     def check_attempt(self, now: Millis) -> None:
-        """Give up what is silent, superseded, or waits on old weights."""
+        """Abort an attempt that is silent, superseded or on old weights."""
 
 
 @dataclass
 class HostedCore:
-    """Hold the state of one entry."""
+    """State of one entry process, shared by its tasks."""
 
     settings: HostSettings
     clock: Clock
@@ -80,20 +80,20 @@
     durations: Durations = field(default_factory=Durations)
     rollout: Rollout = field(default_factory=lambda: Rollout(math.inf))
     contexts: ContextStores = field(default_factory=ContextStores)
-    # Set once the stores of context were read, or were waited for in vain.
+    # Set once the context stores have been read or the wait has timed out.
     contexts_ready: anyio.Event = field(default_factory=anyio.Event)
     engine_clock: EngineClock = field(default_factory=EngineClock)
     configuration_read_at: Millis | None = None
-    # When that which was read last had been asked for.
+    # When the last configuration read was requested.
     configuration_requested_at: Millis = 0.0
     servers_read_at: Millis | None = None
-    # Set while requests wait for a server and none is listed.
+    # Set while requests wait and no server is listed for them.
     servers_requested: anyio.Event = field(default_factory=anyio.Event)
     running: dict[str, HostedRequest] = field(default_factory=dict)
     _budgets: dict[str, RetryBudget] = field(default_factory=dict)
 
     def find_unready_reason(self) -> str:
-        """Return why this entry is not ready, or nothing."""
+        """Return why this entry is not ready, or '' if it is."""
         if self.drain.is_leaving:
             return 'stopping'
         if self.deployment is None:
@@ -103,7 +103,7 @@
         return ''
 
     def record_load(self, start: ServerStart, load: ServerLoad) -> None:
-        """Take the load that a server told, and keep it for neighbours."""
+        """Record the load a server reported, and queue it for peer entries."""
         backend = self.backends.find_start(start)
         rate_limit = None
         if backend is not None and backend.limit.was_named:
@@ -114,7 +114,7 @@
         self.peers.desk.own_loads.note(timed_load)
 
     def apply_shared_load(self, timed_load: TimedLoad) -> None:
-        """Take the load that a server told a neighbour."""
+        """Record a load that a server reported to a peer entry."""
         if not self.peers.desk.loads.note(timed_load):
             return
         self.backends.note_load(
@@ -135,10 +135,10 @@
         reported_at: Millis | None = None,
         request: str | None = None,
     ) -> None:
-        """Take the rate that a server accepts, infinite without a limit.
+        """Record the request rate a server accepts, infinite if unlimited.
 
-        The answer to `request` named it just now, or one to a neighbour
-        earlier.
+        Pass `request` for a limit in a response just received, or
+        `reported_at` for one that a peer entry received earlier.
         """
         now = self.clock.now()
         reported_at = now if reported_at is None else reported_at
@@ -154,7 +154,7 @@
         )
 
     def mark_leaving(self, start: ServerStart, request: str) -> None:
-        """Send nothing more to a start whose answer to a request says so."""
+        """Stop sending to an incarnation whose response says it is leaving."""
         if self.backends.note_leaving(start):
             self.log.write(
                 EventName.BACKEND_LEAVING,
@@ -166,7 +166,7 @@
     def record_backoff(
         self, start: ServerStart, pause: Millis, request: str
     ) -> None:
-        """Send nothing to a start that refused a request, for a pause."""
+        """Stop sending for `pause` to an incarnation that asked for it."""
         if self.backends.note_backoff(start, pause, self.clock.now()):
             self.log.write(
                 EventName.BACKEND_BACKOFF,
@@ -177,21 +177,21 @@
             )
 
     def request_servers(self) -> None:
-        """Have the list of servers read sooner."""
+        """Request an earlier read of the server list for waiting requests."""
         self.servers_requested.set()
 
     def are_servers_requested(self) -> bool:
-        """Return whether requests wait for a server."""
+        """Return whether an earlier read of the server list is requested."""
         return self.servers_requested.is_set()
 
     @property
     def is_stale(self) -> bool:
-        """Return whether the configuration may have changed unseen."""
+        """Return whether the configuration may have changed unnoticed."""
         read = self.configuration_read_at
         return read is None or self.clock.now() - read > STALE_AFTER
 
     def find_cold_limits(self, deployment: Deployment) -> dict[str, ColdLimit]:
-        """Return what cold servers of each service tolerate."""
+        """Return the limits of cold servers by service name."""
         share, slack = self.settings.cold_share, self.settings.cold_slack
         return {
             name: ColdLimit(traits.cold_rate * share + slack, traits.cold_lasts)
@@ -202,7 +202,7 @@
     def may_serve(
         self, model: str, version: int | None, margin: Millis
     ) -> bool:
-        """Return whether weights may begin requests for a margin more."""
+        """Return whether requests may start on the weights for `margin`."""
         return self.rollout.weights.may_serve(
             model,
             version,
@@ -212,13 +212,16 @@
         )
 
     def find_replacement_time(self, model: str, version: int) -> Millis | None:
-        """Return before when newer weights were not named, None if none are."""
+        """Return the earliest time newer weights may have been published.
+
+        It is None if there are no newer weights.
+        """
         return self.rollout.weights.find_replaced(
             model, version, self.clock.now(), self.engine_clock.most
         )
 
     def make_store_dependency(self, name: str) -> Dependency:
-        """Follow one kind of call to the platform's store."""
+        """Track the availability of the platform's store for one task."""
         return Dependency(
             self.log,
             self.metrics,
@@ -230,7 +233,7 @@
         )
 
     def describe_configuration(self) -> Mapping[str, LogValue]:
-        """Return what log lines tell of the configuration that decided."""
+        """Return log fields for the configuration in force and its age."""
         read, deployment = self.configuration_read_at, self.deployment
         return {
             'version': None if deployment is None else deployment.version,
@@ -238,7 +241,7 @@
         }
 
     def update_gauges(self) -> None:
-        """Set the levels that are told only when they are asked for."""
+        """Update the metrics that are computed only when scraped."""
         metrics = self.metrics
         metrics.set_gauge(Gauge.RUNNING, len(self.running))
         metrics.set_gauge(Gauge.READY, float(not self.find_unready_reason()))
@@ -248,7 +251,7 @@
             metrics.set_gauge(Gauge.CONFIGURATION_OFFSET, version)
 
     def find_budget(self, service: str) -> RetryBudget:
-        """Return this entry's part of what may be sent again to a service."""
+        """Return this entry's retry budget for a service."""
         if service not in self._budgets:
             self._budgets[service] = make_retry_budget(
                 self._make_budget_settings(), self.random
@@ -256,7 +259,7 @@
         return self._budgets[service]
 
     def resize_budgets(self) -> None:
-        """Share what may be sent again among the entries that are alive."""
+        """Resize the retry budgets to the number of live entries."""
         for budget in self._budgets.values():
             budget.resize(self._make_budget_settings())
 
@@ -273,7 +276,7 @@
 def make_hosted_core(
     settings: HostSettings, clock: Clock, log: EventLog, random: Random
 ) -> HostedCore:
-    """Build the state of an entry that has just started."""
+    """Build the initial state of an entry."""
     limit = settings.grace - _EXIT_MARGIN
     drain = DrainSettings(
         accept=_ANNOUNCE_PERIOD,
--- a/src/oleanderdyke/entry/hosted/dispatch.py
+++ b/src/oleanderdyke/entry/hosted/dispatch.py
@@ -1,4 +1,4 @@
-"""Say what a backend server is told beside a request."""
+"""Build what accompanies a request to a backend server."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 def describe_dispatch(
     core: HostedCore, call: HostedCall, version: int | None
 ) -> dict[str, float]:
-    """Say what is left of the deadline, and how old the weights are.
+    """Return log fields for the time left and for outdated weights.
 
-    Where newer ones are known, that news is at most `age` old.
+    Times are in milliseconds. `newest` and `age` are present if newer weights
+    are known, which were published at most `age` ago.
     """
     now, demand = core.clock.now(), call.parameters.demand
     limit: dict[str, float] = {'limit': round(call.deadline - now)}
@@ -29,7 +30,7 @@
 def plan_contexts(
     core: HostedCore, call: HostedCall, backend: Backend, salt: str
 ) -> ContextPlan:
-    """Say where context comes from and goes to, nowhere where in doubt."""
+    """Plan which context to fetch and save, or nothing if that is unsafe."""
     demand = call.parameters.demand
     if demand is None or not salt or not demand.parts:
         return NO_CONTEXTS
@@ -37,7 +38,8 @@
     held = backend.record.versions.get(demand.model, 0)
     replaced = core.find_replacement_time(demand.model, held)
     if replaced is not None and backend.listed_at >= replaced:
-        # Others may think that no engine is left on these weights.
+        # Other entries may assume that no engine is left on these weights and
+        # free their context.
         return NO_CONTEXTS
     contexts = find_context_stores(core, call)
     plan = contexts.plan(
--- a/src/oleanderdyke/entry/hosted/driver.py
+++ b/src/oleanderdyke/entry/hosted/driver.py
@@ -1,4 +1,4 @@
-"""Lead one call on the users' platform to its answer."""
+"""Drive one call on the users' platform to its response."""
 
 from __future__ import annotations
 
@@ -55,24 +55,24 @@
 from oleanderdyke.links.messages import AgentPhase, BackendKind, Load
 from oleanderdyke.metrics import Count, Timing
 
-# Servers that refuse without running are passed over at most so often; each
-# try draws on the allowance that all entries share.
+# Limit on retries after refusals that ran nothing; each of them draws on the
+# retry budget that all entries share.
 _MAX_REFUSALS = 2
-# Where nobody else may run a request, a server that sends nothing to anyone is
-# waited for so long with the first byte: a fetch of context may wait two
-# seconds, and no caller of a stream waits less. It gets its final answer then,
-# not when its own patience ends, up to a second later or more.
+# Wait for the first byte of a server that sends nothing to anyone, if the
+# request can't be retried. Fetching context may take two seconds, and callers
+# of streams wait at least as long. Giving up then gives the caller a final
+# answer a second or more before its own timeout.
 _SILENCE_TIMEOUT: Millis = 2 * SECOND
-# How often a call that waits for a server looks for one.
+# Interval between selection attempts while no server can take the call.
 _SELECTION_PERIOD: Millis = 20.0
 
 
 class BrokenAnswer(Exception):
-    """The connection of a broken answer has to be closed."""
+    """The response was truncated, so its connection must be closed."""
 
 
 class HostedDriver:
-    """Drive the machine of one call with what its attempts report."""
+    """Run the state machine of one call and carry out its actions."""
 
     def __init__(
         self, core: HostedCore, call: HostedCall, body: Body, reply: Reply
@@ -85,13 +85,13 @@
         self._inbox = Inbox()
         self._timers: list[asyncio.TimerHandle] = []
         self._attempt: DirectAttempt | None = None
-        # The start that was chosen last of each server: the machine of the
-        # request knows servers by name.
+        # The incarnation chosen last for each server; the state machine knows
+        # servers only by name.
         self._starts: dict[str, ServerStart] = {}
         self._chosen_at: Millis = 0.0
         self._splitter = _make_splitter(call)
         self._first_byte: Millis | None = None
-        # Who had the request last, or would have had it.
+        # The server that had the request last, or was considered last.
         self._last_server: str | None = None
         self._retry_delay = RETRY_DELAY
         self._selector = ServerSelector(core, call)
@@ -103,9 +103,9 @@
         self._handlers = self._make_handlers()
 
     async def run(self, key: str) -> None:
-        """Answer the caller; raise BrokenAnswer where that ended early.
+        """Answer the caller; raise BrokenAnswer if the response is truncated.
 
-        A stop of the entry finds the request by `key`.
+        `key` identifies the request among the running ones.
         """
         self._core.running[key] = self
         try:
@@ -120,29 +120,29 @@
             raise BrokenAnswer
 
     def stop(self, *, hurry: bool) -> None:
-        """Learn that the entry stops."""
+        """End the request if the entry must stop at once."""
         if hurry:
             self._inbox.put(Stopping(hurry=True))
 
     def hand_over(self) -> None:
-        """Do nothing: callers of the platform go on by themselves."""
+        """Do nothing: callers on this platform resume streams themselves."""
 
     def check_attempt(self, now: Millis) -> None:
-        """Give up what is silent, superseded, or waits on old weights."""
+        """Abort an attempt that is silent, superseded or on old weights."""
         attempt = self._attempt
         if attempt is None:
             return
         attempt.withdraw_superseded()
         attempt.withdraw_outdated()
         if self._should_give_up(attempt.find_silence(now)):
-            attempt.fail('the server is silent')
+            attempt.fail('server sent nothing for too long')
 
     def _should_give_up(self, silence: Millis) -> bool:
-        """Return whether to wait no longer for what a server owes.
+        """Return whether to abort the attempt at a silent server.
 
-        An answer that has begun and can't go on elsewhere is only ended by its
-        caller or its deadline: a crowded server may send the rest after any
-        pause, and a caller that still waits would lose it.
+        A response that has begun and can't be resumed elsewhere is ended only
+        by its caller or its deadline: an overloaded server may send the rest
+        after any pause, and the waiting caller would lose it.
         """
         if silence < SILENCE_LIMIT:
             return False
@@ -155,7 +155,7 @@
         self._post_later(DeadlinePassed(), self._call.deadline - now)
         await self._execute(self._machine.start(now))
         while not self._machine.done:
-            # Nothing but events of the machine comes here in this mode.
+            # In this mode the inbox receives only events of the state machine.
             event = cast('Event', await self._inbox.take())
             await self._execute(self._machine.on(event, self._core.clock.now()))
 
@@ -184,7 +184,7 @@
         self._choose(action)
 
     def _choose(self, action: Route) -> None:
-        """Choose a server, or look again later where none takes anything."""
+        """Select a server, and retry later while none accepts requests."""
         if self._machine.done:
             return
         tried = frozenset(self._starts[server] for server in action.exclude)
@@ -211,7 +211,7 @@
     def _reject(self, outcome: Rejection) -> None:
         self._last_server = outcome.server or self._last_server
         self._retry_delay = outcome.retry_delay
-        # How long the caller waits is drawn where it is told.
+        # The retry delay is randomized when the refusal is sent.
         refusal = Refusal(
             outcome.kind, outcome.reason, outcome.retry_delay.maximum
         )
@@ -267,7 +267,7 @@
         self._post_later(TimerFired(action.kind, action.number), action.delay)
 
     async def _finish(self, _: Done) -> None:
-        """Do nothing: the loop sees that the machine is done."""
+        """Do nothing: the event loop of the call checks `done` itself."""
 
     async def _watch_caller(self) -> None:
         await self._body.wait_gone()
@@ -330,7 +330,7 @@
 
 
 def _make_replica(backend: Backend) -> Replica:
-    """Show a backend server as the machine of a request knows replicas."""
+    """Convert a backend server to the replica type of the state machine."""
     record = backend.record
     return Replica(
         agent=record.server,
--- a/src/oleanderdyke/entry/hosted/events.py
+++ b/src/oleanderdyke/entry/hosted/events.py
@@ -1,4 +1,4 @@
-"""Split a stream of events into whole ones."""
+"""Split a byte stream into complete server-sent events."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSentEvent:
-    """Hold the bytes of one event and its number, where it has one."""
+    """The bytes of one event, and its number if its id is numeric."""
 
     data: bytes
     number: int | None
 
 
 class EventSplitter:
-    """Pass on whole events only, each once, in ascending order.
+    """Yield complete events, each number once and in ascending order.
 
-    `has_passed` tells that the reader has got some.
+    `has_yielded` is set once any event has been yielded.
     """
 
     def __init__(self, last: int | None) -> None:
@@ -30,15 +30,15 @@
 
     @property
     def has_partial_event(self) -> bool:
-        """Return whether the stream stopped in the middle of an event."""
+        """Return whether an incomplete event is buffered."""
         return bool(self._pending.strip())
 
     def discard_partial(self) -> None:
-        """Drop the beginning of an event that another run will repeat."""
+        """Drop an incomplete event, which the next attempt sends again."""
         self._pending.clear()
 
     def feed(self, data: bytes) -> Iterator[ServerSentEvent]:
-        """Yield the events that are whole now and new to the reader."""
+        """Add data, and yield events that are complete and not yet seen."""
         self._pending += data
         while True:
             end = self._pending.find(_END)
--- a/src/oleanderdyke/entry/hosted/mode.py
+++ b/src/oleanderdyke/entry/hosted/mode.py
@@ -1,4 +1,4 @@
-"""Run an entry on the users' platform."""
+"""Startup mode of an entry on the users' platform."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def make_mode() -> Mode[HostSettings]:
-    """Build the mode."""
+    """Build the mode from its settings, log and server functions."""
     return Mode(
         load=find_host_settings,
         make_log=make_hosted_log,
--- a/src/oleanderdyke/entry/hosted/peer_sharing.py
+++ b/src/oleanderdyke/entry/hosted/peer_sharing.py
@@ -1,4 +1,4 @@
-"""Read together with the entries of the same data centre."""
+"""Share reads of stores among the entries of a data centre."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 from oleanderdyke.platform.settings import HostSettings
 from oleanderdyke.platform.sharing import TopicSharing
 
-# What carries links takes long to load on a small share of a core. A process
-# reads for itself meanwhile, and serves sooner.
+# Importing the link modules is slow on a fraction of a core. Delaying it lets
+# the process serve sooner; until then it reads for itself.
 _LINKS_IMPORT_DELAY: Millis = 1 * SECOND
 
 
 class PeerSharing:
-    """Hold both sides of reading together."""
+    """Both sides of sharing reads: serving peers and asking them."""
 
     def __init__(
         self,
@@ -63,7 +63,10 @@
         limit: Millis,
         is_urgent: Callable[[], bool] = bool,
     ) -> TopicSharing:
-        """Build the sharing of one client of the store."""
+        """Build the sharing for one store client.
+
+        Peers answer within `wait` with reads at most `limit` old.
+        """
         return TopicSharing(
             self.reader,
             self.desk,
@@ -74,10 +77,10 @@
         )
 
     async def run(self, log: EventLog, random: Random) -> None:
-        """Take links and keep own ones until cancelled.
+        """Accept links from peers and keep links to them until cancelled.
 
-        Without an address, or where it can't be had, this process reads for
-        itself alone.
+        Without an address, or if it can't be bound, this process shares nothing
+        and reads for itself.
         """
         if not self.own.address:
             return
--- a/src/oleanderdyke/entry/hosted/presence.py
+++ b/src/oleanderdyke/entry/hosted/presence.py
@@ -1,4 +1,4 @@
-"""Announce this entry to the others, and count them."""
+"""Announce this entry to the other entries and count the live ones."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from oleanderdyke.platform.entries import EntryFeed
 from oleanderdyke.platform.store import StoreClient, StoreUnavailable
 
-# Three readings in two notices keep this at a sixth of a call a second.
+# Three reads for every two announcements make a sixth of a call a second.
 _PERIOD: Millis = 10 * SECOND
-# After a start it reads sooner: those that start with it have told of
-# themselves by the first, and may be counted from the second on.
+# The first reads come sooner: entries started at the same time have announced
+# themselves by the first read, and may be counted from the second on.
 _INITIAL_PERIODS: tuple[Millis, ...] = (1.5 * SECOND, 4 * SECOND)
 _ANNOUNCE_PERIOD: Millis = 15 * SECOND
-# A neighbour that reads does so every ten seconds, and answers within this.
+# A reading peer reads every ten seconds, and answers within this.
 _SHARED_WAIT: Millis = 1 * SECOND
 _SHARED_LIMIT: Millis = 20 * SECOND
 
 
 class Presence:
-    """Append notices of this entry and read those of all."""
+    """Announce this entry in the store and read all announcements."""
 
     def __init__(self, core: HostedCore) -> None:
         self._core = core
@@ -37,7 +37,7 @@
         self._announced_at: Millis | None = None
 
     async def run(self) -> None:
-        """Work until cancelled; without the store the last count stays."""
+        """Run until cancelled; keep the last count while the store is down."""
         store = self._core.make_store_dependency('entries')
         pauses = chain(_INITIAL_PERIODS, repeat(_PERIOD))
         while True:
@@ -72,7 +72,7 @@
         if notices is None:
             core.entries.note_forgotten()
             if self._feed.was_restored:
-                # The copy may lack the last announcement of this entry.
+                # The restored topic may lack this entry's last announcement.
                 self._announced_at = None
             return
         now = core.clock.now()
--- a/src/oleanderdyke/entry/hosted/reply.py
+++ b/src/oleanderdyke/entry/hosted/reply.py
@@ -1,4 +1,4 @@
-"""Send answers of backend servers, and our own, to callers."""
+"""Send responses of backend servers and of the entry itself to callers."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 _BAD_GATEWAY = 502
 _UNAVAILABLE = 503
-# A fault of ours is no fault of the caller's.
+# Statuses of internal errors that must not be reported as caller errors.
 _INTERNAL_STATUSES = frozenset({409, 410, 422, 499})
 
 
 class Reply:
-    """Send one answer unchanged, or one final answer of our own.
+    """Forward one response unchanged, or send an error response.
 
-    `is_closing` tells, as the head goes out, whether callers should take
-    their next request elsewhere.
+    `is_closing` is called when the head is sent and returns whether to close
+    the connection, so that callers send their next request elsewhere.
     """
 
     def __init__(self, send: Send, is_closing: Callable[[], bool]) -> None:
@@ -35,7 +35,7 @@
         self.closes_connection = False
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send the head of a backend server's answer."""
+        """Forward the head of a backend server's response."""
         self.status = status
         await self._start(headers)
 
@@ -57,7 +57,7 @@
         detail: str,
         retry_after: Millis | None = None,
     ) -> None:
-        """Send a final answer of our own."""
+        """Send an error response of the entry; `retry_after` is optional."""
         self.status = find_status(kind, ran)
         if self.status not in PROMISES:
             retry_after = None
@@ -86,7 +86,10 @@
 
 
 def find_status(kind: ErrorKind, ran: Ran) -> int:
-    """Return the status of a final answer, never a promise that is untrue."""
+    """Return the status of an error response.
+
+    Statuses that promise "not executed" are returned only if that is true.
+    """
     status = REPLIES[kind].status
     if ran is Ran.NO and (
         kind is ErrorKind.DEADLINE or status in _INTERNAL_STATUSES
--- a/src/oleanderdyke/entry/hosted/selection.py
+++ b/src/oleanderdyke/entry/hosted/selection.py
@@ -1,4 +1,4 @@
-"""Find a backend server for one call, send it back, or let it wait for one."""
+"""Select a backend server for a call, or make it wait, or reject it."""
 
 from __future__ import annotations
 
@@ -24,45 +24,46 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryDelay:
-    """Bounds of how long a caller that gets no answer is asked to wait.
+    """Bounds of the retry-after time of a rejected call.
 
-    Drawn for each, so that callers don't return together.
+    The time is randomized so that callers don't return all at once.
     """
 
     minimum: Millis
     maximum: Millis
 
     def draw(self, random: Random) -> Millis:
-        """Return how long one caller waits."""
+        """Return a random delay within the bounds."""
         return random.uniform(self.minimum, self.maximum)
 
 
-# A run ends at each engine every some ten milliseconds, and the answer of one
-# that comes back so soon is still in time.
+# An engine finishes a run every few ten milliseconds, and a call retried this
+# soon can still meet its deadline.
 RETRY_DELAY = RetryDelay(100.0, 200.0)
-# The same where every engine has to take new weights first, which takes two to
-# three seconds and began before, or where operators have to end an evacuation.
+# Longer, if every engine has to load new weights first, which takes two to
+# three seconds and has already begun, or if operators have to act.
 _LONG_RETRY_DELAY = RetryDelay(500.0, 1 * SECOND)
 _RETRY_DELAYS: Mapping[Obstacle, RetryDelay] = {
     Obstacle.OUTDATED: _LONG_RETRY_DELAY,
     Obstacle.EVACUATED: _LONG_RETRY_DELAY,
     Obstacle.FOREIGN: _LONG_RETRY_DELAY,
 }
-# Callers are told when the first server takes requests of this entry again, at
-# most so late: another entry may have a turn at a limited server sooner.
+# Upper bounds of the retry-after time where it follows from the next turn of
+# this entry: another entry may have a turn at a limited server sooner.
 _MAX_TURN_WAITS: Mapping[Obstacle, Millis] = {
     Obstacle.LIMITED: 1 * SECOND,
     Obstacle.BACKOFF: 10 * MINUTE,
 }
-# What ends by itself within a second; all else is told to the caller at once.
+# Obstacles that end by themselves within a second, so that the call waits. It
+# is rejected at once for all others.
 _TRANSIENT_OBSTACLES = frozenset({Obstacle.UNLISTED, Obstacle.COLD})
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """Say why a call goes to no server, and when its caller may return.
+    """Why a call was sent to no server, and when its caller may retry.
 
-    `server` is the one that it would have gone to.
+    `server` is the server that would have been chosen.
     """
 
     kind: ErrorKind
@@ -72,21 +73,21 @@
 
 
 class ServerSelector:
-    """Decide where one call goes."""
+    """Select the server of one call."""
 
     def __init__(self, core: HostedCore, call: HostedCall) -> None:
         self._core = core
         self._call = call
-        # Until when the call waits where no server takes any.
+        # How long the call waits while no server accepts it.
         self._wait_until: Millis | None = None
 
     def select(
         self, tried: frozenset[ServerStart]
     ) -> Choice | Rejection | None:
-        """Return where the call goes; None where it looks again later.
+        """Return the chosen server, a rejection, or None to retry later.
 
-        Servers that were `tried` come last, and a call that has been tried is
-        not sent back for the crowd that it would join.
+        Servers in `tried` are chosen only if no other is left. A call that has
+        been tried is not rejected because of overload.
         """
         now = self._core.clock.now()
         listed = self._core.backends.list_service(self._call.service, now)
@@ -106,7 +107,7 @@
     def _wait_or_reject(
         self, demand: CallDemand, listed: Sequence[Backend], now: Millis
     ) -> Rejection | None:
-        """Return nothing while a server may still come that takes the call."""
+        """Return None while the call may wait for a server, else reject it."""
         obstacle = find_obstacle(demand, listed)
         if obstacle in _TRANSIENT_OBSTACLES and self._may_wait(now):
             if obstacle is Obstacle.UNLISTED:
@@ -122,7 +123,7 @@
     def _find_turn(
         self, demand: CallDemand, listed: Sequence[Backend], now: Millis
     ) -> Millis:
-        """Return when the first server that only time blocks has a turn."""
+        """Return when the first rate-limited or backed-off server is free."""
         limited = [
             backend
             for backend in listed
@@ -131,7 +132,7 @@
         return self._core.limits.find_first_turn(limited, now)
 
     def _may_wait(self, now: Millis) -> bool:
-        """Return whether a server may still come that takes the call."""
+        """Return whether the call has time left to wait for a server."""
         if self._wait_until is None:
             self._wait_until = now + find_wait(self._call.deadline - now)
         return now < self._wait_until
@@ -152,10 +153,10 @@
 
 def _reject_overloaded(choice: Choice) -> Rejection:
     reason = (
-        f'at the best of {choice.candidates} servers '
-        f'a first byte is expected after {choice.expected:.0f} ms, '
-        f'{choice.waiting} wait for {choice.delay:.0f} ms, '
-        f'{choice.fill:.2f} of the memory is likely taken'
+        f'best of {choice.candidates} servers is overloaded: '
+        f'first byte expected after {choice.expected:.0f} ms, '
+        f'{choice.waiting} requests queued for {choice.delay:.0f} ms, '
+        f'{choice.fill:.2f} of the memory estimated in use'
     )
     server = choice.backend.record.server
     return Rejection(ErrorKind.OVERLOADED, reason, server=server)
--- a/src/oleanderdyke/entry/hosted/server_changes.py
+++ b/src/oleanderdyke/entry/hosted/server_changes.py
@@ -1,4 +1,4 @@
-"""Log which backend servers come, leave and go."""
+"""Log backend servers that appear, leave or disappear."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from oleanderdyke.kernel.servers import ServerStart
 from oleanderdyke.logs import EventLog
 
-# One read of the list names so many changes one by one, then their count: a
-# process that starts learns of all servers at once.
+# Changes logged one by one for each read of the list; the rest is only counted.
+# The first read after a start finds all servers at once.
 _MAX_NAMED = 16
 
 
 class ServerState(enum.StrEnum):
-    """Say whether a start of a server may get new work, or why not."""
+    """Whether a server incarnation may get requests, or why not."""
 
     LISTED = 'listed'
     LEAVING = 'leaving'
@@ -27,7 +27,7 @@
 
 
 class ServerChangeLog:
-    """Compare the servers after each read of the list with those before."""
+    """Log the differences between successive reads of the server list."""
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
@@ -36,7 +36,7 @@
     def log_changes(
         self, backends: BackendBook, now: Millis, age: Millis
     ) -> None:
-        """Log what a read changed; `age` is how long before was the last."""
+        """Log the changes since the last read, which was `age` ago."""
         states = find_server_states(backends, now)
         if states == self._known:
             return
@@ -81,7 +81,7 @@
 def find_server_states(
     backends: BackendBook, now: Millis
 ) -> Mapping[ServerStart, ServerState]:
-    """Return how each known start of a server stands."""
+    """Return the state of each known server incarnation."""
     return {
         backend.record.start: _find_server_state(backends, backend, now)
         for backend in backends.list_known()
--- a/src/oleanderdyke/entry/hosted/shell.py
+++ b/src/oleanderdyke/entry/hosted/shell.py
@@ -29,20 +29,21 @@
 from oleanderdyke.scrape import METRICS_PORT, MetricsServer
 
 _TICK_PERIOD: Millis = 50.0
-# A process whose ticks are so far apart was suspended or stood still: what came
-# meanwhile is read only now. Half of the time after which a server is silent.
+# A process whose ticks are this far apart was suspended or blocked, and reads
+# only now what arrived meanwhile. It is half the time after which a server
+# counts as silent.
 _STALL_THRESHOLD: Millis = 250.0
 _SETTINGS_PERIOD: Millis = 1 * SECOND
-# The grace time ends 600 ms after running work was cut off; the exit of the
-# interpreter needs the rest.
+# The grace time ends 600 ms after running requests are cut off; the interpreter
+# needs the rest to exit.
 _CLOSE_TIMEOUT: Millis = 400.0
 _MIB = 1024 * 1024
-# The platform bounds a body by its configuration; this one only guards.
+# Safety limit in bytes; the actual body limit is part of the configuration.
 _BODY_LIMIT = 64 * _MIB
 
 
 class HostedShell:
-    """Hold the tasks of one entry."""
+    """Start, run and stop the tasks of one entry."""
 
     def __init__(self, core: HostedCore) -> None:
         self._core = core
@@ -51,7 +52,7 @@
         self._watch = StoreWatch(core)
 
     async def run(self) -> None:
-        """Serve until a planned stop is over."""
+        """Serve until a graceful shutdown is complete."""
         core = self._core
         callers = split_address(core.settings.callers)
         readiness = split_address(core.settings.readiness)
@@ -85,7 +86,7 @@
         core.log.write(EventName.PROCESS_STOPPED)
 
     async def _serve_metrics(self) -> None:
-        """Go on without metrics where their port can't be had."""
+        """Serve metrics; log an error if their port can't be bound."""
         core = self._core
         server = MetricsServer(core.metrics, core.update_gauges)
         try:
@@ -98,7 +99,7 @@
             )
 
     async def _tick(self, server: EdgeServer) -> None:
-        """Look after silent servers and tell changes of readiness."""
+        """Check running requests, stalls and readiness periodically."""
         core, logged = self._core, 'starting'
         last = core.clock.now()
         while True:
@@ -123,13 +124,13 @@
             await anyio.sleep(_TICK_PERIOD / SECOND)
 
     def _apply_limits(self, server: EdgeServer) -> None:
-        """Keep idle connections as long as the configuration says."""
+        """Apply the idle timeout of the configuration to the server."""
         deployment = self._core.deployment
         if deployment is not None:
             server.set_idle_timeout(deployment.limits.idle_timeout)
 
     async def _watch_settings(self) -> None:
-        """Notice a settings file that changes without a signal."""
+        """Poll the settings file for changes made without a signal."""
         while True:
             await anyio.sleep(_SETTINGS_PERIOD / SECOND)
             self._load_settings()
@@ -139,7 +140,7 @@
             self._load_settings()
 
     def _load_settings(self) -> None:
-        """Take changed settings; keep the last good ones."""
+        """Apply changed settings; keep the last ones if they are invalid."""
         core = self._core
         try:
             settings = load_host_settings(self._path)
@@ -147,7 +148,7 @@
             core.log.write(EventName.RECORD_REFUSED, detail=str(error))
             return
         if math.isinf(settings.version_limit):
-            # A file that is read half written must not lift the bound.
+            # A partially written file must not remove the limit.
             limit = core.settings.version_limit
             settings = replace(settings, version_limit=limit)
         if settings != core.settings:
@@ -155,7 +156,7 @@
             core.log.write(EventName.SETTINGS_RELOADED)
 
     async def _close(self, server: EdgeServer) -> None:
-        """Let the last answers go out, within bounds."""
+        """Close the server; let pending responses finish until a timeout."""
         server.should_exit = True
         with anyio.move_on_after(_CLOSE_TIMEOUT / SECOND):
             while not server.closed:
@@ -164,7 +165,7 @@
 
 
 async def run_hosted_entry(settings: HostSettings, log: EventLog) -> None:
-    """Run an entry on the users' platform until it is told to stop."""
+    """Run an entry on the users' platform until a signal stops it."""
     core = make_hosted_core(settings, make_clock(), log, Random())
     await HostedShell(core).run()
 
@@ -175,7 +176,7 @@
 
 def _make_http(callers: tuple[str, int]) -> HttpSettings:
     host, port = callers
-    # Until the configuration tells how long callers may idle.
+    # Defaults until the configuration with the idle timeout has been read.
     return HttpSettings(
         host=host,
         port=port,
--- a/src/oleanderdyke/entry/hosted/watch.py
+++ b/src/oleanderdyke/entry/hosted/watch.py
@@ -1,4 +1,4 @@
-"""Follow what operators and backend servers write to the store."""
+"""Read configurations, server lists and weight loads from the store."""
 
 from __future__ import annotations
 
@@ -23,41 +23,41 @@
 from oleanderdyke.platform.loads import LoadFeed
 from oleanderdyke.platform.store import StoreClient, StoreUnavailable
 
-# A long read returns at once when there is a change. A read on a connection
-# that has gone silent costs this and the store's patience, which together
-# stay under the two seconds in which a configuration has to be in force.
+# A long poll returns as soon as there is a change. A read on a dead connection
+# costs this and the client's timeout, which together stay below the two seconds
+# in which a configuration has to take effect.
 _CONFIGURATION_WAIT: Millis = 1 * SECOND
-# Servers write every 1.2 s each, so that a long read would return at once
-# and be asked again all the time. A server that leaves must get no work two
-# seconds later; this leaves time for a failed read.
+# Each server writes every 1.2 s, so a long poll would return immediately and
+# repeat without pause. A leaving server must get no requests after two seconds;
+# this period leaves time for a failed read.
 _SERVERS_PERIOD: Millis = 600.0
-# The same while requests wait for a server that none is listed for: new starts
-# are used up to half a second sooner, for ten calls a second at most.
+# Period while requests wait and no server is listed for them: new incarnations
+# are used up to half a second sooner, at no more than ten calls a second.
 _REQUESTED_PERIOD: Millis = 100.0
-# Notices of loads come only when weights are named. Each of these waits is set
-# so that an entry at rest makes under three calls a second in all.
+# Load notices come only when new weights are published. Each of these waits is
+# set so that an idle entry makes under three calls a second in all.
 _LOADS_WAIT: Millis = 10 * SECOND
-# A neighbour that reads answers with the first news, or after this: one that is
-# frozen or cut off holds up nobody for longer, and some more for the answer.
+# A reading peer answers with the first changes, or after this. A peer that is
+# frozen or partitioned delays others no longer than this and the answer's way.
 _SHARED_WAIT: Millis = 1 * SECOND
 _SHARED_LOADS_WAIT: Millis = 3 * SECOND
-# What a neighbour knows may be as old as its own reads take, and some more for
-# the way; beyond that each reads for itself.
+# Maximum age of shared reads: the duration of the peer's own reads and some
+# time for transfer. Beyond that each entry reads for itself.
 _CONFIGURATION_LIMIT: Millis = _CONFIGURATION_WAIT + 250.0
 _SERVERS_LIMIT: Millis = _SERVERS_PERIOD + 350.0
 _LOADS_LIMIT: Millis = _LOADS_WAIT + 1 * SECOND
-# Engines that take turns append several notices together: those of so long are
-# read in one call, where each alone would wake every reader.
+# Engines that take turns append several notices in short succession. Pausing
+# this long reads them in one call instead of waking every reader for each.
 _LOADS_BATCH_PERIOD: Millis = 40.0
-# The store refuses what is over its rate and may be out for seconds; each
-# call is paid for, also a refused one. The longest pause leaves most of the two
-# seconds in which a configuration has to be in force once the store is back.
+# The store refuses calls over its rate limit and may be down for seconds; each
+# call costs, even a refused one. The longest pause leaves most of the two
+# seconds in which a configuration has to take effect once the store is back.
 _RETRY_PAUSE: Millis = 150.0
 _MAX_RETRY_PAUSE: Millis = 600.0
 
 
 class StoreWatch:
-    """Keep the configuration and the list of servers of an entry."""
+    """Keep an entry's configuration, server list and loads up to date."""
 
     def __init__(self, core: HostedCore) -> None:
         self._core = core
@@ -91,7 +91,7 @@
         self._changes = ServerChangeLog(core.log)
 
     async def follow_operator(self) -> None:
-        """Read configurations and versions until cancelled."""
+        """Read configurations, versions and evacuations until cancelled."""
         await self._follow('operator', self._read_operator, 0.0)
 
     async def follow_servers(self) -> None:
@@ -99,11 +99,11 @@
         await self._follow('servers', self._read_servers, _SERVERS_PERIOD)
 
     async def follow_loads(self) -> None:
-        """Read which engines take new weights until cancelled."""
+        """Read which engines are loading new weights, until cancelled."""
         await self._follow('loads', self._read_loads, 0.0)
 
     def _log_refused_record(self, name: str, error: MalformedRecord) -> None:
-        """Keep the last good state where a record can't be read."""
+        """Log a malformed record; the last valid state stays in force."""
         self._core.log.write(
             EventName.RECORD_REFUSED, name=name, detail=error.message
         )
@@ -118,7 +118,7 @@
             core.rollout.take(
                 notice, now=core.clock.now(), shift=core.engine_clock.most
             )
-            # The list tells the same up to two seconds later.
+            # The server list shows the same up to two seconds later.
             backend = core.backends.find(notice.server)
             if backend is not None and notice.held:
                 start = backend.record.start
@@ -137,8 +137,9 @@
                 self._apply_version(named)
             self._apply_evacuations(news)
             if news.is_complete:
-                # An answer that comes late, or that a suspended entry finds
-                # once it goes on, tells nothing of the time in between.
+                # Count from the request: a response that arrives late, or that
+                # a suspended entry reads after it resumes, says nothing about
+                # the time in between.
                 core.configuration_read_at = asked_at + news.waited
                 core.rollout.weights.note_read(asked_at + news.waited)
                 core.configuration_requested_at = asked_at + min(
@@ -152,7 +153,7 @@
         if news is None:
             return
         now = core.clock.now()
-        # What a neighbour tells may be older than the way that it came.
+        # A read shared by a peer may be older than its transfer time.
         read_at = (
             asked_at + news.waited if self._servers_store.was_shared else now
         )
@@ -163,8 +164,8 @@
             core.backends, now, now - (core.servers_read_at or now)
         )
         core.servers_read_at = now
-        # Connections to a start that has ended may be dead without a sign, as
-        # behind a cut; each would cost a request half a second.
+        # Connections to an ended incarnation may be dead unnoticed, as after a
+        # network partition; each would delay a request by half a second.
         for ended in core.backends.take_superseded():
             core.pool.drop_idle(ended.address)
 
@@ -186,7 +187,7 @@
                 await self._pause(period)
 
     async def _pause(self, period: Millis) -> None:
-        """Wait for a period, less where requests wait for a server."""
+        """Wait for a period, shortened while requests wait for a server."""
         core = self._core
         await anyio.sleep(_REQUESTED_PERIOD / SECOND)
         with anyio.move_on_after((period - _REQUESTED_PERIOD) / SECOND):
@@ -202,7 +203,7 @@
         )
 
     def _apply_evacuations(self, news: OperatorNews) -> None:
-        """Stop new work where operators say so, until they take it back."""
+        """Start and end evacuations of data centres as operators ordered."""
         now, evacuations = self._core.clock.now(), self._core.limits.evacuations
         orders = tuple(news.list_evacuations())
         for order in orders:
@@ -231,7 +232,7 @@
             core.log.write(event, name=order.data_centre)
 
     def _apply_configuration(self, deployment: Deployment) -> None:
-        """Put a configuration in force; an older one never."""
+        """Apply a configuration unless it is older than the current one."""
         known = self._core.deployment
         if known is not None and deployment.version <= known.version:
             return
@@ -247,7 +248,7 @@
 def _apply_servers(
     backends: BackendBook, news: ServerNews, now: Millis
 ) -> None:
-    """Take the whole list, or what has changed in it."""
+    """Apply the complete server list, or the changes since the last read."""
     if news.is_restored:
         backends.note_restored(now)
     if news.is_whole:
--- a/src/oleanderdyke/entry/hosted/weights.py
+++ b/src/oleanderdyke/entry/hosted/weights.py
@@ -1,4 +1,4 @@
-"""Find the weights that a call would begin on, and whether it may."""
+"""Find which weight versions a call may use, and whether they are current."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from oleanderdyke.entry.hosted.core import HostedCore
 from oleanderdyke.kernel.backend import Backend
 
-# The version by model; None where the server doesn't tell it.
+# The version by model; None if the server does not report it.
 Weights: TypeAlias = Mapping[str, int | None]
 
 
 def find_weights(call: HostedCall, backend: Backend) -> Weights:
-    """Return the weights that a call may begin on at a server.
+    """Return the weight versions that a call may use at a server.
 
-    One that names no model may begin on any that the server holds.
+    A call that names no model may use any that the server holds.
     """
     held = backend.record.versions
     demand = call.parameters.demand
@@ -27,7 +27,7 @@
 
 
 def may_begin(core: HostedCore, weights: Weights, margin: Millis) -> bool:
-    """Return whether all weights may begin requests for a margin more."""
+    """Return whether requests may start on all the weights for `margin`."""
     return all(
         core.may_serve(model, version, margin)
         for model, version in weights.items()
--- a/tests/test_hosted_log.py
+++ b/tests/test_hosted_log.py
@@ -25,16 +25,16 @@
 
 
 def note(path, steps):
-    book, clock = BackendBook(), ManualClock()
+    backends, clock = BackendBook(), ManualClock()
     with path.open('w', buffering=1) as stream:
-        roster = ServerChangeLog(
+        changes = ServerChangeLog(
             make_event_log('front-1', clock=clock, stream=stream)
         )
         for records in steps:
             clock.advance(600)
             for record in records:
-                book.put(record, clock.now())
-            roster.note(book, clock.now(), 600)
+                backends.put(record, clock.now())
+            changes.log_changes(backends, clock.now(), 600)
 
 
 def make(name, **changes):
