--- a/tests/hosted_runs.py
+++ b/tests/hosted_runs.py
@@ -31,7 +31,7 @@
 
     ANSWER = 'answer'
     REFUSE = 'refuse'
-    REFUSE_UNPROVED = 'refuse unproved'
+    REFUSE_WITHOUT_PROOF = 'refuse unproved'
     FAIL = 'fail'
     RESET = 'reset'
     CUT = 'cut'
@@ -47,12 +47,12 @@
 
 
 _STATUSES = {
-    Act.REFUSE_UNPROVED: 503,
+    Act.REFUSE_WITHOUT_PROOF: 503,
     Act.FAIL: 500,
     Act.FOREIGN_REFUSAL: 503,
 }
 _OTHER = {'oleanderdyke_request_id': 'of-another'}
-_SPOILT = {
+_INVALID_HEADERS = {
     Act.FOREIGN: _OTHER,
     Act.FOREIGN_REFUSAL: {**_OTHER, 'oleanderdyke_not_executed': '1'},
     Act.UNSEALED: {'oleanderdyke_response_seal': ''},
@@ -63,7 +63,7 @@
 class Run:
     """Hold one run; `told` is what its server sent of the body."""
 
-    told: bytes = b''
+    sent: bytes = b''
     closed: anyio.Event = field(default_factory=anyio.Event)
 
 
@@ -71,15 +71,15 @@
     """Play the acts that were drawn for each request, and remember them."""
 
     def __init__(self) -> None:
-        self.decks: dict[str, list[Act]] = {}
+        self.planned_acts: dict[str, list[Act]] = {}
         self.by_request: dict[str, list[Run]] = collections.defaultdict(list)
         self._numbers = itertools.count(1)
 
     async def play(self, peer: Peer) -> None:
         """Do the next act for this request; answer well once none is left."""
         request = peer.request.headers['oleanderdyke-request-id']
-        deck = self.decks.get(request, [])
-        act = deck.pop(0) if deck else self._choose_well(peer)
+        acts = self.planned_acts.get(request, [])
+        act = acts.pop(0) if acts else self._choose_success(peer)
         if act is Act.REFUSE:
             await peer.answer(503, b'full', oleanderdyke_not_executed='1')
             return
@@ -102,22 +102,22 @@
             await peer.send(make_answer(peer.request, 200, body)[:-2])
             peer.reset()
         else:
-            run.told = b'' if act in _SPOILT else body
-            await peer.send(_make_spoilt(act, peer, body))
+            run.sent = b'' if act in _INVALID_HEADERS else body
+            await peer.send(_make_invalid(act, peer, body))
 
     @staticmethod
-    def _choose_well(peer: Peer) -> Act:
+    def _choose_success(peer: Peer) -> Act:
         is_stream = peer.request.target.startswith(('/stream', '/letter'))
         return Act.STREAM if is_stream else Act.ANSWER
 
 
-def _make_spoilt(act: Act, peer: Peer, body: bytes) -> bytes:
+def _make_invalid(act: Act, peer: Peer, body: bytes) -> bytes:
     request = peer.request
     if act is Act.EXTRA:
         extra = make_answer(request, 200, b'of another')
         return make_answer(request, 200, body) + extra
     status = _STATUSES.get(act, 200)
-    return make_answer(request, status, body, **_SPOILT.get(act, {}))
+    return make_answer(request, status, body, **_INVALID_HEADERS.get(act, {}))
 
 
 async def _stream(act: Act, peer: Peer, run: Run) -> None:
@@ -132,7 +132,7 @@
     )
     last = {Act.STREAM: _EVENTS, Act.STREAM_EMPTY: after}.get(act, after + 1)
     for number in range(after + 1, last + 1):
-        run.told += make_event(number)
+        run.sent += make_event(number)
         await peer.send(make_chunk(make_event(number)))
     if act in {Act.STREAM_CUT, Act.STREAM_EMPTY}:
         # A reset may overtake what was sent before it.
@@ -157,19 +157,21 @@
     assert len(runs) <= most, f'{len(runs)} runs where {most} may be'
 
 
-def check_told(answered: ReceivedAnswer, runs: list[Run], path: str) -> None:
+def check_response(
+    answered: ReceivedAnswer, runs: list[Run], path: str
+) -> None:
     """Check the answer of a caller who stayed against what ran."""
-    if answered.status in _PROMISES or _tells_not_run(answered):
+    if answered.status in _PROMISES or _says_not_executed(answered):
         assert not runs, 'told as not run, but it ran'
     if answered.status != 200:
         return
     if path.startswith(('/stream', '/letter')):
         _check_events(answered)
     elif answered.is_whole:
-        assert answered.body in [run.told for run in runs], 'no run said that'
+        assert answered.body in [run.sent for run in runs], 'no run said that'
 
 
-def _tells_not_run(answered: ReceivedAnswer) -> bool:
+def _says_not_executed(answered: ReceivedAnswer) -> bool:
     # What the entry itself says is JSON, what servers say is not.
     if not answered.body.startswith(b'{'):
         return False
--- a/tests/test_hosted_answers.py
+++ b/tests/test_hosted_answers.py
@@ -21,7 +21,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_the_answer_to_another_request_is_not_passed_on(tmp_path):
+async def test_response_to_another_request_is_rejected(tmp_path):
     async def run(peer):
         await peer.answer(oleanderdyke_request_id='req-other')
 
@@ -30,7 +30,7 @@
         assert found.status == 502
 
 
-async def test_the_refusal_of_another_request_proves_nothing(tmp_path):
+async def test_refusal_of_another_request_does_not_allow_a_retry(tmp_path):
     closed = anyio.Event()
 
     async def run(peer):
@@ -50,7 +50,7 @@
         assert sum(len(each.received) for each in stage.replicas) == 1
 
 
-async def test_a_success_without_the_mark_of_a_server_is_no_success(tmp_path):
+async def test_success_without_response_seal_is_rejected(tmp_path):
     async def run(peer):
         await peer.answer(oleanderdyke_response_seal='')
 
@@ -58,7 +58,7 @@
         assert (await stage.call('/once/1')).status == 502
 
 
-async def test_bytes_after_an_answer_end_the_connection(tmp_path):
+async def test_extra_bytes_after_a_response_close_the_connection(tmp_path):
     async def run(peer):
         extra = make_answer(peer.request, body=b'again')
         await peer.send(make_answer(peer.request) + extra)
@@ -70,7 +70,7 @@
         assert stage.replicas[0].connections == 3
 
 
-async def test_bytes_that_come_late_end_the_connection(tmp_path):
+async def test_late_bytes_after_a_response_close_the_connection(tmp_path):
     async def run(peer):
         await peer.answer()
         await asyncio.sleep(0.05)
@@ -92,7 +92,7 @@
         b'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nab',
     ],
 )
-async def test_a_broken_answer_is_never_taken_for_whole(tmp_path, broken):
+async def test_malformed_or_truncated_response_is_rejected(tmp_path, broken):
     async def run(peer):
         await peer.send(broken)
         peer.writer.close()
@@ -101,7 +101,7 @@
         assert (await stage.call('/once/1')).status == 502
 
 
-async def test_an_answer_that_ends_with_its_connection_is_whole(tmp_path):
+async def test_response_delimited_by_connection_close_is_complete(tmp_path):
     async def run(peer):
         await peer.send(make_head(peer.request) + b'all of it')
         peer.writer.close()
@@ -112,7 +112,7 @@
         assert found.is_whole
 
 
-async def test_an_answer_without_length_that_is_reset_is_not_whole(tmp_path):
+async def test_response_without_length_is_incomplete_after_a_reset(tmp_path):
     async def run(peer):
         await peer.send(make_head(peer.request) + b'some of it')
         await asyncio.sleep(0.05)
@@ -122,7 +122,7 @@
         assert (await stage.call('/once/1')).status == 502
 
 
-async def test_information_before_an_answer_is_passed_over(tmp_path):
+async def test_informational_response_is_skipped(tmp_path):
     async def run(peer):
         await peer.send(b'HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n')
         await peer.answer()
@@ -131,7 +131,7 @@
         assert (await stage.call('/once/1')).status == 200
 
 
-async def test_an_early_answer_is_passed_on_and_its_body_ends_whole(tmp_path):
+async def test_early_response_is_forwarded_and_the_body_sent_in_full(tmp_path):
     """A server may answer at once and read the rest of a body later."""
     body = bytes(range(256)) * 12_000
     found: list[bytes] = []
@@ -162,7 +162,7 @@
     listener.close()
 
 
-async def test_requests_in_one_body_are_one_request(tmp_path):
+async def test_request_inside_a_body_is_not_parsed(tmp_path):
     smuggled = b'GET /safe/2 HTTP/1.1\r\nhost: rooms.example\r\n\r\n'
     async with staging(tmp_path, answer_well) as stage:
         await stage.call('/once/1', body=smuggled)
@@ -170,7 +170,7 @@
     assert seen.body == smuggled
 
 
-async def test_both_length_and_chunks_are_framed_anew(tmp_path):
+async def test_request_with_length_and_chunks_is_reframed(tmp_path):
     raw = (
         b'POST /once/1 HTTP/1.1\r\nhost: rooms.example\r\n'
         b'oleanderdyke-request-id: req-1\r\noleanderdyke-key: key-of-red\r\n'
--- a/tests/test_hosted_contexts.py
+++ b/tests/test_hosted_contexts.py
@@ -28,44 +28,44 @@
         yield stage, contexts, address
 
 
-async def test_what_a_store_holds_is_fetched_and_the_rest_is_saved(tmp_path):
+async def test_stored_context_is_fetched_and_the_rest_is_saved(tmp_path):
     async with staging_store(tmp_path) as (stage, contexts, address):
         contexts.add(SALT, 'aa', 2_000)
         # An entry can't know whether a store that it first sees has just
         # restarted.
         await anyio.sleep(VIEW_LIFE / SECOND + 0.3)
-        told = await ask_prompt(stage)
-    assert told['oleanderdyke-cache-salt'] == SALT
-    assert told[SOURCE] == f'{address}/2000,-,-'
-    assert told[SINK] == f'-,{address},-'
-    assert int(told[UNTIL]) > 0
+        headers = await ask_prompt(stage)
+    assert headers['oleanderdyke-cache-salt'] == SALT
+    assert headers[SOURCE] == f'{address}/2000,-,-'
+    assert headers[SINK] == f'-,{address},-'
+    assert int(headers[UNTIL]) > 0
 
 
 async def test_context_of_other_weights_is_not_fetched(tmp_path):
     async with staging_store(tmp_path) as (stage, contexts, _):
         contexts.add(f'2/{MODEL}/', 'aa', 2_000)
         await anyio.sleep(0.3)
-        told = await ask_prompt(stage)
-    assert SOURCE not in told
+        headers = await ask_prompt(stage)
+    assert SOURCE not in headers
 
 
-async def test_a_store_that_came_back_empty_is_not_fetched_from(tmp_path):
+async def test_nothing_is_fetched_from_a_restarted_store(tmp_path):
     async with staging_store(tmp_path) as (stage, contexts, _):
         contexts.add(SALT, 'aa', 2_000)
         await anyio.sleep(0.3)
         contexts.restart()
         await anyio.sleep(0.3)
-        told = await ask_prompt(stage)
-    assert SOURCE not in told
+        headers = await ask_prompt(stage)
+    assert SOURCE not in headers
     # Others may not know yet that it restarted, and fetch what is written.
-    assert SINK not in told
+    assert SINK not in headers
 
 
-async def test_a_store_that_is_silent_is_not_fetched_from(tmp_path):
+async def test_nothing_is_fetched_from_an_unresponsive_store(tmp_path):
     async with staging_store(tmp_path) as (stage, contexts, _):
         contexts.add(SALT, 'aa', 2_000)
         await anyio.sleep(0.3)
         contexts.faults = type(contexts.faults)(silent=True)
         await anyio.sleep(4.5)
-        told = await ask_prompt(stage)
-    assert SOURCE not in told
+        headers = await ask_prompt(stage)
+    assert SOURCE not in headers
--- a/tests/test_hosted_entry.py
+++ b/tests/test_hosted_entry.py
@@ -29,7 +29,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_an_answer_comes_back_unchanged(tmp_path):
+async def test_response_is_forwarded_unchanged(tmp_path):
     async def run(peer):
         await peer.answer(201, b'booked', x_seat='12')
 
@@ -45,7 +45,7 @@
     assert seen.headers['host'] == HOST
 
 
-async def test_the_team_is_told_and_its_key_is_not(tmp_path):
+async def test_server_receives_the_team_but_not_its_key(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         await stage.call('/once/1', oleanderdyke_tenant_id='blue')
     headers = stage.replicas[0].received[0].headers
@@ -73,7 +73,7 @@
         'x-hop',
     ],
 )
-async def test_what_only_the_system_sets_is_taken_off(tmp_path, name):
+async def test_reserved_request_headers_are_removed(tmp_path, name):
     async with staging(tmp_path, answer_well) as stage:
         sent = {name.replace('-', '_'): 'of-the-caller'}
         sent['connection'] = 'close, x-hop'
@@ -95,7 +95,7 @@
         assert (await stage.call('/once/1', host='else.example')).status == 404
 
 
-async def test_what_an_old_configuration_lacks_is_not_denied(tmp_path):
+async def test_stale_configuration_denies_no_unknown_route_or_key(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         stage.store.faults = type(stage.store.faults)(down=True)
         stage.core.configuration_read_at -= 60_000
@@ -105,7 +105,7 @@
         assert float(found.headers['retry-after']) > 0
 
 
-async def test_without_a_configuration_nothing_is_promised_but_not_run(
+async def test_without_configuration_requests_are_refused_as_not_executed(
     tmp_path,
 ):
     async with staging(tmp_path) as stage:
@@ -114,7 +114,7 @@
         assert (await stage.call('/once/1')).status == 503
 
 
-async def test_a_new_configuration_is_in_force_and_an_older_one_never(
+async def test_new_configuration_is_applied_and_an_older_one_ignored(
     tmp_path,
 ):
     added = {**ROUTE, 'name': 'r-new', 'pathPrefix': '/new/'}
@@ -135,7 +135,7 @@
     assert 'event=record_refused' in stage.log.read_text()
 
 
-async def test_a_dropped_history_is_read_anew(tmp_path):
+async def test_configuration_is_read_again_after_history_was_dropped(tmp_path):
     added = {**ROUTE, 'name': 'r-new', 'pathPrefix': '/new/'}
     newer = {**CONFIGURATION, 'version': 9, 'routes': [added]}
     async with staging(tmp_path, answer_well) as stage:
@@ -145,13 +145,15 @@
         assert (await stage.call('/new/1')).status == 200
 
 
-async def test_a_refusal_that_ran_nothing_goes_elsewhere(tmp_path):
+async def test_request_refused_before_execution_is_retried_elsewhere(tmp_path):
     async with staging(tmp_path, shed, shed, answer_well) as stage:
         found = await stage.call('/once/1')
         assert (found.status, found.body) == (200, b'booked')
 
 
-async def test_refused_everywhere_promises_that_nothing_ran(tmp_path):
+async def test_request_refused_by_all_servers_is_reported_as_not_executed(
+    tmp_path,
+):
     async with staging(tmp_path, shed, shed) as stage:
         found = await stage.call('/once/1')
         assert found.status == 503
@@ -160,7 +162,7 @@
 
 
 @pytest.mark.parametrize('status', [408, 421, 429, 503])
-async def test_a_promise_that_the_server_did_not_give_is_not_passed_on(
+async def test_refusal_without_not_executed_header_becomes_an_error(
     tmp_path, status
 ):
     async def run(peer):
@@ -172,7 +174,7 @@
         assert found.status == expected
 
 
-async def test_what_may_run_once_is_not_sent_again(tmp_path):
+async def test_non_idempotent_request_is_not_retried(tmp_path):
     async with staging(tmp_path, reset, reset) as stage:
         found = await stage.call('/once/1')
         assert found.status == 502
@@ -180,7 +182,7 @@
         assert runs == 1
 
 
-async def test_what_may_be_repeated_goes_elsewhere(tmp_path):
+async def test_idempotent_request_is_retried_elsewhere(tmp_path):
     async with staging(tmp_path, reset, answer_well) as stage:
         statuses = [
             (await stage.call('/safe/1', method='GET')).status for _ in range(6)
@@ -188,7 +190,7 @@
         assert statuses == [200] * 6
 
 
-async def test_no_more_servers_are_tried_than_the_route_allows(tmp_path):
+async def test_retries_are_limited_by_the_attempts_of_the_route(tmp_path):
     async with staging(tmp_path, reset, reset, reset) as stage:
         found = await stage.call('/safe/1', method='GET')
         assert found.status == 502
@@ -196,7 +198,7 @@
         assert runs == 2
 
 
-async def test_a_kept_connection_that_dies_is_not_proof_that_nothing_ran(
+async def test_loss_of_a_reused_connection_does_not_allow_a_retry(
     tmp_path,
 ):
     async def run(peer):
@@ -216,7 +218,7 @@
         assert replica.received[1].connection == 1
 
 
-async def test_another_server_at_the_address_runs_nothing(tmp_path):
+async def test_misdirected_request_is_retried_elsewhere(tmp_path):
     async def misdirected(peer):
         await peer.answer(421, b'', oleanderdyke_instance_id='i-else')
 
@@ -224,7 +226,9 @@
         assert (await s.call('/once/1')).status == 200
 
 
-async def test_a_server_that_another_has_replaced_is_asked_once(tmp_path):
+async def test_server_replaced_at_its_address_gets_one_request_at_most(
+    tmp_path,
+):
     async def misdirected(peer):
         await peer.answer(421, b'', oleanderdyke_instance_id='i-else')
 
@@ -235,7 +239,7 @@
         assert len(stage.replicas[0].received) <= 1
 
 
-async def test_a_server_that_leaves_gets_nothing_more(tmp_path):
+async def test_leaving_server_gets_no_more_requests(tmp_path):
     async with staging(tmp_path, answer_well, answer_well) as stage:
         address = stage.core.backends.find('i-0').record.address
         leaving = make_record(address, state='draining')
@@ -246,7 +250,7 @@
         assert not stage.replicas[0].received
 
 
-async def test_a_server_that_left_never_comes_back(tmp_path):
+async def test_server_that_left_gets_no_requests_when_listed_again(tmp_path):
     async with staging(tmp_path, answer_well, answer_well) as stage:
         address = stage.core.backends.find('i-0').record.address
         leaving = make_record(address, state='draining')
@@ -259,7 +263,7 @@
         assert not stage.replicas[0].received
 
 
-async def test_a_caller_that_left_is_not_worked_for(tmp_path):
+async def test_run_is_cancelled_when_its_caller_disconnects(tmp_path):
     closed = anyio.Event()
 
     async def wait(peer):
@@ -275,7 +279,7 @@
             await closed.wait()
 
 
-async def test_an_answer_that_never_comes_ends_at_the_timeout(tmp_path):
+async def test_missing_response_ends_at_the_timeout(tmp_path):
     async def wait(peer):
         await peer.wait_closed()
 
@@ -286,7 +290,7 @@
         assert 1_900 < stage.core.clock.now() - started < 2_400
 
 
-async def test_a_dead_server_costs_a_connect_and_no_request(tmp_path):
+async def test_request_to_an_unreachable_server_is_sent_elsewhere(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         stage.store.put(SERVERS, 'i-7', make_record('127.0.0.1:9'))
         await anyio.sleep(0.7)
@@ -294,14 +298,14 @@
             assert (await stage.call(f'/once/{number}')).status == 200
 
 
-async def test_connections_are_kept(tmp_path):
+async def test_connections_are_reused(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         for number in range(5):
             await stage.call(f'/once/{number}')
         assert stage.replicas[0].connections == 1
 
 
-async def test_a_planned_stop_cuts_no_request_off(tmp_path):
+async def test_graceful_shutdown_waits_for_running_requests(tmp_path):
     release = anyio.Event()
 
     async def wait(peer):
@@ -322,7 +326,7 @@
         writer.close()
 
 
-async def test_a_stopping_entry_still_takes_what_ends_in_time(tmp_path):
+async def test_stopping_entry_accepts_requests_that_end_in_time(tmp_path):
     async with staging(tmp_path, answer_well, grace=4_000.0) as stage:
         await stage.call('/once/1')
         signal.raise_signal(signal.SIGTERM)
@@ -330,7 +334,7 @@
         assert (await stage.call('/once/2')).status == 200
 
 
-async def test_settings_that_turn_bad_are_told_and_change_nothing(tmp_path):
+async def test_invalid_settings_are_logged_and_ignored(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         (tmp_path / 'boot.conf').write_text('nodeName=front-1\n')
         signal.raise_signal(signal.SIGHUP)
@@ -339,7 +343,7 @@
     assert 'event=record_refused' in stage.log.read_text()
 
 
-async def test_a_server_taken_off_the_list_comes_back_with_its_entry(tmp_path):
+async def test_server_listed_under_a_new_name_gets_requests(tmp_path):
     async with (
         serving_replica(answer_well) as (replica, address),
         staging(tmp_path, answer_well) as stage,
@@ -351,14 +355,14 @@
         assert len(replica.received) == 1
 
 
-async def test_readiness_is_told_at_its_own_address_only(tmp_path):
+async def test_readiness_is_served_at_its_own_address_only(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         assert await stage.is_ready()
         found = await call(stage.address, '/api/readiness', method='GET')
         assert found.status == 404
 
 
-async def test_what_a_caller_left_behind_is_not_delivered_later(tmp_path):
+async def test_abandoned_connection_to_a_server_is_reset(tmp_path):
     """Bytes that a cut link holds up are lost only with a reset."""
     ends: list[str] = []
 
@@ -379,7 +383,7 @@
     assert ends == ['reset']
 
 
-async def test_servers_that_lapsed_with_the_store_are_back_with_one_record(
+async def test_servers_that_expired_in_a_store_outage_return_with_one_record(
     tmp_path,
 ):
     async with staging(tmp_path, answer_well) as stage:
--- a/tests/test_hosted_leaving.py
+++ b/tests/test_hosted_leaving.py
@@ -35,14 +35,14 @@
 class Runs:
     """Count runs that began, and tell when their connections were closed."""
 
-    begun: int = 0
+    started: int = 0
     closed: int = 0
 
     def make(self, first: int | None) -> Script:
         """Make a script that sends an event, if any, and never ends."""
 
         async def run(peer: Peer) -> None:
-            self.begun += 1
+            self.started += 1
             if first is not None:
                 await send_events(peer, first, first)
             await peer.wait_closed()
@@ -50,14 +50,14 @@
 
         return run
 
-    async def wait_begun(self) -> None:
+    async def wait_started(self) -> None:
         with anyio.fail_after(_WAIT):
-            while not self.begun:
+            while not self.started:
                 await anyio.sleep(_POLL)
 
     async def wait_closed(self) -> None:
         with anyio.fail_after(_STILL_WORKING):
-            while self.closed < self.begun:
+            while self.closed < self.started:
                 await anyio.sleep(_POLL)
 
 
@@ -98,14 +98,14 @@
 
 @pytest.mark.parametrize('second', [3, None], ids=['begun', 'waiting'])
 @pytest.mark.parametrize('failing', _FAILING.values(), ids=_FAILING)
-async def test_a_caller_that_leaves_ends_the_second_run(
+async def test_second_attempt_is_cancelled_when_its_caller_disconnects(
     tmp_path, failing, second
 ):
     runs = Runs()
     async with staging(tmp_path, failing, runs.make(second)) as stage:
         prefer(stage, 0)
         async with _calling(stage, '/stream/1'):
-            await runs.wait_begun()
+            await runs.wait_started()
             await anyio.sleep(0.1)
         await runs.wait_closed()
         assert stage.replicas[0].received
@@ -113,39 +113,41 @@
 
 @pytest.mark.parametrize('second', [3, None], ids=['begun', 'waiting'])
 @pytest.mark.parametrize('failing', _FAILING.values(), ids=_FAILING)
-async def test_a_deadline_ends_the_second_run(tmp_path, failing, second):
+async def test_second_attempt_is_cancelled_at_the_deadline(
+    tmp_path, failing, second
+):
     runs = Runs()
     async with staging(tmp_path, failing, runs.make(second)) as stage:
         prefer(stage, 0)
         async with _calling(stage, '/stream/1', 1_200) as (reader, _):
             found = await _read(reader)
-            assert runs.begun == 1
+            assert runs.started == 1
             await runs.wait_closed()
         assert stage.replicas[0].received
     assert not found.is_whole or found.status == 504
 
 
-async def test_the_second_run_is_told_no_more_time_than_is_left(tmp_path):
+async def test_second_attempt_is_sent_the_remaining_time(tmp_path):
     runs = Runs()
     async with staging(tmp_path, _stall_midway, runs.make(3)) as stage:
         prefer(stage, 0)
         async with _calling(stage, '/stream/1', 1_500):
-            await runs.wait_begun()
+            await runs.wait_started()
             (sent,) = stage.replicas[1].received
     assert int(sent.headers['oleanderdyke-deadline-ms']) < 1_100
 
 
-async def test_a_run_that_was_given_up_is_closed_before_the_next(tmp_path):
+async def test_abandoned_attempt_is_closed_while_the_next_one_runs(tmp_path):
     first, second = Runs(), Runs()
     async with staging(tmp_path, first.make(1), second.make(2)) as stage:
         prefer(stage, 0)
         async with _calling(stage, '/stream/1'):
-            await second.wait_begun()
+            await second.wait_started()
             await first.wait_closed()
             assert not second.closed
 
 
-async def test_a_caller_that_leaves_while_connecting_is_not_worked_for(
+async def test_run_is_cancelled_when_its_caller_leaves_while_connecting(
     tmp_path, monkeypatch
 ):
     runs = Runs()
@@ -165,10 +167,10 @@
         await runs.wait_closed()
 
 
-async def test_a_letter_at_a_server_that_fell_silent_is_given_up(tmp_path):
+async def test_unresumable_stream_at_a_silent_server_is_aborted(tmp_path):
     runs = Runs()
-    letter = {**UNRESUMABLE_ROUTE, 'timeoutMs': 9_000}
-    configuration = {**CONFIGURATION, 'routes': [letter]}
+    route = {**UNRESUMABLE_ROUTE, 'timeoutMs': 9_000}
+    configuration = {**CONFIGURATION, 'routes': [route]}
     async with (
         staging(
             tmp_path, runs.make(None), configuration=configuration
@@ -181,27 +183,27 @@
     assert found.status == 502
 
 
-async def test_a_letter_that_has_begun_is_waited_for_until_its_caller_leaves(
+async def test_unresumable_stream_that_has_begun_ends_only_with_its_caller(
     tmp_path,
 ):
     """No silence ends an answer sooner than its caller or its deadline."""
     runs = Runs()
-    letter = {**UNRESUMABLE_ROUTE, 'timeoutMs': 9_000}
-    configuration = {**CONFIGURATION, 'routes': [letter]}
+    route = {**UNRESUMABLE_ROUTE, 'timeoutMs': 9_000}
+    configuration = {**CONFIGURATION, 'routes': [route]}
     async with staging(
         tmp_path, runs.make(1), configuration=configuration
     ) as stage:
         async with _calling(stage, '/letter/1'):
             await anyio.sleep(4.5)
-            assert (runs.begun, runs.closed) == (1, 0)
+            assert (runs.started, runs.closed) == (1, 0)
         await runs.wait_closed()
 
 
-async def test_a_letter_at_a_server_that_sends_to_others_is_waited_for(
+async def test_unresumable_stream_waits_at_a_server_that_sends_to_others(
     tmp_path,
 ):
-    letter = {**UNRESUMABLE_ROUTE, 'timeoutMs': 9_000}
-    configuration = {**CONFIGURATION, 'routes': [letter]}
+    route = {**UNRESUMABLE_ROUTE, 'timeoutMs': 9_000}
+    configuration = {**CONFIGURATION, 'routes': [route]}
 
     async def take_turns(peer: Peer) -> None:
         if 'late' in peer.request.target:
@@ -223,11 +225,11 @@
     assert (found.status, found.body) == (200, b'late')
 
 
-async def test_a_request_that_a_stop_cuts_off_is_answered_and_named(tmp_path):
+async def test_request_cut_off_by_a_shutdown_is_answered_and_logged(tmp_path):
     runs = Runs()
     async with staging(tmp_path, runs.make(None)) as stage:
         async with _calling(stage, '/letter/1') as (reader, _):
-            await runs.wait_begun()
+            await runs.wait_started()
             # The second signal ends the stop at once.
             for _ in range(2):
                 signal.raise_signal(signal.SIGTERM)
@@ -243,7 +245,7 @@
     assert [line['request'] for line in cut] == ['req-1']
 
 
-async def test_a_body_that_never_ends_does_not_outlast_the_stop(tmp_path):
+async def test_unfinished_request_body_does_not_delay_the_shutdown(tmp_path):
     async with staging(tmp_path, _stall_at_once) as stage:
         _, writer = await asyncio.open_connection(*stage.address)
         request = make_request('/letter/1', body=b'half')
@@ -263,11 +265,11 @@
     assert times['process_stopped'] - times['drain_finished'] < 500
 
 
-async def test_a_stream_that_pauses_at_a_busy_server_is_not_broken_off(
+async def test_stream_that_pauses_at_a_busy_server_is_not_aborted(
     tmp_path,
 ):
     """A server may put a run aside midway for more urgent ones."""
-    letter = {**UNRESUMABLE_ROUTE, 'timeoutMs': 9_000}
+    route = {**UNRESUMABLE_ROUTE, 'timeoutMs': 9_000}
 
     async def pause_midway(peer: Peer) -> None:
         await send_events(peer, 1, 1)
@@ -281,7 +283,7 @@
         staging(
             tmp_path,
             pause_midway,
-            configuration={**CONFIGURATION, 'routes': [letter]},
+            configuration={**CONFIGURATION, 'routes': [route]},
         ) as stage,
         _calling(stage, '/letter/other'),
         _calling(stage, '/letter/late') as (reader, _),
--- a/tests/test_hosted_limits.py
+++ b/tests/test_hosted_limits.py
@@ -43,7 +43,7 @@
     return [len(replica.received) for replica in stage.replicas]
 
 
-def move(stage: Stage, number: int, data_centre: str) -> None:
+def relocate(stage: Stage, number: int, data_centre: str) -> None:
     """List a server in another data centre."""
     backend = stage.core.backends.find(f'i-{number}')
     record = make_record(backend.record.address, zone=data_centre, seq=2)
@@ -52,7 +52,7 @@
 
 async def test_an_evacuation_keeps_requests_in_other_data_centres(tmp_path):
     async with staging(tmp_path, answer, answer) as stage:
-        move(stage, 1, 'yard')
+        relocate(stage, 1, 'yard')
         book = stage.core.backends
         await wait_until(lambda: book.find('i-1').record.data_centre == 'yard')
         await evacuate(stage)
@@ -62,7 +62,9 @@
         assert count_received(stage) == [0, 4]
 
 
-async def test_a_call_that_no_data_centre_may_take_is_refused_at_once(tmp_path):
+async def test_call_is_refused_at_once_if_all_data_centres_are_evacuated(
+    tmp_path,
+):
     async with staging(tmp_path, answer) as stage:
         await evacuate(stage)
         with anyio.fail_after(0.5):
@@ -72,7 +74,7 @@
         assert count_received(stage) == [0]
 
 
-async def test_an_evacuation_that_is_taken_back_ends(tmp_path):
+async def test_cancelled_evacuation_ends(tmp_path):
     async with staging(tmp_path, answer) as stage:
         await evacuate(stage)
         stage.store.drop(OPERATOR, EVACUATION)
@@ -81,13 +83,13 @@
         assert (await stage.call('/once/x')).status == ANSWERED
 
 
-async def test_an_order_whose_value_cannot_be_read_counts(tmp_path):
+async def test_evacuation_with_a_malformed_value_applies(tmp_path):
     async with staging(tmp_path, answer) as stage:
         await evacuate(stage, value='no object')
         assert (await stage.call('/once/x')).status == REFUSED
 
 
-async def test_a_history_that_is_forgotten_ends_no_evacuation(tmp_path):
+async def test_evacuation_survives_dropped_history(tmp_path):
     async with staging(tmp_path, answer) as stage:
         await evacuate(stage)
         stage.store.find(OPERATOR).forget()
@@ -96,7 +98,7 @@
         assert stage.core.limits.evacuations.active == {'hall'}
 
 
-async def test_an_end_in_forgotten_history_is_found_in_the_listing(tmp_path):
+async def test_evacuation_that_ended_in_dropped_history_ends(tmp_path):
     async with staging(tmp_path, answer) as stage:
         await evacuate(stage)
         topic = stage.store.find(OPERATOR)
@@ -107,7 +109,7 @@
         await wait_until(lambda: not evacuations.active)
 
 
-async def test_an_entry_that_starts_knows_of_an_evacuation(tmp_path):
+async def test_evacuation_applies_to_an_entry_that_starts_later(tmp_path):
     async with staging(tmp_path, answer) as first:
         first.store.put(OPERATOR, EVACUATION, {})
         store = first.store
@@ -119,7 +121,7 @@
             assert count_received(second) == [0]
 
 
-async def test_an_evacuation_counts_while_a_connection_is_opened(tmp_path):
+async def test_evacuation_applies_while_a_connection_is_opened(tmp_path):
     async with staging(tmp_path, answer) as stage:
         evacuations = stage.core.limits.evacuations
         run_while_connecting(stage, lambda: evacuations.begin('hall'))
@@ -127,7 +129,7 @@
         assert count_received(stage) == [0]
 
 
-async def test_a_route_with_homes_reaches_no_other_region(tmp_path):
+async def test_route_is_restricted_to_its_regions(tmp_path):
     routes = [
         {**route, 'allowedRegions': ['south']}
         for route in CONFIGURATION['routes']
@@ -137,7 +139,7 @@
         tmp_path, answer, answer, configuration=configuration
     ) as stage:
         stage.core.limits.regions = {'hall': 'north', 'port': 'south'}
-        move(stage, 1, 'port')
+        relocate(stage, 1, 'port')
         book = stage.core.backends
         await wait_until(lambda: book.find('i-1').record.data_centre == 'port')
         for _ in range(3):
@@ -145,7 +147,7 @@
         assert count_received(stage) == [0, 3]
 
 
-async def test_homes_of_a_route_and_of_a_team_both_bind(tmp_path):
+async def test_call_must_match_the_regions_of_both_route_and_team(tmp_path):
     routes = [
         {**route, 'allowedRegions': ['south', 'north']}
         for route in CONFIGURATION['routes']
--- a/tests/test_hosted_log.py
+++ b/tests/test_hosted_log.py
@@ -24,7 +24,7 @@
     return [(line['event'], line['peer'], line['reason']) for line in found]
 
 
-def note(path, steps):
+def log_reads(path, steps):
     backends, clock = BackendBook(), ManualClock()
     with path.open('w', buffering=1) as stream:
         changes = ServerChangeLog(
@@ -37,43 +37,47 @@
             changes.log_changes(backends, clock.now(), 600)
 
 
-def make(name, **changes):
+def make_server(name, **changes):
     return ServerRecord(name, 'desk', '10.0.0.1:80', 'hall', **changes)
 
 
-def test_a_server_that_comes_and_leaves_is_told_once_each(tmp_path):
+def test_server_that_appears_and_leaves_is_logged_once_each(tmp_path):
     path = tmp_path / 'log'
-    leaving = make('i-1', is_leaving=True)
-    note(path, [[make('i-1')], [make('i-1')], [leaving], [leaving]])
+    leaving = make_server('i-1', is_leaving=True)
+    log_reads(
+        path, [[make_server('i-1')], [make_server('i-1')], [leaving], [leaving]]
+    )
     assert list_changes(path) == [
         ('backend_up', 'i-1', 'listed'),
         ('backend_lost', 'i-1', 'leaving'),
     ]
 
 
-def test_a_new_start_under_the_same_name_is_told(tmp_path):
+def test_restart_under_the_same_name_is_logged(tmp_path):
     path = tmp_path / 'log'
-    note(path, [[make('i-1', born=1)], [make('i-1', born=2)]])
-    told = [
+    log_reads(
+        path, [[make_server('i-1', born=1)], [make_server('i-1', born=2)]]
+    )
+    logged = [
         (line['event'], line['incarnation'], line['reason'])
         for line in list_events(path, 'backend_up', 'backend_lost')
     ]
-    assert told[1:] == [
+    assert logged[1:] == [
         ('backend_up', '2', 'listed'),
         ('backend_lost', '1', 'gone'),
     ]
 
 
-def test_many_at_once_are_counted(tmp_path):
+def test_many_changes_at_once_are_counted(tmp_path):
     path = tmp_path / 'log'
-    note(path, [[make(f'i-{number}') for number in range(40)]])
+    log_reads(path, [[make_server(f'i-{number}') for number in range(40)]])
     assert len(list_changes(path)) == 16
     (rest,) = list_events(path, 'backends_changed')
     assert rest['count'] == '24'
 
 
 @pytest.mark.anyio
-async def test_lines_tell_the_age_and_version_of_what_decided(tmp_path):
+async def test_log_lines_have_the_age_and_version_of_the_inputs(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         await stage.call('/once/0')
         await stage.call('/nowhere/')
@@ -95,7 +99,7 @@
 
 
 @pytest.mark.anyio
-async def test_no_line_holds_a_key_a_prompt_or_an_answer(tmp_path):
+async def test_log_contains_no_key_prompt_or_response(tmp_path):
     async def run(peer):
         await peer.answer(body=b'hidden-answer')
 
@@ -111,7 +115,7 @@
 
 
 @pytest.mark.anyio
-async def test_an_entry_tells_that_it_stood_still(tmp_path):
+async def test_stalled_process_is_logged(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         await anyio.sleep(0.2)
         time.sleep(0.7)
@@ -120,7 +124,7 @@
     assert int(line['duration']) > 600
 
 
-def name_limits(*limits):
+def answer_with_limits(*limits):
     """Answer well, each time with the next limit; the last one stays."""
     left = list(limits)
 
@@ -133,19 +137,21 @@
 
 @pytest.mark.anyio
 async def test_a_rate_limit_is_logged_when_it_changes(tmp_path):
-    limits = name_limits('250', '250', '400', '')
+    limits = answer_with_limits('250', '250', '400', '')
     async with staging(tmp_path, limits) as stage:
         for _ in range(5):
             await anyio.sleep(0.3)
             assert (await stage.call('/safe/x')).status == 200
         lines = list_events(stage.log, 'backend_limited')
-    told = [(line['peer'], line.get('value')) for line in lines]
-    assert told == [('i-0', '250.0'), ('i-0', '400.0'), ('i-0', None)]
+    logged = [(line['peer'], line.get('value')) for line in lines]
+    assert logged == [('i-0', '250.0'), ('i-0', '400.0'), ('i-0', None)]
 
 
 @pytest.mark.anyio
-async def test_a_rate_limit_that_cannot_be_read_is_logged_once(tmp_path):
-    async with staging(tmp_path, name_limits('few', '-1', 'few')) as stage:
+async def test_malformed_rate_limit_is_logged_once(tmp_path):
+    async with staging(
+        tmp_path, answer_with_limits('few', '-1', 'few')
+    ) as stage:
         for _ in range(3):
             assert (await stage.call('/safe/x')).status == 200
         lines = list_events(stage.log, 'record_refused')
--- a/tests/test_hosted_news.py
+++ b/tests/test_hosted_news.py
@@ -125,16 +125,16 @@
     """Count reads by topic from now on."""
     answer, reads = store.answer, Counter()
 
-    async def note(request):
+    async def record(request):
         if request.path == '/api/log-read':
             reads[request.query['topic']] += 1
         return await answer(request)
 
-    store.answer = note
+    store.answer = record
     return reads
 
 
-async def test_entries_read_what_one_of_them_reads(tmp_path, monkeypatch):
+async def test_entries_share_the_reads_of_one_of_them(tmp_path, monkeypatch):
     async with running_entries(tmp_path, monkeypatch) as (store, entries):
         # Who was asked while others were not known yet reads for 3 s more.
         await anyio.sleep(4)
@@ -148,7 +148,7 @@
         await wait_applied(entries, 8)
 
 
-async def test_the_loss_of_the_reader_holds_up_no_configuration(
+async def test_loss_of_the_reading_entry_delays_no_configuration(
     tmp_path, monkeypatch
 ):
     async with running_entries(tmp_path, monkeypatch) as (store, entries):
@@ -161,7 +161,7 @@
         await wait_applied(others, 8)
 
 
-async def test_an_entry_that_the_store_turns_away_hears_its_neighbours(
+async def test_entry_refused_by_the_store_reads_from_its_peers(
     tmp_path, monkeypatch
 ):
     async with running_entries(tmp_path, monkeypatch) as (store, entries):
--- a/tests/test_hosted_safety.py
+++ b/tests/test_hosted_safety.py
@@ -26,7 +26,7 @@
     Runs,
     check_closed,
     check_count,
-    check_told,
+    check_response,
 )
 
 _SERVERS = 3
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class PlannedRequest:
     """Hold one request and what the servers do with each try of it."""
 
     path: str
@@ -50,11 +50,11 @@
     leaves: bool = False
 
 
-def _draw_ask(path: str) -> st.SearchStrategy[Ask]:
+def _draw_request(path: str) -> st.SearchStrategy[PlannedRequest]:
     is_stream = path in {'/stream/', '/letter/'}
     acts = st.sampled_from(_STREAM_ACTS if is_stream else _PLAIN_ACTS)
     return st.builds(
-        Ask,
+        PlannedRequest,
         st.just(path),
         st.lists(acts, max_size=3).map(tuple),
         st.booleans(),
@@ -63,7 +63,7 @@
 
 ROUNDS = st.lists(
     st.lists(
-        st.one_of([_draw_ask(path) for path in _MOST_RUNS]),
+        st.one_of([_draw_request(path) for path in _MOST_RUNS]),
         min_size=1,
         max_size=4,
     ),
@@ -72,20 +72,24 @@
 )
 
 
-async def _play(rounds: list[list[Ask]], directory: pathlib.Path) -> None:
+async def _play(
+    rounds: list[list[PlannedRequest]], directory: pathlib.Path
+) -> None:
     runs = Runs()
     async with staging(directory, *[runs.play] * _SERVERS) as stage:
-        for number, asks in enumerate(rounds):
+        for number, requests in enumerate(rounds):
             async with asyncio.TaskGroup() as tasks:
-                for place, ask in enumerate(asks):
+                for place, planned in enumerate(requests):
                     request = f'req-{number}-{place}'
-                    tasks.create_task(_ask(stage, runs, ask, request))
+                    tasks.create_task(_ask(stage, runs, planned, request))
 
 
-async def _ask(stage: Stage, runs: Runs, ask: Ask, request: str) -> None:
-    runs.decks[request] = list(ask.acts)
+async def _ask(
+    stage: Stage, runs: Runs, planned: PlannedRequest, request: str
+) -> None:
+    runs.planned_acts[request] = list(planned.acts)
     reader, writer = await asyncio.open_connection(*stage.address)
-    path = f'{ask.path}{request}'
+    path = f'{planned.path}{request}'
     writer.write(
         make_request(
             path,
@@ -95,7 +99,7 @@
     )
     answered = None
     try:
-        if ask.leaves:
+        if planned.leaves:
             await anyio.sleep(_LEAVES_AFTER_SECONDS)
         else:
             with anyio.fail_after(10):
@@ -104,30 +108,30 @@
         writer.close()
     began = runs.by_request[request]
     await check_closed(began)
-    check_count(began, _MOST_RUNS[ask.path])
+    check_count(began, _MOST_RUNS[planned.path])
     if answered is not None:
-        check_told(answered, began, path)
+        check_response(answered, began, path)
 
 
-def _run(rounds: list[list[Ask]]) -> None:
+def _run(rounds: list[list[PlannedRequest]]) -> None:
     with tempfile.TemporaryDirectory() as name:
         anyio.run(_play, rounds, pathlib.Path(name))
 
 
 @settings(max_examples=30, deadline=None)
 @given(ROUNDS)
-def test_promises_hold_whatever_the_servers_do(rounds):
+def test_guarantees_hold_for_any_server_behaviour(rounds):
     _run(rounds)
 
 
-def _assert_caught(*asks: Ask) -> None:
+def _assert_caught(*requests: PlannedRequest) -> None:
     """Play the asks one after the other; a check has to fail."""
     with pytest.raises(ExceptionGroup) as caught:
-        _run([[ask] for ask in asks])
+        _run([[planned] for planned in requests])
     assert caught.value.subgroup(AssertionError) is not None
 
 
-def test_the_count_catches_an_entry_that_repeats_everything(monkeypatch):
+def test_run_count_check_catches_an_entry_that_retries_everything(monkeypatch):
     make = driver._make_facts
 
     def make_unsafe(core, call):
@@ -139,16 +143,20 @@
         '_make_settings',
         lambda _: driver.MachineSettings(max_attempts=2),
     )
-    _assert_caught(Ask('/once/', (Act.RESET,)))
+    _assert_caught(PlannedRequest('/once/', (Act.RESET,)))
 
 
-@pytest.mark.parametrize('act', [Act.REFUSE_UNPROVED, Act.FOREIGN])
-def test_the_answers_catch_an_entry_that_believes_all(monkeypatch, act):
+@pytest.mark.parametrize('act', [Act.REFUSE_WITHOUT_PROOF, Act.FOREIGN])
+def test_response_check_catches_an_entry_that_accepts_any_response(
+    monkeypatch, act
+):
     monkeypatch.setattr(attempts, 'find_answer_fault', lambda *_: '')
-    _assert_caught(Ask('/once/', (act,)))
+    _assert_caught(PlannedRequest('/once/', (act,)))
 
 
-def test_the_promise_catches_an_entry_that_calls_losses_not_run(monkeypatch):
+def test_not_executed_check_catches_an_entry_that_reports_losses_as_not_run(
+    monkeypatch,
+):
     report = attempts.DirectAttempt._report_failure
 
     def report_unsafe(self, kind, _ran, reason):
@@ -157,16 +165,18 @@
     monkeypatch.setattr(
         attempts.DirectAttempt, '_report_failure', report_unsafe
     )
-    _assert_caught(Ask('/once/', (Act.RESET, Act.REFUSE, Act.REFUSE)))
+    _assert_caught(
+        PlannedRequest('/once/', (Act.RESET, Act.REFUSE, Act.REFUSE))
+    )
 
 
-def test_the_events_catch_an_entry_that_joins_any_answer(monkeypatch):
+def test_event_check_catches_an_entry_that_appends_any_response(monkeypatch):
     monkeypatch.setattr(attempts, 'continues_stream', lambda *_: True)
-    _assert_caught(Ask('/stream/', (Act.STREAM_CUT, Act.FAIL)))
+    _assert_caught(PlannedRequest('/stream/', (Act.STREAM_CUT, Act.FAIL)))
 
 
 @pytest.mark.parametrize('act', [Act.HANG, Act.STREAM_HANG])
-def test_the_end_catches_an_entry_that_never_cancels(monkeypatch, act):
+def test_close_check_catches_an_entry_that_never_cancels(monkeypatch, act):
     monkeypatch.setattr(attempts.DirectAttempt, 'cancel', lambda _: None)
     path = '/once/' if act is Act.HANG else '/letter/'
-    _assert_caught(Ask(path, (act,), leaves=True))
+    _assert_caught(PlannedRequest(path, (act,), leaves=True))
--- a/tests/test_hosted_store.py
+++ b/tests/test_hosted_store.py
@@ -17,7 +17,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_an_entry_at_rest_seldom_calls_the_store(tmp_path):
+async def test_idle_entry_stays_within_the_store_call_rate(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         await anyio.sleep(1)
         before = len(stage.store.calls)
@@ -26,7 +26,7 @@
     assert count <= CALLS_A_SECOND * SECONDS
 
 
-async def test_an_entry_at_rest_knows_its_configuration_to_be_new(tmp_path):
+async def test_configuration_of_an_idle_entry_stays_fresh(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         ages = []
         for _ in range(80):
@@ -38,7 +38,7 @@
         assert (await stage.call('/other/1')).status == 404
 
 
-async def test_an_answer_is_no_younger_for_coming_late(tmp_path):
+async def test_configuration_age_counts_from_the_read_request(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         clock = stage.core.clock = SuspendedClock()
         await _wait_read(stage)
@@ -51,7 +51,7 @@
         assert (await stage.call('/other/1')).status == 404
 
 
-async def test_a_read_that_leaves_some_out_makes_nothing_younger(tmp_path):
+async def test_incomplete_read_does_not_refresh_the_configuration(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         clock = stage.core.clock = SuspendedClock()
         await _wait_read(stage)
@@ -88,7 +88,7 @@
         return self._clock.wall() + self.suspended
 
 
-async def test_an_encoded_answer_is_passed_on_as_it_is(tmp_path):
+async def test_encoded_response_is_forwarded_unchanged(tmp_path):
     packed = gzip.compress(b'booked' * 100)
 
     async def run(peer):
@@ -100,7 +100,7 @@
     assert found.body == packed
 
 
-async def test_an_encoded_request_is_passed_on_as_it_is(tmp_path):
+async def test_encoded_request_is_forwarded_unchanged(tmp_path):
     packed = gzip.compress(b'two seats' * 100)
     async with staging(tmp_path, answer_well) as stage:
         found = await stage.call(
--- a/tests/test_hosted_streams.py
+++ b/tests/test_hosted_streams.py
@@ -20,7 +20,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_a_stream_goes_on_elsewhere_each_event_once(tmp_path):
+async def test_stream_resumes_elsewhere_with_each_event_once(tmp_path):
     first = stream(1, 3, ending=b'')
     second = stream(3, 6)
     async with staging(tmp_path, first, second) as stage:
@@ -38,7 +38,7 @@
     assert '3' in told
 
 
-async def test_a_cut_event_is_not_passed_on_twice(tmp_path):
+async def test_truncated_event_is_not_forwarded_twice(tmp_path):
     async def cut(peer):
         await peer.send(
             make_head(
@@ -58,13 +58,13 @@
         assert each.body.count(b'id: 1\n') <= 1
 
 
-async def test_a_stream_that_may_not_be_resumed_ends_broken(tmp_path):
+async def test_unresumable_stream_ends_truncated(tmp_path):
     async with staging(tmp_path, stream(1, 3, ending=b'')) as stage:
         found = await stage.call('/letter/1')
         assert not found.is_whole
 
 
-async def test_a_stream_that_falls_silent_goes_on_elsewhere(tmp_path):
+async def test_silent_stream_resumes_elsewhere(tmp_path):
     async def stall(peer):
         await peer.send(
             make_head(
@@ -82,7 +82,7 @@
     assert whole in [each.body for each in found]
 
 
-async def test_a_second_server_that_is_silent_for_long_breaks_no_stream_off(
+async def test_stream_waits_for_a_slow_second_server(
     tmp_path,
 ):
     """A crowded server begins a run seconds after it was sent.
@@ -109,7 +109,7 @@
     assert (found.body, found.is_whole) == (whole, True)
 
 
-async def test_streams_that_one_retry_is_left_for_are_not_all_broken_off(
+async def test_streams_that_share_one_retry_are_not_all_aborted(
     tmp_path,
 ):
     """Streams at a server that falls silent share what is left of the budget.
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize('other', [_fail, _answer_at_once])
-async def test_an_answer_that_is_no_stream_never_ends_a_broken_one(
+async def test_response_that_is_no_stream_never_completes_a_truncated_one(
     tmp_path, other
 ):
     async with staging(tmp_path, stream(1, 2, ending=b''), other) as stage:
@@ -171,7 +171,7 @@
     peer.reset()
 
 
-async def test_an_answer_has_the_head_of_its_own_run(tmp_path):
+async def test_response_has_the_head_of_its_own_attempt(tmp_path):
     async with staging(tmp_path, _begin_and_die, _fail) as stage:
         prefer(stage, 0)
         found = await stage.call('/stream/1')
--- a/tests/test_loaded_weights.py
+++ b/tests/test_loaded_weights.py
@@ -48,7 +48,7 @@
     return [each.headers[EXPECTED] for each in received]
 
 
-async def test_an_engine_is_used_as_soon_as_its_agent_tells_of_the_load(
+async def test_engine_is_used_as_soon_as_its_load_is_reported(
     tmp_path,
 ):
     async with hosted.staging(tmp_path, answer_well, models=OLD) as stage:
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize('held', [2, 3])
-async def test_an_engine_that_no_longer_holds_older_weights_has_later_ones(
+async def test_engine_that_rejects_old_weights_is_assumed_to_hold_newer(
     tmp_path, held
 ):
     async def answer(peer):
--- a/tests/test_waiting_for_servers.py
+++ b/tests/test_waiting_for_servers.py
@@ -52,7 +52,7 @@
     stage.store.put(SERVERS, 'i-5', make_record(address))
 
 
-async def test_a_request_waits_for_a_server_that_is_listed_a_little_later(
+async def test_request_waits_for_a_server_that_is_listed_shortly_after(
     tmp_path,
 ):
     async with (
@@ -67,7 +67,7 @@
         assert len(replica.received) == 1
 
 
-async def test_the_list_is_read_sooner_where_a_request_waits(tmp_path):
+async def test_server_list_is_read_sooner_while_a_request_waits(tmp_path):
     async with (
         serving_replica(answer_well) as (_, address),
         staging(tmp_path, answer_well) as stage,
@@ -79,7 +79,7 @@
         assert took < 0.4
 
 
-async def test_it_is_sent_back_in_time_where_none_comes(tmp_path):
+async def test_request_is_refused_in_time_if_no_server_appears(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         await drop(stage)
         found, took = await ask(stage)
@@ -88,7 +88,7 @@
         assert 0.9 < took < 1.5
 
 
-async def test_it_waits_for_half_of_what_its_caller_has_left(tmp_path):
+async def test_request_waits_for_half_of_its_remaining_time(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         await drop(stage)
         found, took = await ask(stage, wait=600)
@@ -96,7 +96,7 @@
         assert 0.25 < took < 0.5
 
 
-async def test_a_stop_that_hurries_ends_the_wait(tmp_path):
+async def test_immediate_shutdown_ends_the_wait(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         await drop(stage)
         async with anyio.create_task_group() as tasks:
@@ -112,7 +112,7 @@
         running.stop(hurry=True)
 
 
-async def test_a_request_waits_while_all_engines_take_new_weights(tmp_path):
+async def test_request_waits_while_all_engines_load_new_weights(tmp_path):
     old = [{'name': MODEL, 'version': 1, 'adapters': []}]
     async with staging(tmp_path, answer_well, models=old) as stage:
         core = stage.core
