--- a/tests/hosted.py
+++ b/tests/hosted.py
@@ -1,4 +1,4 @@
-"""Run an entry against stand-ins of the users' platform."""
+"""Run an entry against fakes of the platform's store and servers."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
 
 
 def configure_store(address: str) -> dict[str, Any]:
-    """Add a store of context to the configuration."""
+    """Return the configuration with a context store added."""
     store = {
         'name': 'rules',
         'kvStoreAddr': address,
@@ -92,7 +92,7 @@
 
 @dataclass
 class ReceivedAnswer:
-    """Hold an answer as a caller saw it; `is_whole` tells how it ended."""
+    """A response as the caller received it; `is_whole` if it is complete."""
 
     status: int
     headers: dict[str, str]
@@ -102,7 +102,7 @@
 
 @dataclass
 class Stage:
-    """Hold an entry and its stand-ins."""
+    """An entry under test with its fake store and backend servers."""
 
     store: RecordStore
     core: HostedCore
@@ -114,11 +114,11 @@
     async def call(
         self, path: str, *, body: bytes = b'', **headers: str
     ) -> ReceivedAnswer:
-        """Send a request of a caller and read its answer to the end."""
+        """Send a request as a caller and read its response to the end."""
         return await call(self.address, path, body=body, **headers)
 
     async def is_ready(self) -> bool:
-        """Ask as the balancer does."""
+        """Check readiness as the load balancer does."""
         found = await call(self.readiness, '/api/readiness', method='GET')
         return found.status == 200
 
@@ -134,7 +134,7 @@
     name: str = 'front-1',
     **record: Any,
 ) -> AsyncGenerator[Stage, None]:
-    """Run an entry before one backend server for each script."""
+    """Run an entry with one backend server for each script."""
     store = store or RecordStore()
     if configuration is not None or scripts:
         store.put(OPERATOR, 'config', configuration or CONFIGURATION)
@@ -168,8 +168,8 @@
 
 
 def make_record(address: str, **changes: Any) -> dict[str, Any]:
-    """Build what a backend server writes to the list."""
-    # An engine tells its stage beside its models.
+    """Build the record a backend server writes to the server list."""
+    # An engine lists its stage together with its models.
     stage = {'stage': 'unified'} if 'models' in changes else {}
     return {
         'service': 'desk',
@@ -186,14 +186,14 @@
 
 
 def prefer(stage: Stage, number: int) -> None:
-    """Let the other servers look worse, so that this one is tried first."""
+    """Record errors of the other servers, so that this one is tried first."""
     for other in range(len(stage.replicas)):
         if other != number:
             stage.core.backends.note_error(ServerStart(f'i-{other}'))
 
 
 def run_while_connecting(stage: Stage, act: Callable[[], object]) -> None:
-    """Do something between the choice of a server and the send to it."""
+    """Call `act` between the choice of a server and the send to it."""
     pool = stage.core.pool
     opened = pool.open
 
@@ -213,7 +213,7 @@
     body: bytes = b'',
     **headers: str,
 ) -> ReceivedAnswer:
-    """Send one request on a connection of its own."""
+    """Send one request on a new connection."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(make_request(path, method=method, body=body, **headers))
     try:
@@ -243,7 +243,7 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> ReceivedAnswer:
-    """Read one answer; it is whole only if its framing says so."""
+    """Read one response; it is complete only if its framing says so."""
     head = await reader.readuntil(b'\r\n\r\n')
     first, *lines = head.decode('latin-1').split('\r\n')
     headers = dict(
--- a/tests/hosted_runs.py
+++ b/tests/hosted_runs.py
@@ -1,4 +1,4 @@
-"""Record what servers ran for callers, and check what callers were told."""
+"""Record the runs of fake servers, and check responses against them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     make_head,
 )
 
-# A run whose caller left, or was told the end, is closed within this.
+# A run whose caller left, or has its full response, is closed within this.
 _CLOSE_WITHIN_SECONDS = 1.0
 _PROMISES = {408, 421, 429, 503}
 _EVENTS = 3
@@ -27,7 +27,7 @@
 
 
 class Act(enum.StrEnum):
-    """Name what a server does with one request."""
+    """What a fake server does with one request."""
 
     ANSWER = 'answer'
     REFUSE = 'refuse'
@@ -61,14 +61,14 @@
 
 @dataclass
 class Run:
-    """Hold one run; `told` is what its server sent of the body."""
+    """One run of a request; `sent` is the body its server has sent."""
 
     sent: bytes = b''
     closed: anyio.Event = field(default_factory=anyio.Event)
 
 
 class Runs:
-    """Play the acts that were drawn for each request, and remember them."""
+    """Perform the planned acts of each request, and record its runs."""
 
     def __init__(self) -> None:
         self.planned_acts: dict[str, list[Act]] = {}
@@ -76,7 +76,7 @@
         self._numbers = itertools.count(1)
 
     async def play(self, peer: Peer) -> None:
-        """Do the next act for this request; answer well once none is left."""
+        """Perform the next act of this request, or succeed if none is left."""
         request = peer.request.headers['oleanderdyke-request-id']
         acts = self.planned_acts.get(request, [])
         act = acts.pop(0) if acts else self._choose_success(peer)
@@ -121,7 +121,7 @@
 
 
 async def _stream(act: Act, peer: Peer, run: Run) -> None:
-    """Send the events that follow the last one that the caller has."""
+    """Send the events that follow the last one the caller has."""
     after = int(peer.request.headers.get('last-event-id', '0'))
     await peer.send(
         make_head(
@@ -135,7 +135,7 @@
         run.sent += make_event(number)
         await peer.send(make_chunk(make_event(number)))
     if act in {Act.STREAM_CUT, Act.STREAM_EMPTY}:
-        # A reset may overtake what was sent before it.
+        # A reset may overtake data sent before it.
         await anyio.sleep(_RESET_AFTER_SECONDS)
         peer.reset()
     elif act is Act.STREAM_HANG:
@@ -145,34 +145,36 @@
 
 
 async def check_closed(runs: list[Run]) -> None:
-    """Check that nothing runs for a caller who has the end or has left."""
+    """Check that no run continues once its caller is served or has left."""
     with anyio.move_on_after(_CLOSE_WITHIN_SECONDS):
         for run in runs:
             await run.closed.wait()
-    assert all(run.closed.is_set() for run in runs), 'a run goes on'
+    assert all(run.closed.is_set() for run in runs), 'a run is still open'
 
 
 def check_count(runs: list[Run], most: int) -> None:
-    """Check that no more runs began than the route allows."""
-    assert len(runs) <= most, f'{len(runs)} runs where {most} may be'
+    """Check that no more runs were started than the route allows."""
+    assert len(runs) <= most, f'{len(runs)} runs, at most {most} allowed'
 
 
 def check_response(
     answered: ReceivedAnswer, runs: list[Run], path: str
 ) -> None:
-    """Check the answer of a caller who stayed against what ran."""
+    """Check a response that was read to the end against the runs."""
     if answered.status in _PROMISES or _says_not_executed(answered):
-        assert not runs, 'told as not run, but it ran'
+        assert not runs, 'reported as not executed, but it ran'
     if answered.status != 200:
         return
     if path.startswith(('/stream', '/letter')):
         _check_events(answered)
     elif answered.is_whole:
-        assert answered.body in [run.sent for run in runs], 'no run said that'
+        assert answered.body in [run.sent for run in runs], (
+            'no run sent this body'
+        )
 
 
 def _says_not_executed(answered: ReceivedAnswer) -> bool:
-    # What the entry itself says is JSON, what servers say is not.
+    # The entry's own errors are JSON; responses of the servers are not.
     if not answered.body.startswith(b'{'):
         return False
     return bool(json.loads(answered.body)['ran'] == 'no')
@@ -181,5 +183,5 @@
 def _check_events(answered: ReceivedAnswer) -> None:
     whole = b''.join(make_event(number + 1) for number in range(_EVENTS))
     if answered.is_whole:
-        assert answered.body == whole, 'events are missing, or there twice'
-    assert whole.startswith(answered.body), 'events are not in order'
+        assert answered.body == whole, 'events are missing or repeated'
+    assert whole.startswith(answered.body), 'events are out of order'
--- a/tests/test_hosted_answers.py
+++ b/tests/test_hosted_answers.py
@@ -132,7 +132,7 @@
 
 
 async def test_early_response_is_forwarded_and_the_body_sent_in_full(tmp_path):
-    """A server may answer at once and read the rest of a body later."""
+    """A server may respond at once and read the rest of the body later."""
     body = bytes(range(256)) * 12_000
     found: list[bytes] = []
 
--- a/tests/test_hosted_contexts.py
+++ b/tests/test_hosted_contexts.py
@@ -19,7 +19,7 @@
 
 @contextlib.asynccontextmanager
 async def staging_store(directory):
-    """Run an entry before an engine and a store of context."""
+    """Run an entry with an engine and a context store."""
     contexts = ContextStore()
     async with staging_contexts(directory, contexts) as (stage, address):
         with anyio.fail_after(5):
@@ -31,8 +31,8 @@
 async def test_stored_context_is_fetched_and_the_rest_is_saved(tmp_path):
     async with staging_store(tmp_path) as (stage, contexts, address):
         contexts.add(SALT, 'aa', 2_000)
-        # An entry can't know whether a store that it first sees has just
-        # restarted.
+        # An entry can't know whether a store that it sees for the first time
+        # has just restarted, so it waits for the lifetime of a view.
         await anyio.sleep(VIEW_LIFE / SECOND + 0.3)
         headers = await ask_prompt(stage)
     assert headers['oleanderdyke-cache-salt'] == SALT
@@ -57,7 +57,8 @@
         await anyio.sleep(0.3)
         headers = await ask_prompt(stage)
     assert SOURCE not in headers
-    # Others may not know yet that it restarted, and fetch what is written.
+    # Other entries may not know yet that it restarted, and would fetch what is
+    # saved there.
     assert SINK not in headers
 
 
--- a/tests/test_hosted_entry.py
+++ b/tests/test_hosted_entry.py
@@ -363,7 +363,10 @@
 
 
 async def test_abandoned_connection_to_a_server_is_reset(tmp_path):
-    """Bytes that a cut link holds up are lost only with a reset."""
+    """Data delayed by a partition is discarded only if the connection is reset.
+
+    With a normal close, a server could receive and run the request later.
+    """
     ends: list[str] = []
 
     async def wait(peer):
--- a/tests/test_hosted_leaving.py
+++ b/tests/test_hosted_leaving.py
@@ -25,7 +25,7 @@
 
 pytestmark = pytest.mark.anyio
 
-# How long a backend server may work on after its caller has left.
+# How long a backend server may continue after its caller has left, in seconds.
 _STILL_WORKING = 0.5
 _WAIT = 5.0
 _POLL = 0.005
@@ -33,13 +33,13 @@
 
 @dataclass
 class Runs:
-    """Count runs that began, and tell when their connections were closed."""
+    """Count started runs and closed connections."""
 
     started: int = 0
     closed: int = 0
 
     def make(self, first: int | None) -> Script:
-        """Make a script that sends an event, if any, and never ends."""
+        """Make a script that sends event `first`, if any, and never ends."""
 
         async def run(peer: Peer) -> None:
             self.started += 1
@@ -186,7 +186,7 @@
 async def test_unresumable_stream_that_has_begun_ends_only_with_its_caller(
     tmp_path,
 ):
-    """No silence ends an answer sooner than its caller or its deadline."""
+    """A silent server doesn't end a started response before its deadline."""
     runs = Runs()
     route = {**UNRESUMABLE_ROUTE, 'timeoutMs': 9_000}
     configuration = {**CONFIGURATION, 'routes': [route]}
@@ -230,7 +230,7 @@
     async with staging(tmp_path, runs.make(None)) as stage:
         async with _calling(stage, '/letter/1') as (reader, _):
             await runs.wait_started()
-            # The second signal ends the stop at once.
+            # The second signal ends the shutdown at once.
             for _ in range(2):
                 signal.raise_signal(signal.SIGTERM)
                 await anyio.sleep(0.1)
@@ -261,14 +261,14 @@
         lines = map(parse_line, stage.log.read_text().splitlines())
         times = {line['event']: float(line['at']) for line in lines}
     # The grace time ends 600 ms after the drain at the latest, and the
-    # interpreter needs some of that to exit.
+    # interpreter needs part of that to exit.
     assert times['process_stopped'] - times['drain_finished'] < 500
 
 
 async def test_stream_that_pauses_at_a_busy_server_is_not_aborted(
     tmp_path,
 ):
-    """A server may put a run aside midway for more urgent ones."""
+    """A server may preempt a run in favour of more urgent ones."""
     route = {**UNRESUMABLE_ROUTE, 'timeoutMs': 9_000}
 
     async def pause_midway(peer: Peer) -> None:
--- a/tests/test_hosted_limits.py
+++ b/tests/test_hosted_limits.py
@@ -1,4 +1,4 @@
-"""Evacuated data centres, homes and cold servers, as an entry meets them."""
+"""Evacuations, region restrictions and cold servers at an entry."""
 
 from __future__ import annotations
 
@@ -176,7 +176,7 @@
     ) as stage:
         limit = ColdLimit(1.0, 3 * SECOND)
         assert stage.core.limits.cold == {'desk': limit}
-        # One request a second is no whole share of any entry.
+        # This entry's share of one request a second is less than one request.
         with anyio.fail_after(0.9):
             found = await stage.call('/safe/x', oleanderdyke_deadline_ms='300')
         assert found.status == REFUSED
--- a/tests/test_hosted_log.py
+++ b/tests/test_hosted_log.py
@@ -125,7 +125,7 @@
 
 
 def answer_with_limits(*limits):
-    """Answer well, each time with the next limit; the last one stays."""
+    """Succeed with the next limit each time, and then repeat the last one."""
     left = list(limits)
 
     async def run(peer):
--- a/tests/test_hosted_news.py
+++ b/tests/test_hosted_news.py
@@ -1,4 +1,4 @@
-"""Entries of one data centre read the platform's store together."""
+"""Entries of a data centre share reads of the platform's store."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         return self.core.settings.process
 
     def find_reader(self) -> str:
-        """Name who reads for this entry; itself where nobody else does."""
+        """Return the entry that reads for this one, itself if none does."""
         neighbours = self.core.peers.neighbours
         found = neighbours.find_reader(RECORD_SOURCE, self.core.clock.now())
         return self.name if found is None else found.name
@@ -76,7 +76,7 @@
 async def running_entries(
     tmp_path, monkeypatch
 ) -> AsyncGenerator[tuple[RecordStore, list[Entry]], None]:
-    """Run entries until they agree on who reads, and are linked to it."""
+    """Run entries, and yield once all are linked to the reading one."""
     monkeypatch.setattr(peer_sharing, '_LINKS_IMPORT_DELAY', 50.0)
     monkeypatch.setattr(presence, '_INITIAL_PERIODS', (300.0, 300.0))
     store = RecordStore()
@@ -136,7 +136,7 @@
 
 async def test_entries_share_the_reads_of_one_of_them(tmp_path, monkeypatch):
     async with running_entries(tmp_path, monkeypatch) as (store, entries):
-        # Who was asked while others were not known yet reads for 3 s more.
+        # An entry asked to read before it knew the others reads for 3 s more.
         await anyio.sleep(4)
         reads = count_reads(store)
         await anyio.sleep(3)
@@ -175,7 +175,7 @@
 
 
 def refuse_reads(entry, monkeypatch) -> None:
-    """Have the store turn one entry away, and answer all others."""
+    """Let the store refuse one entry, and answer all others."""
     from oleanderdyke.platform.store import StoreClient, StoreUnavailable
 
     read = StoreClient._read_once
--- a/tests/test_hosted_safety.py
+++ b/tests/test_hosted_safety.py
@@ -1,8 +1,8 @@
-"""Hold what an entry tells its callers against what servers ran.
+"""Check the responses of an entry against the runs of its servers.
 
-The entry runs with its real shell and connections; acts of the servers,
-callers that leave and requests at the same time are drawn. Each promise has an
-unsafe variant that its check catches.
+The entry runs with its real tasks and connections. Server behaviour, callers
+that disconnect and concurrent requests are generated. For each guarantee, an
+unsafe variant of the entry shows that the check detects a violation.
 """
 
 from __future__ import annotations
@@ -32,10 +32,11 @@
 _SERVERS = 3
 _DEADLINE_MS = '700'
 _LEAVES_AFTER_SECONDS = 0.05
-# As the routes of the stage allow.
+# The attempts that the routes allow.
 _MOST_RUNS = {'/once/': 1, '/safe/': 2, '/stream/': 2, '/letter/': 1}
 _PLAIN_ACTS = [act for act in Act if not act.startswith('stream')]
-# A whole answer that is no stream is passed on as it is.
+# On stream routes, a complete response that is no stream is forwarded as it is,
+# so these acts are left out.
 _STREAM_ACTS = [
     act for act in Act if act not in {Act.ANSWER, Act.EXTRA, Act.CUT}
 ]
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedRequest:
-    """Hold one request and what the servers do with each try of it."""
+    """One request and what the servers do with each attempt."""
 
     path: str
     acts: tuple[Act, ...]
@@ -125,7 +126,7 @@
 
 
 def _assert_caught(*requests: PlannedRequest) -> None:
-    """Play the asks one after the other; a check has to fail."""
+    """Run the requests one after the other; a check must fail."""
     with pytest.raises(ExceptionGroup) as caught:
         _run([[planned] for planned in requests])
     assert caught.value.subgroup(AssertionError) is not None
--- a/tests/test_hosted_store.py
+++ b/tests/test_hosted_store.py
@@ -10,7 +10,7 @@
 from tests.hosted import CONFIGURATION, OPERATOR, staging
 from tests.standins.scripts import answer_well
 
-# What the users allow each process that has nothing to do.
+# The limit that the users set for an idle process.
 CALLS_A_SECOND = 3
 SECONDS = 6
 
@@ -43,7 +43,7 @@
         clock = stage.core.clock = SuspendedClock()
         await _wait_read(stage)
         await anyio.sleep(0.1)
-        # The entry is suspended while it reads, and finds the answer after.
+        # The entry is suspended during a read and gets the answer afterwards.
         clock.suspended += 10_000
         await _wait_read(stage)
         assert (await stage.call('/other/1')).status == 503
@@ -75,7 +75,7 @@
 
 
 class SuspendedClock:
-    """Count the time in which the entry did not run."""
+    """A clock that includes simulated time of suspension, in milliseconds."""
 
     def __init__(self):
         self._clock = make_clock()
--- a/tests/test_hosted_streams.py
+++ b/tests/test_hosted_streams.py
@@ -85,11 +85,11 @@
 async def test_stream_waits_for_a_slow_second_server(
     tmp_path,
 ):
-    """A crowded server begins a run seconds after it was sent.
+    """An overloaded server may start a run seconds after receiving it.
 
-    A stream broke off at its first server and went on at a second, the last
-    that might run it. That one had not begun it after four seconds, was given
-    up as silent, and the caller lost the rest of an answer that was to come.
+    Guards against aborting a resumed stream whose second server, the last that
+    may run it, sends nothing for four seconds: the caller would lose the rest
+    of a response that was still to come.
     """
 
     async def begin_late(peer):
@@ -112,10 +112,10 @@
 async def test_streams_that_share_one_retry_are_not_all_aborted(
     tmp_path,
 ):
-    """Streams at a server that falls silent share what is left of the budget.
+    """Streams at a silent server share the remaining retry budget.
 
-    Each saw one retry left and was given up in the same moment. The first went
-    on elsewhere with it; the others had lost their server in vain.
+    Guards against aborting all of them because each sees the same single retry:
+    only the first could resume elsewhere, and the others would be lost.
     """
 
     async def pause(peer):
@@ -166,7 +166,7 @@
 
 async def _begin_and_die(peer):
     await send_events(peer, 1, 0)
-    # A reset may overtake what was sent before it.
+    # A reset may overtake data sent before it.
     await anyio.sleep(0.1)
     peer.reset()
 
--- a/tests/test_loaded_weights.py
+++ b/tests/test_loaded_weights.py
@@ -1,15 +1,11 @@
-"""Engines that had taken new weights served nobody for seconds.
-
-What was seen: after its load an engine idled for one to nine seconds, while the
-others refused what they had no room for.
-
-How it came about: entries expected the older weights of it until the list of
-servers told the newer ones, up to two seconds later, or not at all where the
-engine was cut off from the store. It answered that it does not hold those, and
-entries took that for the refusal of an engine that loads: they left it out for
-1.5 s, and then expected the older weights again.
-
-What proved it: the refusals carried the engine's own name and no run at all.
+"""Guard against engines that idle for seconds after loading new weights.
+
+Entries requested the old version until the server list showed the new one, up
+to two seconds later, or never if the engine was cut off from the store. The
+engine rejected these requests under its own name and without running them.
+Entries took that for a load in progress, skipped the engine for 1.5 s and then
+requested the old version again. Engines idled for one to nine seconds while
+others refused requests for lack of room.
 """
 
 from __future__ import annotations
--- a/tests/test_starts_entry.py
+++ b/tests/test_starts_entry.py
@@ -12,18 +12,18 @@
 from tests.standins.web import now
 
 EARLIER, LATER = 1_000, 2_000
-# From a record in the store to an entry that has read it.
+# Seconds from a record in the store to an entry that has read it.
 _READ_LIMIT = 2.0
-# Four reads a second apart.
+# Seconds allowed for four reads a second apart.
 _CALLS_LIMIT = 20.0
 
 pytestmark = pytest.mark.anyio
 
 
 class RestartingServer:
-    """Answer on connections of the later start; be silent on earlier ones.
+    """Answer on connections made after a restart; ignore earlier ones.
 
-    A cut hides from the entry that the earlier ones have ended.
+    This simulates a partition that hides the end of the earlier connections.
     """
 
     def __init__(self, first=answer_well, later=answer_well):
@@ -106,7 +106,7 @@
 
 
 def record_calls(store):
-    """Keep when the store is called, by what is called."""
+    """Record the times of store calls by path and topic."""
     answer, calls = store.answer, {}
 
     async def record_call(request):
@@ -119,13 +119,13 @@
 
 
 async def test_restart_adds_no_calls_to_the_store(tmp_path):
-    # An entry at rest leaves so many ms between two reads at the least. How
-    # many it makes in a time depends on what else the machine does.
+    # Minimum time in ms between two reads of an idle entry. The number of reads
+    # in a period would depend on the load of the machine.
     pauses = {
         ('/api/log-read', SERVERS): 600,
         ('/api/log-read', OPERATOR): 1_000,
     }
-    # The entry itself has just started, and reads sooner who else is alive.
+    # An entry that has just started reads the list of entries more often.
     first_reads = {('/api/log-read', 'oleander-entries'): 1_500}
     async with staging(tmp_path, answer_well, born=EARLIER) as stage:
         calls = record_calls(stage.store)
--- a/tests/test_waiting_for_servers.py
+++ b/tests/test_waiting_for_servers.py
@@ -1,16 +1,11 @@
-"""Callers were sent back for good just before servers were there again.
-
-What was seen: in the two seconds after all had lost power at once, 42 of 153
-requests were refused, most of them twice: "no server listed".
-
-How it came about: an entry is ready some ten milliseconds after its start.
-The servers that are listed then are those of before: the first request shows
-each of them gone, and the list tells the new starts half a second later. A
-caller that was sent back returned within 200 ms, was sent back again, and came
-no third time.
-
-What proved it: all these refusals lie between 35.46 s and 35.90 s; at 35.91 s
-the list was read, and six new starts were on it.
+"""Guard against refusing requests just before servers are listed again.
+
+After a power loss of the whole system, an entry is ready some ten milliseconds
+after its start. The servers listed then are those from before the loss, and the
+first requests find them gone; the restarted ones are listed half a second
+later. A caller refused with "no server listed" retried within 200 ms, was
+refused again and gave up: 42 of 153 requests in two seconds, all before the
+read of the list that showed six restarted servers.
 """
 
 from __future__ import annotations
