--- a/src/oleanderdyke/entry/hosted/answers.py
+++ b/src/oleanderdyke/entry/hosted/answers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from oleanderdyke.kernel.servers import AnswerFacts
+from oleanderdyke.kernel.servers import AnswerMetadata
 from oleanderdyke.links.messages import Headers
 from oleanderdyke.platform.requests import PROMISES
 
@@ -10,7 +10,7 @@
 _SUCCESS = range(200, 300)
 
 
-def find_answer_fault(status: int, facts: AnswerFacts, request: str) -> str:
+def find_answer_fault(status: int, facts: AnswerMetadata, request: str) -> str:
     """Return why a response must be rejected, or '' if it is acceptable.
 
     `request` is the id of the request that was sent.
@@ -19,7 +19,7 @@
         # This also covers a late refusal: accepting it would start the next
         # attempt while the connection of this one is still open.
         return 'response belongs to another request'
-    if facts.is_not_run:
+    if facts.is_not_executed:
         return ''
     if status in _SUCCESS and not facts.is_sealed:
         return 'success response without a response seal'
@@ -28,7 +28,7 @@
     return ''
 
 
-def is_own_answer(facts: AnswerFacts, request: str, server: str) -> bool:
+def is_own_answer(facts: AnswerMetadata, request: str, server: str) -> bool:
     """Return whether a response comes from `server` and is for `request`.
 
     After a restart, another server may answer at the same address.
--- a/src/oleanderdyke/entry/hosted/app.py
+++ b/src/oleanderdyke/entry/hosted/app.py
@@ -69,7 +69,9 @@
         authorized = authorize_request(core, head)
         key = self._make_key(reply.request)
         route = authorized.route
-        needs = core.durations.find_bound(route.name, route.timeout, started)
+        needs = core.durations.estimate_bound(
+            route.name, route.timeout, started
+        )
         self._stopper.begin(key, needs)
         core.durations.begin(key, route.name, started)
         try:
--- a/src/oleanderdyke/entry/hosted/attempt.py
+++ b/src/oleanderdyke/entry/hosted/attempt.py
@@ -32,10 +32,17 @@
 from oleanderdyke.entry.inbox import Inbox
 from oleanderdyke.errors import ErrorKind, Ran
 from oleanderdyke.events import EventName
-from oleanderdyke.kernel.attempt_events import Received, SendDispatch, Unsent
-from oleanderdyke.kernel.backend import Backend, Owed
-from oleanderdyke.kernel.named_weights import BEGIN_MARGIN, SEND_MARGIN
-from oleanderdyke.kernel.servers import AnswerFacts, ServerStart
+from oleanderdyke.kernel.attempt_events import (
+    DispatchNotSent,
+    MessageReceived,
+    SendDispatch,
+)
+from oleanderdyke.kernel.backend import Backend, PendingAttempt
+from oleanderdyke.kernel.servers import AnswerMetadata, ServerStart
+from oleanderdyke.kernel.weight_versions import (
+    CANCEL_MARGIN,
+    FIRST_TOKEN_MARGIN,
+)
 from oleanderdyke.links.messages import (
     AnswerChunk,
     AnswerEnd,
@@ -105,7 +112,7 @@
         """Send the request on an idle connection or a new one."""
         core = self._core
         backend = core.backends.find_start(self._start)
-        if backend is None or core.backends.has_left(self._start):
+        if backend is None or core.backends.is_leaving_or_gone(self._start):
             self._report_unsent('server is leaving or gone')
             return
         address = self._address = backend.record.address
@@ -114,7 +121,7 @@
             if connection is None:
                 connection = await core.pool.open(address)
         except OSError as error:
-            core.backends.note_failed(self._start, core.clock.now())
+            core.backends.record_failure(self._start, core.clock.now())
             core.pool.drop_idle(address)
             self._report_unsent(f'cannot connect: {type(error).__name__}')
             return
@@ -132,7 +139,7 @@
         """
         if self._done or not self._sent or self._has_started:
             return
-        if not may_begin(self._core, self._weights, BEGIN_MARGIN):
+        if not may_begin(self._core, self._weights, CANCEL_MARGIN):
             self._close_failed(
                 ErrorKind.STREAM_BROKEN,
                 Ran.MAYBE,
@@ -164,12 +171,12 @@
             self._record_loss()
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, reason)
 
-    def find_silence(self, now: Millis) -> Millis:
+    def find_overdue_time(self, now: Millis) -> Millis:
         """Return for how long the server has sent nothing while work is due."""
         backend = self._core.backends.find_start(self._start)
         if self._done or backend is None:
             return 0.0
-        return backend.find_silence(now)
+        return backend.find_overdue_time(now)
 
     def take_head(self, status: int, headers: Headers) -> None:
         """Validate the response head and accept it or report a failure."""
@@ -180,11 +187,11 @@
         fault = find_answer_fault(status, facts, self._call.request)
         if fault:
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, fault)
-        elif facts.is_not_run:
+        elif facts.is_not_executed:
             self._updates.apply_refusal(facts, self._weights)
             self._report_failure(ErrorKind.OVERLOADED, Ran.NO, f'{status}')
         elif status >= _SERVER_ERROR and self._reserve_retry():
-            self._core.backends.note_error(self._start)
+            self._core.backends.record_error(self._start)
             self._report_failure(ErrorKind.STREAM_BROKEN, Ran.YES, f'{status}')
         elif self._is_continuation() and not continues_stream(status, headers):
             reason = f'status {status} instead of the rest of the stream'
@@ -222,12 +229,12 @@
             )
             return
         self._flush()
-        self._core.backends.note_good(self._start)
+        self._core.backends.record_success(self._start)
         self._finish()
         end = AnswerEnd(
             self._call.request, self._number, self._sequence, digest=b''
         )
-        self._inbox.put(Received(end))
+        self._inbox.put(MessageReceived(end))
 
     def lose(self, reason: str) -> None:
         """Report that the connection was lost before the response ended."""
@@ -246,7 +253,7 @@
         partition hides it, and each of them would fail one more request.
         """
         core = self._core
-        core.backends.note_failed(self._start, core.clock.now())
+        core.backends.record_failure(self._start, core.clock.now())
         if not self._has_answered:
             core.pool.drop_idle(self._address)
 
@@ -256,7 +263,7 @@
         Conditions may have changed since the server was chosen, as opening the
         connection takes up to 300 ms.
         """
-        if self._core.backends.has_left(self._start):
+        if self._core.backends.is_leaving_or_gone(self._start):
             return 'the server left while connecting'
         obstacle = self._core.limits.find_send_obstacle(
             backend, self._chosen_at, self._core.clock.now()
@@ -267,8 +274,10 @@
         # Include the expected queueing delay: a server that doesn't drop the
         # requests of closed connections would run the request on weights that
         # have expired by then.
-        delay = backend.find_delay(self._call.priority, self._core.clock.now())
-        if not may_begin(self._core, weights, SEND_MARGIN + delay):
+        delay = backend.find_queue_delay(
+            self._call.priority, self._core.clock.now()
+        )
+        if not may_begin(self._core, weights, FIRST_TOKEN_MARGIN + delay):
             return 'weights of the server were replaced too long ago'
         return ''
 
@@ -288,20 +297,20 @@
         demand = call.parameters.demand
         tokens = 0
         if demand is not None:
-            ready = backend.count_kept(demand.parts)
+            ready = backend.count_cached_tokens(demand.parts)
             ready = max(ready, dispatch.contexts.fetched_tokens)
             tokens = max(demand.prompt_tokens - ready, 0)
         self._memory_tokens = 0 if demand is None else demand.memory_tokens
         now = core.clock.now()
-        owed = Owed(
+        owed = PendingAttempt(
             now,
             tokens,
             call.priority,
             self._memory_tokens,
             is_alone=not backend.waiting and not backend.count_waiting(now),
         )
-        core.backends.note_sent(self._start, self._attempt_id, owed)
-        core.limits.note_sent(backend, now)
+        core.backends.record_sent(self._start, self._attempt_id, owed)
+        core.limits.record_sent(backend, now)
         connection.send(head, call.body, self)
         core.log.write(
             EventName.DISPATCH_SENT,
@@ -335,9 +344,9 @@
             last_event='' if last is None else str(last),
         )
 
-    def _record_facts(self, facts: AnswerFacts) -> None:
+    def _record_facts(self, facts: AnswerMetadata) -> None:
         core = self._core
-        core.backends.note_heard(
+        core.backends.record_received(
             self._start, self._attempt_id, core.clock.now()
         )
         if is_own_answer(facts, self._call.request, self.server):
@@ -359,7 +368,7 @@
     def _flush(self) -> None:
         """Forward the head and the buffered part of the body."""
         if self._head is not None:
-            self._inbox.put(Received(self._head))
+            self._inbox.put(MessageReceived(self._head))
             self._head = None
         held, self._buffered = self._buffered, None
         if held:
@@ -370,12 +379,12 @@
             self._call.request, self._number, self._sequence, data
         )
         self._sequence += 1
-        self._inbox.put(Received(chunk))
+        self._inbox.put(MessageReceived(chunk))
 
     def _record_activity(self) -> None:
         backend = self._core.backends.find_start(self._start)
         if backend is not None:
-            backend.heard = self._core.clock.now()
+            backend.last_heard_at = self._core.clock.now()
 
     def _close_failed(self, kind: ErrorKind, ran: Ran, reason: str) -> None:
         self._report_failure(kind, ran, reason)
@@ -388,12 +397,12 @@
             self._splitter.discard_partial()
         self._log_broken(ran, reason)
         failed = Failed(self._call.request, self._number, kind, ran, reason)
-        self._inbox.put(Received(failed))
+        self._inbox.put(MessageReceived(failed))
 
     def _report_unsent(self, reason: str) -> None:
         self._done = True
         self._log_broken(Ran.NO, reason)
-        self._inbox.put(Unsent(self._number))
+        self._inbox.put(DispatchNotSent(self._number))
 
     def _log_broken(self, ran: Ran, reason: str) -> None:
         self._core.log.write(
@@ -408,6 +417,6 @@
     def _finish(self) -> None:
         self._done = True
         if self._sent:
-            self._core.backends.note_ended(
+            self._core.backends.record_ended(
                 self._start, self._attempt_id, self._memory_tokens
             )
--- a/src/oleanderdyke/entry/hosted/backend_updates.py
+++ b/src/oleanderdyke/entry/hosted/backend_updates.py
@@ -6,7 +6,7 @@
 from oleanderdyke.entry.hosted.core import HostedCore
 from oleanderdyke.entry.hosted.weights import Weights
 from oleanderdyke.events import EventName
-from oleanderdyke.kernel.servers import AnswerFacts, ServerStart
+from oleanderdyke.kernel.servers import AnswerMetadata, ServerStart
 
 
 class BackendUpdates:
@@ -19,7 +19,7 @@
         self._call = call
         self._start = start
 
-    def apply_facts(self, facts: AnswerFacts) -> None:
+    def apply_facts(self, facts: AnswerMetadata) -> None:
         """Record what the response headers report about their server."""
         if facts.is_leaving:
             self._core.mark_leaving(self._start, self._call.request)
@@ -36,14 +36,14 @@
             self._core.record_load(self._start, facts.load)
         demand = self._call.parameters.demand
         if demand is not None and facts.weight_version is not None:
-            self._core.backends.note_version(
+            self._core.backends.record_version(
                 self._start, demand.model, facts.weight_version
             )
 
-    def _log_malformed(self, facts: AnswerFacts) -> None:
+    def _log_malformed(self, facts: AnswerMetadata) -> None:
         core, start = self._core, self._start
         for found in facts.malformed:
-            if core.backends.note_malformed(start, found.field):
+            if core.backends.record_malformed(start, found.field):
                 core.log.write(
                     EventName.RECORD_REFUSED,
                     name=found.field.value,
@@ -52,11 +52,11 @@
                     detail=f'found {found.text!r}; allowed: at least 0',
                 )
 
-    def apply_refusal(self, facts: AnswerFacts, sent: Weights) -> None:
+    def apply_refusal(self, facts: AnswerMetadata, sent: Weights) -> None:
         """Record why the server did not run a call sent for these weights."""
         core, demand = self._core, self._call.parameters.demand
         if facts.server and facts.server != self._start.server:
-            core.backends.note_replaced(self._start)
+            core.backends.mark_replaced(self._start)
             return
         now = core.clock.now()
         backend = core.backends.find_start(self._start)
@@ -66,9 +66,9 @@
                 self._record_newer_weights(demand.model, held, sent)
                 return
             if held < core.rollout.weights.find_newest(demand.model):
-                core.backends.note_reloading(self._start, now)
+                core.backends.record_reload(self._start, now)
                 return
-        core.backends.note_refused(self._start, now)
+        core.backends.record_refusal(self._start, now)
 
     def apply_stream_start(self) -> None:
         """Record that the server has read a prompt and likely caches it."""
@@ -77,9 +77,9 @@
         deployment = core.deployment
         if demand is None or backend is None or deployment is None:
             return
-        memory = deployment.find_memory(backend.record.service)
+        memory = deployment.find_memory_tokens(backend.record.service)
         if memory is not None:
-            core.backends.note_kept(self._start, demand.parts, memory)
+            core.backends.record_kept(self._start, demand.parts, memory)
 
     def _record_newer_weights(
         self, model: str, held: int, sent: Weights
@@ -91,10 +91,10 @@
         would get no requests until its record is written again.
         """
         core = self._core
-        later = core.rollout.weights.find_following(model, held)
+        later = core.rollout.weights.find_next(model, held)
         if held != sent.get(model):
             return
         if later > held:
-            core.backends.note_version(self._start, model, later)
+            core.backends.record_version(self._start, model, later)
         else:
-            core.backends.note_refused(self._start, core.clock.now())
+            core.backends.record_refusal(self._start, core.clock.now())
--- a/src/oleanderdyke/entry/hosted/contexts.py
+++ b/src/oleanderdyke/entry/hosted/contexts.py
@@ -16,8 +16,8 @@
     CONTEXT_SOURCES,
     find_context_source,
 )
-from oleanderdyke.kernel.outdated import OutdatedContext
-from oleanderdyke.kernel.reading_turns import ReadingTurns
+from oleanderdyke.kernel.outdated_context import OutdatedContext
+from oleanderdyke.kernel.read_backoff import ReadBackoff
 from oleanderdyke.links.messages.news import StorePosition
 from oleanderdyke.links.news_desk import encode_loads
 from oleanderdyke.links.news_reader import SharedEvents
@@ -110,7 +110,7 @@
         client = ContextClient(view.traits.address, self._log_refused_record)
         scope = self._scopes[view.traits.address]
         store = self._make_dependency(view)
-        turns = ReadingTurns(self._core.random)
+        turns = ReadBackoff(self._core.random)
         with scope:
             while True:
                 if self._is_shared(view):
@@ -128,7 +128,7 @@
                 await anyio.sleep(turns.find_pause() / SECOND)
 
     def _handle_unavailable(
-        self, error: ContextUnavailable, view: StoreView, turns: ReadingTurns
+        self, error: ContextUnavailable, view: StoreView, turns: ReadBackoff
     ) -> Millis:
         """Return the pause before the next read; forget a store that is down.
 
@@ -137,8 +137,8 @@
         recompute the context that others have saved.
         """
         if error.is_crowded:
-            return turns.note_crowded()
-        view.forget()
+            return turns.record_rejection()
+        view.invalidate()
         return _RETRY_PAUSE
 
     async def _read(
@@ -146,7 +146,7 @@
     ) -> None:
         asked_at = self._core.clock.now()
         found = await client.read_events(view.position, wait)
-        self._core.engine_clock.note(
+        self._core.engine_clock.update(
             found.clock, asked_at=asked_at, now=self._core.clock.now()
         )
         if found.has_gap or found.boot != view.boot:
@@ -159,11 +159,11 @@
         if view.boot is not None and found.boot != view.boot:
             # A restarted store numbers its events from 0 again, and they may
             # take a second to arrive.
-            view.forget()
+            view.invalidate()
             view.position = 0
             found = await client.read_events(0, wait)
         since = view.position
-        view.take(found, asked_at, self._core.clock.now())
+        view.apply_events(found, asked_at, self._core.clock.now())
         self._core.peers.desk.keep_events(
             view.traits.address, since, found, asked_at
         )
@@ -173,8 +173,8 @@
         core, sent = self._core, 0
         while True:
             board, now = core.peers.desk.own_loads, core.clock.now()
-            loads = encode_loads(board.list_later(sent, now), now)
-            sent = board.last
+            loads = encode_loads(board.list_after(sent, now), now)
+            sent = board.last_number
             found = await core.peers.reader.ask_events(
                 source,
                 self._list_positions(source),
@@ -203,9 +203,11 @@
         core = self._core
         now = core.clock.now()
         view = core.contexts.views.get(news.store)
-        if view is None or not view.take_shared(news.found, news.asked_at, now):
+        if view is None or not view.apply_shared_events(
+            news.found, news.asked_at, now
+        ):
             return
-        core.engine_clock.note(
+        core.engine_clock.update(
             news.found.clock, asked_at=news.clock_from, now=now
         )
         self._shared_until[news.store] = now + _SHARED_TTL
@@ -221,14 +223,14 @@
         for model, newest in core.rollout.weights.list_newest().items():
             oldest = core.backends.find_oldest_version(model)
             known = None if core.is_stale else oldest
-            self._outdated.note(model, newest, known, now)
+            self._outdated.update(model, newest, known, now)
 
     async def _free_outdated(
         self, client: ContextClient, view: StoreView
     ) -> None:
         """Free parts of outdated weights once no fetch can be using them."""
         core = self._core
-        settled = self._outdated.list_settled(core.clock.now())
+        settled = self._outdated.list_oldest_usable(core.clock.now())
         outdated = tuple(view.list_outdated(settled))
         boot = view.boot
         if not outdated or boot is None:
--- a/src/oleanderdyke/entry/hosted/core.py
+++ b/src/oleanderdyke/entry/hosted/core.py
@@ -16,14 +16,14 @@
 from oleanderdyke.entry.hosted.peer_sharing import PeerSharing
 from oleanderdyke.entry.stopping import StoppableRequest
 from oleanderdyke.events import EventName
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.cold_starts import ColdLimit
 from oleanderdyke.kernel.context_stores import ContextStores
 from oleanderdyke.kernel.deployment import Deployment
 from oleanderdyke.kernel.drain import Drain, DrainSettings
-from oleanderdyke.kernel.durations import Durations
+from oleanderdyke.kernel.durations import DurationEstimator
 from oleanderdyke.kernel.engine_clock import EngineClock
-from oleanderdyke.kernel.load_board import TimedLoad
+from oleanderdyke.kernel.load_table import TimedLoad
 from oleanderdyke.kernel.presence import EntryCount
 from oleanderdyke.kernel.retries import (
     RetryBudget,
@@ -75,9 +75,9 @@
     peers: PeerSharing
     limits: SendLimits
     entries: EntryCount = field(default_factory=EntryCount)
-    backends: BackendBook = field(default_factory=BackendBook)
+    backends: BackendRegistry = field(default_factory=BackendRegistry)
     deployment: Deployment | None = None
-    durations: Durations = field(default_factory=Durations)
+    durations: DurationEstimator = field(default_factory=DurationEstimator)
     rollout: Rollout = field(default_factory=lambda: Rollout(math.inf))
     contexts: ContextStores = field(default_factory=ContextStores)
     # Set once the context stores have been read or the wait has timed out.
@@ -106,18 +106,18 @@
         """Record the load a server reported, and queue it for peer entries."""
         backend = self.backends.find_start(start)
         rate_limit = None
-        if backend is not None and backend.limit.was_named:
+        if backend is not None and backend.limit.was_ever_set:
             rate_limit = backend.limit.per_second
         timed_load = TimedLoad(start, load, self.clock.now(), rate_limit)
-        self.backends.note_load(start, load, timed_load.at)
-        self.peers.desk.loads.note(timed_load)
-        self.peers.desk.own_loads.note(timed_load)
+        self.backends.record_load(start, load, timed_load.at)
+        self.peers.desk.loads.update(timed_load)
+        self.peers.desk.own_loads.update(timed_load)
 
     def apply_shared_load(self, timed_load: TimedLoad) -> None:
         """Record a load that a server reported to a peer entry."""
-        if not self.peers.desk.loads.note(timed_load):
+        if not self.peers.desk.loads.update(timed_load):
             return
-        self.backends.note_load(
+        self.backends.record_load(
             timed_load.start, timed_load.load, timed_load.at
         )
         if timed_load.rate_limit is not None:
@@ -142,7 +142,9 @@
         """
         now = self.clock.now()
         reported_at = now if reported_at is None else reported_at
-        if not self.backends.note_limit(start, per_second, reported_at, now):
+        if not self.backends.record_rate_limit(
+            start, per_second, reported_at, now
+        ):
             return
         self.log.write(
             EventName.BACKEND_LIMITED,
@@ -155,7 +157,7 @@
 
     def mark_leaving(self, start: ServerStart, request: str) -> None:
         """Stop sending to an incarnation whose response says it is leaving."""
-        if self.backends.note_leaving(start):
+        if self.backends.mark_leaving(start):
             self.log.write(
                 EventName.BACKEND_LEAVING,
                 peer=start.server,
@@ -167,7 +169,7 @@
         self, start: ServerStart, pause: Millis, request: str
     ) -> None:
         """Stop sending for `pause` to an incarnation that asked for it."""
-        if self.backends.note_backoff(start, pause, self.clock.now()):
+        if self.backends.record_backoff(start, pause, self.clock.now()):
             self.log.write(
                 EventName.BACKEND_BACKOFF,
                 peer=start.server,
@@ -194,7 +196,9 @@
         """Return the limits of cold servers by service name."""
         share, slack = self.settings.cold_share, self.settings.cold_slack
         return {
-            name: ColdLimit(traits.cold_rate * share + slack, traits.cold_lasts)
+            name: ColdLimit(
+                traits.cold_rate * share + slack, traits.cold_duration
+            )
             for name, traits in deployment.services.items()
             if traits.cold_rate > 0
         }
@@ -208,7 +212,7 @@
             version,
             within=self.settings.version_limit - margin,
             now=self.clock.now(),
-            shift=self.engine_clock.most,
+            clock_offset=self.engine_clock.max_offset,
         )
 
     def find_replacement_time(self, model: str, version: int) -> Millis | None:
@@ -216,8 +220,8 @@
 
         It is None if there are no newer weights.
         """
-        return self.rollout.weights.find_replaced(
-            model, version, self.clock.now(), self.engine_clock.most
+        return self.rollout.weights.find_replaced_at(
+            model, version, self.clock.now(), self.engine_clock.max_offset
         )
 
     def make_store_dependency(self, name: str) -> Dependency:
--- a/src/oleanderdyke/entry/hosted/driver.py
+++ b/src/oleanderdyke/entry/hosted/driver.py
@@ -43,9 +43,9 @@
     TimerFired,
 )
 from oleanderdyke.kernel.attempts import (
-    MachineSettings,
+    AttemptSettings,
     RequestFacts,
-    RequestMachine,
+    RequestStateMachine,
 )
 from oleanderdyke.kernel.backend import Backend
 from oleanderdyke.kernel.demand import Plan, Refusal, Replica
@@ -95,7 +95,7 @@
         self._last_server: str | None = None
         self._retry_delay = RETRY_DELAY
         self._selector = ServerSelector(core, call)
-        self._machine = RequestMachine(
+        self._machine = RequestStateMachine(
             _make_facts(core, call),
             settings=_make_settings(call),
             budget=core.find_budget(call.service),
@@ -122,7 +122,7 @@
     def stop(self, *, hurry: bool) -> None:
         """End the request if the entry must stop at once."""
         if hurry:
-            self._inbox.put(Stopping(hurry=True))
+            self._inbox.put(Stopping(immediate=True))
 
     def hand_over(self) -> None:
         """Do nothing: callers on this platform resume streams themselves."""
@@ -134,7 +134,7 @@
             return
         attempt.withdraw_superseded()
         attempt.withdraw_outdated()
-        if self._should_give_up(attempt.find_silence(now)):
+        if self._should_give_up(attempt.find_overdue_time(now)):
             attempt.fail('server sent nothing for too long')
 
     def _should_give_up(self, silence: Millis) -> bool:
@@ -157,7 +157,9 @@
         while not self._machine.done:
             # In this mode the inbox receives only events of the state machine.
             event = cast('Event', await self._inbox.take())
-            await self._execute(self._machine.on(event, self._core.clock.now()))
+            await self._execute(
+                self._machine.handle_event(event, self._core.clock.now())
+            )
 
     async def _execute(self, actions: tuple[Action, ...]) -> None:
         for action in actions:
@@ -202,7 +204,7 @@
         self._starts[record.server] = record.start
         core = self._core
         self._chosen_at = core.clock.now()
-        core.limits.note_sent(choice.backend, self._chosen_at)
+        core.limits.record_sent(choice.backend, self._chosen_at)
         self._call_log.log_routed(choice)
         reason = f'{choice.score:.1f} ms of {choice.candidates}'
         plan = Plan(agent=record.server, reason=reason)
@@ -285,7 +287,7 @@
     def _log_end(self) -> None:
         core, call = self._core, self._call
         duration = core.clock.now() - call.started
-        core.durations.note(call.route.name, duration)
+        core.durations.record(call.route.name, duration)
         core.metrics.time(Timing.REQUEST, duration, call.service)
         if self._first_byte is not None:
             core.metrics.time(
@@ -316,8 +318,8 @@
     )
 
 
-def _make_settings(call: HostedCall) -> MachineSettings:
-    return MachineSettings(
+def _make_settings(call: HostedCall) -> AttemptSettings:
+    return AttemptSettings(
         max_attempts=max(call.route.attempts, 1), max_refusals=_MAX_REFUSALS
     )
 
@@ -342,5 +344,5 @@
         phase=AgentPhase.SERVING,
         load=Load(),
         beat=0,
-        heard=backend.heard,
+        heard=backend.last_heard_at,
     )
--- a/src/oleanderdyke/entry/hosted/presence.py
+++ b/src/oleanderdyke/entry/hosted/presence.py
@@ -64,20 +64,20 @@
             return
         await self._feed.announce(self._core.peers.own)
         self._announced_at = now
-        self._core.entries.note_announced(now)
+        self._core.entries.record_announcement(now)
 
     async def _read(self) -> None:
         core = self._core
         notices = await self._feed.read()
         if notices is None:
-            core.entries.note_forgotten()
+            core.entries.mark_incomplete()
             if self._feed.was_restored:
                 # The restored topic may lack this entry's last announcement.
                 self._announced_at = None
             return
         now = core.clock.now()
         for entry in notices:
-            core.entries.note(entry.name, now)
-            core.peers.neighbours.note(entry, now)
-        core.entries.note_read(now)
+            core.entries.record_entry(entry.name, now)
+            core.peers.neighbours.record_alive(entry, now)
+        core.entries.record_read(now)
         core.resize_budgets()
--- a/src/oleanderdyke/entry/hosted/selection.py
+++ b/src/oleanderdyke/entry/hosted/selection.py
@@ -11,7 +11,7 @@
 from oleanderdyke.entry.hosted.core import HostedCore
 from oleanderdyke.errors import ErrorKind
 from oleanderdyke.kernel.backend import Backend
-from oleanderdyke.kernel.overload import find_wait, should_refuse
+from oleanderdyke.kernel.overload import find_server_wait, should_refuse
 from oleanderdyke.kernel.placement import (
     CallDemand,
     Choice,
@@ -46,7 +46,7 @@
 _RETRY_DELAYS: Mapping[Obstacle, RetryDelay] = {
     Obstacle.OUTDATED: _LONG_RETRY_DELAY,
     Obstacle.EVACUATED: _LONG_RETRY_DELAY,
-    Obstacle.FOREIGN: _LONG_RETRY_DELAY,
+    Obstacle.REGION: _LONG_RETRY_DELAY,
 }
 # Upper bounds of the retry-after time where it follows from the next turn of
 # this entry: another entry may have a turn at a limited server sooner.
@@ -129,12 +129,12 @@
             for backend in listed
             if demand.blocked.get(backend.record.start) in _MAX_TURN_WAITS
         ]
-        return self._core.limits.find_first_turn(limited, now)
+        return self._core.limits.find_next_send_time(limited, now)
 
     def _may_wait(self, now: Millis) -> bool:
         """Return whether the call has time left to wait for a server."""
         if self._wait_until is None:
-            self._wait_until = now + find_wait(self._call.deadline - now)
+            self._wait_until = now + find_server_wait(self._call.deadline - now)
         return now < self._wait_until
 
     def _is_overloaded(self, choice: Choice) -> bool:
@@ -147,7 +147,7 @@
             waiting=choice.waiting,
             fill=choice.fill,
             size=choice.size,
-            drawn=self._core.random.random(),
+            random_value=self._core.random.random(),
         )
 
 
--- a/src/oleanderdyke/entry/hosted/server_changes.py
+++ b/src/oleanderdyke/entry/hosted/server_changes.py
@@ -8,7 +8,7 @@
 from oleanderdyke.clock import Millis
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.backend import Backend
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.servers import ServerStart
 from oleanderdyke.logs import EventLog
 
@@ -34,7 +34,7 @@
         self._known: Mapping[ServerStart, ServerState] = {}
 
     def log_changes(
-        self, backends: BackendBook, now: Millis, age: Millis
+        self, backends: BackendRegistry, now: Millis, age: Millis
     ) -> None:
         """Log the changes since the last read, which was `age` ago."""
         states = find_server_states(backends, now)
@@ -57,7 +57,7 @@
 
     def _log_change(
         self,
-        backends: BackendBook,
+        backends: BackendRegistry,
         start: ServerStart,
         state: ServerState | None,
         age: Millis,
@@ -79,7 +79,7 @@
 
 
 def find_server_states(
-    backends: BackendBook, now: Millis
+    backends: BackendRegistry, now: Millis
 ) -> Mapping[ServerStart, ServerState]:
     """Return the state of each known server incarnation."""
     return {
@@ -89,7 +89,7 @@
 
 
 def _find_server_state(
-    backends: BackendBook, backend: Backend, now: Millis
+    backends: BackendRegistry, backend: Backend, now: Millis
 ) -> ServerState:
     if backend.record.is_leaving:
         return ServerState.LEAVING
--- a/src/oleanderdyke/entry/hosted/shell.py
+++ b/src/oleanderdyke/entry/hosted/shell.py
@@ -105,14 +105,16 @@
         while True:
             now = core.clock.now()
             if now - last > _STALL_THRESHOLD:
-                core.backends.note_awake(now)
+                core.backends.reset_silence(now)
                 core.log.write(
                     EventName.PROCESS_STALLED, duration=round(now - last)
                 )
             last = now
             for running in tuple(core.running.values()):
                 running.check_attempt(now)
-            core.rollout.tick(now=now, shift=core.engine_clock.most)
+            core.rollout.tick(
+                now=now, clock_offset=core.engine_clock.max_offset
+            )
             fault = core.find_unready_reason()
             if fault != logged:
                 logged = fault
--- a/src/oleanderdyke/entry/hosted/watch.py
+++ b/src/oleanderdyke/entry/hosted/watch.py
@@ -10,7 +10,7 @@
 from oleanderdyke.entry.hosted.core import HostedCore
 from oleanderdyke.entry.hosted.server_changes import ServerChangeLog
 from oleanderdyke.events import EventName
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.deployment import Deployment
 from oleanderdyke.platform.documents import MalformedRecord, NamedVersion
 from oleanderdyke.platform.feed import (
@@ -112,17 +112,19 @@
         core = self._core
         notices = await self._loads.read()
         if notices is None:
-            core.rollout.queue.forget()
+            core.rollout.queue.clear()
             return
         for notice in notices:
-            core.rollout.take(
-                notice, now=core.clock.now(), shift=core.engine_clock.most
+            core.rollout.apply(
+                notice,
+                now=core.clock.now(),
+                clock_offset=core.engine_clock.max_offset,
             )
             # The server list shows the same up to two seconds later.
             backend = core.backends.find(notice.server)
             if backend is not None and notice.held:
                 start = backend.record.start
-                core.backends.note_version(start, notice.model, notice.held)
+                core.backends.record_version(start, notice.model, notice.held)
         if notices and not self._loads_store.was_shared:
             await anyio.sleep(_LOADS_BATCH_PERIOD / SECOND)
 
@@ -141,7 +143,7 @@
                 # a suspended entry reads after it resumes, says nothing about
                 # the time in between.
                 core.configuration_read_at = asked_at + news.waited
-                core.rollout.weights.note_read(asked_at + news.waited)
+                core.rollout.weights.record_read(asked_at + news.waited)
                 core.configuration_requested_at = asked_at + min(
                     news.waited, 0.0
                 )
@@ -157,9 +159,9 @@
         read_at = (
             asked_at + news.waited if self._servers_store.was_shared else now
         )
-        core.backends.note_answer(now, read_at)
+        core.backends.record_list_read(now, read_at)
         _apply_servers(core.backends, news, now)
-        core.backends.note_read(now, read_at)
+        core.backends.complete_read(now, read_at)
         self._changes.log_changes(
             core.backends, now, now - (core.servers_read_at or now)
         )
@@ -196,7 +198,7 @@
 
     def _apply_version(self, named: NamedVersion) -> None:
         core = self._core
-        if not core.rollout.weights.name(named.model, named.version):
+        if not core.rollout.weights.add(named.model, named.version):
             return
         core.log.write(
             EventName.VERSION_NAMED, model=named.model, version=named.version
@@ -237,7 +239,7 @@
         if known is not None and deployment.version <= known.version:
             return
         self._core.deployment = deployment
-        self._core.limits.cold = self._core.find_cold_limits(deployment)
+        self._core.limits.cold_limits = self._core.find_cold_limits(deployment)
         self._core.log.write(
             EventName.CONFIGURATION_APPLIED,
             version=deployment.version,
@@ -246,11 +248,11 @@
 
 
 def _apply_servers(
-    backends: BackendBook, news: ServerNews, now: Millis
+    backends: BackendRegistry, news: ServerNews, now: Millis
 ) -> None:
     """Apply the complete server list, or the changes since the last read."""
     if news.is_restored:
-        backends.note_restored(now)
+        backends.record_restore(now)
     if news.is_whole:
         backends.replace(news.listed, now, unread=news.unread)
         return
@@ -258,4 +260,4 @@
         backends.remove(server, now)
     for record in news.listed:
         backends.put(record, now)
-    backends.note_unread(news.unread)
+    backends.mark_unreadable(news.unread)
--- a/src/oleanderdyke/entry/sender.py
+++ b/src/oleanderdyke/entry/sender.py
@@ -12,15 +12,15 @@
 from oleanderdyke.errors import OleanderError
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.attempt_events import (
-    AskClaim,
+    DispatchNotSent,
     IncarnationEnded,
     LinkLost,
+    QueryClaim,
     SendCancel,
     SendDispatch,
     SendResume,
-    Unsent,
 )
-from oleanderdyke.kernel.blocks import hint
+from oleanderdyke.kernel.blocks import make_hint
 from oleanderdyke.links.link import Link
 from oleanderdyke.links.messages import (
     BodyChunk,
@@ -63,7 +63,7 @@
         """Send the request; tell whether any of it was sent."""
         link = self._find(action.agent, action.incarnation)
         if link is None:
-            self._inbox.put(Unsent(action.attempt))
+            self._inbox.put(DispatchNotSent(action.attempt))
             return False
         self._link, self._attempt, self._ungranted = link, action.attempt, 0
         self._receiver.expect(action.attempt)
@@ -121,7 +121,7 @@
         )
         await self._send(link, message)
 
-    async def ask(self, action: AskClaim) -> None:
+    async def ask(self, action: QueryClaim) -> None:
         """Ask an agent what became of a claim."""
         link = self._core.find_link(action.agent)
         if link is None:
@@ -182,11 +182,11 @@
     def _count_worthy(self) -> int:
         """Count one use of the prompt, however often it is sent."""
         exports = self._core.exports
-        hints = [hint(segment) for segment in self._call.segments]
+        hints = [make_hint(segment) for segment in self._call.segments]
         if not self._counted:
-            exports.note_used(hints)
+            exports.record_use(hints)
         self._counted = True
-        return exports.count_worthy(hints)
+        return exports.count_worth_exporting(hints)
 
     def _log(self, event: EventName) -> None:
         self._core.log.write(
--- a/src/oleanderdyke/kernel/spread.py
+++ b/src/oleanderdyke/kernel/configuration.py
@@ -9,9 +9,9 @@
 
 from oleanderdyke.clock import MINUTE, SECOND, Millis
 from oleanderdyke.kernel.catalog import Catalog
-from oleanderdyke.kernel.collect import SnapshotWatch
 from oleanderdyke.kernel.records import SnapshotChunk, decode_record
-from oleanderdyke.kernel.shared_chunks import ChunkSharing, SharedChunks
+from oleanderdyke.kernel.shared_chunks import SharedChunks, SnapshotChunkCache
+from oleanderdyke.kernel.snapshot_detector import SnapshotDetector
 from oleanderdyke.kernel.snapshots import START_OFFSET, SnapshotLoader
 from oleanderdyke.links.messages import (
     ConfigurationDifference,
@@ -90,12 +90,12 @@
         self.catalog = Catalog() if catalog is None else catalog
         self._settings = settings or ReaderSettings()
         self._spread = 1 - _JITTER * random.random()
-        self._sharing = ChunkSharing(self.catalog)
+        self._sharing = SnapshotChunkCache(self.catalog)
         self._loaded = False
         self._scan = 0
         self._first = 0
         self._end = 0
-        self._watch = SnapshotWatch()
+        self._watch = SnapshotDetector()
         self._watched_since: Millis | None = None
         self._told_at: Millis | None = None
         self._from_peer: SnapshotLoader | None = None
@@ -128,7 +128,7 @@
         self._note_progress(before, now)
         return self.offset > before
 
-    def on_heard(
+    def on_peer_offset(
         self, peer: str, offset: int, now: Millis
     ) -> ConfigurationRequest | None:
         """Learn a peer's offset; return what to ask this peer, if anything."""
@@ -145,7 +145,7 @@
         self._asked_at = now
         return ConfigurationRequest(self.offset)
 
-    def on_peer_gone(self, peer: str) -> None:
+    def on_peer_disconnected(self, peer: str) -> None:
         """Forget a peer whose link has ended."""
         self._heard.pop(peer, None)
         if self._asked == peer:
@@ -179,7 +179,7 @@
             return _answer_records(request.after, START_OFFSET, ())
         records = self.catalog.difference(request.after)
         if records is None:
-            return _number_chunks(request.after, self._sharing.share())
+            return _number_chunks(request.after, self._sharing.get())
         return _answer_records(request.after, through, records)
 
     def readiness(self, now: Millis) -> Readiness:
@@ -261,7 +261,7 @@
         if record.offset == self.offset + 1:
             self.catalog.apply_record(record.offset, record.data)
         elif whole is not None:
-            self.catalog.take_over(whole)
+            self.catalog.replace_state(whole)
 
     def _take_peer_chunk(
         self, message: ConfigurationDifference, now: Millis
@@ -281,7 +281,7 @@
             return False
         self._grown_at = now
         if loader.loaded is not None:
-            self.catalog.take_over(loader.loaded)
+            self.catalog.replace_state(loader.loaded)
         if loader.ended:
             self._from_peer = None
         return True
--- a/src/oleanderdyke/kernel/membership.py
+++ b/src/oleanderdyke/kernel/membership.py
@@ -12,7 +12,11 @@
 from oleanderdyke.kernel.catalog import Catalog
 from oleanderdyke.kernel.demand import Replica, SegmentHint
 from oleanderdyke.kernel.directory import Directory
-from oleanderdyke.kernel.objects import ObjectKind, ServiceSpec, select
+from oleanderdyke.kernel.objects import (
+    ObjectKind,
+    ServiceSpec,
+    matches_selector,
+)
 from oleanderdyke.links.messages import (
     AgentPhase,
     BackendKind,
@@ -157,7 +161,7 @@
         known = self._agents.get(agent)
         if known is None or known.replica.incarnation != incarnation:
             return None
-        return self._directory.on_events(agent, events, now)
+        return self._directory.apply_events(agent, events, now)
 
     def on_link_down(self, agent: str, incarnation: str) -> None:
         """Take an agent out until it says hello again."""
@@ -289,7 +293,7 @@
         address = self._agents.pop(agent).replica.address
         if self._addresses.get(address) == agent:
             del self._addresses[address]
-        self._directory.forget(agent)
+        self._directory.remove_agent(agent)
 
     def _select_stores(self, service: str) -> tuple[str, ...]:
         if self._selected_at != self._catalog.offset:
@@ -383,5 +387,5 @@
     return tuple(
         store.name
         for store in catalog.list(ObjectKind.STORE)
-        if select(selector, store.spec.labels)
+        if matches_selector(selector, store.spec.labels)
     )
--- a/tests/matrix/outside.py
+++ b/tests/matrix/outside.py
@@ -8,8 +8,8 @@
 from oleanderdyke.clients.log import LogPage, LogRecord, LogUnavailable
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.errors import Ran
-from oleanderdyke.kernel.gate import Loaded
-from oleanderdyke.kernel.orders import Desired, Fence, Observed
+from oleanderdyke.kernel.gate import LoadedWeights
+from oleanderdyke.kernel.orders import DesiredState, Fence, ObservedState
 from oleanderdyke.links.messages import Dispatch
 from tests.matrix.loop import Later, Process, Scheduler
 
@@ -102,7 +102,7 @@
         self.content_type = content_type
         self.name = name
         self.checks = checks
-        self.loaded = Loaded()
+        self.loaded = LoadedWeights()
         self.fence: Fence | None = None
         self.crashes: list[frozenset[str]] = []
         self._running: dict[int, Dispatch] = {}
@@ -151,21 +151,21 @@
 
         self.process.after(1.0, begin)
 
-    def load(self, desired: Desired, fence: Fence) -> bool:
+    def load(self, desired: DesiredState, fence: Fence) -> bool:
         """Take an order; refuse an old fence where they are checked."""
         if self.checks and self.fence and fence.offset < self.fence.offset:
             return False
         if self.checks:
             self.fence = fence
-        self.loaded = Loaded(
+        self.loaded = LoadedWeights(
             desired.model, desired.version, desired.digest, desired.adapter
         )
         return True
 
-    def observe(self, now: Millis) -> Observed:
+    def observe(self, now: Millis) -> ObservedState:
         """Report the state."""
         loaded = self.loaded
-        return Observed(
+        return ObservedState(
             loaded.model,
             loaded.version,
             loaded.digest,
--- a/tests/test_hosted_contexts.py
+++ b/tests/test_hosted_contexts.py
@@ -6,7 +6,7 @@
 import pytest
 
 from oleanderdyke.clock import SECOND
-from oleanderdyke.kernel.context_stores import VIEW_LIFE
+from oleanderdyke.kernel.context_stores import VIEW_MAX_AGE
 from tests.context_scene import SALT, SOURCE, ask_prompt, staging_contexts
 from tests.hosted import MODEL
 from tests.standins.contexts import ContextStore
@@ -33,7 +33,7 @@
         contexts.add(SALT, 'aa', 2_000)
         # An entry can't know whether a store that it sees for the first time
         # has just restarted, so it waits for the lifetime of a view.
-        await anyio.sleep(VIEW_LIFE / SECOND + 0.3)
+        await anyio.sleep(VIEW_MAX_AGE / SECOND + 0.3)
         headers = await ask_prompt(stage)
     assert headers['oleanderdyke-cache-salt'] == SALT
     assert headers[SOURCE] == f'{address}/2000,-,-'
--- a/tests/test_hosted_limits.py
+++ b/tests/test_hosted_limits.py
@@ -175,7 +175,7 @@
         coldRemainingMs=2_000,
     ) as stage:
         limit = ColdLimit(1.0, 3 * SECOND)
-        assert stage.core.limits.cold == {'desk': limit}
+        assert stage.core.limits.cold_limits == {'desk': limit}
         # This entry's share of one request a second is less than one request.
         with anyio.fail_after(0.9):
             found = await stage.call('/safe/x', oleanderdyke_deadline_ms='300')
--- a/tests/test_hosted_log.py
+++ b/tests/test_hosted_log.py
@@ -7,7 +7,7 @@
 
 from oleanderdyke.clock import ManualClock
 from oleanderdyke.entry.hosted.server_changes import ServerChangeLog
-from oleanderdyke.kernel.backends import BackendBook
+from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.servers import ServerRecord
 from oleanderdyke.logs import make_event_log, parse_line
 from tests.hosted import KEY, SERVERS, staging
@@ -25,7 +25,7 @@
 
 
 def log_reads(path, steps):
-    backends, clock = BackendBook(), ManualClock()
+    backends, clock = BackendRegistry(), ManualClock()
     with path.open('w', buffering=1) as stream:
         changes = ServerChangeLog(
             make_event_log('front-1', clock=clock, stream=stream)
--- a/tests/test_hosted_safety.py
+++ b/tests/test_hosted_safety.py
@@ -142,12 +142,12 @@
     monkeypatch.setattr(
         driver,
         '_make_settings',
-        lambda _: driver.MachineSettings(max_attempts=2),
+        lambda _: driver.AttemptSettings(max_attempts=2),
     )
     _assert_caught(PlannedRequest('/once/', (Act.RESET,)))
 
 
-@pytest.mark.parametrize('act', [Act.REFUSE_WITHOUT_PROOF, Act.FOREIGN])
+@pytest.mark.parametrize('act', [Act.REFUSE_WITHOUT_PROOF, Act.REGION])
 def test_response_check_catches_an_entry_that_accepts_any_response(
     monkeypatch, act
 ):
