--- a/src/oleanderdyke/entry/hosted/answers.py
+++ b/src/oleanderdyke/entry/hosted/answers.py
@@ -10,30 +10,32 @@
 _SUCCESS = range(200, 300)
 
 
-def find_answer_fault(status: int, facts: AnswerMetadata, request: str) -> str:
+def find_answer_fault(
+    status: int, metadata: AnswerMetadata, request: str
+) -> str:
     """Return why a response must be rejected, or '' if it is acceptable.
 
     `request` is the id of the request that was sent.
     """
-    if facts.request and facts.request != request:
+    if metadata.request and metadata.request != request:
         # This also covers a late refusal: accepting it would start the next
         # attempt while the connection of this one is still open.
         return 'response belongs to another request'
-    if facts.is_not_executed:
+    if metadata.is_not_executed:
         return ''
-    if status in _SUCCESS and not facts.is_sealed:
+    if status in _SUCCESS and not metadata.is_sealed:
         return 'success response without a response seal'
     if status in PROMISES:
         return f'status {status} without a not-executed header'
     return ''
 
 
-def is_own_answer(facts: AnswerMetadata, request: str, server: str) -> bool:
+def is_own_answer(metadata: AnswerMetadata, request: str, server: str) -> bool:
     """Return whether a response comes from `server` and is for `request`.
 
     After a restart, another server may answer at the same address.
     """
-    return facts.request in {'', request} and facts.server in {'', server}
+    return metadata.request in {'', request} and metadata.server in {'', server}
 
 
 def is_event_stream(headers: Headers) -> bool:
--- a/src/oleanderdyke/entry/hosted/app.py
+++ b/src/oleanderdyke/entry/hosted/app.py
@@ -69,10 +69,10 @@
         authorized = authorize_request(core, head)
         key = self._make_key(reply.request)
         route = authorized.route
-        needs = core.durations.estimate_bound(
+        expected_duration = core.durations.estimate_bound(
             route.name, route.timeout, started
         )
-        self._stopper.begin(key, needs)
+        self._stopper.begin(key, expected_duration)
         core.durations.begin(key, route.name, started)
         try:
             await self._handle(head, authorized, receive, reply, key, started)
--- a/src/oleanderdyke/entry/hosted/attempt.py
+++ b/src/oleanderdyke/entry/hosted/attempt.py
@@ -132,7 +132,7 @@
             return
         self._send(connection, backend)
 
-    def withdraw_outdated(self) -> None:
+    def abort_if_outdated(self) -> None:
         """Abort a request still queued on weights that are about to expire.
 
         A request that has produced its first token continues.
@@ -146,7 +146,7 @@
                 'request was still queued on outdated weights',
             )
 
-    def withdraw_superseded(self) -> None:
+    def abort_if_superseded(self) -> None:
         """Abort a request sent to an incarnation that has ended.
 
         No response can follow, but the dead connection may not show it.
@@ -180,19 +180,23 @@
 
     def take_head(self, status: int, headers: Headers) -> None:
         """Validate the response head and accept it or report a failure."""
-        facts = decode_answer(status, headers)
-        self._record_facts(facts)
+        metadata = decode_answer(status, headers)
+        self._record_metadata(metadata)
         if self._done:
             return
-        fault = find_answer_fault(status, facts, self._call.request)
+        fault = find_answer_fault(status, metadata, self._call.request)
         if fault:
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, fault)
-        elif facts.is_not_executed:
-            self._updates.apply_refusal(facts, self._weights)
-            self._report_failure(ErrorKind.OVERLOADED, Ran.NO, f'{status}')
+        elif metadata.is_not_executed:
+            self._updates.apply_refusal(metadata, self._weights)
+            self._report_failure(
+                ErrorKind.OVERLOADED, Ran.NO, f'status {status}'
+            )
         elif status >= _SERVER_ERROR and self._reserve_retry():
             self._core.backends.record_error(self._start)
-            self._report_failure(ErrorKind.STREAM_BROKEN, Ran.YES, f'{status}')
+            self._report_failure(
+                ErrorKind.STREAM_BROKEN, Ran.YES, f'status {status}'
+            )
         elif self._is_continuation() and not continues_stream(status, headers):
             reason = f'status {status} instead of the rest of the stream'
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, reason)
@@ -302,14 +306,14 @@
             tokens = max(demand.prompt_tokens - ready, 0)
         self._memory_tokens = 0 if demand is None else demand.memory_tokens
         now = core.clock.now()
-        owed = PendingAttempt(
+        pending = PendingAttempt(
             now,
             tokens,
             call.priority,
             self._memory_tokens,
             is_alone=not backend.waiting and not backend.count_waiting(now),
         )
-        core.backends.record_sent(self._start, self._attempt_id, owed)
+        core.backends.record_sent(self._start, self._attempt_id, pending)
         core.limits.record_sent(backend, now)
         connection.send(head, call.body, self)
         core.log.write(
@@ -344,15 +348,15 @@
             last_event='' if last is None else str(last),
         )
 
-    def _record_facts(self, facts: AnswerMetadata) -> None:
+    def _record_metadata(self, metadata: AnswerMetadata) -> None:
         core = self._core
         core.backends.record_received(
             self._start, self._attempt_id, core.clock.now()
         )
-        if is_own_answer(facts, self._call.request, self.server):
-            self._updates.apply_facts(facts)
+        if is_own_answer(metadata, self._call.request, self.server):
+            self._updates.apply_metadata(metadata)
         if self._connection is not None:
-            set_idle_limit(self._connection, facts.idle_timeout)
+            set_idle_limit(self._connection, metadata.idle_timeout)
 
     def _accept(self, status: int, headers: Headers) -> None:
         self._has_answered = True
@@ -370,9 +374,9 @@
         if self._head is not None:
             self._inbox.put(MessageReceived(self._head))
             self._head = None
-        held, self._buffered = self._buffered, None
-        if held:
-            self._forward(bytes(held))
+        buffered, self._buffered = self._buffered, None
+        if buffered:
+            self._forward(bytes(buffered))
 
     def _forward(self, data: bytes) -> None:
         chunk = AnswerChunk(
--- a/src/oleanderdyke/entry/hosted/backend_updates.py
+++ b/src/oleanderdyke/entry/hosted/backend_updates.py
@@ -19,30 +19,30 @@
         self._call = call
         self._start = start
 
-    def apply_facts(self, facts: AnswerMetadata) -> None:
+    def apply_metadata(self, metadata: AnswerMetadata) -> None:
         """Record what the response headers report about their server."""
-        if facts.is_leaving:
+        if metadata.is_leaving:
             self._core.mark_leaving(self._start, self._call.request)
-        if facts.retry_after is not None:
+        if metadata.retry_after is not None:
             self._core.record_backoff(
-                self._start, facts.retry_after, self._call.request
+                self._start, metadata.retry_after, self._call.request
             )
-        if facts.rate_limit is not None:
+        if metadata.rate_limit is not None:
             self._core.record_rate_limit(
-                self._start, facts.rate_limit, request=self._call.request
+                self._start, metadata.rate_limit, request=self._call.request
             )
-        self._log_malformed(facts)
-        if facts.load is not None:
-            self._core.record_load(self._start, facts.load)
+        self._log_malformed(metadata)
+        if metadata.load is not None:
+            self._core.record_load(self._start, metadata.load)
         demand = self._call.parameters.demand
-        if demand is not None and facts.weight_version is not None:
+        if demand is not None and metadata.weight_version is not None:
             self._core.backends.record_version(
-                self._start, demand.model, facts.weight_version
+                self._start, demand.model, metadata.weight_version
             )
 
-    def _log_malformed(self, facts: AnswerMetadata) -> None:
+    def _log_malformed(self, metadata: AnswerMetadata) -> None:
         core, start = self._core, self._start
-        for found in facts.malformed:
+        for found in metadata.malformed:
             if core.backends.record_malformed(start, found.field):
                 core.log.write(
                     EventName.RECORD_REFUSED,
@@ -52,17 +52,17 @@
                     detail=f'found {found.text!r}; allowed: at least 0',
                 )
 
-    def apply_refusal(self, facts: AnswerMetadata, sent: Weights) -> None:
+    def apply_refusal(self, metadata: AnswerMetadata, sent: Weights) -> None:
         """Record why the server did not run a call sent for these weights."""
         core, demand = self._core, self._call.parameters.demand
-        if facts.server and facts.server != self._start.server:
+        if metadata.server and metadata.server != self._start.server:
             core.backends.mark_replaced(self._start)
             return
         now = core.clock.now()
         backend = core.backends.find_start(self._start)
         if demand is not None and backend is not None:
             held = backend.record.versions.get(demand.model, 0)
-            if facts.is_misdirected and facts.server:
+            if metadata.is_misdirected and metadata.server:
                 self._record_newer_weights(demand.model, held, sent)
                 return
             if held < core.rollout.weights.find_newest(demand.model):
--- a/src/oleanderdyke/entry/hosted/core.py
+++ b/src/oleanderdyke/entry/hosted/core.py
@@ -206,7 +206,7 @@
     def may_serve(
         self, model: str, version: int | None, margin: Millis
     ) -> bool:
-        """Return whether requests may start on the weights for `margin`."""
+        """Return whether requests may start on weights `margin` from now."""
         return self.rollout.weights.may_serve(
             model,
             version,
--- a/src/oleanderdyke/entry/hosted/driver.py
+++ b/src/oleanderdyke/entry/hosted/driver.py
@@ -132,8 +132,8 @@
         attempt = self._attempt
         if attempt is None:
             return
-        attempt.withdraw_superseded()
-        attempt.withdraw_outdated()
+        attempt.abort_if_superseded()
+        attempt.abort_if_outdated()
         if self._should_give_up(attempt.find_overdue_time(now)):
             attempt.fail('server sent nothing for too long')
 
--- a/src/oleanderdyke/entry/hosted/selection.py
+++ b/src/oleanderdyke/entry/hosted/selection.py
@@ -116,8 +116,10 @@
         retry_delay = _RETRY_DELAYS.get(obstacle, RETRY_DELAY)
         if obstacle in _MAX_TURN_WAITS:
             turn = self._find_turn(demand, listed, now) - now
-            least = min(turn, _MAX_TURN_WAITS[obstacle])
-            retry_delay = RetryDelay(least, least + RETRY_DELAY.maximum)
+            shortest_wait = min(turn, _MAX_TURN_WAITS[obstacle])
+            retry_delay = RetryDelay(
+                shortest_wait, shortest_wait + RETRY_DELAY.maximum
+            )
         return Rejection(ErrorKind.NO_REPLICA, obstacle.value, retry_delay)
 
     def _find_turn(
--- a/src/oleanderdyke/entry/hosted/weights.py
+++ b/src/oleanderdyke/entry/hosted/weights.py
@@ -27,7 +27,7 @@
 
 
 def may_begin(core: HostedCore, weights: Weights, margin: Millis) -> bool:
-    """Return whether requests may start on all the weights for `margin`."""
+    """Return whether requests may start on all weights `margin` from now."""
     return all(
         core.may_serve(model, version, margin)
         for model, version in weights.items()
