--- a/src/oleanderdyke/entry/hosted/lessons.py
+++ b/src/oleanderdyke/entry/hosted/backend_updates.py
@@ -1,4 +1,4 @@
-"""Learn about backend servers from how they answer."""
+"""Update the state of backend servers from their responses."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from oleanderdyke.kernel.servers import AnswerMetadata, ServerStart
 
 
-class Lessons:
-    """Records in the book of servers what one start's answer shows."""
+class BackendUpdates:
+    """Apply the responses to one call to the state of one incarnation."""
 
     def __init__(
         self, core: HostedCore, call: HostedCall, start: ServerStart
@@ -19,30 +19,30 @@
         self._call = call
         self._start = start
 
-    def take_facts(self, facts: AnswerMetadata) -> None:
-        """Learn what an answer tells of its server."""
-        if facts.is_leaving:
+    def apply_metadata(self, metadata: AnswerMetadata) -> None:
+        """Record what the response headers report about their server."""
+        if metadata.is_leaving:
             self._core.mark_leaving(self._start, self._call.request)
-        if facts.retry_after is not None:
+        if metadata.retry_after is not None:
             self._core.record_backoff(
-                self._start, facts.retry_after, self._call.request
+                self._start, metadata.retry_after, self._call.request
             )
-        if facts.rate_limit is not None:
+        if metadata.rate_limit is not None:
             self._core.record_rate_limit(
-                self._start, facts.rate_limit, request=self._call.request
+                self._start, metadata.rate_limit, request=self._call.request
             )
-        self._log_malformed(facts)
-        if facts.load is not None:
-            self._core.note_load(self._start, facts.load)
-        demand = self._call.asked.demand
-        if demand is not None and facts.weight_version is not None:
+        self._log_malformed(metadata)
+        if metadata.load is not None:
+            self._core.record_load(self._start, metadata.load)
+        demand = self._call.parameters.demand
+        if demand is not None and metadata.weight_version is not None:
             self._core.backends.record_version(
-                self._start, demand.model, facts.weight_version
+                self._start, demand.model, metadata.weight_version
             )
 
-    def _log_malformed(self, facts: AnswerMetadata) -> None:
+    def _log_malformed(self, metadata: AnswerMetadata) -> None:
         core, start = self._core, self._start
-        for found in facts.malformed:
+        for found in metadata.malformed:
             if core.backends.record_malformed(start, found.field):
                 core.log.write(
                     EventName.RECORD_REFUSED,
@@ -52,27 +52,27 @@
                     detail=f'found {found.text!r}; allowed: at least 0',
                 )
 
-    def take_refusal(self, facts: AnswerMetadata, sent: Weights) -> None:
-        """Learn why a call that was `sent` for some weights was not run."""
-        core, demand = self._core, self._call.asked.demand
-        if facts.server and facts.server != self._start.server:
+    def apply_refusal(self, metadata: AnswerMetadata, sent: Weights) -> None:
+        """Record why the server did not run a call sent for these weights."""
+        core, demand = self._core, self._call.parameters.demand
+        if metadata.server and metadata.server != self._start.server:
             core.backends.mark_replaced(self._start)
             return
         now = core.clock.now()
         backend = core.backends.find_start(self._start)
         if demand is not None and backend is not None:
             held = backend.record.versions.get(demand.model, 0)
-            if facts.is_misdirected and facts.server:
-                self._take_newer(demand.model, held, sent)
+            if metadata.is_misdirected and metadata.server:
+                self._record_newer_weights(demand.model, held, sent)
                 return
             if held < core.rollout.weights.find_newest(demand.model):
                 core.backends.record_reload(self._start, now)
                 return
         core.backends.record_refusal(self._start, now)
 
-    def take_begun(self) -> None:
-        """Learn that a server has read a prompt, and likely keeps its parts."""
-        core, demand = self._core, self._call.asked.demand
+    def apply_stream_start(self) -> None:
+        """Record that the server has read a prompt and likely caches it."""
+        core, demand = self._core, self._call.parameters.demand
         backend = core.backends.find_start(self._start)
         deployment = core.deployment
         if demand is None or backend is None or deployment is None:
@@ -81,12 +81,14 @@
         if memory is not None:
             core.backends.record_kept(self._start, demand.parts, memory)
 
-    def _take_newer(self, model: str, held: int, sent: Weights) -> None:
-        """Learn that a server no longer holds the weights that it told.
+    def _record_newer_weights(
+        self, model: str, held: int, sent: Weights
+    ) -> None:
+        """Assume newer weights after a server rejected the version it listed.
 
-        A start's weights are only replaced by newer ones. An engine that is
-        cut off from the store tells that no other way, and would serve nobody
-        until it is listed again.
+        An incarnation replaces weights only by newer ones. An engine cut off
+        from the store can't list its new version, so without this update it
+        would get no requests until its record is written again.
         """
         core = self._core
         later = core.rollout.weights.find_next(model, held)
--- a/src/oleanderdyke/entry/hosted/driver.py
+++ b/src/oleanderdyke/entry/hosted/driver.py
@@ -1,4 +1,4 @@
-"""Lead one call on the users' platform to its answer."""
+"""Drive one call on the users' platform to its response."""
 
 from __future__ import annotations
 
@@ -16,8 +16,12 @@
 from oleanderdyke.entry.hosted.call_log import CallLog, Progress
 from oleanderdyke.entry.hosted.core import HostedCore
 from oleanderdyke.entry.hosted.events import EventSplitter
-from oleanderdyke.entry.hosted.placing import PAUSE, Placing, SentBack
 from oleanderdyke.entry.hosted.reply import Reply
+from oleanderdyke.entry.hosted.selection import (
+    RETRY_DELAY,
+    Rejection,
+    ServerSelector,
+)
 from oleanderdyke.entry.inbox import Inbox, Item
 from oleanderdyke.kernel.attempt_events import (
     Action,
@@ -51,24 +55,24 @@
 from oleanderdyke.links.messages import AgentPhase, BackendKind, Load
 from oleanderdyke.metrics import Count, Timing
 
-# Servers that refuse without running are passed over at most so often; each
-# try draws on the allowance that all entries share.
+# Limit on retries after refusals that ran nothing; each of them draws on the
+# retry budget that all entries share.
 _MAX_REFUSALS = 2
-# Where nobody else may run a request, a server that sends nothing to anyone is
-# waited for so long with the first byte: a fetch of context may wait two
-# seconds, and no caller of a stream waits less. It gets its final answer then,
-# not when its own patience ends, up to a second later or more.
-_GIVE_UP_AFTER: Millis = 2 * SECOND
-# How often a call that waits for a server looks for one.
-_LOOK_PERIOD: Millis = 20.0
+# Wait for the first byte of a server that sends nothing to anyone, if the
+# request can't be retried. Fetching context may take two seconds, and callers
+# of streams wait at least as long. Giving up then gives the caller a final
+# answer a second or more before its own timeout.
+_SILENCE_TIMEOUT: Millis = 2 * SECOND
+# Interval between selection attempts while no server can take the call.
+_SELECTION_PERIOD: Millis = 20.0
 
 
 class BrokenAnswer(Exception):
-    """The connection of a broken answer has to be closed."""
+    """The response was truncated, so its connection must be closed."""
 
 
 class HostedDriver:
-    """Drive the machine of one call with what its attempts report."""
+    """Run the state machine of one call and carry out its actions."""
 
     def __init__(
         self, core: HostedCore, call: HostedCall, body: Body, reply: Reply
@@ -77,20 +81,20 @@
         self._call = call
         self._body = body
         self._reply = reply
-        self._told = CallLog(core, call)
+        self._call_log = CallLog(core, call)
         self._inbox = Inbox()
         self._timers: list[asyncio.TimerHandle] = []
         self._attempt: DirectAttempt | None = None
-        # The start that was chosen last of each server: the machine of the
-        # request knows servers by name.
+        # The incarnation chosen last for each server; the state machine knows
+        # servers only by name.
         self._starts: dict[str, ServerStart] = {}
         self._chosen_at: Millis = 0.0
         self._splitter = _make_splitter(call)
-        self._first: Millis | None = None
-        # Who had the request last, or would have had it.
-        self._peer: str | None = None
-        self._pause = PAUSE
-        self._placing = Placing(core, call)
+        self._first_byte: Millis | None = None
+        # The server that had the request last, or was considered last.
+        self._last_server: str | None = None
+        self._retry_delay = RETRY_DELAY
+        self._selector = ServerSelector(core, call)
         self._machine = RequestStateMachine(
             _make_facts(core, call),
             settings=_make_settings(call),
@@ -99,65 +103,65 @@
         self._handlers = self._make_handlers()
 
     async def run(self, key: str) -> None:
-        """Answer the caller; raise BrokenAnswer where that ended early.
+        """Answer the caller; raise BrokenAnswer if the response is truncated.
 
-        A stop of the entry finds the request by `key`.
+        `key` identifies the request among the running ones.
         """
         self._core.running[key] = self
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._watch_caller)
-                await self._lead()
+                await self._run_machine()
                 tasks.cancel_scope.cancel()
         finally:
             del self._core.running[key]
-            self._forget()
+            self._clean_up()
         if not self._reply.ended and self._reply.status:
             raise BrokenAnswer
 
     def stop(self, *, hurry: bool) -> None:
-        """Learn that the entry stops."""
+        """End the request if the entry must stop at once."""
         if hurry:
             self._inbox.put(Stopping(immediate=True))
 
     def hand_over(self) -> None:
-        """Do nothing: callers of the platform go on by themselves."""
+        """Do nothing: callers on this platform resume streams themselves."""
 
     def check_attempt(self, now: Millis) -> None:
-        """Give up what is silent, superseded, or waits on old weights."""
+        """Abort an attempt that is silent, superseded or on old weights."""
         attempt = self._attempt
         if attempt is None:
             return
-        attempt.withdraw_superseded()
-        attempt.withdraw_late()
-        if self._is_given_up(attempt.find_overdue_time(now)):
-            attempt.fail('the server is silent')
+        attempt.abort_if_superseded()
+        attempt.abort_if_outdated()
+        if self._should_give_up(attempt.find_overdue_time(now)):
+            attempt.fail('server sent nothing for too long')
 
-    def _is_given_up(self, silence: Millis) -> bool:
-        """Return whether to wait no longer for what a server owes.
+    def _should_give_up(self, silence: Millis) -> bool:
+        """Return whether to abort the attempt at a silent server.
 
-        An answer that has begun and can't go on elsewhere is only ended by its
-        caller or its deadline: a crowded server may send the rest after any
-        pause, and a caller that still waits would lose it.
+        A response that has begun and can't be resumed elsewhere is ended only
+        by its caller or its deadline: an overloaded server may send the rest
+        after any pause, and the waiting caller would lose it.
         """
         if silence < SILENCE_LIMIT:
             return False
         if self._machine.reserve_retry():
             return True
-        return silence >= _GIVE_UP_AFTER and not self._reply.status
+        return silence >= _SILENCE_TIMEOUT and not self._reply.status
 
-    async def _lead(self) -> None:
+    async def _run_machine(self) -> None:
         now = self._core.clock.now()
-        self._put_later(DeadlinePassed(), self._call.deadline - now)
-        await self._carry_out(self._machine.start(now))
+        self._post_later(DeadlinePassed(), self._call.deadline - now)
+        await self._execute(self._machine.start(now))
         while not self._machine.done:
-            # Nothing but events of the machine comes here in this mode.
+            # In this mode the inbox receives only events of the state machine.
             event = cast('Event', await self._inbox.take())
-            await self._carry_out(
+            await self._execute(
                 self._machine.handle_event(event, self._core.clock.now())
             )
 
-    async def _carry_out(self, actions: tuple[Action, ...]) -> None:
+    async def _execute(self, actions: tuple[Action, ...]) -> None:
         for action in actions:
             await self._handlers[type(action)](action)
 
@@ -177,47 +181,49 @@
         }
 
     async def _route(self, action: Route) -> None:
-        if self._call.asked.demand is not None:
-            await self._core.contexts_known.wait()
+        if self._call.parameters.demand is not None:
+            await self._core.contexts_ready.wait()
         self._choose(action)
 
     def _choose(self, action: Route) -> None:
-        """Choose a server, or look again later where none takes anything."""
+        """Select a server, and retry later while none accepts requests."""
         if self._machine.done:
             return
         tried = frozenset(self._starts[server] for server in action.exclude)
-        outcome = self._placing.look(tried)
+        outcome = self._selector.select(tried)
         if outcome is None:
-            look_again = functools.partial(self._choose, action)
-            self._call_later(look_again, _LOOK_PERIOD)
-        elif isinstance(outcome, SentBack):
-            self._send_back(outcome)
+            retry = functools.partial(self._choose, action)
+            self._call_later(retry, _SELECTION_PERIOD)
+        elif isinstance(outcome, Rejection):
+            self._reject(outcome)
         else:
-            self._take(outcome)
+            self._use_choice(outcome)
 
-    def _take(self, choice: Choice) -> None:
+    def _use_choice(self, choice: Choice) -> None:
         record = choice.backend.record
         self._starts[record.server] = record.start
         core = self._core
         self._chosen_at = core.clock.now()
         core.limits.record_sent(choice.backend, self._chosen_at)
-        self._told.tell_routed(choice)
+        self._call_log.log_routed(choice)
         reason = f'{choice.score:.1f} ms of {choice.candidates}'
         plan = Plan(agent=record.server, reason=reason)
         self._inbox.put(Routed(plan, _make_replica(choice.backend)))
 
-    def _send_back(self, outcome: SentBack) -> None:
-        self._peer = outcome.server or self._peer
-        self._pause = outcome.pause
-        # How long the caller waits is drawn where it is told.
-        refusal = Refusal(outcome.kind, outcome.reason, outcome.pause.most)
+    def _reject(self, outcome: Rejection) -> None:
+        self._last_server = outcome.server or self._last_server
+        self._retry_delay = outcome.retry_delay
+        # The retry delay is randomized when the refusal is sent.
+        refusal = Refusal(
+            outcome.kind, outcome.reason, outcome.retry_delay.maximum
+        )
         self._inbox.put(NoRoute(refusal))
 
     async def _dispatch(self, action: SendDispatch) -> None:
         if action.attempt > 1:
             self._core.metrics.add(Count.RETRIES, label=self._call.service)
-            self._told.tell_retried(action.attempt, action.agent)
-        self._peer = action.agent
+            self._call_log.log_retried(action.attempt, action.agent)
+        self._last_server = action.agent
         self._attempt = DirectAttempt(
             self._core,
             self._call,
@@ -238,8 +244,8 @@
         await self._reply.start(action.status, action.headers)
 
     async def _deliver_chunk(self, action: DeliverChunk) -> None:
-        if self._first is None:
-            self._first = self._core.clock.now() - self._call.started
+        if self._first_byte is None:
+            self._first_byte = self._core.clock.now() - self._call.started
         await self._reply.send(action.data)
 
     async def _deliver_end(self, _: DeliverEnd) -> None:
@@ -249,29 +255,29 @@
     async def _refuse(self, action: Refuse) -> None:
         core = self._core
         core.metrics.add(Count.REFUSALS, label=action.kind.value)
-        self._told.tell_refused(action, self._find_progress())
+        self._call_log.log_refused(action, self._find_progress())
         if self._reply.status:
             return
         await self._reply.refuse(
             action.kind,
             action.ran,
             action.detail,
-            self._pause.draw(core.random),
+            self._retry_delay.draw(core.random),
         )
 
     async def _start_timer(self, action: StartTimer) -> None:
-        self._put_later(TimerFired(action.kind, action.number), action.delay)
+        self._post_later(TimerFired(action.kind, action.number), action.delay)
 
     async def _finish(self, _: Done) -> None:
-        """Do nothing: the loop sees that the machine is done."""
+        """Do nothing: the event loop of the call checks `done` itself."""
 
     async def _watch_caller(self) -> None:
         await self._body.wait_gone()
         if not self._reply.ended:
-            self._told.tell_cancelled(self._find_progress())
+            self._call_log.log_cancelled(self._find_progress())
             self._inbox.put(CallerGone())
 
-    def _put_later(self, item: Item, delay: Millis) -> None:
+    def _post_later(self, item: Item, delay: Millis) -> None:
         self._call_later(functools.partial(self._inbox.put, item), delay)
 
     def _call_later(self, act: Callable[[], None], delay: Millis) -> None:
@@ -283,15 +289,17 @@
         duration = core.clock.now() - call.started
         core.durations.record(call.route.name, duration)
         core.metrics.time(Timing.REQUEST, duration, call.service)
-        if self._first is not None:
-            core.metrics.time(Timing.FIRST_TOKEN, self._first, call.service)
+        if self._first_byte is not None:
+            core.metrics.time(
+                Timing.FIRST_TOKEN, self._first_byte, call.service
+            )
         progress = self._find_progress()
-        self._told.tell_finished(self._reply.status, duration, progress)
+        self._call_log.log_finished(self._reply.status, duration, progress)
 
     def _find_progress(self) -> Progress:
-        return Progress(self._peer, self._first)
+        return Progress(self._last_server, self._first_byte)
 
-    def _forget(self) -> None:
+    def _clean_up(self) -> None:
         for timer in self._timers:
             timer.cancel()
         if self._attempt is not None:
@@ -319,12 +327,12 @@
 def _make_splitter(call: HostedCall) -> EventSplitter | None:
     if not call.route.is_resumable:
         return None
-    last = call.asked.last_event
+    last = call.parameters.last_event
     return EventSplitter(int(last) if last.isdigit() else None)
 
 
 def _make_replica(backend: Backend) -> Replica:
-    """Show a backend server as the machine of a request knows replicas."""
+    """Convert a backend server to the replica type of the state machine."""
     record = backend.record
     return Replica(
         agent=record.server,
