--- a/src/oleanderdyke/kernel/backends.py
+++ b/src/oleanderdyke/kernel/backends.py
@@ -18,8 +18,8 @@
 # A server is left out for this long after a first failure to reach it, twice
 # as long after each further one. A crashed server is back after seconds; a
 # lost packet costs a connection one second.
-_FIRST_EJECTION: Millis = 500.0
-_LONGEST_EJECTION: Millis = 4 * SECOND
+_MIN_EJECTION: Millis = 500.0
+_MAX_EJECTION: Millis = 4 * SECOND
 # An engine that refuses while newer weights are named takes them now, which
 # lasts about two seconds after its runs have ended.
 _RELOAD_PAUSE: Millis = 1_500.0
@@ -27,9 +27,9 @@
 # long for each further refusal: a slot of the plain services frees in some
 # ten milliseconds, new weights take over a second.
 _REFUSAL_PAUSE: Millis = 100.0
-_LONGEST_REFUSAL_PAUSE: Millis = 800.0
+_MAX_REFUSAL_PAUSE: Millis = 800.0
 # Servers ask for pauses of seconds; a far larger number is an error.
-_LONGEST_BACKOFF: Millis = 10 * MINUTE
+_MAX_BACKOFF: Millis = 10 * MINUTE
 # The share of the latest answer in the rate of failures of a server.
 _ERROR_WEIGHT = 0.2
 
@@ -93,9 +93,9 @@
         if backend is None:
             return
         backend.errors += _ERROR_WEIGHT * (1 - backend.errors)
-        pause = _FIRST_EJECTION * 2**backend.failures
+        pause = _MIN_EJECTION * 2**backend.failures
         backend.failures += 1
-        until = now + min(pause, _LONGEST_EJECTION)
+        until = now + min(pause, _MAX_EJECTION)
         backend.out_until = max(backend.out_until, until)
 
     def record_error(self, start: ServerStart) -> None:
@@ -111,7 +111,7 @@
             return
         pause = _REFUSAL_PAUSE * 2**backend.refusals
         backend.refusals += 1
-        until = now + min(pause, _LONGEST_REFUSAL_PAUSE)
+        until = now + min(pause, _MAX_REFUSAL_PAUSE)
         backend.out_until = max(backend.out_until, until)
 
     def record_reload(self, start: ServerStart, now: Millis) -> None:
@@ -156,7 +156,7 @@
         if backend is None:
             return False
         is_backing_off = backend.backoff_until > now
-        until = now + min(pause, _LONGEST_BACKOFF)
+        until = now + min(pause, _MAX_BACKOFF)
         backend.backoff_until = max(backend.backoff_until, until)
         return not is_backing_off and backend.backoff_until > now
 
--- a/src/oleanderdyke/kernel/cold_starts.py
+++ b/src/oleanderdyke/kernel/cold_starts.py
@@ -44,9 +44,9 @@
     alive, of which some are `known` by name. While it is no underestimate, the
     sends of all entries stay within the limit in every second.
     """
-    whole = math.floor(limit.per_second)
-    if count <= whole:
-        return _WINDOW / (whole // max(count, 1))
+    whole_rate = math.floor(limit.per_second)
+    if count <= whole_rate:
+        return _WINDOW / (whole_rate // max(count, 1))
     # More entries than requests: each server has others that may send.
     ahead = count_ahead(server, entry, known=known, count=count)
-    return _WINDOW if ahead < whole else math.inf
+    return _WINDOW if ahead < whole_rate else math.inf
--- a/src/oleanderdyke/kernel/evacuations.py
+++ b/src/oleanderdyke/kernel/evacuations.py
@@ -23,7 +23,7 @@
         self._active: frozenset[str] = frozenset()
         self._ended: dict[str, Millis] = {}
         # Until when those that a restored store lacks stay in force.
-        self._held: dict[str, Millis] = {}
+        self._held_until: dict[str, Millis] = {}
 
     @property
     def active(self) -> frozenset[str]:
@@ -32,7 +32,7 @@
 
     def begin(self, data_centre: str) -> bool:
         """Stop new work; return whether it was not stopped before."""
-        self._held.pop(data_centre, None)
+        self._held_until.pop(data_centre, None)
         if data_centre in self._active:
             return False
         self._active |= {data_centre}
@@ -40,7 +40,7 @@
 
     def end(self, data_centre: str, now: Millis) -> bool:
         """Allow new work again; return whether it had been stopped."""
-        self._held.pop(data_centre, None)
+        self._held_until.pop(data_centre, None)
         if data_centre not in self._active:
             return False
         self._active -= {data_centre}
@@ -56,14 +56,14 @@
         """
         missing = self._active - frozenset(listed)
         if is_restored:
-            self._held |= dict.fromkeys(missing, now + _RESTORE_HOLD)
-        return missing - self._held.keys()
+            self._held_until |= dict.fromkeys(missing, now + _RESTORE_HOLD)
+        return missing - self._held_until.keys()
 
     def find_expired(self, now: Millis) -> frozenset[str]:
         """Return evacuations that nobody wrote again since a restore."""
         return frozenset(
             data_centre
-            for data_centre, until in self._held.items()
+            for data_centre, until in self._held_until.items()
             if now >= until
         )
 
--- a/src/oleanderdyke/kernel/exclusive_slot.py
+++ b/src/oleanderdyke/kernel/exclusive_slot.py
@@ -13,38 +13,40 @@
 
     def __init__(self, *, reserve_beats: int) -> None:
         self._reserve_beats = reserve_beats
-        self._beat = 0
+        self._heartbeat = 0
         self._reserved_for = ''
         self._reserved_until = 0
-        self._inside = ''
+        self._occupant = ''
 
     def record_heartbeat(self, sequence: int) -> None:
         """Learn the sequence number of the agent's latest heartbeat."""
-        self._beat = max(self._beat, sequence)
+        self._heartbeat = max(self._heartbeat, sequence)
 
     def is_closed(self) -> bool:
         """Return whether ordinary work has to stay out."""
-        return bool(self._inside) or self._is_reserved()
+        return bool(self._occupant) or self._is_reserved()
 
     def request(self, digest: str, running: int) -> bool:
         """Return whether a suspect may enter now; else reserve for it."""
         if not self._is_reserved():
             self._reserved_for = digest
         if self._reserved_for == digest:
-            self._reserved_until = self._beat + self._reserve_beats
+            self._reserved_until = self._heartbeat + self._reserve_beats
         return running == 0 and self._reserved_for == digest
 
     def enter(self, digest: str) -> None:
         """Begin the run of a suspect."""
-        self._inside = digest
+        self._occupant = digest
         self._reserved_for = ''
 
     def leave(self, digest: str) -> bool:
         """End a run; tell whether it was that of the suspect."""
-        if not digest or self._inside != digest:
+        if not digest or self._occupant != digest:
             return False
-        self._inside = ''
+        self._occupant = ''
         return True
 
     def _is_reserved(self) -> bool:
-        return bool(self._reserved_for) and self._beat < self._reserved_until
+        return (
+            bool(self._reserved_for) and self._heartbeat < self._reserved_until
+        )
--- a/src/oleanderdyke/kernel/overload.py
+++ b/src/oleanderdyke/kernel/overload.py
@@ -15,7 +15,7 @@
 # whose memory is full puts back what it has begun and reads it again.
 _SHED_START_QUEUE = 2
 _SHED_FULL_QUEUE = 10
-_MOST_SHED_SHARE = 0.95
+_MAX_SHED_SHARE = 0.95
 # The part of an engine's memory that its runs may take by a guess that counts
 # shared parts, and the longest answers, for each of them. Where it stays under
 # the first, first tokens keep under half of their targets.
@@ -24,14 +24,14 @@
 _SHED_FULL_MEMORY_SHARE = 1.2
 # Refusing a request that takes little memory frees little: it is refused less
 # often than others by its size, but not less than by this factor.
-_LEAST_SIZE_FACTOR = 0.3
+_MIN_SIZE_FACTOR = 0.3
 # Within this, a first byte is late by chance: one step of an engine that reads
 # a long prompt beside takes half of it.
 _NEGLIGIBLE_DELAY: Millis = 40.0
 # Without a server that takes anything a request waits so long, and at most for
 # this part of what is left: after a common loss of power the list tells new
 # starts within a second, and a load of new weights takes one or two.
-_LONGEST_WAIT: Millis = 1.5 * SECOND
+_MAX_WAIT: Millis = 1.5 * SECOND
 _WAIT_SHARE = 0.5
 # A caller's deadline may differ a little from the route's timeout.
 _FIRST_TRY_SLACK: Millis = 20.0
@@ -71,7 +71,7 @@
     Sent back, most callers are back before there is one, and come no third
     time.
     """
-    return min(max(left, 0.0) * _WAIT_SHARE, _LONGEST_WAIT)
+    return min(max(left, 0.0) * _WAIT_SHARE, _MAX_WAIT)
 
 
 def should_refuse(
@@ -91,16 +91,18 @@
     `size` what this request takes against the mean, and `drawn` a number from
     0 to 1, by which a growing part is refused.
     """
-    crowd = (waiting - _SHED_START_QUEUE) / (
+    queue_excess = (waiting - _SHED_START_QUEUE) / (
         _SHED_FULL_QUEUE - _SHED_START_QUEUE
     )
-    fullness = (fill - _SHED_START_MEMORY_SHARE) / (
+    memory_excess = (fill - _SHED_START_MEMORY_SHARE) / (
         _SHED_FULL_MEMORY_SHARE - _SHED_START_MEMORY_SHARE
     )
     if not waiting and delay < _NEGLIGIBLE_DELAY:
-        fullness = 0.0
-    share = max(crowd, fullness) * max(min(size, 1.0), _LEAST_SIZE_FACTOR)
-    if random_value < min(share, _MOST_SHED_SHARE):
+        memory_excess = 0.0
+    share = max(queue_excess, memory_excess) * max(
+        min(size, 1.0), _MIN_SIZE_FACTOR
+    )
+    if random_value < min(share, _MAX_SHED_SHARE):
         return True
     if not age.is_first_try:
         return False
--- a/src/oleanderdyke/kernel/placement.py
+++ b/src/oleanderdyke/kernel/placement.py
@@ -15,15 +15,15 @@
 from oleanderdyke.kernel.servers import ModelDemand, ServerStart
 
 # Tokens that a store sends in a millisecond: 18 KB each, at 58 Gbit/s.
-_FETCH_RATE = 390.0
+_FETCH_TOKENS_PER_MS = 390.0
 # What one more running request costs the first token, from the step of
 # 3.4 ms that all requests of a batch share.
 _RUN_COST: Millis = 1.0
 # An engine that takes few requests has little memory beside theirs: a full
 # batch costs as much as reading some thousand tokens again.
-_BATCH_COST: Millis = 48.0
+_FULL_BATCH_COST: Millis = 48.0
 # A plain call takes some ten milliseconds in one of few slots.
-_PLAIN_COST: Millis = 20.0
+_PLAIN_REQUEST_COST: Millis = 20.0
 # What one request that waits at an engine adds, by what engines begin in a
 # second.
 _WAITING_COST: Millis = 10.0
@@ -46,9 +46,9 @@
 SILENCE_LIMIT: Millis = 500.0
 # Servers that may keep a prompt's shared context, so that one crash or one
 # crowd does not move all of it.
-_HOMES = 2
+_CACHE_SERVERS = 2
 # What may keep a call from all servers, the reason that passes first in front.
-_MOST_PASSING = (
+_OBSTACLES_BY_DURATION = (
     Obstacle.COLD,
     Obstacle.LIMITED,
     Obstacle.BACKOFF,
@@ -56,7 +56,7 @@
     Obstacle.EVACUATED,
     Obstacle.REGION,
 )
-_NONE = Obstacle.UNLISTED
+_DEFAULT_OBSTACLE = Obstacle.UNLISTED
 
 
 @dataclass(frozen=True, slots=True)
@@ -115,33 +115,33 @@
     newest, which cost this call `old_cost`.
     """
 
-    homes: frozenset[str] = frozenset()
+    cache_servers: frozenset[str] = frozenset()
     older: frozenset[str] = frozenset()
-    old_cost: Millis = 0.0
+    old_weights_cost: Millis = 0.0
 
 
 def choose_backend(
-    demand: CallDemand, book: BackendRegistry, now: Millis
+    demand: CallDemand, registry: BackendRegistry, now: Millis
 ) -> Choice | None:
     """Return the server with the least expected time to the first byte."""
-    return choose_among(demand, book.list_service(demand.service, now), now)
+    return choose_among(demand, registry.list_service(demand.service, now), now)
 
 
 def choose_among(
     demand: CallDemand, backends: Iterable[Backend], now: Millis
 ) -> Choice | None:
     """Return the best of some servers, None where none may be used."""
-    closed = demand.excluded | demand.blocked.keys()
+    unavailable = demand.excluded | demand.blocked.keys()
     listed = [
         backend
         for backend in backends
-        if not (closed and backend.record.start in closed)
+        if not (unavailable and backend.record.start in unavailable)
         and not _is_outdated(demand, backend)
     ]
-    good = [each for each in listed if is_usable(each, now)] or listed
+    responsive = [each for each in listed if is_usable(each, now)] or listed
     usable = [
-        each for each in good if each.record.server not in demand.loading
-    ] or good
+        each for each in responsive if each.record.server not in demand.loading
+    ] or responsive
     if not usable:
         return None
     terms = _find_terms(demand, usable)
@@ -152,11 +152,11 @@
         best,
         score=score,
         candidates=len(usable),
-        expected=_expect(demand, best, now),
+        expected=_estimate_first_byte(demand, best, now),
         delay=best.find_delay(demand.rank, now),
         waiting=best.count_waiting(now),
-        fill=_find_fill(demand, best, mean, now),
-        size=_find_size(demand, mean),
+        fill=_estimate_memory_use(demand, best, mean, now),
+        size=_find_relative_size(demand, mean),
         is_loading=_is_loading(demand, best, now),
     )
 
@@ -169,7 +169,10 @@
         else demand.blocked.get(backend.record.start, Obstacle.UNLISTED)
         for backend in backends
     }
-    return next((each for each in _MOST_PASSING if each in found), _NONE)
+    return next(
+        (each for each in _OBSTACLES_BY_DURATION if each in found),
+        _DEFAULT_OBSTACLE,
+    )
 
 
 def is_usable(backend: Backend, now: Millis) -> bool:
@@ -191,7 +194,7 @@
     return backend.record.versions.get(demand.model.model) in demand.outdated
 
 
-def _find_fill(
+def _estimate_memory_use(
     demand: CallDemand, chosen: Backend, mean: float, now: Millis
 ) -> float:
     """Guess how full an engine is from the mix that this entry sends."""
@@ -200,7 +203,7 @@
     return chosen.count_present(now) * mean / demand.memory_tokens
 
 
-def _find_size(demand: CallDemand, mean: float) -> float:
+def _find_relative_size(demand: CallDemand, mean: float) -> float:
     if demand.model is None or not mean:
         return 1.0
     return demand.model.memory_tokens / mean
@@ -213,15 +216,17 @@
     return sum(backend.running_tokens for backend in usable) / running
 
 
-def _expect(demand: CallDemand, backend: Backend, now: Millis) -> Millis:
+def _estimate_first_byte(
+    demand: CallDemand, backend: Backend, now: Millis
+) -> Millis:
     """Return the expected time to the first byte of a model's answer."""
     if demand.model is None:
         return 0.0
     fetched, missing = _split_prompt(demand, demand.model, backend)
     estimate_time = backend.reading.estimate_time
-    owed = estimate_time(backend.count_owed_tokens(demand.rank))
-    delay = max(backend.find_delay(demand.rank, now), owed)
-    return delay + estimate_time(missing) + fetched / _FETCH_RATE
+    owed_time = estimate_time(backend.count_owed_tokens(demand.rank))
+    delay = max(backend.find_delay(demand.rank, now), owed_time)
+    return delay + estimate_time(missing) + fetched / _FETCH_TOKENS_PER_MS
 
 
 def _score(
@@ -235,17 +240,17 @@
         score += _DISTANCE_COST
     if demand.model is None:
         return score + _score_plain(backend)
-    score += _expect(demand, backend, now)
+    score += _estimate_first_byte(demand, backend, now)
     score += _score_engine(demand, demand.model, backend, terms, now)
     return score + _score_weights(demand, demand.model, backend, terms)
 
 
 def _score_plain(backend: Backend) -> Millis:
-    told = backend.load
+    load = backend.load
     busy = backend.running
-    if told is not None:
-        busy = max(busy, told.running + told.waiting)
-    return busy * _PLAIN_COST
+    if load is not None:
+        busy = max(busy, load.running + load.waiting)
+    return busy * _PLAIN_REQUEST_COST
 
 
 def _score_engine(
@@ -259,9 +264,9 @@
     score = backend.running * _find_run_cost(backend)
     score += backend.count_waiting(now) * _WAITING_COST
     is_fetchable = version is not None and demand.fetchable.get(version, 0)
-    if backend.record.server not in terms.homes and not is_fetchable:
+    if backend.record.server not in terms.cache_servers and not is_fetchable:
         shared = backend.reading.estimate_time(_find_shared_tokens(model))
-        score += shared / _HOMES
+        score += shared / _CACHE_SERVERS
     return score
 
 
@@ -272,8 +277,8 @@
     if server not in terms.older:
         return 0.0
     if server in demand.draining:
-        return terms.old_cost + model.output_tokens * _DRAIN_COST
-    return terms.old_cost
+        return terms.old_weights_cost + model.output_tokens * _DRAIN_COST
+    return terms.old_weights_cost
 
 
 def _find_terms(demand: CallDemand, usable: Sequence[Backend]) -> _Terms:
@@ -283,9 +288,11 @@
     older = _find_older(demand, demand.model, usable)
     share = 1 - len(older) / len(usable)
     return _Terms(
-        homes=_find_homes(demand.model, usable),
+        cache_servers=_find_cache_servers(demand.model, usable),
         older=older,
-        old_cost=_OLD_WEIGHTS_COST if demand.random_value < share else 0.0,
+        old_weights_cost=_OLD_WEIGHTS_COST
+        if demand.random_value < share
+        else 0.0,
     )
 
 
@@ -305,7 +312,7 @@
 
 def _find_run_cost(backend: Backend) -> Millis:
     slots = backend.record.slots
-    return max(_BATCH_COST / slots, _RUN_COST) if slots else _RUN_COST
+    return max(_FULL_BATCH_COST / slots, _RUN_COST) if slots else _RUN_COST
 
 
 def _split_prompt(
@@ -330,15 +337,15 @@
     return sum(part.tokens for part in model.parts[:-1])
 
 
-def _find_homes(
+def _find_cache_servers(
     model: ModelDemand, usable: Iterable[Backend]
 ) -> frozenset[str]:
     """Return where every entry would look for the shared context first."""
-    if len(model.parts) < _HOMES:
+    if len(model.parts) < _CACHE_SERVERS:
         return frozenset()
     shared = model.parts[-2].name
     first = nsmallest(
-        _HOMES,
+        _CACHE_SERVERS,
         (each.record.server for each in usable),
         key=lambda server: find_rank(shared, server),
     )
--- a/src/oleanderdyke/kernel/prediction.py
+++ b/src/oleanderdyke/kernel/prediction.py
@@ -10,32 +10,32 @@
 
 _HISTORY = 15 * SECOND
 _SMOOTHING = 0.1
-_FIRST_HOLD: Millis = 500.0
-_FIRST_SHORT_SHARE = 0.3
+_INITIAL_HOLD_TIME: Millis = 500.0
+_INITIAL_SHORT_SHARE = 0.3
 _LONG_TOKENS = 8_000.0
 
 
 @dataclass(slots=True)
-class Work:
+class Dispatched:
     """Describe what one dispatched request still asks of its agent."""
 
     agent: str
     tokens: float
-    sent: Millis
+    sent_at: Millis
     short: bool
-    first_token: Millis | None = None
+    first_token_at: Millis | None = None
 
 
 @dataclass(slots=True)
-class _Ledger:
+class _AgentBacklog:
     """Keep one agent's dispatches that its reports may not show yet."""
 
     tokens: float = 0.0
     short_tokens: float = 0.0
     waiting: int = 0
     running: int = 0
-    progressed: Millis = 0.0
-    past: deque[Work] = field(default_factory=deque)
+    progressed_at: Millis = 0.0
+    history: deque[Dispatched] = field(default_factory=deque)
     beat: int = -1
     incarnation: str = ''
     others_tokens: float = 0.0
@@ -52,10 +52,10 @@
     def __init__(self, lag: Millis, default_rate: float) -> None:
         self._lag = lag
         self._default_rate = default_rate
-        self._works: dict[str, Work] = {}
-        self._ledgers: dict[str, _Ledger] = {}
-        self._hold = _FIRST_HOLD
-        self._short_share = _FIRST_SHORT_SHARE
+        self._dispatches: dict[str, Dispatched] = {}
+        self._backlogs: dict[str, _AgentBacklog] = {}
+        self._hold_time = _INITIAL_HOLD_TIME
+        self._short_share = _INITIAL_SHORT_SHARE
 
     def note_sent(
         self,
@@ -71,55 +71,55 @@
         A short one goes ahead of those that are not.
         """
         self.note_finished(request, now)
-        ledger = self._ledgers.setdefault(agent, _Ledger())
-        work = Work(agent, tokens, now, short)
-        self._learn_share(work)
-        self._works[request] = work
-        if not ledger.waiting:
-            ledger.progressed = now
-        ledger.tokens += tokens
-        ledger.short_tokens += tokens if short else 0.0
-        ledger.waiting += 1
-        ledger.past.append(work)
+        backlog = self._backlogs.setdefault(agent, _AgentBacklog())
+        dispatch = Dispatched(agent, tokens, now, short)
+        self._update_short_share(dispatch)
+        self._dispatches[request] = dispatch
+        if not backlog.waiting:
+            backlog.progressed_at = now
+        backlog.tokens += tokens
+        backlog.short_tokens += tokens if short else 0.0
+        backlog.waiting += 1
+        backlog.history.append(dispatch)
 
     def note_first_token(self, request: str, now: Millis) -> None:
         """Count a dispatch's prefill as done."""
-        work = self._works.get(request)
-        if work is None or work.first_token is not None:
+        dispatch = self._dispatches.get(request)
+        if dispatch is None or dispatch.first_token_at is not None:
             return
-        work.first_token = now
-        ledger = self._ledgers[work.agent]
-        ledger.tokens = max(0.0, ledger.tokens - work.tokens)
-        if work.short:
-            left = ledger.short_tokens - work.tokens
-            ledger.short_tokens = max(0.0, left)
-        ledger.waiting -= 1
-        ledger.running += 1
-        ledger.progressed = now
+        dispatch.first_token_at = now
+        backlog = self._backlogs[dispatch.agent]
+        backlog.tokens = max(0.0, backlog.tokens - dispatch.tokens)
+        if dispatch.short:
+            left = backlog.short_tokens - dispatch.tokens
+            backlog.short_tokens = max(0.0, left)
+        backlog.waiting -= 1
+        backlog.running += 1
+        backlog.progressed_at = now
 
     def note_finished(self, request: str, now: Millis) -> None:
         """Forget a dispatch."""
-        work = self._works.get(request)
-        if work is None:
+        dispatch = self._dispatches.get(request)
+        if dispatch is None:
             return
         self.note_first_token(request, now)
-        del self._works[request]
-        self._ledgers[work.agent].running -= 1
-        held = now - (work.first_token or now)
-        self._hold += _SMOOTHING * (held - self._hold)
+        del self._dispatches[request]
+        self._backlogs[dispatch.agent].running -= 1
+        held = now - (dispatch.first_token_at or now)
+        self._hold_time += _SMOOTHING * (held - self._hold_time)
 
     def count_outstanding(self, agent: str) -> int:
         """Count own requests that an agent has not finished."""
-        ledger = self._ledgers.get(agent)
-        return ledger.waiting + ledger.running if ledger else 0
+        backlog = self._backlogs.get(agent)
+        return backlog.waiting + backlog.running if backlog else 0
 
     def estimate_tokens(self, replica: Replica, now: Millis) -> float:
         """Estimate the tokens that wait for prefill at a replica."""
-        ledger = self._ledgers.get(replica.agent)
-        if ledger is None:
+        backlog = self._backlogs.get(replica.agent)
+        if backlog is None:
             return float(replica.load.waiting_tokens)
-        self._read_report(ledger, replica, now)
-        return self._count_own(ledger, replica, now) + ledger.others_tokens
+        self._apply_report(backlog, replica, now)
+        return self._count_own(backlog, replica, now) + backlog.others_tokens
 
     def estimate_wait(self, replica: Replica, now: Millis) -> Millis:
         """Estimate how long a new request waits for its prefill."""
@@ -127,18 +127,18 @@
         prefill = tokens * SECOND / self.find_rate(replica)
         return prefill + self._estimate_slot_wait(replica)
 
-    def estimate_short(self, replica: Replica, now: Millis) -> float:
+    def estimate_short_tokens(self, replica: Replica, now: Millis) -> float:
         """Estimate the tokens of short requests that wait for prefill."""
-        ledger = self._ledgers.get(replica.agent)
-        if ledger is None:
+        backlog = self._backlogs.get(replica.agent)
+        if backlog is None:
             return replica.load.waiting_tokens * self._short_share
-        self._read_report(ledger, replica, now)
-        others = ledger.others_tokens * self._short_share
-        return others + ledger.short_tokens
+        self._apply_report(backlog, replica, now)
+        others = backlog.others_tokens * self._short_share
+        return others + backlog.short_tokens
 
     def estimate_short_wait(self, replica: Replica, now: Millis) -> Millis:
         """Estimate how long a new short request waits for its prefill."""
-        tokens = self.estimate_short(replica, now)
+        tokens = self.estimate_short_tokens(replica, now)
         prefill = tokens * SECOND / self.find_rate(replica)
         return prefill + self._estimate_slot_wait(replica)
 
@@ -151,60 +151,60 @@
         if not slots:
             return 0.0
         excess = self.count_requests(replica) + 1 - slots
-        return max(0.0, excess * self._hold / slots)
+        return max(0.0, excess * self._hold_time / slots)
 
     def count_requests(self, replica: Replica) -> int:
         """Estimate the requests at a replica."""
-        ledger = self._ledgers.get(replica.agent)
-        if ledger is None:
+        backlog = self._backlogs.get(replica.agent)
+        if backlog is None:
             return replica.load.running + replica.load.waiting
-        return ledger.waiting + ledger.running + ledger.others_requests
+        return backlog.waiting + backlog.running + backlog.others_requests
 
-    def _learn_share(self, work: Work) -> None:
+    def _update_short_share(self, dispatch: Dispatched) -> None:
         """Learn the short share of all tokens, weighing long ones fully."""
-        weight = min(1.0, _SMOOTHING * work.tokens / _LONG_TOKENS)
-        target = 1.0 if work.short else 0.0
+        weight = min(1.0, _SMOOTHING * dispatch.tokens / _LONG_TOKENS)
+        target = 1.0 if dispatch.short else 0.0
         self._short_share += weight * (target - self._short_share)
 
     def _count_own(
-        self, ledger: _Ledger, replica: Replica, now: Millis
+        self, backlog: _AgentBacklog, replica: Replica, now: Millis
     ) -> float:
-        if not ledger.waiting:
+        if not backlog.waiting:
             return 0.0
-        done = (now - ledger.progressed) * self.find_rate(replica) / SECOND
-        head = ledger.tokens / ledger.waiting
-        return ledger.tokens - min(done, head)
+        done = (now - backlog.progressed_at) * self.find_rate(replica) / SECOND
+        head = backlog.tokens / backlog.waiting
+        return backlog.tokens - min(done, head)
 
-    def _read_report(
-        self, ledger: _Ledger, replica: Replica, now: Millis
+    def _apply_report(
+        self, backlog: _AgentBacklog, replica: Replica, now: Millis
     ) -> None:
-        if replica.incarnation != ledger.incarnation:
-            ledger.incarnation = replica.incarnation
-            ledger.beat = -1
-        if replica.beat == ledger.beat:
+        if replica.incarnation != backlog.incarnation:
+            backlog.incarnation = replica.incarnation
+            backlog.beat = -1
+        if replica.beat == backlog.beat:
             return
-        ledger.beat = replica.beat
+        backlog.beat = replica.beat
         moment = replica.heard - self._lag
-        _forget_past(ledger, now - _HISTORY)
-        tokens, requests = _count_at(ledger, moment)
+        _trim_history(backlog, now - _HISTORY)
+        tokens, requests = _count_at(backlog, moment)
         load = replica.load
-        ledger.others_tokens = max(0.0, load.waiting_tokens - tokens)
+        backlog.others_tokens = max(0.0, load.waiting_tokens - tokens)
         seen = load.running + load.waiting
-        ledger.others_requests = max(0, seen - requests)
+        backlog.others_requests = max(0, seen - requests)
 
 
-def _forget_past(ledger: _Ledger, before: Millis) -> None:
-    while ledger.past and ledger.past[0].sent < before:
-        ledger.past.popleft()
+def _trim_history(backlog: _AgentBacklog, before: Millis) -> None:
+    while backlog.history and backlog.history[0].sent_at < before:
+        backlog.history.popleft()
 
 
-def _count_at(ledger: _Ledger, moment: Millis) -> tuple[float, int]:
+def _count_at(backlog: _AgentBacklog, moment: Millis) -> tuple[float, int]:
     tokens = 0.0
     requests = 0
-    for work in ledger.past:
-        if work.sent > moment:
+    for dispatch in backlog.history:
+        if dispatch.sent_at > moment:
             break
-        if work.first_token is None or work.first_token > moment:
-            tokens += work.tokens
+        if dispatch.first_token_at is None or dispatch.first_token_at > moment:
+            tokens += dispatch.tokens
             requests += 1
-    return tokens, requests + ledger.running
+    return tokens, requests + backlog.running
--- a/src/oleanderdyke/kernel/ranks.py
+++ b/src/oleanderdyke/kernel/ranks.py
@@ -7,12 +7,12 @@
 from functools import lru_cache
 
 _DIGEST_BYTES = 8
-_RANKS = 256.0**_DIGEST_BYTES
+_RANK_COUNT = 256.0**_DIGEST_BYTES
 # Bounds the memory for ranks of shared parts of prompts at each engine.
-_REMEMBERED = 8_192
+_CACHE_SIZE = 8_192
 
 
-@lru_cache(_REMEMBERED)
+@lru_cache(_CACHE_SIZE)
 def find_rank(subject: str, name: str) -> int:
     """Return the rank of a name for a subject; lower ones go first."""
     text = f'{subject}/{name}'.encode()
@@ -20,9 +20,9 @@
     return int.from_bytes(digest, 'big')
 
 
-def find_spread(subject: str, name: str) -> float:
+def find_fraction(subject: str, name: str) -> float:
     """Return a number from 0 to 1, spread evenly over names."""
-    return find_rank(subject, name) / _RANKS
+    return find_rank(subject, name) / _RANK_COUNT
 
 
 def count_ahead(
--- a/src/oleanderdyke/kernel/rate_limits.py
+++ b/src/oleanderdyke/kernel/rate_limits.py
@@ -13,23 +13,23 @@
 from dataclasses import dataclass
 
 from oleanderdyke.clock import SECOND, Millis
-from oleanderdyke.kernel.ranks import count_ahead, find_spread
+from oleanderdyke.kernel.ranks import count_ahead, find_fraction
 
 # So many entries have a share, or as many as there are requests in a second.
 # Where all send at once, the server gets so many more than the rate allows.
-_LEAST_SENDERS = 4
+_MIN_SENDERS = 4
 # The part of the rate that is left to all other entries.
 _PROBE_SHARE = 0.2
 # A server that accepts nothing is asked so often, in requests a second,
 # whether it does again.
-_LEAST_RATE = 0.1
+_MIN_RATE = 0.1
 # Answers may overtake each other. One without a limit doesn't end a limit that
 # another named so shortly before.
 _REORDERING: Millis = 250.0
 
 
 @dataclass(frozen=True, slots=True)
-class Entries:
+class EntryCounts:
     """Entries among which a rate is shared.
 
     `count` is how many may be alive, of which some are `known` by name;
@@ -52,48 +52,53 @@
 
     per_second: float = math.inf
     since: Millis = -math.inf
-    _named_at: Millis = -math.inf
-    _told_at: Millis = -math.inf
+    _limited_at: Millis = -math.inf
+    _reported_at: Millis = -math.inf
 
     @property
-    def is_named(self) -> bool:
+    def is_set(self) -> bool:
         """Return whether the server names a limit."""
         return self.per_second < math.inf
 
     @property
     def was_ever_set(self) -> bool:
         """Return whether the server has ever named a limit."""
-        return self._named_at > -math.inf
+        return self._limited_at > -math.inf
 
-    def update(self, per_second: float, told_at: Millis, now: Millis) -> bool:
+    def update(
+        self, per_second: float, reported_at: Millis, now: Millis
+    ) -> bool:
         """Take what an answer named at a moment; return whether it is new.
 
         A neighbour may have been told earlier than now.
         """
-        if told_at < self._told_at:
+        if reported_at < self._reported_at:
             return False
-        self._told_at = told_at
-        if math.isinf(per_second) and told_at - self._named_at < _REORDERING:
+        self._reported_at = reported_at
+        if (
+            math.isinf(per_second)
+            and reported_at - self._limited_at < _REORDERING
+        ):
             return False
         if per_second < math.inf:
-            self._named_at = told_at
+            self._limited_at = reported_at
         if per_second == self.per_second:
             return False
-        if not self.is_named:
+        if not self.is_set:
             self.since = now
         self.per_second = per_second
         return True
 
 
 def find_interval(
-    rate: float, server: str, *, entry: str, entries: Entries
+    rate: float, server: str, *, entry: str, entries: EntryCounts
 ) -> Millis:
     """Return the least time between two requests of an entry to a server.
 
     Infinity while it isn't known how many entries may be alive.
     """
-    rate = max(rate, _LEAST_RATE)
-    senders = max(_LEAST_SENDERS, math.floor(rate))
+    rate = max(rate, _MIN_RATE)
+    senders = max(_MIN_SENDERS, math.floor(rate))
     if entries.sharing <= senders:
         return SECOND * entries.sharing / rate
     ahead = count_ahead(
@@ -102,5 +107,5 @@
     if ahead < senders:
         return SECOND * senders / (rate * (1 - _PROBE_SHARE))
     # Entries that learn of a limit together don't probe together.
-    spread = 0.5 + find_spread(server, entry)
+    spread = 0.5 + find_fraction(server, entry)
     return SECOND * entries.count / (rate * _PROBE_SHARE) * spread
--- a/src/oleanderdyke/kernel/returns.py
+++ b/src/oleanderdyke/kernel/removed_servers.py
@@ -11,10 +11,10 @@
 # written before its entry was removed may come after that, and is removed in
 # turn after three heartbeats of 1.2 s; the removal is read 1.4 s later at most.
 # So an entry that stays for longer is that of a server which lives.
-_PROOF: Millis = 5.5 * SECOND
+_CONFIRMATION_TIME: Millis = 5.5 * SECOND
 # The platform promises that a server whose entry lapsed while the store was
 # away is back within about two seconds.
-_LAPSE: Millis = 2 * SECOND
+_LAPSE_TIME: Millis = 2 * SECOND
 # A gap between readings of the list from which on entries may have lapsed.
 _READ_GAP: Millis = 1_500.0
 
@@ -27,7 +27,7 @@
     since: Millis
 
 
-class ReturningServers:
+class RemovedServers:
     """Keep servers whose entries were removed until they are surely back."""
 
     def __init__(self) -> None:
@@ -42,12 +42,12 @@
         """
         last = self._read_at
         if last is not None and read_at - last > _READ_GAP:
-            self._lapse_until = now + _LAPSE
+            self._lapse_until = now + _LAPSE_TIME
         self._read_at = read_at if last is None else max(read_at, last)
 
     def record_restore(self, now: Millis) -> None:
         """Learn that the list comes from a copy and may lack live servers."""
-        self._lapse_until = now + _LAPSE
+        self._lapse_until = now + _LAPSE_TIME
 
     def is_lapsing(self, now: Millis) -> bool:
         """Return whether entries may lack only because the store was away."""
@@ -66,7 +66,7 @@
         """Return whether a server's entry is gone and it isn't surely back."""
         return server in self._removed
 
-    def holds_back(self, record: ServerRecord, now: Millis) -> bool:
+    def should_hold(self, record: ServerRecord, now: Millis) -> bool:
         """Return whether a record may be older than the end of its entry.
 
         A second, later one proves that the server lives.
@@ -81,13 +81,13 @@
             self._removed[record.server] = _Candidate(record, now)
         return True
 
-    def take_proven(self, now: Millis) -> list[ServerRecord]:
+    def take_confirmed(self, now: Millis) -> list[ServerRecord]:
         """Return records that have stayed for so long that they are true."""
-        proven = [
+        confirmed = [
             found.record
             for found in self._removed.values()
-            if found is not None and now - found.since > _PROOF
+            if found is not None and now - found.since > _CONFIRMATION_TIME
         ]
-        for record in proven:
+        for record in confirmed:
             del self._removed[record.server]
-        return proven
+        return confirmed
--- a/src/oleanderdyke/kernel/routing.py
+++ b/src/oleanderdyke/kernel/routing.py
@@ -67,51 +67,54 @@
     cost: float
 
 
-def plan_prefill(costs: Costs, standing: ReplicaEstimate) -> PrefillPlan:
+def plan_prefill(costs: Costs, estimate: ReplicaEstimate) -> PrefillPlan:
     """Return the cheapest mix of fetching and recomputing."""
     return min(
-        (_weigh(costs, standing, count) for count in _counts(costs, standing)),
-        key=_get_cost,
+        (
+            _plan(costs, estimate, count)
+            for count in _list_fetch_counts(costs, estimate)
+        ),
+        key=_get_plan_cost,
     )
 
 
-def _get_cost(source: PrefillPlan) -> float:
-    return source.cost
+def _get_plan_cost(plan: PrefillPlan) -> float:
+    return plan.cost
 
 
-def _counts(costs: Costs, standing: ReplicaEstimate) -> Iterator[int]:
+def _list_fetch_counts(
+    costs: Costs, estimate: ReplicaEstimate
+) -> Iterator[int]:
     yield 0
-    if not standing.covered or standing.link is None:
+    if not estimate.covered or estimate.link is None:
         return
-    yield standing.covered
-    fitting = _count_fitting(costs, standing, standing.link)
-    if 0 < fitting < standing.covered:
+    yield estimate.covered
+    fitting = _count_fitting(costs, estimate, estimate.link)
+    if 0 < fitting < estimate.covered:
         yield fitting
 
 
 def _count_fitting(
-    costs: Costs, standing: ReplicaEstimate, link: LinkView
+    costs: Costs, estimate: ReplicaEstimate, link: LinkView
 ) -> int:
     """Count the segments that arrive while the request waits anyway."""
-    idle = max(standing.wait, standing.ready) - link.latency
+    idle = max(estimate.wait, estimate.ready) - link.latency
     carried = idle * link.bytes_per_second / SECOND - link.backlog_bytes
     return int(carried // (SEGMENT_TOKENS * costs.kv_bytes_per_token))
 
 
-def _weigh(
-    costs: Costs, standing: ReplicaEstimate, fetched: int
-) -> PrefillPlan:
-    present = (standing.cached + fetched) * SEGMENT_TOKENS
-    rest = max(0, standing.tokens - present)
+def _plan(costs: Costs, estimate: ReplicaEstimate, fetched: int) -> PrefillPlan:
+    present = (estimate.cached + fetched) * SEGMENT_TOKENS
+    rest = max(0, estimate.tokens - present)
     short = rest <= costs.short_tokens
-    wait = standing.short_wait if short else standing.wait
-    start = max(wait, standing.ready)
+    wait = estimate.short_wait if short else estimate.wait
+    start = max(wait, estimate.ready)
     link_bytes = fetched * SEGMENT_TOKENS * costs.kv_bytes_per_token
-    if fetched and standing.link is not None:
-        start = max(start, estimate_fetch(standing.link, link_bytes))
-    time = standing.latency + start
-    time += rest * SECOND / standing.tokens_per_second
-    cost = weigh(costs, time=time, tokens=rest, link_bytes=link_bytes)
+    if fetched and estimate.link is not None:
+        start = max(start, estimate_fetch(estimate.link, link_bytes))
+    time = estimate.latency + start
+    time += rest * SECOND / estimate.tokens_per_second
+    cost = compute_cost(costs, time=time, tokens=rest, link_bytes=link_bytes)
     return PrefillPlan(fetched, rest, time, cost)
 
 
@@ -126,7 +129,7 @@
     return link.latency + queued * SECOND / link.bytes_per_second
 
 
-def weigh(
+def compute_cost(
     costs: Costs, *, time: Millis, tokens: float, link_bytes: float
 ) -> float:
     """Return the weighted cost of one request."""
@@ -154,6 +157,8 @@
     link_bytes = missing_tokens * costs.kv_bytes_per_token
     fetch = link_bytes * SECOND / max(1.0, bytes_per_second)
     recompute = wait + missing_tokens * SECOND / tokens_per_second
-    keep = weigh(costs, time=fetch, tokens=0, link_bytes=link_bytes)
-    drop = weigh(costs, time=recompute, tokens=missing_tokens, link_bytes=0)
+    keep = compute_cost(costs, time=fetch, tokens=0, link_bytes=link_bytes)
+    drop = compute_cost(
+        costs, time=recompute, tokens=missing_tokens, link_bytes=0
+    )
     return drop < keep
--- a/src/oleanderdyke/kernel/send_limits.py
+++ b/src/oleanderdyke/kernel/send_limits.py
@@ -17,7 +17,7 @@
 from oleanderdyke.kernel.cold_starts import ColdLimit
 from oleanderdyke.kernel.cold_starts import find_interval as find_cold_interval
 from oleanderdyke.kernel.evacuations import Evacuations
-from oleanderdyke.kernel.rate_limits import Entries
+from oleanderdyke.kernel.rate_limits import EntryCounts
 from oleanderdyke.kernel.rate_limits import (
     find_interval as find_limited_interval,
 )
@@ -64,7 +64,7 @@
     cold_limits: Mapping[str, ColdLimit] = field(default_factory=dict)
 
     def find_blocked(
-        self, backends: Iterable[Backend], homes: Collection[str], now: Millis
+        self, backends: Iterable[Backend], allowed: Collection[str], now: Millis
     ) -> dict[ServerStart, Obstacle]:
         """Return the servers that must not get a request now, and why.
 
@@ -72,25 +72,25 @@
         """
         found = {}
         for backend in backends:
-            obstacle = self.find_obstacle(backend, homes, now)
+            obstacle = self.find_obstacle(backend, allowed, now)
             if obstacle is not None:
                 found[backend.record.start] = obstacle
         return found
 
     def find_obstacle(
-        self, backend: Backend, homes: Collection[str], now: Millis
+        self, backend: Backend, allowed: Collection[str], now: Millis
     ) -> Obstacle | None:
         """Return why a server must not get a request now, if it must not."""
         data_centre = backend.record.data_centre
         if data_centre in self.evacuations.active:
             return Obstacle.EVACUATED
-        if not self.is_in_regions(data_centre, homes):
+        if not self.is_in_regions(data_centre, allowed):
             return Obstacle.REGION
-        if self._is_used_up(backend, now):
+        if self._is_cold_share_used(backend, now):
             return Obstacle.COLD
         if backend.backoff_until > now:
             return Obstacle.BACKOFF
-        if backend.limit.is_named and self._find_turn(backend, now) > now:
+        if backend.limit.is_set and self._find_send_time(backend, now) > now:
             return Obstacle.LIMITED
         return None
 
@@ -103,7 +103,7 @@
         if backend.backoff_until > now:
             return Obstacle.BACKOFF
         # Whoever chose it did not know that others chose it too.
-        if backend.limit.is_named and backend.limit.since >= chosen_at:
+        if backend.limit.is_set and backend.limit.since >= chosen_at:
             return Obstacle.LIMITED
         return None
 
@@ -112,23 +112,23 @@
     ) -> Millis:
         """Return when the first of some servers accepts a request again."""
         return min(
-            (self._find_turn(backend, now) for backend in backends),
+            (self._find_send_time(backend, now) for backend in backends),
             default=now,
         )
 
-    def is_in_regions(self, data_centre: str, homes: Collection[str]) -> bool:
+    def is_in_regions(self, data_centre: str, allowed: Collection[str]) -> bool:
         """Return whether a data centre lies in one of some regions.
 
         One whose region is not known lies in none.
         """
-        return not homes or self.regions.get(data_centre) in homes
+        return not allowed or self.regions.get(data_centre) in allowed
 
-    def list_data_centres(self, homes: Collection[str]) -> frozenset[str]:
+    def list_data_centres(self, allowed: Collection[str]) -> frozenset[str]:
         """Return the data centres that lie in some regions."""
         return frozenset(
             data_centre
             for data_centre, region in self.regions.items()
-            if region in homes
+            if region in allowed
         )
 
     def is_cold(self, backend: Backend, now: Millis) -> bool:
@@ -146,25 +146,25 @@
         """Record that a request is sent to a server, or is about to be."""
         backend.sent_at = now
 
-    def _find_turn(self, backend: Backend, now: Millis) -> Millis:
+    def _find_send_time(self, backend: Backend, now: Millis) -> Millis:
         """Return when a server accepts the next request of this entry."""
         limit = backend.limit
-        if not limit.is_named:
+        if not limit.is_set:
             return backend.backoff_until
         interval = find_limited_interval(
             limit.per_second,
             backend.record.server,
             entry=self.entry,
-            entries=Entries(
+            entries=EntryCounts(
                 known=self.entries.list_known(),
                 count=self.entries.count(now),
                 sharing=self.entries.count_sharing(now),
             ),
         )
-        turn = max(limit.since, backend.sent_at) + interval
-        return max(turn, backend.backoff_until)
+        send_time = max(limit.since, backend.sent_at) + interval
+        return max(send_time, backend.backoff_until)
 
-    def _is_used_up(self, backend: Backend, now: Millis) -> bool:
+    def _is_cold_share_used(self, backend: Backend, now: Millis) -> bool:
         """Return whether this entry's share of a cold server is used up."""
         limit = self.cold_limits.get(backend.record.service)
         if limit is None or not self.is_cold(backend, now):
--- a/src/oleanderdyke/policies/admission.py
+++ b/src/oleanderdyke/policies/admission.py
@@ -32,7 +32,7 @@
 _JITTER = 0.5
 
 
-class _Class(enum.IntEnum):
+class _RequestClass(enum.IntEnum):
     """Order requests: little work first, background last."""
 
     SHORT = 0
@@ -41,11 +41,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Held:
+class _Classified:
     """Pair a request with its class and the work that it asks for."""
 
     demand: Demand
-    kind: _Class
+    kind: _RequestClass
     missing: int
 
     @property
@@ -55,7 +55,7 @@
 
 
 def _make_queues() -> tuple[FairQueue, ...]:
-    return tuple(FairQueue() for _ in _Class)
+    return tuple(FairQueue() for _ in _RequestClass)
 
 
 @dataclass(slots=True)
@@ -65,17 +65,21 @@
     capacity: ServiceCapacity
     queues: tuple[FairQueue, ...] = field(default_factory=_make_queues)
     mean_cost: float = 1.0
-    returning: Millis = 0.0
+    return_at: Millis = 0.0
 
-    def has_ahead(self, kind: _Class) -> bool:
+    def has_waiting(self, kind: _RequestClass) -> bool:
         """Return whether anybody waits who goes first."""
         return any(self.queues[: kind + 1])
 
-    def count_ahead(self, held: _Held, weight: float) -> float:
+    def estimate_work_ahead(
+        self, classified: _Classified, weight: float
+    ) -> float:
         """Estimate the work that is done before a new request ends."""
-        queue = self.queues[held.kind]
-        ahead = queue.estimate_ahead(held.demand.team, held.cost, weight)
-        return ahead + sum(each.cost for each in self.queues[: held.kind])
+        queue = self.queues[classified.kind]
+        ahead = queue.estimate_ahead(
+            classified.demand.team, classified.cost, weight
+        )
+        return ahead + sum(each.cost for each in self.queues[: classified.kind])
 
 
 class FairAdmission:
@@ -86,9 +90,9 @@
         self._find_terms = find_terms
         self._limits = TeamLimits(find_terms)
         self._services: dict[str, _Service] = {}
-        self._waiting: dict[str, tuple[_Held, Waiting]] = {}
+        self._waiting: dict[str, tuple[_Classified, Waiting]] = {}
         self._running: dict[str, Demand] = {}
-        self._latest: list[tuple[Millis, str]] = []
+        self._start_deadlines: list[tuple[Millis, str]] = []
 
     def admit(
         self, demand: Demand, fleet: Fleet, now: Millis
@@ -99,16 +103,20 @@
             return limited
         service = self._find_service(demand.service)
         service.capacity.refresh(demand.service, fleet, now)
-        held = self._classify(demand, fleet)
-        service.mean_cost += _MEAN_SMOOTHING * (held.cost - service.mean_cost)
-        if service.has_ahead(held.kind) or not self._has_room(
-            service, held.kind
+        classified = self._classify(demand, fleet)
+        service.mean_cost += _MEAN_SMOOTHING * (
+            classified.cost - service.mean_cost
+        )
+        if service.has_waiting(classified.kind) or not self._has_room(
+            service, classified.kind
         ):
-            return self._refuse_or_queue(service, held, now)
+            return self._refuse_or_queue(service, classified, now)
         self._limits.note_started(demand, now)
-        self._run(service, held)
+        self._run(service, classified)
         weight = self._find_terms(demand.team).weight
-        service.queues[held.kind].charge(demand.team, held.cost, weight)
+        service.queues[classified.kind].charge(
+            demand.team, classified.cost, weight
+        )
         return _ADMITTED
 
     def release(
@@ -157,97 +165,111 @@
             self._services[name] = service
         return service
 
-    def _classify(self, demand: Demand, fleet: Fleet) -> _Held:
+    def _classify(self, demand: Demand, fleet: Fleet) -> _Classified:
         missing = estimate_missing(demand, fleet)
         if demand.background:
-            return _Held(demand, _Class.BACKGROUND, missing)
+            return _Classified(demand, _RequestClass.BACKGROUND, missing)
         short = missing <= self._settings.short_tokens
-        return _Held(demand, _Class.SHORT if short else _Class.LONG, missing)
+        return _Classified(
+            demand,
+            _RequestClass.SHORT if short else _RequestClass.LONG,
+            missing,
+        )
 
-    def _has_room(self, service: _Service, kind: _Class) -> bool:
+    def _has_room(self, service: _Service, kind: _RequestClass) -> bool:
         capacity = service.capacity
-        wait = capacity.estimate_wait(short=kind is _Class.SHORT)
+        wait = capacity.estimate_wait(short=kind is _RequestClass.SHORT)
         target = self._settings.queue_target
-        if kind is not _Class.BACKGROUND:
-            return wait <= target and capacity.estimate_use() < 1.0
+        if kind is not _RequestClass.BACKGROUND:
+            return wait <= target and capacity.estimate_utilization() < 1.0
         share = self._settings.background_running_share
-        return wait <= target / 2 and capacity.estimate_use() < share
+        return wait <= target / 2 and capacity.estimate_utilization() < share
 
-    def _run(self, service: _Service, held: _Held) -> None:
-        self._running[held.demand.request] = held.demand
+    def _run(self, service: _Service, classified: _Classified) -> None:
+        self._running[classified.demand.request] = classified.demand
         service.capacity.note_admitted(
-            held.missing, short=held.kind is _Class.SHORT
+            classified.missing, short=classified.kind is _RequestClass.SHORT
         )
 
     def _refuse_or_queue(
-        self, service: _Service, held: _Held, now: Millis
+        self, service: _Service, classified: _Classified, now: Millis
     ) -> Queued | Refusal:
-        demand = held.demand
+        demand = classified.demand
         if len(self._waiting) >= self._settings.queued_limit:
-            return self._refuse(service, held, now, 'queue is full')
+            return self._refuse(service, classified, now, 'queue is full')
         weight = self._find_terms(demand.team).weight
-        drain = service.capacity.estimate_drain(service.mean_cost)
-        wait = service.count_ahead(held, weight) / drain
-        latest = demand.deadline - service.capacity.time
+        throughput = service.capacity.estimate_throughput(service.mean_cost)
+        wait = service.estimate_work_ahead(classified, weight) / throughput
+        latest = demand.deadline - service.capacity.duration
         if now + wait > latest:
-            return self._refuse(service, held, now, 'would be late')
-        waiting = Waiting(demand, held.cost, now)
-        service.queues[held.kind].push(waiting, weight)
-        self._waiting[demand.request] = held, waiting
+            return self._refuse(service, classified, now, 'would be late')
+        waiting = Waiting(demand, classified.cost, now)
+        service.queues[classified.kind].push(waiting, weight)
+        self._waiting[demand.request] = classified, waiting
         self._limits.note_started(demand, now)
-        heapq.heappush(self._latest, (latest, demand.request))
+        heapq.heappush(self._start_deadlines, (latest, demand.request))
         return _QUEUED
 
     def _refuse(
-        self, service: _Service, held: _Held, now: Millis, reason: str
+        self,
+        service: _Service,
+        classified: _Classified,
+        now: Millis,
+        reason: str,
     ) -> Refusal:
         """Refuse, and reserve a later place for the caller's return.
 
         Those told to come back are spread so that they return no faster
         than the service works.
         """
-        drain = service.capacity.estimate_drain(service.mean_cost)
-        queued = sum(queue.cost for queue in service.queues[: held.kind + 1])
-        backlog = now + queued / drain
-        service.returning = max(service.returning, backlog) + held.cost / drain
+        throughput = service.capacity.estimate_throughput(service.mean_cost)
+        queued = sum(
+            queue.cost for queue in service.queues[: classified.kind + 1]
+        )
+        backlog = now + queued / throughput
+        service.return_at = (
+            max(service.return_at, backlog) + classified.cost / throughput
+        )
         ceiling = self._settings.retry_after_ceiling
-        after = min(ceiling, service.returning - now)
-        service.returning = min(service.returning, now + ceiling)
+        after = min(ceiling, service.return_at - now)
+        service.return_at = min(service.return_at, now + ceiling)
         after = max(self._settings.retry_after_floor, after)
-        after *= 1 + _JITTER * spread(held.demand.request)
+        after *= 1 + _JITTER * spread(classified.demand.request)
         return Refusal(ErrorKind.OVERLOADED, reason, after)
 
     def _expire(self, now: Millis) -> list[tuple[str, Admitted | Refusal]]:
         expired: list[tuple[str, Admitted | Refusal]] = []
-        while self._latest and self._latest[0][0] < now:
-            _, request = heapq.heappop(self._latest)
+        while self._start_deadlines and self._start_deadlines[0][0] < now:
+            _, request = heapq.heappop(self._start_deadlines)
             if request not in self._waiting:
                 continue
-            held = self._drop(request, now)
-            service = self._find_service(held.demand.service)
-            refusal = self._refuse(service, held, now, 'waited too long')
+            classified = self._drop(request, now)
+            service = self._find_service(classified.demand.service)
+            refusal = self._refuse(service, classified, now, 'waited too long')
             expired.append((request, refusal))
         return expired
 
-    def _drop(self, request: str, now: Millis) -> _Held:
-        held, waiting = self._waiting.pop(request)
-        service = self._find_service(held.demand.service)
-        service.queues[held.kind].remove(waiting)
-        self._limits.note_finished(held.demand.team, now)
-        return held
+    def _drop(self, request: str, now: Millis) -> _Classified:
+        classified, waiting = self._waiting.pop(request)
+        service = self._find_service(classified.demand.service)
+        service.queues[classified.kind].remove(waiting)
+        self._limits.note_finished(classified.demand.team, now)
+        return classified
 
     def _release(
         self, service: _Service
     ) -> list[tuple[str, Admitted | Refusal]]:
         released: list[tuple[str, Admitted | Refusal]] = []
-        for kind in _Class:
+        for kind in _RequestClass:
             queue = service.queues[kind]
-            if kind is _Class.BACKGROUND and service.has_ahead(_Class.LONG):
+            if kind is _RequestClass.BACKGROUND and service.has_waiting(
+                _RequestClass.LONG
+            ):
                 break
             while queue and self._has_room(service, kind):
                 request = queue.pop().demand.request
-                held, _ = self._waiting.pop(request)
-                self._run(service, held)
+                classified, _ = self._waiting.pop(request)
+                self._run(service, classified)
                 released.append((request, _ADMITTED))
         return released
 
--- a/src/oleanderdyke/policies/candidates.py
+++ b/src/oleanderdyke/policies/candidates.py
@@ -14,10 +14,10 @@
 )
 from oleanderdyke.links.messages import BackendKind
 from oleanderdyke.policies.settings import PolicySettings
-from oleanderdyke.policies.sources import SoonTable
+from oleanderdyke.policies.sources import PendingPrefixes
 
 _TRIES_PER_SAMPLE = 4
-_HOLDERS_SEEN = 8
+_MAX_HOLDERS_CHECKED = 8
 
 
 def is_eligible(
@@ -32,7 +32,7 @@
 def find_candidates(
     demand: Demand,
     fleet: Fleet,
-    soon: SoonTable,
+    pending: PendingPrefixes,
     random: Random,
     *,
     settings: PolicySettings,
@@ -41,9 +41,15 @@
     """Return every replica of a small fleet, else holders and samples."""
     replicas = fleet.replicas(demand.service)
     if len(replicas) <= settings.scan_limit:
-        return [each for each in replicas if is_eligible(each, demand, exclude)]
+        return [
+            replica
+            for replica in replicas
+            if is_eligible(replica, demand, exclude)
+        ]
     chosen: dict[str, Replica] = {}
-    for agent in _find_holders(demand.segments, fleet, soon, random, settings):
+    for agent in _find_holders(
+        demand.segments, fleet, pending, random, settings
+    ):
         replica = fleet.find(agent)
         if replica is not None and is_eligible(replica, demand, exclude):
             chosen[agent] = replica
@@ -51,7 +57,9 @@
         chosen[replica.agent] = replica
     if chosen:
         return list(chosen.values())
-    return [each for each in replicas if is_eligible(each, demand, exclude)]
+    return [
+        replica for replica in replicas if is_eligible(replica, demand, exclude)
+    ]
 
 
 def _sample(
@@ -85,7 +93,7 @@
 
 
 def _is_held(fleet: Fleet, segment: SegmentHint) -> bool:
-    for agent in fleet.holders(segment)[:_HOLDERS_SEEN]:
+    for agent in fleet.holders(segment)[:_MAX_HOLDERS_CHECKED]:
         replica = fleet.find(agent)
         if replica is not None and replica.backend is BackendKind.ENGINE:
             return True
@@ -95,7 +103,7 @@
 def _find_holders(
     segments: Sequence[SegmentHint],
     fleet: Fleet,
-    soon: SoonTable,
+    pending: PendingPrefixes,
     random: Random,
     settings: PolicySettings,
 ) -> Sequence[str]:
@@ -109,7 +117,7 @@
     while low < high:
         middle = (low + high) // 2
         holders = [*fleet.holders(segments[middle])]
-        holders += soon.holders(segments[middle])
+        holders += pending.holders(segments[middle])
         if holders:
             best = holders
             low = middle + 1
--- a/src/oleanderdyke/policies/capacity.py
+++ b/src/oleanderdyke/policies/capacity.py
@@ -11,15 +11,15 @@
 
 _REFRESH: Millis = 20.0
 _REFRESH_PER_REPLICA: Millis = 1.0
-_FIRST_TIME: Millis = 1_000.0
+_INITIAL_DURATION: Millis = 1_000.0
 _SMOOTHING = 0.05
 
 
 @dataclass(slots=True)
-class _View:
+class _Totals:
     """Hold sums over the replicas of a service."""
 
-    until: Millis = -1.0
+    expires_at: Millis = -1.0
     replicas: int = 0
     rate: float = 0.0
     slots: int = 0
@@ -31,7 +31,7 @@
 @dataclass(slots=True)
 class _Sent:
     tokens: float
-    at: Millis
+    sent_at: Millis
     short: bool
     prefilling: bool = True
 
@@ -44,53 +44,53 @@
         self._backlog = BacklogTracker(
             settings.report_lag, settings.prefill_tokens_per_second
         )
-        self._view = _View()
+        self._totals = _Totals()
         self._sent: dict[str, _Sent] = {}
-        self._time: Millis = _FIRST_TIME
+        self._duration: Millis = _INITIAL_DURATION
 
     @property
-    def time(self) -> Millis:
+    def duration(self) -> Millis:
         """Return how long a request lasts once it is sent."""
-        return self._time
+        return self._duration
 
     def refresh(self, service: str, fleet: Fleet, now: Millis) -> bool:
         """Refresh the sums when they are old; false without replicas."""
-        if now >= self._view.until:
-            self._view = self._sum(service, fleet, now)
-        return self._view.replicas > 0
+        if now >= self._totals.expires_at:
+            self._totals = self._compute_totals(service, fleet, now)
+        return self._totals.replicas > 0
 
     def estimate_wait(self, *, short: bool = False) -> Millis:
         """Estimate the mean wait for prefill over the replicas."""
-        if not self._view.rate:
+        if not self._totals.rate:
             return 0.0
-        tokens = self._view.short_tokens if short else self._view.tokens
-        return tokens * SECOND / self._view.rate
+        tokens = self._totals.short_tokens if short else self._totals.tokens
+        return tokens * SECOND / self._totals.rate
 
-    def estimate_use(self) -> float:
+    def estimate_utilization(self) -> float:
         """Estimate the share of slots in use, zero where none is known."""
-        if not self._view.slots:
+        if not self._totals.slots:
             return 0.0
-        return self._view.requests / self._view.slots
+        return self._totals.requests / self._totals.slots
 
-    def estimate_drain(self, mean_cost: float) -> float:
+    def estimate_throughput(self, mean_cost: float) -> float:
         """Estimate this entry's share of the tokens done in a ms.
 
         `mean_cost` tokens are taken for one slot; plain calls cost 1.
         """
-        view = self._view
-        by_slots = view.slots / self._time * mean_cost
-        by_tokens = view.rate / SECOND
-        if not view.slots:
+        totals = self._totals
+        by_slots = totals.slots / self._duration * mean_cost
+        by_tokens = totals.rate / SECOND
+        if not totals.slots:
             by_slots = by_tokens
-        if not view.rate or mean_cost <= 1:
+        if not totals.rate or mean_cost <= 1:
             by_tokens = by_slots
         return max(1e-6, min(by_slots, by_tokens) / self._settings.entries)
 
     def note_admitted(self, tokens: float, *, short: bool) -> None:
         """Count a request that is about to be sent."""
-        self._view.tokens += tokens
-        self._view.short_tokens += tokens if short else 0.0
-        self._view.requests += 1
+        self._totals.tokens += tokens
+        self._totals.short_tokens += tokens if short else 0.0
+        self._totals.requests += 1
 
     def note_sent(
         self, demand: Demand, plan: Plan, tokens: float, now: Millis
@@ -109,30 +109,34 @@
             return
         sent.prefilling = False
         self._backlog.note_first_token(request, now)
-        view = self._view
-        view.tokens = max(0.0, view.tokens - sent.tokens)
+        totals = self._totals
+        totals.tokens = max(0.0, totals.tokens - sent.tokens)
         if sent.short:
-            view.short_tokens = max(0.0, view.short_tokens - sent.tokens)
+            totals.short_tokens = max(0.0, totals.short_tokens - sent.tokens)
 
     def note_finished(self, request: str, now: Millis) -> None:
         """Count a request as done."""
-        self._view.requests = max(0, self._view.requests - 1)
+        self._totals.requests = max(0, self._totals.requests - 1)
         self.note_first_token(request, now)
         sent = self._sent.pop(request, None)
         if sent is None:
             return
         self._backlog.note_finished(request, now)
-        self._time += _SMOOTHING * (now - sent.at - self._time)
+        self._duration += _SMOOTHING * (now - sent.sent_at - self._duration)
 
-    def _sum(self, service: str, fleet: Fleet, now: Millis) -> _View:
-        view = _View()
+    def _compute_totals(
+        self, service: str, fleet: Fleet, now: Millis
+    ) -> _Totals:
+        totals = _Totals()
         for replica in fleet.replicas(service):
-            view.replicas += 1
-            view.rate += self._backlog.find_rate(replica)
-            view.slots += replica.load.slots
-            view.tokens += self._backlog.estimate_tokens(replica, now)
-            view.short_tokens += self._backlog.estimate_short(replica, now)
-            view.requests += self._backlog.count_requests(replica)
-        refresh = max(_REFRESH, view.replicas * _REFRESH_PER_REPLICA)
-        view.until = now + refresh
-        return view
+            totals.replicas += 1
+            totals.rate += self._backlog.find_rate(replica)
+            totals.slots += replica.load.slots
+            totals.tokens += self._backlog.estimate_tokens(replica, now)
+            totals.short_tokens += self._backlog.estimate_short_tokens(
+                replica, now
+            )
+            totals.requests += self._backlog.count_requests(replica)
+        refresh = max(_REFRESH, totals.replicas * _REFRESH_PER_REPLICA)
+        totals.expires_at = now + refresh
+        return totals
--- a/src/oleanderdyke/policies/limits.py
+++ b/src/oleanderdyke/policies/limits.py
@@ -11,7 +11,7 @@
 from oleanderdyke.kernel.objects import Limits
 from oleanderdyke.policies.registries import FindTerms
 
-_SWEEP_EVERY = 1_000
+_CHECKS_PER_SWEEP = 1_000
 _JITTER = 0.5
 _BUSY_RETRY: Millis = SECOND
 
@@ -29,11 +29,11 @@
 
     def __init__(self, find_terms: FindTerms) -> None:
         self._find_terms = find_terms
-        self._uses: dict[str, _TeamUse] = {}
+        self._team_uses: dict[str, _TeamUse] = {}
         self._checks = 0
 
     def __len__(self) -> int:
-        return len(self._uses)
+        return len(self._team_uses)
 
     def check(self, demand: Demand, now: Millis) -> Refusal | None:
         """Return why a team may not send now, or nothing."""
@@ -53,7 +53,7 @@
 
     def note_started(self, demand: Demand, now: Millis) -> None:
         """Count a request that was admitted or queued."""
-        use = self._uses.get(demand.team)
+        use = self._team_uses.get(demand.team)
         if use is None:
             return
         use.started += 1
@@ -64,25 +64,27 @@
 
     def note_finished(self, team: str, now: Millis) -> None:
         """Give back a request's place."""
-        use = self._uses.get(team)
+        use = self._team_uses.get(team)
         if use is not None:
             use.started = max(0, use.started - 1)
 
     def _find_use(self, team: str, limits: Limits, now: Millis) -> _TeamUse:
         self._sweep(now)
-        use = self._uses.get(team)
+        use = self._team_uses.get(team)
         if use is None or use.limits != limits:
             started = use.started if use else 0
-            use = self._uses[team] = _make_use(limits, started, now)
+            use = self._team_uses[team] = _make_use(limits, started, now)
         return use
 
     def _sweep(self, now: Millis) -> None:
         self._checks += 1
-        if self._checks % _SWEEP_EVERY:
+        if self._checks % _CHECKS_PER_SWEEP:
             return
-        idle = [team for team, use in self._uses.items() if _is_idle(use, now)]
+        idle = [
+            team for team, use in self._team_uses.items() if _is_idle(use, now)
+        ]
         for team in idle:
-            del self._uses[team]
+            del self._team_uses[team]
 
 
 def _make_use(limits: Limits, started: int, now: Millis) -> _TeamUse:
--- a/src/oleanderdyke/policies/pressure.py
+++ b/src/oleanderdyke/policies/pressure.py
@@ -13,13 +13,13 @@
 
     def __init__(self, memory: Millis) -> None:
         self._memory = memory
-        self._sums: dict[str, float] = {}
-        self._read: dict[str, Millis] = {}
+        self._totals: dict[str, float] = {}
+        self._updated_at: dict[str, Millis] = {}
 
     def record_added(self, agent: str, tokens: float, now: Millis) -> None:
         """Count tokens that were not cached at an agent before."""
-        self._sums[agent] = self.count_recent(agent, now) + tokens
-        self._read[agent] = now
+        self._totals[agent] = self.count_recent(agent, now) + tokens
+        self._updated_at[agent] = now
 
     def estimate_displaced(
         self, brought: Mapping[str, float], now: Millis
@@ -29,16 +29,16 @@
         A cache that is turned over faster than the others loses more that
         would have been used again.
         """
-        read = {agent: self.count_recent(agent, now) for agent in brought}
-        mean = sum(read.values()) / max(1, len(read)) + 1.0
+        recent = {agent: self.count_recent(agent, now) for agent in brought}
+        mean = sum(recent.values()) / max(1, len(recent)) + 1.0
         return {
-            agent: tokens * read[agent] / mean
+            agent: tokens * recent[agent] / mean
             for agent, tokens in brought.items()
         }
 
     def count_recent(self, agent: str, now: Millis) -> float:
         """Return the tokens brought in lately."""
-        known = self._sums.get(agent)
+        known = self._totals.get(agent)
         if known is None:
             return 0.0
-        return known * math.exp((self._read[agent] - now) / self._memory)
+        return known * math.exp((self._updated_at[agent] - now) / self._memory)
--- a/src/oleanderdyke/policies/routing.py
+++ b/src/oleanderdyke/policies/routing.py
@@ -34,8 +34,8 @@
 from oleanderdyke.policies.settings import PolicySettings
 from oleanderdyke.policies.sources import (
     LinkTracker,
+    PendingPrefixes,
     Reach,
-    SoonTable,
     StoreViews,
 )
 
@@ -60,7 +60,7 @@
             settings.report_lag, settings.prefill_tokens_per_second
         )
         self._links = LinkTracker(settings)
-        self._soon = SoonTable(settings.soon_limit)
+        self._pending = PendingPrefixes(settings.soon_limit)
         self._pressure = CachePressure(settings.pressure_memory)
 
     def choose(
@@ -76,7 +76,7 @@
         candidates = find_candidates(
             demand,
             fleet,
-            self._soon,
+            self._pending,
             random,
             settings=self._settings,
             exclude=exclude,
@@ -85,9 +85,10 @@
             return _NO_REPLICA
         stores = StoreViews(demand, fleet, self._links, now)
         choices = [
-            self._weigh(demand, fleet, each, stores, now) for each in candidates
+            self._evaluate(demand, fleet, each, stores, now)
+            for each in candidates
         ]
-        best = self._weigh_pressure(demand, choices, now)
+        best = self._choose_cheapest(demand, choices, now)
         return _make_plan(best, self._settings)
 
     def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
@@ -104,29 +105,29 @@
             short=plan.priority == SHORT_PRIORITY,
         )
         self._links.note_sent(demand.request, plan, now)
-        self._soon.note_sent(demand, plan, now)
+        self._pending.note_sent(demand, plan, now)
 
     def note_first_token(self, request: str, now: Millis) -> None:
         """Learn that a request's context is there."""
         self._backlog.note_first_token(request, now)
-        self._links.note_done(request)
-        self._soon.note_ready(request, now)
+        self._links.remove(request)
+        self._pending.mark_ready(request, now)
 
     def note_finished(self, request: str, now: Millis) -> None:
         """Forget a request."""
         self._backlog.note_finished(request, now)
-        self._links.note_done(request)
-        self._soon.note_finished(request)
+        self._links.remove(request)
+        self._pending.note_finished(request)
 
     def note_removed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
         """Stop counting on what an agent no longer holds."""
-        self._soon.note_removed(agent, segments)
+        self._pending.note_removed(agent, segments)
 
     def note_listed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
         """Stop counting on what an agent doesn't list."""
-        self._soon.note_listed(agent, segments)
+        self._pending.note_listed(agent, segments)
 
-    def _weigh(
+    def _evaluate(
         self,
         demand: Demand,
         fleet: Fleet,
@@ -135,9 +136,9 @@
         now: Millis,
     ) -> _Choice:
         held = fleet.count_leading(replica.agent, demand.segments)
-        reach = self._soon.extend(replica.agent, demand.segments, held, now)
+        reach = self._pending.extend(replica.agent, demand.segments, held, now)
         store = stores.find(reach.cached)
-        standing = ReplicaEstimate(
+        estimate = ReplicaEstimate(
             wait=self._backlog.estimate_wait(replica, now),
             short_wait=self._backlog.estimate_short_wait(replica, now),
             tokens_per_second=self._backlog.find_rate(replica),
@@ -148,13 +149,13 @@
             link=store.link,
             latency=self._find_latency(demand, replica),
         )
-        source = plan_prefill(self._costs, standing)
+        source = plan_prefill(self._costs, estimate)
         return _Choice(replica, store.agent, reach, source)
 
-    def _weigh_pressure(
+    def _choose_cheapest(
         self, demand: Demand, choices: Sequence[_Choice], now: Millis
     ) -> _Choice:
-        pushed = self._pressure.estimate_displaced(
+        displaced = self._pressure.estimate_displaced(
             {
                 each.replica.agent: demand.tokens
                 - each.reach.cached * SEGMENT_TOKENS
@@ -163,14 +164,14 @@
             now,
         )
         weight = self._settings.w_pressure
-        home = find_home(demand, choices)
-        away = self._settings.w_home
+        home = find_home_agent(demand, choices)
+        home_weight = self._settings.w_home
 
         def weigh(each: _Choice) -> float:
-            cost = each.source.cost + weight * pushed[each.replica.agent]
+            cost = each.source.cost + weight * displaced[each.replica.agent]
             if each.replica.agent != home:
                 brought = demand.tokens - each.reach.cached * SEGMENT_TOKENS
-                cost += away * brought
+                cost += home_weight * brought
             return cost
 
         return min(choices, key=weigh)
@@ -234,7 +235,7 @@
         return max(reported, self._backlog.count_outstanding(replica.agent))
 
 
-def find_home(demand: Demand, choices: Sequence[_Choice]) -> str:
+def find_home_agent(demand: Demand, choices: Sequence[_Choice]) -> str:
     """Return the replica where every entry would put what nobody holds."""
     depth = max(each.reach.cached for each in choices)
     if depth >= len(demand.segments):
--- a/src/oleanderdyke/policies/sources.py
+++ b/src/oleanderdyke/policies/sources.py
@@ -18,19 +18,19 @@
 from oleanderdyke.kernel.routing import LinkView
 from oleanderdyke.policies.settings import PolicySettings
 
-_SOON_KEPT = 5 * SECOND
-_SOON_LATE = 30 * SECOND
+_READY_RETENTION = 5 * SECOND
+_OVERDUE_RETENTION = 30 * SECOND
 
 
 @dataclass(slots=True)
-class _Coming:
+class _PendingPrefix:
     """Hold what one dispatch brings; fetching ends at depth `fetched`."""
 
     agent: str
     segments: Sequence[SegmentHint]
     fetched: int
     ready: Millis
-    forget: Millis
+    expires_at: Millis
     done: bool = False
 
 
@@ -46,45 +46,45 @@
     joined: int = 0
 
 
-class SoonTable:
+class PendingPrefixes:
     """Remember prefixes under way to an agent until its events show them."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
-        self._coming: OrderedDict[str, _Coming] = OrderedDict()
+        self._pending: OrderedDict[str, _PendingPrefix] = OrderedDict()
         self._agents: dict[SegmentHint, dict[str, str]] = {}
-        self._holed: set[str] = set()
+        self._agents_with_gaps: set[str] = set()
 
     def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Expect the missing segments of a prompt at the plan's agent."""
         segments = demand.segments[plan.cached + plan.joined :]
         if not segments:
             return
-        self._forget_old(now)
-        if demand.request in self._coming:
+        self._drop_expired(now)
+        if demand.request in self._pending:
             self._drop(demand.request)
         ready = now + plan.predicted
         depth = plan.cached + plan.fetched
-        forget = ready + _SOON_LATE
-        coming = _Coming(plan.agent, segments, depth, ready, forget)
-        self._coming[demand.request] = coming
+        expires_at = ready + _OVERDUE_RETENTION
+        pending = _PendingPrefix(plan.agent, segments, depth, ready, expires_at)
+        self._pending[demand.request] = pending
         for segment in segments:
             agents = self._agents.setdefault(segment, {})
             agents[plan.agent] = demand.request
 
-    def note_ready(self, request: str, now: Millis) -> None:
+    def mark_ready(self, request: str, now: Millis) -> None:
         """Count the segments as there, though events may not show it yet."""
-        coming = self._coming.get(request)
-        if coming is None:
+        pending = self._pending.get(request)
+        if pending is None:
             return
-        coming.ready = now
-        coming.done = True
-        coming.forget = now + _SOON_KEPT
+        pending.ready = now
+        pending.done = True
+        pending.expires_at = now + _READY_RETENTION
 
     def note_finished(self, request: str) -> None:
         """Drop what never became ready."""
-        coming = self._coming.get(request)
-        if coming is not None and not coming.done:
+        pending = self._pending.get(request)
+        if pending is not None and not pending.done:
             self._drop(request)
 
     def note_removed(self, agent: str, segments: Iterable[SegmentHint]) -> None:
@@ -93,7 +93,7 @@
             agents = self._agents.get(segment, {})
             if agents.pop(agent, None) is None:
                 continue
-            self._holed.add(agent)
+            self._agents_with_gaps.add(agent)
             if not agents:
                 del self._agents[segment]
 
@@ -102,10 +102,11 @@
         listed = set(segments)
         lost = [
             segment
-            for request, coming in self._coming.items()
-            if coming.done and coming.agent == agent
-            for segment in coming.segments
-            if segment not in listed and self._names(segment, agent, request)
+            for request, pending in self._pending.items()
+            if pending.done and pending.agent == agent
+            for segment in pending.segments
+            if segment not in listed
+            and self._is_expected(segment, agent, request)
         ]
         self.note_removed(agent, lost)
 
@@ -125,38 +126,40 @@
         ready = 0.0
         joined = 0
         # Where segments were removed, what comes behind proves nothing.
-        halves = agent not in self._holed
+        can_bisect = agent not in self._agents_with_gaps
         while low < high:
-            middle = (low + high) // 2 if halves and low > held else low
+            middle = (low + high) // 2 if can_bisect and low > held else low
             request = self._agents.get(segments[middle], {}).get(agent)
-            if request is None or self._coming[request].forget <= now:
+            if request is None or self._pending[request].expires_at <= now:
                 high = middle
                 continue
-            coming = self._coming[request]
+            pending = self._pending[request]
             low = middle + 1
-            ready = max(ready, coming.ready - now)
-            if not coming.done:
-                joined = max(joined, min(coming.fetched, low) - held)
+            ready = max(ready, pending.ready - now)
+            if not pending.done:
+                joined = max(joined, min(pending.fetched, low) - held)
         return Reach(held + joined if joined else low, ready, joined)
 
-    def _forget_old(self, now: Millis) -> None:
-        while self._coming:
-            request, coming = next(iter(self._coming.items()))
-            if coming.forget > now and len(self._agents) < self._limit:
+    def _drop_expired(self, now: Millis) -> None:
+        while self._pending:
+            request, pending = next(iter(self._pending.items()))
+            if pending.expires_at > now and len(self._agents) < self._limit:
                 return
             self._drop(request)
-        self._holed.clear()
+        self._agents_with_gaps.clear()
 
-    def _names(self, segment: SegmentHint, agent: str, request: str) -> bool:
+    def _is_expected(
+        self, segment: SegmentHint, agent: str, request: str
+    ) -> bool:
         return self._agents.get(segment, {}).get(agent) == request
 
     def _drop(self, request: str) -> None:
-        coming = self._coming.pop(request)
-        for segment in coming.segments:
+        pending = self._pending.pop(request)
+        for segment in pending.segments:
             agents = self._agents.get(segment)
-            if agents is None or agents.get(coming.agent) != request:
+            if agents is None or agents.get(pending.agent) != request:
                 continue
-            del agents[coming.agent]
+            del agents[pending.agent]
             if not agents:
                 del self._agents[segment]
 
@@ -178,7 +181,7 @@
 
     def note_sent(self, request: str, plan: Plan, now: Millis) -> None:
         """Count the bytes of a plan that fetches."""
-        self.note_done(request)
+        self.remove(request)
         fetched = plan.fetched - plan.joined
         if not fetched:
             return
@@ -187,7 +190,7 @@
         self._fetches[request] = fetch
         self._stores.setdefault(plan.store, {})[request] = fetch
 
-    def note_done(self, request: str) -> None:
+    def remove(self, request: str) -> None:
         """Forget a fetch that is over."""
         fetch = self._fetches.pop(request, None)
         if fetch is not None:
@@ -200,11 +203,13 @@
         rate = rate or self._settings.link_bytes_per_second
         moment = store.heard - self._settings.report_lag
         own = self._stores.get(store.agent, {})
-        since = sum(each.count for each in own.values() if each.sent > moment)
+        sent_bytes = sum(
+            each.count for each in own.values() if each.sent > moment
+        )
         # The other entries are taken to have fetched as much since.
-        since *= self._settings.entries
+        sent_bytes *= self._settings.entries
         drained = max(0.0, now - moment) * rate / SECOND
-        left = max(0.0, load.link_bytes_in_flight + since - drained)
+        left = max(0.0, load.link_bytes_in_flight + sent_bytes - drained)
         latency = self._settings.far_latency
         return LinkView(left, max(1.0, rate), latency)
 
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -111,7 +111,7 @@
     for born in range(3_000):
         book.put(make_told_record(born=born), 0.0)
         book.mark_leaving(ServerStart('a', born))
-    assert len(book._left) < 2_000
+    assert len(book._left_starts) < 2_000
     book.put(make_told_record(born=2_999, revision=2), 600.0)
     assert not is_used(book, 600.0)
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -104,7 +104,7 @@
     settle(stage)
     assert (await stage.call('/safe/first')).status == ANSWERED
     backend = stage.core.book.find('i-0')
-    assert backend.limit.is_named
+    assert backend.limit.is_set
 
 
 @pytest.mark.anyio
@@ -172,4 +172,4 @@
 
     async with staging(tmp_path, answer_for_another) as stage:
         await stage.call('/once/x')
-        assert not stage.core.book.find('i-0').limit.is_named
+        assert not stage.core.book.find('i-0').limit.is_set
--- a/tests/test_rate_shares.py
+++ b/tests/test_rate_shares.py
@@ -12,7 +12,7 @@
 
 from oleanderdyke.clock import SECOND
 from oleanderdyke.kernel.rate_limits import (
-    Entries,
+    EntryCounts,
     RateLimit,
     find_interval,
 )
@@ -51,12 +51,12 @@
     return SECOND * max(len(entries.known), 1) / rate
 
 
-def make_entries(known: Collection[str], count: float) -> Entries:
-    return Entries(known, count, sharing=len(known))
+def make_entries(known: Collection[str], count: float) -> EntryCounts:
+    return EntryCounts(known, count, sharing=len(known))
 
 
 def play_idle_entries(
-    share: Share, rate: float, views: Mapping[str, Entries]
+    share: Share, rate: float, views: Mapping[str, EntryCounts]
 ) -> list[float]:
     """Let entries with much to send learn of a limit within half a second."""
     random = Random(len(views))
@@ -70,7 +70,7 @@
     return sorted(sends)
 
 
-def make_views(number: int) -> dict[str, Entries]:
+def make_views(number: int) -> dict[str, EntryCounts]:
     """Let each entry know of all others."""
     names = list_names(number)
     return dict.fromkeys(names, make_entries(names, number + SPARE))
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize('new', [1, 2, 6])
 def test_entries_that_others_do_not_know_yet_exceed_no_limit(old, new, rate):
     names = list_names(old + new)
-    fresh = Entries(names, old + new + SPARE, sharing=math.inf)
+    fresh = EntryCounts(names, old + new + SPARE, sharing=math.inf)
     views = dict.fromkeys(names, fresh)
     views |= dict.fromkeys(names[:old], make_entries(names[:old], old + SPARE))
     sends = play_idle_entries(find_interval, rate, views)
@@ -170,7 +170,7 @@
 
 
 def test_an_entry_that_cannot_count_the_others_sends_nothing():
-    entries = Entries(('e',), math.inf, math.inf)
+    entries = EntryCounts(('e',), math.inf, math.inf)
     interval = find_interval(9.0, 'a', entry='e', entries=entries)
     assert math.isinf(interval)
 
@@ -182,7 +182,7 @@
     assert limit.update(1.7, 1_500.0, 1_500.0)
     assert (limit.per_second, limit.since) == (1.7, 1_000.0)
     assert limit.update(math.inf, 2_000.0, 2_000.0)
-    assert not limit.is_named
+    assert not limit.is_set
 
 
 def test_an_answer_that_was_overtaken_ends_no_limit():
@@ -190,7 +190,7 @@
     limit.update(2.3, 1_000.0, 1_000.0)
     assert not limit.update(math.inf, 1_200.0, 1_200.0)
     assert not limit.update(math.inf, 900.0, 900.0)
-    assert limit.is_named
+    assert limit.is_set
     assert limit.update(math.inf, 1_250.0, 1_250.0)
 
 
@@ -199,7 +199,7 @@
     limit.update(2.3, 1_000.0, 1_000.0)
     limit.update(math.inf, 2_000.0, 2_000.0)
     assert not limit.update(2.3, 1_900.0, 1_900.0)
-    assert not limit.is_named
+    assert not limit.is_set
 
 
 def name_limit(book, rate: float, now: float) -> None:
@@ -261,7 +261,7 @@
     book = make_book(make_record('a', born=1))
     assert book.record_rate_limit(ServerStart('a', 1), 2.0, 0.0, 0.0)
     book.put(make_record('a', born=2), 100.0)
-    assert not book.find('a').limit.is_named
+    assert not book.find('a').limit.is_set
     assert not book.record_rate_limit(ServerStart('a', 1), 3.0, 200.0, 200.0)
 
 
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -12,7 +12,7 @@
 from oleanderdyke.kernel.demand import Demand, Plan
 from oleanderdyke.links.messages import BackendKind
 from oleanderdyke.links.messages.segments import SegmentEvents
-from oleanderdyke.policies.sources import Reach, SoonTable
+from oleanderdyke.policies.sources import PendingPrefixes, Reach
 
 pytestmark = pytest.mark.anyio
 MODEL = 'asistente'
@@ -20,14 +20,14 @@
 
 
 def test_removal_told_after_a_dispatch_wins() -> None:
-    table = SoonTable(limit=1_000)
+    table = PendingPrefixes(limit=1_000)
     first = Demand('r', 't', 's', deadline=1_000, segments=SEGMENTS)
     other = (*SEGMENTS[:2], b'o' * 8, b'p' * 8)
     second = Demand('q', 't', 's', deadline=1_000, segments=other)
     table.note_sent(first, Plan('a', 'test'), 0.0)
-    table.note_ready('r', 50.0)
+    table.mark_ready('r', 50.0)
     table.note_sent(second, Plan('a', 'test', cached=2), 60.0)
-    table.note_ready('q', 80.0)
+    table.mark_ready('q', 80.0)
     assert table.extend('a', other, 0, 90.0) == Reach(4)
     table.note_removed('b', SEGMENTS)
     assert table.extend('a', SEGMENTS, 0, 90.0) == Reach(3)
@@ -40,16 +40,16 @@
     # A later dispatch brings the segment back.
     again = Demand('s', 't', 's', deadline=1_000, segments=SEGMENTS)
     table.note_sent(again, Plan('a', 'test', cached=1), 100.0)
-    table.note_ready('s', 120.0)
+    table.mark_ready('s', 120.0)
     assert table.extend('a', SEGMENTS, 0, 130.0) == Reach(3)
     table.note_finished('s')
 
 
 def test_context_that_was_sent_counts_for_some_seconds_only() -> None:
-    table = SoonTable(limit=1_000)
+    table = PendingPrefixes(limit=1_000)
     demand = Demand('r', 't', 's', deadline=1_000, segments=SEGMENTS)
     table.note_sent(demand, Plan('a', 'test'), 0.0)
-    table.note_ready('r', 50.0)
+    table.mark_ready('r', 50.0)
     table.note_finished('r')
     assert table.extend('a', SEGMENTS, 0, 1_000.0) == Reach(3)
     # Nothing else was sent since, so nothing swept the table.
@@ -57,14 +57,14 @@
 
 
 def test_full_list_overrides_all_but_what_is_under_way() -> None:
-    table = SoonTable(limit=1_000)
+    table = PendingPrefixes(limit=1_000)
     for request, agent in (('r', 'a'), ('q', 'b')):
         demand = Demand(request, 't', 's', deadline=1_000, segments=SEGMENTS)
         table.note_sent(demand, Plan(agent, 'test'), 0.0)
     table.note_listed('a', ())
     assert table.extend('a', SEGMENTS, 0, 40.0).cached == 3
     for request in 'rq':
-        table.note_ready(request, 50.0)
+        table.mark_ready(request, 50.0)
     table.note_listed('a', SEGMENTS[:1])
     assert table.extend('a', SEGMENTS, 0, 60.0) == Reach(1)
     assert table.extend('b', SEGMENTS, 0, 60.0) == Reach(3)
