--- a/src/oleanderdyke/kernel/backends.py
+++ b/src/oleanderdyke/kernel/backends.py
@@ -1,4 +1,4 @@
-"""Know the backend servers: what they told, and what requests showed."""
+"""The state of backend servers as requests and answers show it."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
     ServerStart,
 )
 
-# A server is left out for this long after a first failure to reach it, twice
-# as long after each further one. A crashed server is back after seconds; a
-# lost packet costs a connection one second.
+# A server is ejected for this long after its first failure, and twice as long
+# after each further one. A crashed server is back after seconds; a lost packet
+# delays a connection by one second.
 _MIN_EJECTION: Millis = 500.0
 _MAX_EJECTION: Millis = 4 * SECOND
-# An engine that refuses while newer weights are named takes them now, which
-# lasts about two seconds after its runs have ended.
+# An engine that refuses requests while newer weights are announced is loading
+# them, which takes about two seconds once its running requests have ended.
 _RELOAD_PAUSE: Millis = 1_500.0
-# A server that refuses is asked again after this long, and after twice as
-# long for each further refusal: a slot of the plain services frees in some
-# ten milliseconds, new weights take over a second.
+# A server that refuses is retried after this pause, which doubles with each
+# further refusal: a slot of a plain service frees up within tens of
+# milliseconds, loading new weights takes over a second.
 _REFUSAL_PAUSE: Millis = 100.0
 _MAX_REFUSAL_PAUSE: Millis = 800.0
-# Servers ask for pauses of seconds; a far larger number is an error.
+# Servers ask for pauses of seconds; a far larger value is an error.
 _MAX_BACKOFF: Millis = 10 * MINUTE
-# The share of the latest answer in the rate of failures of a server.
+# Weight of the latest answer in the moving average of the error rate.
 _ERROR_WEIGHT = 0.2
 
 
 class BackendRegistry(ServerList):
-    """Record what requests and answers show of the servers' present starts.
+    """Tracks requests and answers of the current starts of servers.
 
-    What an earlier start showed changes nothing.
+    Reports about earlier starts are ignored.
     """
 
     def record_sent(
@@ -46,7 +46,7 @@
         attempt: str,
         owed: Owed,
     ) -> None:
-        """Count an attempt that was sent."""
+        """Record that an attempt was sent."""
         backend = self.find_start(start)
         if backend is not None:
             backend.running += 1
@@ -54,14 +54,18 @@
             backend.waiting[attempt] = owed
 
     def reset_silence(self, now: Millis) -> None:
-        """Blame nobody for a time in which this process read nothing."""
+        """Restart the silence timers of all servers at `now`.
+
+        For use after a time in which this process read no data, for which no
+        server is to blame.
+        """
         for backend in self._backends.values():
             backend.heard = max(backend.heard, now)
 
     def record_received(
         self, start: ServerStart, attempt: str, now: Millis
     ) -> None:
-        """Learn that bytes of an attempt came."""
+        """Record that bytes of an attempt arrived."""
         backend = self.find_start(start)
         if backend is not None:
             backend.heard = now
@@ -72,7 +76,7 @@
     def record_ended(
         self, start: ServerStart, attempt: str, memory: int
     ) -> None:
-        """Forget an attempt that was sent and the tokens it took."""
+        """Remove an attempt and the `memory` tokens that it took."""
         backend = self.find_start(start)
         if backend is not None:
             backend.running = max(backend.running - 1, 0)
@@ -80,7 +84,7 @@
             backend.waiting.pop(attempt, None)
 
     def record_success(self, start: ServerStart) -> None:
-        """Learn that a server answered well."""
+        """Record a successful answer."""
         backend = self.find_start(start)
         if backend is not None:
             backend.failures = 0
@@ -88,7 +92,7 @@
             backend.errors *= 1 - _ERROR_WEIGHT
 
     def record_failure(self, start: ServerStart, now: Millis) -> None:
-        """Learn that a server failed a request; leave it out for a while."""
+        """Record that a server failed a request, and eject it for a while."""
         backend = self.find_start(start)
         if backend is None:
             return
@@ -99,13 +103,13 @@
         backend.out_until = max(backend.out_until, until)
 
     def record_error(self, start: ServerStart) -> None:
-        """Learn that a server answered with an error of its own."""
+        """Record that a server answered with an error of its own."""
         backend = self.find_start(start)
         if backend is not None:
             backend.errors += _ERROR_WEIGHT * (1 - backend.errors)
 
     def record_refusal(self, start: ServerStart, now: Millis) -> None:
-        """Learn that a server refused a request without running it."""
+        """Record that a server refused a request without executing it."""
         backend = self.find_start(start)
         if backend is None:
             return
@@ -115,7 +119,7 @@
         backend.out_until = max(backend.out_until, until)
 
     def record_reload(self, start: ServerStart, now: Millis) -> None:
-        """Learn that an engine refuses while it takes new weights."""
+        """Record that an engine refused because it is loading new weights."""
         backend = self.find_start(start)
         if backend is not None:
             backend.reload_until = now + _RELOAD_PAUSE
@@ -123,7 +127,7 @@
     def record_load(
         self, start: ServerStart, load: ServerLoad, now: Millis
     ) -> None:
-        """Take the load that a server told with an answer."""
+        """Record the load that a server reported with an answer."""
         backend = self.find_start(start)
         if backend is not None and now >= backend.load_at:
             backend.load = load
@@ -136,9 +140,9 @@
         told_at: Millis,
         now: Millis,
     ) -> bool:
-        """Take the rate that a server accepts; return whether that is new.
+        """Update the rate that a server accepts; return whether it changed.
 
-        It is infinite where the server names none.
+        The rate is infinite if the server reports no limit.
         """
         backend = self.find_start(start)
         if backend is None:
@@ -148,9 +152,9 @@
     def record_backoff(
         self, start: ServerStart, pause: Millis, now: Millis
     ) -> bool:
-        """Send nothing for as long as a server asks; return whether it began.
+        """Back off from a server; return whether that is new.
 
-        A later, shorter pause doesn't end one sooner.
+        A later, shorter pause does not shorten the current one.
         """
         backend = self.find_start(start)
         if backend is None:
@@ -161,7 +165,7 @@
         return not is_backing_off and backend.backoff_until > now
 
     def record_malformed(self, start: ServerStart, named: AnswerField) -> bool:
-        """Learn that a field can't be read; return whether it is the first."""
+        """Record a malformed field; return whether it is the first."""
         backend = self.find_start(start)
         if backend is None or named in backend.malformed:
             return False
@@ -171,7 +175,7 @@
     def record_version(
         self, start: ServerStart, model: str, version: int
     ) -> None:
-        """Take newer weights that a server was shown to hold."""
+        """Record newer weights that an answer shows the server to hold."""
         backend = self.find_start(start)
         if backend is None:
             return
@@ -186,7 +190,10 @@
     def record_kept(
         self, start: ServerStart, parts: Sequence[PromptPart], capacity: int
     ) -> None:
-        """Assume that a server keeps a prompt's parts, the latest ones."""
+        """Assume that a server caches the parts of a prompt.
+
+        The least recently used parts are dropped beyond `capacity` tokens.
+        """
         backend = self.find_start(start)
         if backend is None:
             return
--- a/src/oleanderdyke/kernel/placement.py
+++ b/src/oleanderdyke/kernel/placement.py
@@ -1,4 +1,4 @@
-"""Choose the backend server that a call is sent to."""
+"""The choice of the backend server for a call."""
 
 from __future__ import annotations
 
@@ -14,40 +14,41 @@
 from oleanderdyke.kernel.send_limits import Obstacle
 from oleanderdyke.kernel.servers import ModelDemand, ServerStart
 
-# Tokens that a store sends in a millisecond: 18 KB each, at 58 Gbit/s.
+# Tokens of context that a store sends per millisecond: 18 KB each at 58 Gbit/s.
 _FETCH_TOKENS_PER_MS = 390.0
-# What one more running request costs the first token, from the step of
-# 3.4 ms that all requests of a batch share.
+# Delay of the first token for each running request, from the 3.4 ms step that
+# all requests of a batch share.
 _RUN_COST: Millis = 1.0
-# An engine that takes few requests has little memory beside theirs: a full
-# batch costs as much as reading some thousand tokens again.
+# An engine with few slots has little spare memory: a full batch costs as much
+# as prefilling some thousand tokens again.
 _FULL_BATCH_COST: Millis = 48.0
-# A plain call takes some ten milliseconds in one of few slots.
+# A plain call takes some tens of milliseconds on a server with few slots.
 _PLAIN_REQUEST_COST: Millis = 20.0
-# What one request that waits at an engine adds, by what engines begin in a
-# second.
+# Delay for each request that waits at an engine, from the number of requests
+# that an engine starts per second.
 _WAITING_COST: Millis = 10.0
-# Keeps traffic within a data centre where all else is equal.
+# Keeps traffic within a data centre if all else is equal.
 _DISTANCE_COST: Millis = 6.0
-# A request on old weights loses a fifth of what it earns: as much as being
-# late would lose with a probability of a quarter. If every request counted it,
-# the first engines on the newest weights would get nearly all, as no entry sees
-# in time what the others send: it is counted with the probability that an
-# engine has the newest.
+# A request on old weights loses a fifth of its value, as much as a 25 % chance
+# of being late. Entries see each other's requests too late: if every request
+# counted this cost, nearly all of them would go to the first engines with new
+# weights. So it applies with the probability that an engine has the newest
+# weights.
 _OLD_WEIGHTS_COST: Millis = 150.0
-# An engine takes new weights when its runs have ended: each token of an answer
-# that is begun there delays that, and all that is sent there meanwhile.
+# An engine loads new weights once its running requests have ended, so each
+# token of an answer that starts there delays the load, and all requests that
+# wait for it.
 _DRAIN_COST: Millis = 1.0
-# A server that fails each request costs as much as waiting for a time-out.
+# A server that fails every request costs as much as a time-out.
 _ERROR_COST: Millis = 1_000.0
-# Servers silent for longer than this are skipped while others respond.
-# An engine that runs anything sends a byte every few milliseconds; reading
-# the longest prompts takes some hundred.
+# Servers silent for longer than this are skipped while others respond. A busy
+# engine sends a byte every few milliseconds; prefilling the longest prompts
+# takes some hundred.
 SILENCE_LIMIT: Millis = 500.0
-# Servers that may keep a prompt's shared context, so that one crash or one
-# crowd does not move all of it.
+# Number of servers that cache the shared context of a prompt. More than one, so
+# that a single crash or overload does not move all of it.
 _CACHE_SERVERS = 2
-# What may keep a call from all servers, the reason that passes first in front.
+# Reasons why no server can be used, those that pass soonest first.
 _OBSTACLES_BY_DURATION = (
     Obstacle.COLD,
     Obstacle.LIMITED,
@@ -61,14 +62,15 @@
 
 @dataclass(frozen=True, slots=True)
 class CallDemand:
-    """Describe a call to be placed; `excluded` starts have failed it.
-
-    `fetchable` tells, by the version of the weights, how many leading tokens
-    of the prompt stores hold; a lower `rank` is read first. `drawn` is a number
-    from 0 to 1, by which some prefer the newest weights. `memory_tokens`
-    is how much each engine of the service holds. `loading` ones take new
-    weights now, `draining` ones next. Nothing may begin on `outdated` weights,
-    and nothing is sent to `blocked` servers.
+    """Describes a call to place.
+
+    `excluded` holds the starts that have failed this call. `fetchable` maps
+    versions of the weights to the number of leading prompt tokens that stores
+    hold. Requests with a lower `rank` are prefilled first. `random_value`, from
+    0 to 1, decides whether the call prefers the newest weights. `memory_tokens`
+    is the memory of each engine of the service. Servers in `loading` are
+    loading new weights, servers in `draining` are next. No call may start on
+    `outdated` weights, and nothing is sent to `blocked` servers.
     """
 
     service: str
@@ -88,12 +90,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """Name the chosen server and what decided.
-
-    `delay` is how long requests wait there by their first bytes and `waiting`
-    how many do by what it told. `fill` is the part of its memory that runs and
-    those that wait likely take, `size` what the request takes against their
-    mean. It `is_loading` where all servers take new weights, and refuse.
+    """Holds the chosen server and the figures behind the choice.
+
+    `expected` is the time to the first byte. `delay` is the recent queueing
+    time on the server according to first bytes, `waiting` the number of
+    requests that wait there according to its reports. `fill` is the estimated
+    share of its memory taken by running and waiting requests, `size` the memory
+    of this request relative to their mean. `is_loading` is set if all servers
+    are loading new weights and refuse requests.
     """
 
     backend: Backend
@@ -109,10 +113,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _Terms:
-    """Terms of the scores of all servers for one call.
+    """Terms of the score that depend on all servers together.
 
-    `homes` likely keep its shared context, `older` hold older weights than the
-    newest, which cost this call `old_cost`.
+    `cache_servers` likely cache the shared context; `older` servers do not have
+    the newest weights, which costs this call `old_weights_cost`.
     """
 
     cache_servers: frozenset[str] = frozenset()
@@ -123,14 +127,14 @@
 def choose_backend(
     demand: CallDemand, registry: BackendRegistry, now: Millis
 ) -> Choice | None:
-    """Return the server with the least expected time to the first byte."""
+    """Return the server with the lowest expected time to first byte."""
     return choose_among(demand, registry.list_service(demand.service, now), now)
 
 
 def choose_among(
     demand: CallDemand, backends: Iterable[Backend], now: Millis
 ) -> Choice | None:
-    """Return the best of some servers, None where none may be used."""
+    """Return the best of the given servers, None if none may be used."""
     unavailable = demand.excluded | demand.blocked.keys()
     listed = [
         backend
@@ -162,7 +166,7 @@
 
 
 def find_obstacle(demand: CallDemand, backends: Iterable[Backend]) -> Obstacle:
-    """Return why none of some servers may be used, the most passing reason."""
+    """Return why no server may be used, the soonest to pass if several."""
     found = {
         Obstacle.OUTDATED
         if _is_outdated(demand, backend)
@@ -176,7 +180,7 @@
 
 
 def is_usable(backend: Backend, now: Millis) -> bool:
-    """Return whether nothing speaks against sending to a server."""
+    """Return whether a server is neither ejected, loading nor silent."""
     if max(backend.out_until, backend.reload_until) > now:
         return False
     if now - backend.heard < SILENCE_LIMIT:
@@ -197,7 +201,7 @@
 def _estimate_memory_use(
     demand: CallDemand, chosen: Backend, mean: float, now: Millis
 ) -> float:
-    """Guess how full an engine is from the mix that this entry sends."""
+    """Estimate the memory use of an engine from this entry's requests."""
     if not demand.memory_tokens:
         return 0.0
     return chosen.count_present(now) * mean / demand.memory_tokens
@@ -219,7 +223,7 @@
 def _estimate_first_byte(
     demand: CallDemand, backend: Backend, now: Millis
 ) -> Millis:
-    """Return the expected time to the first byte of a model's answer."""
+    """Estimate the time to the first byte of a model's answer."""
     if demand.model is None:
         return 0.0
     fetched, missing = _split_prompt(demand, demand.model, backend)
@@ -282,7 +286,7 @@
 
 
 def _find_terms(demand: CallDemand, usable: Sequence[Backend]) -> _Terms:
-    """Find what is the same for all servers, or known only beside others."""
+    """Find the terms that depend on all servers together."""
     if demand.model is None:
         return _Terms()
     older = _find_older(demand, demand.model, usable)
@@ -299,7 +303,7 @@
 def _find_older(
     demand: CallDemand, model: ModelDemand, usable: Iterable[Backend]
 ) -> frozenset[str]:
-    """Return the servers on older weights than the newest."""
+    """Return the servers that do not have the newest weights."""
     newest = demand.newest_version
     if newest is None:
         return frozenset()
@@ -318,7 +322,7 @@
 def _split_prompt(
     demand: CallDemand, model: ModelDemand, backend: Backend
 ) -> tuple[int, int]:
-    """Return how many tokens are fetched and how many are read."""
+    """Return how many tokens are fetched and how many are prefilled."""
     version = backend.record.versions.get(model.model)
     kept = _count_kept(demand, backend)
     fetchable = 0 if version is None else demand.fetchable.get(version, 0)
@@ -333,14 +337,14 @@
 
 
 def _find_shared_tokens(model: ModelDemand) -> int:
-    # The last part belongs to the request alone.
+    # The last part belongs to this request alone.
     return sum(part.tokens for part in model.parts[:-1])
 
 
 def _find_cache_servers(
     model: ModelDemand, usable: Iterable[Backend]
 ) -> frozenset[str]:
-    """Return where every entry would look for the shared context first."""
+    """Return the servers that every entry prefers for the shared context."""
     if len(model.parts) < _CACHE_SERVERS:
         return frozenset()
     shared = model.parts[-2].name
--- a/src/oleanderdyke/kernel/server_list.py
+++ b/src/oleanderdyke/kernel/server_list.py
@@ -1,4 +1,4 @@
-"""Keep the list of backend servers: their present starts, and who leaves."""
+"""The list of backend servers, with the current start of each."""
 
 from __future__ import annotations
 
@@ -12,75 +12,75 @@
 from oleanderdyke.kernel.removed_servers import RemovedServers
 from oleanderdyke.kernel.servers import ServerRecord, ServerStart
 
-# Servers tell to be cold for some seconds; a larger number is an error.
+# Servers report being cold for seconds; a larger value is an error.
 _MAX_COLD: Millis = 60 * SECOND
-# Starts that left are forgotten beyond so many; a list lags by seconds, in
-# which few leave.
+# Bounds the memory for starts that have left. The list lags by seconds, and few
+# servers leave in that time.
 _MAX_LEFT_STARTS = 1_024
 
 
 class ServerList:
-    """Keep the present start of each backend server of all services.
+    """Keeps the current start of each backend server of all services.
 
-    What is told of an earlier start changes nothing: it knows, holds and runs
-    nothing that the present one does.
+    Reports about earlier starts are ignored: the current start has none of
+    their state or requests.
     """
 
     def __init__(self) -> None:
         self._backends: dict[str, Backend] = {}
-        # The servers that told each address; some may have told another since.
+        # Servers that have used each address; some may have moved since.
         self._servers_by_address: defaultdict[str, set[str]] = defaultdict(set)
         self._prefill_rates: defaultdict[str, PrefillRate] = defaultdict(
             PrefillRate
         )
         self._removed = RemovedServers()
-        # When the latest start of each server was that told any, kept when
-        # the server is gone: a record of an earlier one may still come.
+        # Latest known start time of each server. Kept after the server is gone,
+        # because a record of an earlier start may still arrive.
         self._latest_starts: dict[str, int] = {}
         self._superseded: list[ServerRecord] = []
-        # Starts that answers showed to leave, kept when they are gone: a list
-        # that lags may still have them as ready.
+        # Starts whose answers announced that they leave. Kept after they are
+        # gone, because a lagging list may still show them as ready.
         self._left_starts: OrderedDict[ServerStart, None] = OrderedDict()
-        # Whether a known server tells when it started. All servers do then, and
-        # a record without it is by another writer; until then the name alone
-        # tells starts apart.
+        # Whether any known server reports its start time. If so, all of them
+        # do, and a record without it has another writer; if not, starts can
+        # only be told apart by the server name.
         self._has_start_times = False
 
     def find(self, server: str) -> Backend | None:
-        """Return a server that is listed or still answers."""
+        """Return a server that is listed or still has running requests."""
         return self._backends.get(server)
 
     def find_start(self, start: ServerStart) -> Backend | None:
-        """Return a server if this is its present start."""
+        """Return the server if `start` is its current start."""
         backend = self._backends.get(start.server)
         if backend is None or backend.record.start != start:
             return None
         return backend
 
     def is_leaving_or_gone(self, start: ServerStart) -> bool:
-        """Return whether a start of a server leaves or is no longer known."""
+        """Return whether a start is leaving or no longer known."""
         backend = self.find_start(start)
         if backend is None or backend.record.is_leaving:
             return True
         return not self._is_valid(backend)
 
     def is_superseded(self, start: ServerStart) -> bool:
-        """Return whether a server has started anew since."""
+        """Return whether the server has restarted since `start`."""
         backend = self._backends.get(start.server)
         return backend is not None and backend.record.start != start
 
     def take_superseded(self) -> tuple[ServerRecord, ...]:
-        """Return what the starts told that ended since this was asked."""
+        """Return and clear the last records of starts that were superseded."""
         ended, self._superseded = tuple(self._superseded), []
         return ended
 
     def list_known(self) -> list[Backend]:
-        """Return the servers that are listed or still answer."""
+        """Return the servers that are listed or still have running requests."""
         known = self._backends.values()
         return [backend for backend in known if self._is_valid(backend)]
 
     def list_service(self, service: str, now: Millis) -> list[Backend]:
-        """Return the servers of a service that may get new work."""
+        """Return the servers of a service that may get new requests."""
         return [
             backend
             for backend in self._backends.values()
@@ -95,18 +95,18 @@
     def record_list_read(
         self, now: Millis, read_at: Millis | None = None
     ) -> None:
-        """Learn that the list was read, before what it says is taken.
+        """Record a read of the list, before its entries are applied.
 
-        `read_at` is when, where a neighbour did it earlier.
+        `read_at` is the time of the read if another process made it earlier.
         """
         self._removed.record_list_read(now, now if read_at is None else read_at)
 
     def record_restore(self, now: Millis) -> None:
-        """Learn that the list comes from a copy and may lack live servers."""
+        """Record that the list was restored and may lack live servers."""
         self._removed.record_restore(now)
 
     def complete_read(self, now: Millis, read_at: Millis | None = None) -> None:
-        """Learn that the platform's list has been read up to its end."""
+        """Record that the platform's list has been read to its end."""
         self.record_list_read(now, read_at)
         for record in self._removed.take_confirmed(now):
             self.put(record, now)
@@ -119,9 +119,9 @@
         *,
         unread: Collection[str] = (),
     ) -> None:
-        """Take the whole list; what is not on it is missing.
+        """Replace the whole list; servers that are not on it become missing.
 
-        `unread` are servers on it whose entries can't be read.
+        `unread` names listed servers whose entries cannot be parsed.
         """
         listed = {record.server: record for record in records}
         for record in listed.values():
@@ -133,7 +133,7 @@
                 backend.missing_since = now
 
     def put(self, record: ServerRecord, now: Millis) -> None:
-        """Take a newer record; a start that leaves never comes back."""
+        """Apply a newer record; a start that is leaving stays so."""
         if self._is_stale(record):
             return
         record = self._preserve_leaving(record)
@@ -156,11 +156,11 @@
         self._servers_by_address[record.address].add(record.server)
 
     def mark_unreadable(self, servers: Iterable[str]) -> None:
-        """Learn whose newest entries can't be read.
+        """Mark servers whose latest entries cannot be parsed.
 
-        They get no new work until a later one can. They are not gone: what
-        runs there goes on, and the weights that they hold still count, so
-        that context is not freed for this alone.
+        They get no new requests until a later entry can be parsed. They are not
+        treated as gone: their requests go on, and the weights that they hold
+        still count, so that context is not freed because of this alone.
         """
         for server in servers:
             backend = self._backends.get(server)
@@ -171,11 +171,11 @@
                 backend.missing_since = None
 
     def remove(self, server: str, now: Millis) -> None:
-        """Learn that a server's entry is gone.
+        """Record that a server's entry was removed.
 
-        What it wrote before may arrive after that, so only a second, later
-        record brings it back, or one that stays. Entries that lapsed with the
-        platform's store come back with the first.
+        Records written earlier may still arrive, so the server counts as back
+        only after a second, later record or if its entry persists. Entries that
+        lapsed with the platform's store come back with the first record.
         """
         self._removed.remove(server, now)
         backend = self._backends.get(server)
@@ -183,7 +183,7 @@
             backend.missing_since = now
 
     def _preserve_leaving(self, record: ServerRecord) -> ServerRecord:
-        """Return a record of a start that, once it leaves, always leaves."""
+        """Return the record, marked as leaving if its start was already so."""
         known = self.find_start(record.start)
         is_leaving = known is not None and known.record.is_leaving
         if record.is_leaving or not (
@@ -193,9 +193,10 @@
         return replace(record, is_leaving=True)
 
     def _is_stale(self, record: ServerRecord) -> bool:
-        """Return whether a record is not of the latest known start.
+        """Return whether a record belongs to an earlier start.
 
-        One that tells no start is not by a server that has told its own.
+        A record without a start time does not belong to a server that has
+        reported one.
         """
         if record.born is None:
             known = self._backends.get(record.server)
@@ -203,7 +204,7 @@
         return record.born < self._latest_starts.get(record.server, 0)
 
     def _record_start(self, record: ServerRecord) -> None:
-        """Note the latest start; what it writes is not left over."""
+        """Record the latest start; its own records cannot be left over."""
         if record.born is None:
             return
         self._has_start_times = True
@@ -214,7 +215,7 @@
     def _add_start(
         self, record: ServerRecord, known: Backend | None, now: Millis
     ) -> None:
-        """Know nothing but its record of a start."""
+        """Add a start without any state of the previous one."""
         if known is not None:
             self._superseded.append(known.record)
         self._mark_displaced(record)
@@ -225,10 +226,10 @@
         self._backends[record.server] = backend
 
     def _mark_displaced(self, record: ServerRecord) -> None:
-        """Use no server whose address a new one has told.
+        """Mark other servers at the address of a new record as displaced.
 
-        After a common loss of power those of before stay listed for seconds,
-        and each request to one would only learn that it has ended.
+        After a power failure the previous servers stay listed for seconds, and
+        every request to one of them would fail.
         """
         for server in self._servers_by_address[record.address] - {
             record.server
@@ -238,11 +239,11 @@
                 backend.is_displaced = True
 
     def _is_valid(self, backend: Backend) -> bool:
-        """Return whether a record names a backend server to use."""
+        """Return whether a record was written by a backend server."""
         return backend.record.born is not None or not self._has_start_times
 
     def find_oldest_version(self, model: str) -> int | None:
-        """Return the oldest weights that any known engine may still hold."""
+        """Return the oldest weights that a known engine may still hold."""
         held = [
             backend.record.versions[model]
             for backend in self._backends.values()
@@ -251,15 +252,16 @@
         return min(held, default=None)
 
     def mark_replaced(self, start: ServerStart) -> None:
-        """Learn that another server answers at the address of this one."""
+        """Record that another server answers at the address of a start."""
         backend = self.find_start(start)
         if backend is not None:
             backend.record = replace(backend.record, is_leaving=True)
 
     def mark_leaving(self, start: ServerStart) -> bool:
-        """Learn that a start gets no more work; return whether that is new.
+        """Mark a start as leaving; return whether it was not before.
 
-        It is final, whatever the list tells later.
+        A start that leaves gets no more work, whatever later entries of the
+        list say.
         """
         backend = self.find_start(start)
         if backend is None or backend.record.is_leaving:
@@ -271,7 +273,7 @@
         return True
 
     def is_missing(self, backend: Backend, now: Millis) -> bool:
-        """Return whether a server's entry is gone for good."""
+        """Return whether a server's entry is gone, not merely lapsed."""
         if backend.missing_since is None:
             return False
         return not self._removed.is_lapsing(now)
@@ -298,17 +300,20 @@
 
 
 def _update_cold(backend: Backend, now: Millis) -> None:
-    """Take how much longer a server is cold, at most: it wrote that before."""
+    """Extend the time that a server is cold.
+
+    The remaining time is an upper bound, since the record was written earlier.
+    """
     if backend.record.cold_remaining > 0:
         until = now + min(backend.record.cold_remaining, _MAX_COLD)
         backend.cold_until = max(backend.cold_until, until)
 
 
 def _merge_versions(known: ServerRecord, update: ServerRecord) -> ServerRecord:
-    """Keep a newer version that an answer showed before the list did.
+    """Keep a newer version that an answer reported before the list did.
 
-    A model that is left out is kept too: no order takes one from an engine,
-    and one without known weights would get requests for any.
+    Models missing from the update are kept too: no order removes a model from
+    an engine, and an engine without known weights would get requests for any.
     """
     versions = dict(known.versions)
     for model, version in update.versions.items():
--- a/src/oleanderdyke/kernel/servers.py
+++ b/src/oleanderdyke/kernel/servers.py
@@ -1,4 +1,4 @@
-"""Describe the backend servers that the platform lists."""
+"""Data about backend servers, their requests and their answers."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerStart:
-    """Name one start of a backend server, which knows nothing of others.
+    """Identifies one start of a backend server.
 
-    A server may start anew under the name `server` that it had; `born` is the
-    Unix millisecond of the start by its own clock, None where nobody tells.
-    Only those of two starts are compared, so that no step of a clock here
-    decides between them.
+    A server that restarts may keep its name `server`; it has no state of
+    earlier starts. `born` is the Unix time of the start in milliseconds by the
+    server's own clock, or None if the server does not report it. It is compared
+    only with other starts of the same server, so that steps of the local clock
+    have no effect.
     """
 
     server: str
@@ -26,11 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerRecord:
-    """Hold what one start of a backend server last told about itself.
+    """Holds the latest record that one start of a server wrote to the list.
 
-    `versions` gives the version of the weights that it holds of each model.
-    `beat` counts what this start has written to the list. It is `cold` for so
-    long after it wrote this.
+    `versions` maps each model to the version of the weights that the server
+    holds. `revision` counts the records that this start has written.
+    `cold_remaining` is how long the server stays cold after it wrote the
+    record.
     """
 
     server: str
@@ -46,13 +48,13 @@
 
     @property
     def start(self) -> ServerStart:
-        """Return which start of the server told it."""
+        """Return the start that wrote the record."""
         return ServerStart(self.server, self.born)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """Hold what a backend server told of its load with an answer."""
+    """Holds the load that a backend server reports with an answer."""
 
     running: int
     waiting: int
@@ -61,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """Name a part of a prompt that requests may share, and its length."""
+    """Identifies a part of a prompt that requests may share."""
 
     name: str
     tokens: int
@@ -69,7 +71,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelDemand:
-    """Say what a request asks of a model; `output_tokens` is at most."""
+    """Describes the model request to place.
+
+    `output_tokens` is the upper bound of the length of the answer.
+    """
 
     model: str
     prompt_tokens: int = 0
@@ -78,17 +83,17 @@
 
     @property
     def memory_tokens(self) -> int:
-        """Guess what a run takes of an engine's memory by itself.
+        """Estimate the engine memory that this request needs, in tokens.
 
-        Many runs share the parts before the last shared one, and an answer
-        is on average half as long as it may be.
+        Parts before the last shared part are shared by many running requests
+        and not counted. An answer has on average half of its maximum length.
         """
         common = sum(part.tokens for part in self.parts[:-2])
         return self.prompt_tokens - common + self.output_tokens // 2
 
 
 class AnswerField(enum.StrEnum):
-    """What a backend server may name of itself in an answer."""
+    """Fields that a backend server may report about itself in an answer."""
 
     RATE_LIMIT = 'rate limit'
     RETRY_AFTER = 'retry after'
@@ -96,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedField:
-    """Part of an answer that can't be read; `text` is the start of it."""
+    """A field of an answer that cannot be parsed; `text` is its beginning."""
 
     field: AnswerField
     text: str
@@ -104,17 +109,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerMetadata:
-    """Hold what the head of a backend server's answer tells.
-
-    `is_not_run` is the server's promise that it has not run the request and
-    never will, `is_misdirected` that what was expected of it doesn't hold.
-    `is_sealed` tells that the answer bears the mark of a server.
-    `idle_timeout` is how long the server keeps an idle connection open.
-    `rate_limit` is how many requests a second it accepts from all entries
-    together: infinite without a limit, None where that can't be told.
-    A server that `is_leaving` soon stops; one that refused may want no requests
-    of this entry before `retry_after`. What was there and can't be read is
-    `malformed`.
+    """Holds what the head of a backend server's answer reports.
+
+    `is_not_executed` is the server's guarantee that it has not executed the
+    request and never will; `is_misdirected` says that the expected server or
+    version did not match. `is_sealed` says that the answer carries the seal of
+    a backend server. `idle_timeout` is how long the server keeps an idle
+    connection open.
+
+    `rate_limit` is the number of requests per second that the server accepts
+    from all entries together: infinite without a limit, None if it cannot be
+    parsed. A server with `is_leaving` is about to stop. A server that refused
+    may want no requests from this entry for `retry_after`. `malformed` lists
+    the fields that are present but cannot be parsed.
     """
 
     request: str = ''
