--- a/src/oleanderdyke/kernel/backends.py
+++ b/src/oleanderdyke/kernel/backends.py
@@ -35,7 +35,7 @@
 
 
 class BackendRegistry(ServerList):
-    """Tracks requests and answers of the current starts of servers.
+    """Track requests and answers of the current starts of servers.
 
     Reports about earlier starts are ignored.
     """
--- a/src/oleanderdyke/kernel/cold_starts.py
+++ b/src/oleanderdyke/kernel/cold_starts.py
@@ -1,8 +1,8 @@
-"""Share among entries what a backend server tolerates while it is cold.
+"""Shares of the request rate that a cold backend server tolerates.
 
-A server that has just started crashes under a rate that it bears later. The
-bound holds for the sum over all entries, which exchange nothing on the path of
-a request, so each keeps to a share that needs no agreement.
+A server that has just started crashes at a rate that it can serve later. The
+limit holds for the sum over all entries. They do not coordinate while they
+serve a request, so each entry computes its own share.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.kernel.ranks import count_ahead
 
-# Slightly longer than the second that the bound is stated for, so that two
-# sends this far apart never count in the same one.
+# Slightly more than the second for which the limit is defined, so that two
+# sends this far apart never fall into the same second.
 _WINDOW: Millis = 1.05 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class ColdLimit:
-    """Requests a second that a cold server tolerates from all entries.
+    """Requests per second that a cold server tolerates from all entries.
 
-    A server stays cold for `lasts` after it became so.
+    `duration` is how long a server stays cold.
     """
 
     per_second: float
@@ -38,15 +38,17 @@
     known: Collection[str],
     count: float,
 ) -> Millis:
-    """Return the least time between two sends of an entry to a cold server.
+    """Return the minimum time between two sends of an entry to a server.
 
-    Infinity where the entry has no share. `count` is how many entries may be
-    alive, of which some are `known` by name. While it is no underestimate, the
-    sends of all entries stay within the limit in every second.
+    It is infinite if the entry has no share. `count` is an upper bound of the
+    number of live entries, some of which are `known` by name. As long as it is
+    not an underestimate, the sends of all entries together stay within the
+    limit in every second.
     """
     whole_rate = math.floor(limit.per_second)
     if count <= whole_rate:
         return _WINDOW / (whole_rate // max(count, 1))
-    # More entries than requests: each server has others that may send.
+    # More entries than requests per second: only the entries that rank first
+    # for this server may send to it.
     ahead = count_ahead(server, entry, known=known, count=count)
     return _WINDOW if ahead < whole_rate else math.inf
--- a/src/oleanderdyke/kernel/evacuations.py
+++ b/src/oleanderdyke/kernel/evacuations.py
@@ -1,4 +1,4 @@
-"""Track data centres whose backend servers must get no new work."""
+"""Data centres whose backend servers must get no new work."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 from oleanderdyke.clock import SECOND, Millis
 
-# Operators write again what a restored store lacks; until then an evacuation
-# that it lacks may still be in force.
+# Operators write evacuations again that a restored store lacks; until then a
+# missing one may still be in force.
 _RESTORE_HOLD: Millis = 10 * SECOND
 
 
 class Evacuations:
-    """Data centres that operators evacuate, as far as they are known.
+    """Evacuations of data centres that operators have ordered.
 
     Losing contact with the operators changes nothing: an evacuation ends only
-    when they take it back, or when a complete listing no longer has it.
+    if they cancel it or if a complete listing does not contain it.
     """
 
     def __init__(self) -> None:
         self._active: frozenset[str] = frozenset()
         self._ended: dict[str, Millis] = {}
-        # Until when those that a restored store lacks stay in force.
+        # When the evacuations end that a restored store lacks.
         self._held_until: dict[str, Millis] = {}
 
     @property
@@ -31,7 +31,7 @@
         return self._active
 
     def begin(self, data_centre: str) -> bool:
-        """Stop new work; return whether it was not stopped before."""
+        """Stop new work; return whether it was allowed before."""
         self._held_until.pop(data_centre, None)
         if data_centre in self._active:
             return False
@@ -39,7 +39,7 @@
         return True
 
     def end(self, data_centre: str, now: Millis) -> bool:
-        """Allow new work again; return whether it had been stopped."""
+        """Allow new work again; return whether it was stopped before."""
         self._held_until.pop(data_centre, None)
         if data_centre not in self._active:
             return False
@@ -50,9 +50,9 @@
     def find_missing(
         self, listed: Iterable[str], now: Millis, *, is_restored: bool
     ) -> frozenset[str]:
-        """Return the evacuations that ended, by a complete listing.
+        """Return the evacuations that ended, given a complete listing.
 
-        Those that a restored store lacks are held for a while.
+        Those missing from a restored store stay in force for a while.
         """
         missing = self._active - frozenset(listed)
         if is_restored:
@@ -60,7 +60,7 @@
         return missing - self._held_until.keys()
 
     def find_expired(self, now: Millis) -> frozenset[str]:
-        """Return evacuations that nobody wrote again since a restore."""
+        """Return evacuations that were not written again since a restore."""
         return frozenset(
             data_centre
             for data_centre, until in self._held_until.items()
--- a/src/oleanderdyke/kernel/exclusive_slot.py
+++ b/src/oleanderdyke/kernel/exclusive_slot.py
@@ -1,14 +1,14 @@
-"""Let suspects run alone on a backend server."""
+"""Exclusive runs of suspect requests on a backend server."""
 
 from __future__ import annotations
 
 
 class ExclusiveSlot:
-    """Keep a server for one suspect, from its first try until its end.
+    """Reserve a server for one request that is suspected of crashing it.
 
-    Each try of the suspect renews its reservation, which lapses after some
-    heartbeats without one: a suspect that ran elsewhere, or was quarantined
-    meanwhile, keeps nobody out.
+    Each attempt of the suspect renews its reservation, which lapses after
+    `reserve_beats` heartbeats without one. A suspect that ran elsewhere or was
+    quarantined meanwhile thus blocks no other request.
     """
 
     def __init__(self, *, reserve_beats: int) -> None:
@@ -19,15 +19,15 @@
         self._occupant = ''
 
     def record_heartbeat(self, sequence: int) -> None:
-        """Learn the sequence number of the agent's latest heartbeat."""
+        """Record the sequence number of the agent's latest heartbeat."""
         self._heartbeat = max(self._heartbeat, sequence)
 
     def is_closed(self) -> bool:
-        """Return whether ordinary work has to stay out."""
+        """Return whether other requests must wait."""
         return bool(self._occupant) or self._is_reserved()
 
     def request(self, digest: str, running: int) -> bool:
-        """Return whether a suspect may enter now; else reserve for it."""
+        """Return whether a suspect may start now; reserve the server if not."""
         if not self._is_reserved():
             self._reserved_for = digest
         if self._reserved_for == digest:
@@ -35,12 +35,12 @@
         return running == 0 and self._reserved_for == digest
 
     def enter(self, digest: str) -> None:
-        """Begin the run of a suspect."""
+        """Record that a suspect starts to run."""
         self._occupant = digest
         self._reserved_for = ''
 
     def leave(self, digest: str) -> bool:
-        """End a run; tell whether it was that of the suspect."""
+        """Record the end of a run; return whether it was the suspect's."""
         if not digest or self._occupant != digest:
             return False
         self._occupant = ''
--- a/src/oleanderdyke/kernel/overload.py
+++ b/src/oleanderdyke/kernel/overload.py
@@ -1,4 +1,4 @@
-"""Refuse early what an overloaded service would answer too late."""
+"""Early refusal of requests that an overloaded service would answer late."""
 
 from __future__ import annotations
 
@@ -6,42 +6,41 @@
 
 from oleanderdyke.clock import SECOND, Millis
 
-# A first try that is expected to be later than its target is refused: the
-# time that it would take makes others late, and coming back later it earns
-# as much as a late answer does.
+# A first try that is expected to miss its target is refused: serving it would
+# delay others, and a later retry is worth as much as a late answer.
 _TARGET_SHARE = 1.0
-# Requests that wait at an engine, beside those that it has begun to read.
-# From the first on more are refused, from the second on nearly all: an engine
-# whose memory is full puts back what it has begun and reads it again.
+# Requests that wait at an engine, apart from those whose prefill has begun.
+# Refusals start above the first number and reach their maximum at the second:
+# an engine with full memory preempts running requests and prefills them again.
 _SHED_START_QUEUE = 2
 _SHED_FULL_QUEUE = 10
 _MAX_SHED_SHARE = 0.95
-# The part of an engine's memory that its runs may take by a guess that counts
-# shared parts, and the longest answers, for each of them. Where it stays under
-# the first, first tokens keep under half of their targets.
-# The guess alone refuses nothing: there are places while nobody waits.
+# Estimated share of an engine's memory that its running requests use. The
+# estimate counts shared parts and the longest answer for each of them. Below
+# the first value, first tokens take less than half of their targets. The
+# estimate alone refuses nothing: while no request waits, there are free slots.
 _SHED_START_MEMORY_SHARE = 0.8
 _SHED_FULL_MEMORY_SHARE = 1.2
-# Refusing a request that takes little memory frees little: it is refused less
-# often than others by its size, but not less than by this factor.
+# Refusing a small request frees little memory, so the probability of refusal is
+# scaled by the size of the request, down to this factor.
 _MIN_SIZE_FACTOR = 0.3
-# Within this, a first byte is late by chance: one step of an engine that reads
-# a long prompt beside takes half of it.
+# A first byte may be this late by chance: one step of an engine that prefills a
+# long prompt beside it takes half of this.
 _NEGLIGIBLE_DELAY: Millis = 40.0
-# Without a server that takes anything a request waits so long, and at most for
-# this part of what is left: after a common loss of power the list tells new
-# starts within a second, and a load of new weights takes one or two.
+# A request waits this long for a usable server, and at most for this share of
+# its remaining time: after a power failure the list shows new starts within a
+# second, and loading new weights takes one or two.
 _MAX_WAIT: Millis = 1.5 * SECOND
 _WAIT_SHARE = 0.5
-# A caller's deadline may differ a little from the route's timeout.
+# Tolerance for a caller's deadline that differs from the route's timeout.
 _FIRST_TRY_SLACK: Millis = 20.0
-# Rank among an engine's requests of those that are late already.
+# Rank of requests that are already late among an engine's requests.
 LATE_RANK = 8
 
 
 @dataclass(frozen=True, slots=True)
 class RequestAge:
-    """Time a caller has waited, and its latency target."""
+    """How long a caller has waited, and its latency target."""
 
     waited: Millis
     target: Millis
@@ -53,23 +52,26 @@
 
     @property
     def is_late(self) -> bool:
-        """Return whether no answer can be in time any more."""
+        """Return whether every answer would miss the target."""
         return self.waited > self.target
 
 
 def find_request_age(
     wait: Millis | None, timeout: Millis, target: Millis
 ) -> RequestAge:
-    """Infer from what is left of a caller's wait how long it has waited."""
+    """Derive the time waited from a caller's remaining wait.
+
+    A `wait` of None means the whole timeout.
+    """
     left = timeout if wait is None else wait
     return RequestAge(max(timeout - left, 0.0), target)
 
 
 def find_server_wait(left: Millis) -> Millis:
-    """Return how long a request waits for a server that takes anything.
+    """Return how long a request may wait for a usable server.
 
-    Sent back, most callers are back before there is one, and come no third
-    time.
+    Most callers that are refused instead retry before a server is usable, and
+    do not retry a second time.
     """
     return min(max(left, 0.0) * _WAIT_SHARE, _MAX_WAIT)
 
@@ -84,12 +86,14 @@
     size: float,
     random_value: float,
 ) -> bool:
-    """Return whether a request is better sent back than started now.
-
-    `delay` is how long requests lately waited at the least loaded server and
-    `waiting` how many do. `fill` is how much of its memory is likely taken,
-    `size` what this request takes against the mean, and `drawn` a number from
-    0 to 1, by which a growing part is refused.
+    """Return whether to refuse a request instead of starting it.
+
+    `expected` is the expected time to the first byte. `delay` is the recent
+    queueing time at the least loaded server and `waiting` the number of
+    requests that wait there. `fill` is the estimated share of its memory in
+    use, `size` the memory of this request relative to the mean. `random_value`,
+    from 0 to 1, decides which requests are refused as the probability of
+    refusal rises.
     """
     queue_excess = (waiting - _SHED_START_QUEUE) / (
         _SHED_FULL_QUEUE - _SHED_START_QUEUE
--- a/src/oleanderdyke/kernel/placement.py
+++ b/src/oleanderdyke/kernel/placement.py
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallDemand:
-    """Describes a call to place.
+    """Describe a call to place.
 
     `excluded` holds the starts that have failed this call. `fetchable` maps
     versions of the weights to the number of leading prompt tokens that stores
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """Holds the chosen server and the figures behind the choice.
+    """Hold the chosen server and the figures behind the choice.
 
     `expected` is the time to the first byte. `delay` is the recent queueing
     time on the server according to first bytes, `waiting` the number of
--- a/src/oleanderdyke/kernel/prediction.py
+++ b/src/oleanderdyke/kernel/prediction.py
@@ -1,4 +1,8 @@
-"""Predict the wait at an agent from old reports and own dispatches."""
+"""Predictions of the queueing time at an agent.
+
+They combine lagged load reports with the requests that this entry dispatched
+itself.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,7 @@
 
 @dataclass(slots=True)
 class Dispatched:
-    """Describe what one dispatched request still asks of its agent."""
+    """A dispatched request and the tokens that it has to prefill."""
 
     agent: str
     tokens: float
@@ -28,7 +32,7 @@
 
 @dataclass(slots=True)
 class _AgentBacklog:
-    """Keep one agent's dispatches that its reports may not show yet."""
+    """Dispatches to one agent that its load reports may not cover yet."""
 
     tokens: float = 0.0
     short_tokens: float = 0.0
@@ -43,10 +47,10 @@
 
 
 class BacklogTracker:
-    """Correct lagged load reports by what this entry sent itself.
+    """Correct lagged load reports by this entry's own dispatches.
 
-    The part of a report that own dispatches explain is replaced by what is
-    known about them now; the rest is other entries' work.
+    The part of a report that own dispatches explain is replaced by their
+    current state; the rest is the load of other entries.
     """
 
     def __init__(self, lag: Millis, default_rate: float) -> None:
@@ -66,9 +70,9 @@
         *,
         short: bool = True,
     ) -> None:
-        """Count a dispatch and the tokens it must prefill.
+        """Record a dispatch and the tokens that it has to prefill.
 
-        A short one goes ahead of those that are not.
+        Short requests are prefilled before all others.
         """
         self.note_finished(request, now)
         backlog = self._backlogs.setdefault(agent, _AgentBacklog())
@@ -83,7 +87,7 @@
         backlog.history.append(dispatch)
 
     def note_first_token(self, request: str, now: Millis) -> None:
-        """Count a dispatch's prefill as done."""
+        """Record that the prefill of a dispatch has ended."""
         dispatch = self._dispatches.get(request)
         if dispatch is None or dispatch.first_token_at is not None:
             return
@@ -98,7 +102,7 @@
         backlog.progressed_at = now
 
     def note_finished(self, request: str, now: Millis) -> None:
-        """Forget a dispatch."""
+        """Remove a dispatch."""
         dispatch = self._dispatches.get(request)
         if dispatch is None:
             return
@@ -109,7 +113,7 @@
         self._hold_time += _SMOOTHING * (held - self._hold_time)
 
     def count_outstanding(self, agent: str) -> int:
-        """Count own requests that an agent has not finished."""
+        """Return the number of own requests that an agent has not finished."""
         backlog = self._backlogs.get(agent)
         return backlog.waiting + backlog.running if backlog else 0
 
@@ -143,7 +147,7 @@
         return prefill + self._estimate_slot_wait(replica)
 
     def find_rate(self, replica: Replica) -> float:
-        """Return the tokens per second that a replica prefills."""
+        """Return the prefill rate of a replica in tokens per second."""
         return replica.load.prefill_tokens_per_second or self._default_rate
 
     def _estimate_slot_wait(self, replica: Replica) -> Millis:
@@ -154,14 +158,14 @@
         return max(0.0, excess * self._hold_time / slots)
 
     def count_requests(self, replica: Replica) -> int:
-        """Estimate the requests at a replica."""
+        """Estimate the number of requests at a replica."""
         backlog = self._backlogs.get(replica.agent)
         if backlog is None:
             return replica.load.running + replica.load.waiting
         return backlog.waiting + backlog.running + backlog.others_requests
 
     def _update_short_share(self, dispatch: Dispatched) -> None:
-        """Learn the short share of all tokens, weighing long ones fully."""
+        """Update the share of tokens in short requests, weighted by tokens."""
         weight = min(1.0, _SMOOTHING * dispatch.tokens / _LONG_TOKENS)
         target = 1.0 if dispatch.short else 0.0
         self._short_share += weight * (target - self._short_share)
--- a/src/oleanderdyke/kernel/prefill_rate.py
+++ b/src/oleanderdyke/kernel/prefill_rate.py
@@ -1,4 +1,4 @@
-"""Learn how fast the model engines of a service read prompts."""
+"""Estimates of how fast the engines of a service prefill prompts."""
 
 from __future__ import annotations
 
@@ -8,22 +8,24 @@
 
 from oleanderdyke.clock import Millis
 
-# Prompt tokens that an engine reads in a millisecond until its answers show it.
-# Sheets state 48 to 112; what reads slower must not be taken for silent.
+# Prompt tokens that an engine prefills per millisecond, until answers show the
+# rate. Data sheets state 48 to 112; slower engines must not count as silent.
 _INITIAL_RATE = 50.0
-# Shorter prompts are read within the spread of a network and a step.
+# The time of shorter prompts is lost in the jitter of network and steps.
 _MIN_TOKENS = 1_000
-# Some are read sooner, as an engine held parts that nobody here knew of, some
-# later, as others send to it too: the middle of so many is close.
+# Single samples are too fast, if the engine held parts that are not known here,
+# or too slow, if other entries send to it too. The median of this many is
+# close.
 _SAMPLE_COUNT = 15
-# No sheet is near these; what seems so was found kept or waited.
+# Bounds far from every data sheet. Samples beyond them come from a cached
+# prompt or from one that waited.
 _MIN_RATE = 5.0
 _MAX_RATE = 1_000.0
 
 
 @dataclass(slots=True)
 class PrefillRate:
-    """Hold the tokens per millisecond that engines of one service read."""
+    """Estimate the prefill rate of a service's engines, in tokens per ms."""
 
     _samples: deque[float] = field(
         default_factory=lambda: deque(maxlen=_SAMPLE_COUNT)
@@ -31,7 +33,7 @@
     _rate: float = _INITIAL_RATE
 
     def add_sample(self, tokens: int, duration: Millis) -> None:
-        """Learn from a prompt that was read with nothing known before it."""
+        """Add the time of a prompt that was sent to an idle engine."""
         if tokens < _MIN_TOKENS or duration <= 0:
             return
         rate = tokens / duration
@@ -39,5 +41,5 @@
         self._rate = statistics.median(self._samples)
 
     def estimate_time(self, tokens: float) -> Millis:
-        """Return how long reading takes."""
+        """Return how long the prefill of this many tokens takes."""
         return tokens / self._rate
--- a/src/oleanderdyke/kernel/rate_limits.py
+++ b/src/oleanderdyke/kernel/rate_limits.py
@@ -1,9 +1,9 @@
-"""Share among entries the rate of requests that a backend server accepts.
+"""Shares of the request rate that a backend server accepts.
 
-A server in need names a rate for the sum of what all entries send. They agree
-on nothing on the path of a request: a few of them, ranked alike everywhere,
-have equal shares of most of the rate. Each of the others, and each that some
-may not know yet, sends seldom, to find out whether the limit still holds.
+An overloaded server announces a rate for the sum over all entries. They do not
+coordinate while they serve a request: a few entries, ranked alike in every
+process, have equal shares of most of the rate. All others, and entries that
+some may not know yet, send seldom, to probe whether the limit still holds.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.kernel.ranks import count_ahead, find_fraction
 
-# So many entries have a share, or as many as there are requests in a second.
-# Where all send at once, the server gets so many more than the rate allows.
+# Least number of entries with a share; there are as many as requests per second
+# if that is more. If all of them send at once, the server gets this many
+# requests beyond its rate.
 _MIN_SENDERS = 4
-# The part of the rate that is left to all other entries.
+# Share of the rate that is left to all other entries.
 _PROBE_SHARE = 0.2
-# A server that accepts nothing is asked so often, in requests a second,
-# whether it does again.
+# Requests per second by which a server that accepts none is probed.
 _MIN_RATE = 0.1
-# Answers may overtake each other. One without a limit doesn't end a limit that
-# another named so shortly before.
+# Answers may arrive out of order: one without a limit does not end a limit that
+# another answer announced this shortly before.
 _REORDERING: Millis = 250.0
 
 
 @dataclass(frozen=True, slots=True)
 class EntryCounts:
-    """Entries among which a rate is shared.
+    """Count of the entries that share a rate; none is an underestimate.
 
-    `count` is how many may be alive, of which some are `known` by name;
-    `sharing` is among how many a rate is shared, infinite for an entry that
-    others may not know yet. Neither is an underestimate.
+    `count` is the number of entries that may be alive, some of which are
+    `known` by name. `sharing` is the number that shares the rate, infinite for
+    an entry that others may not know yet.
     """
 
     known: Collection[str]
@@ -44,10 +44,10 @@
 
 @dataclass(slots=True)
 class RateLimit:
-    """Requests a second that a server accepts from all entries together.
+    """Requests per second that a server accepts from all entries together.
 
-    It is infinite unless the server names one. This entry has known of it
-    `since` a moment on its own clock.
+    The rate is infinite if the server announces no limit. `since` is the local
+    time from which this entry has known of a limit.
     """
 
     per_second: float = math.inf
@@ -57,20 +57,21 @@
 
     @property
     def is_set(self) -> bool:
-        """Return whether the server names a limit."""
+        """Return whether the server currently announces a limit."""
         return self.per_second < math.inf
 
     @property
     def was_ever_set(self) -> bool:
-        """Return whether the server has ever named a limit."""
+        """Return whether the server has ever announced a limit."""
         return self._limited_at > -math.inf
 
     def update(
         self, per_second: float, reported_at: Millis, now: Millis
     ) -> bool:
-        """Take what an answer named at a moment; return whether it is new.
+        """Apply a rate from an answer; return whether it changed.
 
-        A neighbour may have been told earlier than now.
+        `reported_at` is the time of the answer, which is earlier than `now` if
+        another entry received it.
         """
         if reported_at < self._reported_at:
             return False
@@ -93,9 +94,9 @@
 def find_interval(
     rate: float, server: str, *, entry: str, entries: EntryCounts
 ) -> Millis:
-    """Return the least time between two requests of an entry to a server.
+    """Return the minimum time between two requests of an entry to a server.
 
-    Infinity while it isn't known how many entries may be alive.
+    It is infinite while the number of live entries is unknown.
     """
     rate = max(rate, _MIN_RATE)
     senders = max(_MIN_SENDERS, math.floor(rate))
@@ -106,6 +107,6 @@
     )
     if ahead < senders:
         return SECOND * senders / (rate * (1 - _PROBE_SHARE))
-    # Entries that learn of a limit together don't probe together.
+    # Spread the probes of entries that learn of a limit together.
     spread = 0.5 + find_fraction(server, entry)
     return SECOND * entries.count / (rate * _PROBE_SHARE) * spread
--- a/src/oleanderdyke/kernel/removed_servers.py
+++ b/src/oleanderdyke/kernel/removed_servers.py
@@ -1,4 +1,4 @@
-"""Tell a backend server that is back from a record that came late."""
+"""Detection of servers that return after their entry was removed."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.kernel.servers import ServerRecord
 
-# A server writes a record when something changes, which may be once. What was
-# written before its entry was removed may come after that, and is removed in
-# turn after three heartbeats of 1.2 s; the removal is read 1.4 s later at most.
-# So an entry that stays for longer is that of a server which lives.
+# A server writes a record when something changes, which may be only once. A
+# record written before the entry was removed may arrive after that; it is
+# removed in turn after three heartbeats of 1.2 s, and that removal is read at
+# most 1.4 s later. An entry that stays longer belongs to a live server.
 _CONFIRMATION_TIME: Millis = 5.5 * SECOND
-# The platform promises that a server whose entry lapsed while the store was
-# away is back within about two seconds.
+# The platform guarantees that a server whose entry lapsed during an outage of
+# the store is listed again within about two seconds.
 _LAPSE_TIME: Millis = 2 * SECOND
-# A gap between readings of the list from which on entries may have lapsed.
+# Gap between two reads of the list that may have let entries lapse.
 _READ_GAP: Millis = 1_500.0
 
 
 @dataclass(frozen=True, slots=True)
 class _Candidate:
-    """Hold the first record after an entry was removed."""
+    """The first record after an entry was removed."""
 
     record: ServerRecord
     since: Millis
 
 
 class RemovedServers:
-    """Keep servers whose entries were removed until they are surely back."""
+    """Hold back records of removed servers until they are confirmed."""
 
     def __init__(self) -> None:
         self._removed: dict[str, _Candidate | None] = {}
@@ -36,9 +36,9 @@
         self._lapse_until: Millis = 0.0
 
     def record_list_read(self, now: Millis, read_at: Millis) -> None:
-        """Learn that the list was read, before what it says is taken.
+        """Record a read of the list, before its entries are applied.
 
-        `read_at` is when, earlier than `now` where a neighbour did.
+        `read_at` is earlier than `now` if another process made the read.
         """
         last = self._read_at
         if last is not None and read_at - last > _READ_GAP:
@@ -46,30 +46,30 @@
         self._read_at = read_at if last is None else max(read_at, last)
 
     def record_restore(self, now: Millis) -> None:
-        """Learn that the list comes from a copy and may lack live servers."""
+        """Record that the list was restored and may lack live servers."""
         self._lapse_until = now + _LAPSE_TIME
 
     def is_lapsing(self, now: Millis) -> bool:
-        """Return whether entries may lack only because the store was away."""
+        """Return whether entries may be missing only due to a store outage."""
         return now < self._lapse_until
 
     def remove(self, server: str, now: Millis) -> None:
-        """Learn that an entry is gone; one that lapsed may just come back."""
+        """Record that an entry was removed, unless it may just have lapsed."""
         if not self.is_lapsing(now):
             self._removed[server] = None
 
     def forget(self, server: str) -> None:
-        """Learn that what a server writes now can't have come late."""
+        """Accept all further records of a server, which has started anew."""
         self._removed.pop(server, None)
 
     def is_removed(self, server: str) -> bool:
-        """Return whether a server's entry is gone and it isn't surely back."""
+        """Return whether a server's entry was removed, not confirmed since."""
         return server in self._removed
 
     def should_hold(self, record: ServerRecord, now: Millis) -> bool:
-        """Return whether a record may be older than the end of its entry.
+        """Return whether a record may be older than the removal of its entry.
 
-        A second, later one proves that the server lives.
+        A second, later record confirms that the server is alive.
         """
         if record.server not in self._removed:
             return False
@@ -82,7 +82,7 @@
         return True
 
     def take_confirmed(self, now: Millis) -> list[ServerRecord]:
-        """Return records that have stayed for so long that they are true."""
+        """Return the records that have stayed long enough to be confirmed."""
         confirmed = [
             found.record
             for found in self._removed.values()
--- a/src/oleanderdyke/kernel/routing.py
+++ b/src/oleanderdyke/kernel/routing.py
@@ -1,4 +1,4 @@
-"""Weigh the ways in which a replica can come by a prompt's context."""
+"""Cost model of the ways in which a replica obtains a prompt's context."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.kernel.demand import SEGMENT_TOKENS
 
-# A prefix that is there costs little to finish, so it need not wait behind
-# one that is not.
+# Requests with few tokens to prefill go first: they take little time and need
+# not wait behind long ones.
 SHORT_PRIORITY = 0
 LONG_PRIORITY = 1
 BACKGROUND_PRIORITY = 10
@@ -17,7 +17,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Costs:
-    """Weigh time, recomputed tokens and link bytes against each other."""
+    """Weights of time, recomputed tokens and link bytes in the cost.
+
+    Time beyond `late_after` costs `late_weight` more. Prefills of up to
+    `short_tokens` count as short.
+    """
 
     w_ttft: float
     w_recompute: float
@@ -30,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkView:
-    """Show the link of a store: what is under way and what it carries."""
+    """The load of a store's link and its capacity."""
 
     backlog_bytes: float
     bytes_per_second: float
@@ -39,11 +43,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaEstimate:
-    """Show how one replica stands towards one prompt.
+    """Estimate of how one replica could serve a prompt.
 
-    `cached` segments are there, or will be at `ready` from now; the next
-    `covered` segments could be fetched over `link`. Requests with little to
-    recompute wait `short_wait` only, since they go first.
+    `cached` segments are held, or will be in `ready` milliseconds; the next
+    `covered` segments could be fetched over `link`. Requests with few tokens to
+    recompute go first and wait only for `short_wait`.
     """
 
     wait: Millis
@@ -59,7 +63,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefillPlan:
-    """Say how many segments to fetch and what that costs."""
+    """The number of segments to fetch and the resulting cost.
+
+    `rest` is the number of tokens to recompute.
+    """
 
     fetched: int
     rest: int
@@ -97,7 +104,7 @@
 def _count_fitting(
     costs: Costs, estimate: ReplicaEstimate, link: LinkView
 ) -> int:
-    """Count the segments that arrive while the request waits anyway."""
+    """Count the segments that can arrive while the request waits anyway."""
     idle = max(estimate.wait, estimate.ready) - link.latency
     carried = idle * link.bytes_per_second / SECOND - link.backlog_bytes
     return int(carried // (SEGMENT_TOKENS * costs.kv_bytes_per_token))
@@ -119,12 +126,12 @@
 
 
 def lower_priority(priority: int, *, missing: int, short_tokens: int) -> int:
-    """Let a request go behind short ones when too many tokens are missing."""
+    """Lower the priority of a request with many tokens to prefill."""
     return max(priority, LONG_PRIORITY) if missing > short_tokens else priority
 
 
 def estimate_fetch(link: LinkView, link_bytes: float) -> Millis:
-    """Estimate how long a fetch takes behind what is under way."""
+    """Estimate how long a fetch takes behind those under way."""
     queued = link.backlog_bytes + link_bytes
     return link.latency + queued * SECOND / link.bytes_per_second
 
@@ -150,9 +157,9 @@
     tokens_per_second: float,
     wait: Millis = 0.0,
 ) -> bool:
-    """Return whether recomputing costs less than the rest of a fetch.
+    """Return whether recomputing costs less than finishing a fetch.
 
-    `wait` is the engine's queue.
+    `wait` is the queueing time of the engine.
     """
     link_bytes = missing_tokens * costs.kv_bytes_per_token
     fetch = link_bytes * SECOND / max(1.0, bytes_per_second)
--- a/src/oleanderdyke/kernel/send_limits.py
+++ b/src/oleanderdyke/kernel/send_limits.py
@@ -1,7 +1,7 @@
-"""Decide which backend servers must not get a request now, whatever it costs.
+"""Limits that forbid sending a request to a backend server now.
 
-All limits are checked when a server is chosen. What may begin while a
-connection is opened is checked again when the request is sent.
+All limits are checked when a server is chosen. Those that may start while a
+connection is opened are checked again when the request is sent.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Obstacle(enum.StrEnum):
-    """Why no backend server may get a request."""
+    """Reasons why no backend server may get a request."""
 
     UNLISTED = 'no server listed'
     OUTDATED = 'the weights of all servers were replaced too long ago'
@@ -37,24 +37,24 @@
 
 
 class EntryView(Protocol):
-    """What this entry knows of all entries."""
+    """View that this entry has of all entries."""
 
     def count(self, now: Millis) -> float:
-        """Return how many may be alive; never an underestimate."""
+        """Return an upper bound of the number of live entries."""
 
     def count_sharing(self, now: Millis) -> float:
-        """Return among how many something may be shared."""
+        """Return the number of entries that share a rate or budget."""
 
     def list_known(self) -> Collection[str]:
-        """Return the names of those known to be alive."""
+        """Return the names of the entries known to be alive."""
 
 
 @dataclass
 class SendLimits:
-    """Limits on what this entry sends, by data centre and by server.
+    """Limits on the sends of this entry, by data centre and server.
 
-    `regions` gives the region of each data centre, `cold` the limit of each
-    service whose servers start cold.
+    `regions` maps data centres to regions, `cold_limits` maps services whose
+    servers start cold to their limits.
     """
 
     entry: str
@@ -68,7 +68,7 @@
     ) -> dict[ServerStart, Obstacle]:
         """Return the servers that must not get a request now, and why.
 
-        `homes` are the regions where it may run; none means all.
+        `allowed` holds the regions where the request may run; empty for all.
         """
         found = {}
         for backend in backends:
@@ -80,7 +80,7 @@
     def find_obstacle(
         self, backend: Backend, allowed: Collection[str], now: Millis
     ) -> Obstacle | None:
-        """Return why a server must not get a request now, if it must not."""
+        """Return why a server must not get a request now, None if it may."""
         data_centre = backend.record.data_centre
         if data_centre in self.evacuations.active:
             return Obstacle.EVACUATED
@@ -102,7 +102,8 @@
             return Obstacle.EVACUATED
         if backend.backoff_until > now:
             return Obstacle.BACKOFF
-        # Whoever chose it did not know that others chose it too.
+        # The limit was unknown at the choice, and other entries may have chosen
+        # the server too.
         if backend.limit.is_set and backend.limit.since >= chosen_at:
             return Obstacle.LIMITED
         return None
@@ -110,21 +111,21 @@
     def find_next_send_time(
         self, backends: Iterable[Backend], now: Millis
     ) -> Millis:
-        """Return when the first of some servers accepts a request again."""
+        """Return when the first of the servers accepts a request again."""
         return min(
             (self._find_send_time(backend, now) for backend in backends),
             default=now,
         )
 
     def is_in_regions(self, data_centre: str, allowed: Collection[str]) -> bool:
-        """Return whether a data centre lies in one of some regions.
+        """Return whether a data centre lies in one of the allowed regions.
 
-        One whose region is not known lies in none.
+        A data centre of unknown region lies in none.
         """
         return not allowed or self.regions.get(data_centre) in allowed
 
     def list_data_centres(self, allowed: Collection[str]) -> frozenset[str]:
-        """Return the data centres that lie in some regions."""
+        """Return the data centres that lie in the allowed regions."""
         return frozenset(
             data_centre
             for data_centre, region in self.regions.items()
@@ -132,9 +133,9 @@
         )
 
     def is_cold(self, backend: Backend, now: Millis) -> bool:
-        """Return whether a server may have become cold lately.
+        """Return whether a server may have become cold recently.
 
-        Servers may restart unseen during an evacuation of their data centre.
+        During an evacuation of their data centre servers may restart unnoticed.
         """
         limit = self.cold_limits.get(backend.record.service)
         if limit is None:
@@ -165,7 +166,7 @@
         return max(send_time, backend.backoff_until)
 
     def _is_cold_share_used(self, backend: Backend, now: Millis) -> bool:
-        """Return whether this entry's share of a cold server is used up."""
+        """Return whether this entry has used its share of a cold server."""
         limit = self.cold_limits.get(backend.record.service)
         if limit is None or not self.is_cold(backend, now):
             return False
--- a/src/oleanderdyke/kernel/servers.py
+++ b/src/oleanderdyke/kernel/servers.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerStart:
-    """Identifies one start of a backend server.
+    """Identify one start of a backend server.
 
     A server that restarts may keep its name `server`; it has no state of
     earlier starts. `born` is the Unix time of the start in milliseconds by the
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerRecord:
-    """Holds the latest record that one start of a server wrote to the list.
+    """Hold the latest record that one start of a server wrote to the list.
 
     `versions` maps each model to the version of the weights that the server
     holds. `revision` counts the records that this start has written.
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """Holds the load that a backend server reports with an answer."""
+    """Hold the load that a backend server reports with an answer."""
 
     running: int
     waiting: int
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """Identifies a part of a prompt that requests may share."""
+    """Identify a part of a prompt that requests may share."""
 
     name: str
     tokens: int
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelDemand:
-    """Describes the model request to place.
+    """Describe the model request to place.
 
     `output_tokens` is the upper bound of the length of the answer.
     """
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerMetadata:
-    """Holds what the head of a backend server's answer reports.
+    """Hold what the head of a backend server's answer reports.
 
     `is_not_executed` is the server's guarantee that it has not executed the
     request and never will; `is_misdirected` says that the expected server or
--- a/src/oleanderdyke/policies/__init__.py
+++ b/src/oleanderdyke/policies/__init__.py
@@ -1,4 +1,4 @@
-"""Choose between plug-ins for the kernel's decisions."""
+"""Plug-ins for the kernel's decisions."""
 
 from oleanderdyke.policies import (  # noqa: F401 - they register themselves
     admission,
--- a/src/oleanderdyke/policies/admission.py
+++ b/src/oleanderdyke/policies/admission.py
@@ -1,4 +1,4 @@
-"""Decide which requests go on now, wait, or are refused early."""
+"""Admission of requests: start now, queue, or refuse early."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class _RequestClass(enum.IntEnum):
-    """Order requests: little work first, background last."""
+    """Request classes in the order of service, short requests first."""
 
     SHORT = 0
     LONG = 1
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Classified:
-    """Pair a request with its class and the work that it asks for."""
+    """A request with its class and the tokens that it has to prefill."""
 
     demand: Demand
     kind: _RequestClass
@@ -50,7 +50,7 @@
 
     @property
     def cost(self) -> float:
-        """Return the tokens to work on, at least one."""
+        """Return the tokens to prefill and to generate, at least one."""
         return float(max(1, self.missing + self.demand.answer_tokens))
 
 
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class _Service:
-    """Hold the queues of one service."""
+    """The queues of one service."""
 
     capacity: ServiceCapacity
     queues: tuple[FairQueue, ...] = field(default_factory=_make_queues)
@@ -68,13 +68,13 @@
     return_at: Millis = 0.0
 
     def has_waiting(self, kind: _RequestClass) -> bool:
-        """Return whether anybody waits who goes first."""
+        """Return whether requests of this or an earlier class wait."""
         return any(self.queues[: kind + 1])
 
     def estimate_work_ahead(
         self, classified: _Classified, weight: float
     ) -> float:
-        """Estimate the work that is done before a new request ends."""
+        """Estimate the work to be done before a new request of a team."""
         queue = self.queues[classified.kind]
         ahead = queue.estimate_ahead(
             classified.demand.team, classified.cost, weight
@@ -83,7 +83,7 @@
 
 
 class FairAdmission:
-    """Share each service between teams and refuse what would be late."""
+    """Share each service between teams and refuses late requests."""
 
     def __init__(self, settings: PolicySettings, find_terms: FindTerms) -> None:
         self._settings = settings
@@ -122,7 +122,7 @@
     def release(
         self, fleet: Fleet, now: Millis
     ) -> Sequence[tuple[str, Admitted | Refusal]]:
-        """Return who may go on and who has waited too long."""
+        """Return the queued requests to start now or to refuse as late."""
         released = self._expire(now)
         for name, service in self._services.items():
             if not any(service.queues):
@@ -132,14 +132,14 @@
         return released
 
     def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
-        """Learn which work an admitted request brought."""
+        """Record the plan of an admitted request that was sent."""
         present = (plan.cached + plan.fetched) * SEGMENT_TOKENS
         tokens = float(max(0, demand.tokens - present))
         capacity = self._find_service(demand.service).capacity
         capacity.note_sent(demand, plan, tokens, now)
 
     def note_first_token(self, request: str, now: Millis) -> None:
-        """Learn that a prefill is over."""
+        """Record that the prefill of a request has ended."""
         demand = self._running.get(request)
         if demand is None:
             return
@@ -147,7 +147,7 @@
         capacity.note_first_token(request, now)
 
     def note_finished(self, request: str, now: Millis) -> None:
-        """Give back what a request held, queued or running."""
+        """Release what a request occupied, queued or running."""
         if request in self._waiting:
             self._drop(request, now)
             return
@@ -217,10 +217,10 @@
         now: Millis,
         reason: str,
     ) -> Refusal:
-        """Refuse, and reserve a later place for the caller's return.
+        """Refuse a request and schedule the caller's retry.
 
-        Those told to come back are spread so that they return no faster
-        than the service works.
+        The retry times of refused callers are spread so that they return no
+        faster than the service works off requests.
         """
         throughput = service.capacity.estimate_throughput(service.mean_cost)
         queued = sum(
@@ -275,33 +275,33 @@
 
 
 class OpenAdmission:
-    """Admit everything at once."""
+    """Admit every request at once."""
 
     def admit(
         self, demand: Demand, fleet: Fleet, now: Millis
     ) -> Admitted | Queued | Refusal:
-        """Admit."""
+        """Return that the request may start."""
         return _ADMITTED
 
     def release(
         self, fleet: Fleet, now: Millis
     ) -> Sequence[tuple[str, Admitted | Refusal]]:
-        """Return nothing; nobody waits."""
+        """Return nothing, as no request is ever queued."""
         return ()
 
     def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
-        """Learn nothing."""
+        """Ignore the event, as no load is tracked."""
 
     def note_first_token(self, request: str, now: Millis) -> None:
-        """Learn nothing."""
+        """Ignore the event, as no load is tracked."""
 
     def note_finished(self, request: str, now: Millis) -> None:
-        """Give nothing back."""
+        """Ignore the event, as no load is tracked."""
 
 
 @ADMISSIONS.register('fair')
 def make_fair(settings: PolicySettings, find_terms: FindTerms) -> Admission:
-    """Build the admission that shares by weight."""
+    """Build the admission that shares services by team weight."""
     return FairAdmission(settings, find_terms)
 
 
--- a/src/oleanderdyke/policies/candidates.py
+++ b/src/oleanderdyke/policies/candidates.py
@@ -1,4 +1,4 @@
-"""Find the few replicas that are worth a prediction."""
+"""Selection of the few replicas to predict the cost for."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     settings: PolicySettings,
     exclude: frozenset[str],
 ) -> Sequence[Replica]:
-    """Return every replica of a small fleet, else holders and samples."""
+    """Return all replicas of a small fleet, else holders and samples."""
     replicas = fleet.replicas(demand.service)
     if len(replicas) <= settings.scan_limit:
         return [
@@ -81,7 +81,7 @@
 
 
 def estimate_missing(demand: Demand, fleet: Fleet) -> int:
-    """Estimate the tokens that no engine holds of a prompt."""
+    """Estimate the prompt tokens that no engine holds."""
     low, high = 0, len(demand.segments)
     while low < high:
         middle = (low + high) // 2
@@ -107,10 +107,11 @@
     random: Random,
     settings: PolicySettings,
 ) -> Sequence[str]:
-    """Return some holders of the longest prefix that anybody holds.
+    """Return some holders of the longest prefix that any agent holds.
 
-    Holding is monotone along a prompt but for evictions under way, so a
-    binary search finds the depth; a wrong depth costs time only.
+    An agent that holds a segment holds all earlier ones, except for evictions
+    under way, so a binary search finds the depth. A wrong depth costs only
+    time.
     """
     low, high = 0, len(segments)
     best: list[str] = []
--- a/src/oleanderdyke/policies/capacity.py
+++ b/src/oleanderdyke/policies/capacity.py
@@ -1,4 +1,4 @@
-"""Sum up what a service can do and what waits there."""
+"""Totals of the capacity and the queued work of a service."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class _Totals:
-    """Hold sums over the replicas of a service."""
+    """Sums over the replicas of a service."""
 
     expires_at: Millis = -1.0
     replicas: int = 0
@@ -37,7 +37,7 @@
 
 
 class ServiceCapacity:
-    """Estimate the wait of a service and the work that it gets done."""
+    """Estimate the queueing time and the throughput of a service."""
 
     def __init__(self, settings: PolicySettings) -> None:
         self._settings = settings
@@ -50,11 +50,11 @@
 
     @property
     def duration(self) -> Millis:
-        """Return how long a request lasts once it is sent."""
+        """Return the mean time from sending a request to its end."""
         return self._duration
 
     def refresh(self, service: str, fleet: Fleet, now: Millis) -> bool:
-        """Refresh the sums when they are old; false without replicas."""
+        """Update expired totals; return whether there are any replicas."""
         if now >= self._totals.expires_at:
             self._totals = self._compute_totals(service, fleet, now)
         return self._totals.replicas > 0
@@ -67,15 +67,16 @@
         return tokens * SECOND / self._totals.rate
 
     def estimate_utilization(self) -> float:
-        """Estimate the share of slots in use, zero where none is known."""
+        """Estimate the share of slots in use, zero if no slots are known."""
         if not self._totals.slots:
             return 0.0
         return self._totals.requests / self._totals.slots
 
     def estimate_throughput(self, mean_cost: float) -> float:
-        """Estimate this entry's share of the tokens done in a ms.
+        """Estimate this entry's share of the throughput in tokens per ms.
 
-        `mean_cost` tokens are taken for one slot; plain calls cost 1.
+        `mean_cost` is the mean number of tokens of a request in one slot. Plain
+        calls cost 1, so that only slots limit them.
         """
         totals = self._totals
         by_slots = totals.slots / self._duration * mean_cost
@@ -95,7 +96,7 @@
     def note_sent(
         self, demand: Demand, plan: Plan, tokens: float, now: Millis
     ) -> None:
-        """Count what a request's plan recomputes."""
+        """Count the tokens that a request's plan recomputes."""
         short = tokens <= self._settings.short_tokens
         self._backlog.note_sent(
             demand.request, plan.agent, tokens, now, short=short
@@ -103,7 +104,7 @@
         self._sent[demand.request] = _Sent(tokens, now, short)
 
     def note_first_token(self, request: str, now: Millis) -> None:
-        """Count a prefill as done."""
+        """Remove the tokens of a prefill that has ended."""
         sent = self._sent.get(request)
         if sent is None or not sent.prefilling:
             return
@@ -115,7 +116,7 @@
             totals.short_tokens = max(0.0, totals.short_tokens - sent.tokens)
 
     def note_finished(self, request: str, now: Millis) -> None:
-        """Count a request as done."""
+        """Remove a request that has ended."""
         self._totals.requests = max(0, self._totals.requests - 1)
         self.note_first_token(request, now)
         sent = self._sent.pop(request, None)
--- a/src/oleanderdyke/policies/exports.py
+++ b/src/oleanderdyke/policies/exports.py
@@ -1,4 +1,4 @@
-"""Decide which segments of a run are worth sending to a store."""
+"""Selection of the segments to export to a store."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ExportPolicy:
-    """Export what is expected to return often enough to pay for its bytes."""
+    """Select segments whose expected reuse pays for the export."""
 
     def __init__(self, settings: PolicySettings) -> None:
         self._limit = settings.gap_memory
@@ -30,19 +30,19 @@
             uses.popitem(last=False)
 
     def count_worth_exporting(self, segments: Sequence[SegmentHint]) -> int:
-        """Count the leading segments that are worth keeping."""
+        """Count the leading segments that are worth exporting."""
         for index, segment in enumerate(segments):
             if self._expect(segment) < self._needed:
                 return index
         return len(segments)
 
     def _expect(self, segment: SegmentHint) -> float:
-        """Expect as many uses to come as were seen to return."""
+        """Estimate the uses to come from the reuses so far."""
         return _PRIOR_RETURNS + max(0, self._uses.get(segment, 0) - 1)
 
 
 def count_needed_returns(settings: PolicySettings) -> float:
-    """Return how many fetches must follow to pay for one export."""
+    """Return how many fetches are needed to pay for one export."""
     link = settings.w_link * settings.kv_bytes_per_token
     prefill = SECOND / settings.prefill_tokens_per_second
     recompute = settings.w_recompute + settings.w_ttft * prefill
--- a/src/oleanderdyke/policies/keeping.py
+++ b/src/oleanderdyke/policies/keeping.py
@@ -1,4 +1,4 @@
-"""Decide which kept context is worth its room."""
+"""Eviction policies for cached context."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ExpectedSaving:
-    """Keep what saves most recomputed tokens for each byte and hour."""
+    """Rank segments by the recomputation that keeping them saves."""
 
     def __init__(self, settings: PolicySettings) -> None:
         self._returns = ReturnModel(settings.gap_memory)
@@ -22,17 +22,17 @@
     def worth(
         self, segment: SegmentHint, length: int, gap: Millis, now: Millis
     ) -> float:
-        """Return tokens saved per byte and millisecond."""
+        """Return the expected tokens saved per byte and millisecond."""
         rate = self._returns.estimate_rate(segment, gap, now)
         return SEGMENT_TOKENS * rate / max(1, length)
 
     def note_used(self, segment: SegmentHint, now: Millis) -> None:
-        """Learn from a use of a segment."""
+        """Record a use of a segment."""
         self._returns.note_used(segment, now)
 
 
 class LeastRecentlyUsed:
-    """Keep what was used last."""
+    """Rank segments by their last use."""
 
     def __init__(self) -> None:
         self._used: dict[SegmentHint, Millis] = {}
@@ -40,21 +40,21 @@
     def worth(
         self, segment: SegmentHint, length: int, gap: Millis, now: Millis
     ) -> float:
-        """Return the moment of the last use."""
+        """Return the time of the last use."""
         return self._used.get(segment, now)
 
     def note_used(self, segment: SegmentHint, now: Millis) -> None:
-        """Remember the moment."""
+        """Record the time of a use."""
         self._used[segment] = now
 
 
 @KEEPERS.register('expected-saving')
 def make_expected_saving(settings: PolicySettings) -> Keeper:
-    """Build the keeper that learns return gaps."""
+    """Build the policy that learns how soon segments are reused."""
     return ExpectedSaving(settings)
 
 
 @KEEPERS.register('lru')
 def make_lru(settings: PolicySettings) -> Keeper:
-    """Build the keeper that evicts the least recently used."""
+    """Build the policy that evicts the least recently used segments."""
     return LeastRecentlyUsed()
--- a/src/oleanderdyke/policies/limits.py
+++ b/src/oleanderdyke/policies/limits.py
@@ -1,4 +1,4 @@
-"""Hold teams to their configured limits."""
+"""Rate and concurrency limits of teams."""
 
 from __future__ import annotations
 
@@ -25,7 +25,10 @@
 
 
 class TeamLimits:
-    """Count the use of teams that have limits; idle teams take no memory."""
+    """Track the use of teams that have limits.
+
+    Teams without recent requests take no memory.
+    """
 
     def __init__(self, find_terms: FindTerms) -> None:
         self._find_terms = find_terms
@@ -36,7 +39,7 @@
         return len(self._team_uses)
 
     def check(self, demand: Demand, now: Millis) -> Refusal | None:
-        """Return why a team may not send now, or nothing."""
+        """Return the refusal for a team beyond its limits, None within."""
         limits = self._find_terms(demand.team).limits
         if limits == Limits():
             return None
@@ -63,7 +66,7 @@
             use.tokens.take(demand.tokens + demand.answer_tokens, now)
 
     def note_finished(self, team: str, now: Millis) -> None:
-        """Give back a request's place."""
+        """Count the end of a request that was admitted or queued."""
         use = self._team_uses.get(team)
         if use is not None:
             use.started = max(0, use.started - 1)
--- a/src/oleanderdyke/policies/pressure.py
+++ b/src/oleanderdyke/policies/pressure.py
@@ -1,4 +1,4 @@
-"""Know how fast each engine's cache is being turned over."""
+"""Estimates of how fast each engine's cache is replaced."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CachePressure:
-    """Count the tokens that dispatches bring into each cache, with decay."""
+    """Count the tokens added to each cache, with exponential decay."""
 
     def __init__(self, memory: Millis) -> None:
         self._memory = memory
@@ -17,16 +17,16 @@
         self._updated_at: dict[str, Millis] = {}
 
     def record_added(self, agent: str, tokens: float, now: Millis) -> None:
-        """Count tokens that were not cached at an agent before."""
+        """Count tokens that an agent did not have in its cache before."""
         self._totals[agent] = self.count_recent(agent, now) + tokens
         self._updated_at[agent] = now
 
     def estimate_displaced(
         self, brought: Mapping[str, float], now: Millis
     ) -> Mapping[str, float]:
-        """Return what bringing tokens to each agent would push out.
+        """Estimate the cost of what new tokens displace in each cache.
 
-        A cache that is turned over faster than the others loses more that
+        A cache with more additions than the others loses more context that
         would have been used again.
         """
         recent = {agent: self.count_recent(agent, now) for agent in brought}
@@ -37,7 +37,7 @@
         }
 
     def count_recent(self, agent: str, now: Millis) -> float:
-        """Return the tokens brought in lately."""
+        """Return the decayed number of tokens added to a cache."""
         known = self._totals.get(agent)
         if known is None:
             return 0.0
--- a/src/oleanderdyke/policies/registries.py
+++ b/src/oleanderdyke/policies/registries.py
@@ -1,4 +1,4 @@
-"""List the plug-ins that settings may name."""
+"""Registries of the plug-ins that settings may name."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TeamTerms:
-    """Hold the weight and the limits that admission applies to a team."""
+    """Weight and limits that admission applies to a team."""
 
     weight: float = 1.0
     limits: Limits = field(default_factory=Limits)
@@ -24,26 +24,26 @@
 
 
 class MakeRouter(Protocol):
-    """Build a router."""
+    """Factory of routers."""
 
     def __call__(self, settings: PolicySettings) -> Router:
         """Return a new router."""
 
 
 class MakeAdmission(Protocol):
-    """Build an admission."""
+    """Factory of admissions."""
 
     def __call__(
         self, settings: PolicySettings, find_terms: FindTerms
     ) -> Admission:
-        """Return a new admission that looks teams up by name."""
+        """Return a new admission that looks up teams by name."""
 
 
 class MakeKeeper(Protocol):
-    """Build a keeper."""
+    """Factory of eviction policies."""
 
     def __call__(self, settings: PolicySettings) -> Keeper:
-        """Return a new keeper."""
+        """Return a new eviction policy."""
 
 
 ROUTERS: Registry[MakeRouter] = Registry('router')
--- a/src/oleanderdyke/policies/routing.py
+++ b/src/oleanderdyke/policies/routing.py
@@ -1,4 +1,4 @@
-"""Choose a replica and where its context comes from."""
+"""Routers, which choose a replica and the source of its context."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
         return _make_plan(best, self._settings)
 
     def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
-        """Count the prefill, the fetch and the prefixes soon to be there."""
+        """Record the prefill, the fetch and the prefix of a dispatch."""
         present = (plan.cached + plan.fetched) * SEGMENT_TOKENS
         tokens = max(0, demand.tokens - present)
         brought = demand.tokens - plan.cached * SEGMENT_TOKENS
@@ -108,23 +108,23 @@
         self._pending.note_sent(demand, plan, now)
 
     def note_first_token(self, request: str, now: Millis) -> None:
-        """Learn that a request's context is there."""
+        """Record that the context of a request is in place."""
         self._backlog.note_first_token(request, now)
         self._links.remove(request)
         self._pending.mark_ready(request, now)
 
     def note_finished(self, request: str, now: Millis) -> None:
-        """Forget a request."""
+        """Remove a request that has ended."""
         self._backlog.note_finished(request, now)
         self._links.remove(request)
         self._pending.note_finished(request)
 
     def note_removed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
-        """Stop counting on what an agent no longer holds."""
+        """Drop expected segments that an agent has removed."""
         self._pending.note_removed(agent, segments)
 
     def note_listed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
-        """Stop counting on what an agent doesn't list."""
+        """Drop expected segments that an agent's full list lacks."""
         self._pending.note_listed(agent, segments)
 
     def _evaluate(
@@ -182,7 +182,7 @@
 
 
 class LeastOutstandingRouter:
-    """Choose the replica with the fewest requests; fetch nothing."""
+    """Choose the replica with the fewest requests; never fetches."""
 
     def __init__(self, settings: PolicySettings) -> None:
         self._backlog = BacklogTracker(
@@ -198,7 +198,7 @@
         *,
         exclude: frozenset[str] = frozenset(),
     ) -> Plan | Refusal:
-        """Return the replica with the fewest requests as known here."""
+        """Return the plan for the replica with the fewest known requests."""
         replicas = [
             each
             for each in fleet.replicas(demand.service)
@@ -214,21 +214,21 @@
         return Plan(least.agent, 'least outstanding', cached=held)
 
     def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
-        """Count a dispatch."""
+        """Count a dispatched request."""
         self._backlog.note_sent(demand.request, plan.agent, 0, now)
 
     def note_first_token(self, request: str, now: Millis) -> None:
-        """Learn nothing."""
+        """Ignore the event: only whole requests are counted."""
 
     def note_finished(self, request: str, now: Millis) -> None:
-        """Forget a request."""
+        """Remove a request that has ended."""
         self._backlog.note_finished(request, now)
 
     def note_removed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
-        """Learn nothing."""
+        """Ignore the event: no prefixes are tracked."""
 
     def note_listed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
-        """Learn nothing."""
+        """Ignore the event: no prefixes are tracked."""
 
     def _count(self, replica: Replica) -> int:
         reported = replica.load.running + replica.load.waiting
@@ -236,7 +236,7 @@
 
 
 def find_home_agent(demand: Demand, choices: Sequence[_Choice]) -> str:
-    """Return the replica where every entry would put what nobody holds."""
+    """Return the agent that every entry prefers for uncached context."""
     depth = max(each.reach.cached for each in choices)
     if depth >= len(demand.segments):
         return ''
@@ -248,7 +248,7 @@
 
 
 def make_costs(settings: PolicySettings) -> Costs:
-    """Take the weights of the cost function from settings."""
+    """Build the cost weights from settings."""
     return Costs(
         w_ttft=settings.w_ttft,
         w_recompute=settings.w_recompute,
--- a/src/oleanderdyke/policies/settings.py
+++ b/src/oleanderdyke/policies/settings.py
@@ -1,4 +1,4 @@
-"""Hold the weights and costs that the decisions use."""
+"""Settings of the policies: costs, rates and bounds."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicySettings:
-    """Weigh time, recomputed tokens and link bytes, and bound the queues.
+    """Weights of time, tokens and bytes, and bounds of the queues.
 
-    `w_ttft` is a cost for each millisecond, `w_recompute` for each token,
-    `w_link` for each byte. Rates stand in until reports have shown others.
-    `entries` is the number of entries of the deployment, which no list tells.
+    `w_ttft` is the cost of a millisecond, `w_recompute` of a token, `w_link` of
+    a byte. Rates are defaults until load reports show others. `entries` is the
+    number of entries of the deployment, which no list contains.
     """
 
     w_ttft: float = 1.0
--- a/src/oleanderdyke/policies/sources.py
+++ b/src/oleanderdyke/policies/sources.py
@@ -1,4 +1,4 @@
-"""Know where context is, will soon be, and what can carry it."""
+"""Sources of context: pending prefixes, stores and their links."""
 
 from __future__ import annotations
 
@@ -24,7 +24,10 @@
 
 @dataclass(slots=True)
 class _PendingPrefix:
-    """Hold what one dispatch brings; fetching ends at depth `fetched`."""
+    """Segments that one dispatch brings to an agent.
+
+    The segments up to depth `fetched` come from a store.
+    """
 
     agent: str
     segments: Sequence[SegmentHint]
@@ -36,9 +39,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reach:
-    """Say how far a prefix will reach, how soon, and what is joined.
+    """The length of the prefix that an agent holds or will soon hold.
 
-    The `joined` segments after those held come by a fetch under way.
+    It is available in `ready` milliseconds. `joined` segments after those held
+    arrive with a fetch under way.
     """
 
     cached: int
@@ -47,7 +51,7 @@
 
 
 class PendingPrefixes:
-    """Remember prefixes under way to an agent until its events show them."""
+    """Track prefixes on the way to an agent until its events show them."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
@@ -73,7 +77,7 @@
             agents[plan.agent] = demand.request
 
     def mark_ready(self, request: str, now: Millis) -> None:
-        """Count the segments as there, though events may not show it yet."""
+        """Count the segments as held, before events of the agent show them."""
         pending = self._pending.get(request)
         if pending is None:
             return
@@ -82,13 +86,13 @@
         pending.expires_at = now + _READY_RETENTION
 
     def note_finished(self, request: str) -> None:
-        """Drop what never became ready."""
+        """Drop the segments of a request that ended before they were ready."""
         pending = self._pending.get(request)
         if pending is not None and not pending.done:
             self._drop(request)
 
     def note_removed(self, agent: str, segments: Iterable[SegmentHint]) -> None:
-        """Believe an agent that it lost segments after they were sent."""
+        """Drop segments that an agent reports as removed."""
         for segment in segments:
             agents = self._agents.get(segment, {})
             if agents.pop(agent, None) is None:
@@ -98,7 +102,10 @@
                 del self._agents[segment]
 
     def note_listed(self, agent: str, segments: Iterable[SegmentHint]) -> None:
-        """Believe an agent's full list, but wait for what is under way."""
+        """Drop ready segments that an agent's full list lacks.
+
+        Segments that are still on their way are kept.
+        """
         listed = set(segments)
         lost = [
             segment
@@ -111,7 +118,7 @@
         self.note_removed(agent, lost)
 
     def holders(self, segment: SegmentHint) -> Iterable[str]:
-        """Return the agents that will hold a segment soon."""
+        """Return the agents that will soon hold a segment."""
         return self._agents.get(segment, ())
 
     def extend(
@@ -125,7 +132,8 @@
         low, high = held, len(segments)
         ready = 0.0
         joined = 0
-        # Where segments were removed, what comes behind proves nothing.
+        # Where segments were removed, a later segment does not imply that the
+        # earlier ones are held, so a binary search is not possible.
         can_bisect = agent not in self._agents_with_gaps
         while low < high:
             middle = (low + high) // 2 if can_bisect and low > held else low
@@ -172,7 +180,7 @@
 
 
 class LinkTracker:
-    """Correct reports of link use by own fetches since."""
+    """Correct reports of link use by own fetches since then."""
 
     def __init__(self, settings: PolicySettings) -> None:
         self._settings = settings
@@ -191,13 +199,13 @@
         self._stores.setdefault(plan.store, {})[request] = fetch
 
     def remove(self, request: str) -> None:
-        """Forget a fetch that is over."""
+        """Remove a fetch that has ended."""
         fetch = self._fetches.pop(request, None)
         if fetch is not None:
             del self._stores[fetch.store][request]
 
     def view(self, store: Replica, now: Millis) -> LinkView:
-        """Estimate what is under way on a store's link now."""
+        """Estimate the current backlog of a store's link."""
         load = store.load
         rate = load.link_bytes_per_second
         rate = rate or self._settings.link_bytes_per_second
@@ -206,7 +214,7 @@
         sent_bytes = sum(
             each.count for each in own.values() if each.sent > moment
         )
-        # The other entries are taken to have fetched as much since.
+        # Assume that the other entries have fetched as much since then.
         sent_bytes *= self._settings.entries
         drained = max(0.0, now - moment) * rate / SECOND
         left = max(0.0, load.link_bytes_in_flight + sent_bytes - drained)
@@ -216,7 +224,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreView:
-    """Show the store that covers most of what a replica lacks."""
+    """The store that holds most of what a replica lacks."""
 
     agent: str
     covered: int
@@ -227,7 +235,7 @@
 
 
 class StoreViews:
-    """Look up the best store for each depth once in a decision."""
+    """Cache the best store for each depth during one decision."""
 
     def __init__(
         self, demand: Demand, fleet: Fleet, links: LinkTracker, now: Millis
