--- a/src/oleanderdyke/kernel/rate_limits.py
+++ b/src/oleanderdyke/kernel/rate_limits.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryCounts:
-    """Count of the entries that share a rate; none is an underestimate.
+    """Counts of the entries that share a rate; none is an underestimate.
 
     `count` is the number of entries that may be alive, some of which are
     `known` by name. `sharing` is the number that shares the rate, infinite for
--- a/src/oleanderdyke/kernel/routing.py
+++ b/src/oleanderdyke/kernel/routing.py
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaEstimate:
-    """Estimate of how one replica could serve a prompt.
+    """Estimates of how one replica could serve a prompt.
 
     `cached` segments are held, or will be in `ready` milliseconds; the next
     `covered` segments could be fetched over `link`. Requests with few tokens to
--- a/src/oleanderdyke/kernel/server_list.py
+++ b/src/oleanderdyke/kernel/server_list.py
@@ -20,7 +20,7 @@
 
 
 class ServerList:
-    """Keeps the current start of each backend server of all services.
+    """Keep the current start of each backend server of all services.
 
     Reports about earlier starts are ignored: the current start has none of
     their state or requests.
--- a/src/oleanderdyke/policies/admission.py
+++ b/src/oleanderdyke/policies/admission.py
@@ -83,7 +83,7 @@
 
 
 class FairAdmission:
-    """Share each service between teams and refuses late requests."""
+    """Share each service between teams and refuse late requests."""
 
     def __init__(self, settings: PolicySettings, find_terms: FindTerms) -> None:
         self._settings = settings
--- a/src/oleanderdyke/policies/routing.py
+++ b/src/oleanderdyke/policies/routing.py
@@ -182,7 +182,7 @@
 
 
 class LeastOutstandingRouter:
-    """Choose the replica with the fewest requests; never fetches."""
+    """Choose the replica with the fewest requests; fetch nothing."""
 
     def __init__(self, settings: PolicySettings) -> None:
         self._backlog = BacklogTracker(
