--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -82,7 +82,7 @@
     assert first.count('a') == 15
 
 
-def test_what_would_be_late_is_refused_at_once_with_a_later_return():
+def test_late_requests_are_refused_with_increasing_retry_times():
     chosen = admission()
     busy = fleet_with(BUSY)
     answers = [
@@ -94,7 +94,7 @@
     assert refused[-1].retry_after > refused[0].retry_after > 0
 
 
-def test_queued_request_is_refused_when_its_time_is_over():
+def test_queued_request_is_refused_when_it_would_be_late():
     chosen = admission()
     busy = fleet_with(BUSY)
     assert chosen.admit(demand('r', deadline=12_000.0), busy, 0.0) == Queued()
@@ -103,7 +103,7 @@
     assert not chosen.release(fleet_with(IDLE, beat=3), 19_000.0)
 
 
-def test_background_waits_for_all_others():
+def test_background_requests_wait_for_all_others():
     chosen = admission()
     busy = fleet_with(BUSY)
     letter = demand('letter', background=True, deadline=1e9)
@@ -112,7 +112,7 @@
     assert release_all(chosen) == ['r', 'letter']
 
 
-def test_little_work_passes_what_waits_for_prefill():
+def test_short_requests_pass_queued_long_ones():
     chosen = admission()
     busy = Load(
         running=1, waiting_tokens=80_000, slots=4,
@@ -138,7 +138,7 @@
         (Limits(concurrency=3), 3),
     ],
 )
-def test_limits_hold_for_each_team_alone(limits, allowed):
+def test_limits_apply_to_each_team_separately(limits, allowed):
     chosen = admission(a={'limits': limits})
     fleet = fleet_with(Load(slots=100, prefill_tokens_per_second=1e9))
     answers = [
@@ -150,7 +150,7 @@
     assert chosen.admit(demand('o', 'b'), fleet, 0.0) == Admitted()
 
 
-def test_bucket_fills_again():
+def test_token_bucket_refills():
     bucket = TokenBucket(2.0, 0.0)
     bucket.take(2, 0.0)
     wait = bucket.wait(0.0)
--- a/tests/test_choice_cost.py
+++ b/tests/test_choice_cost.py
@@ -35,8 +35,8 @@
 
 
 def make_engines(count: int) -> BackendRegistry:
-    book = BackendRegistry()
-    book.replace(
+    registry = BackendRegistry()
+    registry.replace(
         [
             ServerRecord(
                 f'i-{number}',
@@ -50,19 +50,19 @@
         ],
         0.0,
     )
-    book.complete_read(0.0)
-    for backend in book.list_known():
+    registry.complete_read(0.0)
+    for backend in registry.list_known():
         start = backend.record.start
-        book.record_sent(start, 'one', Owed(NOW - 30, 500, 2, 900))
-        book.record_load(start, ServerLoad(5, 1, 16), NOW)
+        registry.record_sent(start, 'one', Owed(NOW - 30, 500, 2, 900))
+        registry.record_load(start, ServerLoad(5, 1, 16), NOW)
         backend.heard = NOW - 20
-    return book
+    return registry
 
 
-def choose(book: BackendRegistry) -> None:
+def choose(registry: BackendRegistry) -> None:
     """Choose as for each request of a model."""
     limits = make_limits(entries=Entries(('front-1',)), cold_limits={})
-    listed = book.list_service('desk', NOW)
+    listed = registry.list_service('desk', NOW)
     blocked = limits.find_blocked(listed, (), NOW)
     demand = CallDemand('desk', 'hall', model=MODEL, blocked=blocked)
     assert choose_among(demand, listed, NOW) is not None
@@ -86,18 +86,18 @@
 
 
 @pytest.mark.parametrize('engines', [48, 200])
-def test_the_cost_of_a_choice_grows_with_the_engines_alone(engines):
+def test_the_cost_of_a_choice_is_linear_in_the_engines(engines):
     few, many = make_engines(25), make_engines(engines)
     least = count_calls(lambda: choose(few)).total() / 25
     assert count_calls(lambda: choose(many)).total() / engines <= 1.1 * least
 
 
-def test_a_limit_that_no_server_names_costs_one_look_at_each():
-    book = make_engines(48)
-    calls = count_calls(lambda: choose(book))
+def test_unset_rate_limits_cost_one_check_per_server():
+    registry = make_engines(48)
+    calls = count_calls(lambda: choose(registry))
     assert calls[rate_limits.__file__] <= 48
-    assert book.record_rate_limit(ServerStart('i-0'), 2.0, NOW, NOW)
-    assert count_calls(lambda: choose(book)).total() > calls.total()
+    assert registry.record_rate_limit(ServerStart('i-0'), 2.0, NOW, NOW)
+    assert count_calls(lambda: choose(registry)).total() > calls.total()
 
 
 @given(
@@ -105,13 +105,13 @@
     sent=st.lists(st.floats(0.0, 3_000.0), max_size=3),
     tokens=st.integers(0, 60_000),
 )
-def test_a_server_is_left_out_only_once_it_is_silent(heard, sent, tokens):
-    book = make_engines(1)
-    backend = book.find('i-0')
+def test_a_server_is_unusable_only_when_silent(heard, sent, tokens):
+    registry = make_engines(1)
+    backend = registry.find('i-0')
     backend.heard = NOW - heard
     backend.waiting.clear()
     for number, ago in enumerate(sent):
         owed = Owed(NOW - ago, tokens, 2, 900)
-        book.record_sent(ServerStart('i-0'), f'{number}', owed)
+        registry.record_sent(ServerStart('i-0'), f'{number}', owed)
     is_silent = backend.find_silence(NOW) >= SILENCE_LIMIT
     assert is_usable(backend, NOW) is not is_silent
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -17,7 +17,7 @@
     return keeper.worth(segment, LENGTH, gap, now)
 
 
-def test_what_returns_often_is_worth_more():
+def test_frequently_used_segments_are_worth_more():
     keeper = make_expected_saving(AGENCY)
     for hour in range(6):
         keeper.note_used(b'hourly', hour * HOUR)
@@ -27,7 +27,7 @@
     assert worth(keeper, b'hourly', now) > worth(keeper, b'seldom', now)
 
 
-def test_what_was_used_once_does_not_push_out_what_returns_daily():
+def test_a_single_use_is_worth_less_than_daily_use():
     keeper = make_expected_saving(AGENCY)
     for day in range(3):
         keeper.note_used(b'daily', day * 24 * HOUR)
@@ -36,7 +36,7 @@
     assert worth(keeper, b'daily', now) > worth(keeper, b'once', now)
 
 
-def test_what_stays_away_loses_its_worth():
+def test_unused_segments_lose_their_worth():
     keeper = make_expected_saving(AGENCY)
     for hour in range(3):
         keeper.note_used(b'a', hour * HOUR)
@@ -49,20 +49,20 @@
     assert keeper.worth(b'a', 100, 0.0, 0.0) > keeper.worth(b'a', 200, 0.0, 0.0)
 
 
-def test_hint_of_a_gap_is_believed_until_something_is_known():
+def test_a_gap_hint_counts_until_a_use_is_known():
     keeper = make_expected_saving(AGENCY)
     soon = worth(keeper, b'a', 0.0, gap=10 * MINUTE)
     assert soon > worth(keeper, b'b', 0.0, gap=10 * HOUR)
 
 
-def test_memory_of_uses_is_bounded():
+def test_tracked_uses_are_bounded():
     keeper = make_expected_saving(PolicySettings(gap_memory=10))
     for number in range(100):
         keeper.note_used(number.to_bytes(8, 'big'), float(number))
     assert len(keeper._returns._returns) == 10
 
 
-def test_lru_keeps_what_was_used_last():
+def test_lru_keeps_the_last_used_segments():
     keeper = make_lru(AGENCY)
     keeper.note_used(b'a', 1.0)
     keeper.note_used(b'b', 2.0)
@@ -73,7 +73,7 @@
     ('make_keeper', 'survives'),
     [(make_expected_saving, True), (make_lru, False)],
 )
-def test_flood_of_single_uses_spares_what_returns(make_keeper, survives):
+def test_single_uses_do_not_evict_reused_segments(make_keeper, survives):
     keeper = make_keeper(AGENCY)
     cache = StoreCache(20, keeper, Random(1), LENGTH)
     rulebook = [number.to_bytes(8, 'big') for number in range(10)]
@@ -86,7 +86,7 @@
     assert (kept == len(rulebook)) is survives
 
 
-def test_council_exports_only_what_has_returned():
+def test_council_exports_only_reused_segments():
     chooser = ExportPolicy(COUNCIL)
     chooser.record_use([b'a', b'b'])
     assert chooser.count_worth_exporting([b'a', b'b']) == 0
@@ -100,6 +100,6 @@
     assert chooser.count_worth_exporting([b'a', b'b']) == 2
 
 
-def test_dear_link_needs_more_returns():
+def test_expensive_link_needs_more_reuse():
     dear = PolicySettings(w_recompute=0.25, w_link=2e-6)
     assert count_needed_returns(dear) > count_needed_returns(COUNCIL)
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -29,7 +29,7 @@
     return [len(replica.received) for replica in stage.replicas]
 
 
-async def learn_leaving(stage: Stage) -> None:
+async def receive_leaving(stage: Stage) -> None:
     """Have an entry hear from its first server that it leaves."""
     prefer(stage, 0)
     assert (await stage.call('/once/first')).status == ANSWERED
@@ -49,9 +49,9 @@
 @pytest.mark.anyio
 # A server that had said in its answers that it leaves got requests for six
 # seconds, as the store that lists the servers was away.
-async def test_a_server_whose_answer_says_it_leaves_gets_no_more(tmp_path):
+async def test_a_server_that_announces_leaving_gets_no_more_requests(tmp_path):
     async with staging(tmp_path, answer_leaving, answer_well) as stage:
-        await learn_leaving(stage)
+        await receive_leaving(stage)
         for _ in range(4):
             assert (await stage.call('/once/x')).status == ANSWERED
         assert count_received(stage) == [1, 4]
@@ -61,65 +61,65 @@
         assert count_received(stage) == [1, 8]
 
 
-def make_told_record(born=None, **changes) -> ServerRecord:
+def make_leaving_record(born=None, **changes) -> ServerRecord:
     return ServerRecord('a', 'desk', 'a:1', 'hall', born=born, **changes)
 
 
-def make_book(born=None) -> BackendRegistry:
-    book = BackendRegistry()
-    book.replace([make_told_record(born)], 0.0)
-    book.complete_read(0.0)
-    return book
+def make_registry(born=None) -> BackendRegistry:
+    registry = BackendRegistry()
+    registry.replace([make_leaving_record(born)], 0.0)
+    registry.complete_read(0.0)
+    return registry
 
 
-def is_used(book: BackendRegistry, now: float) -> bool:
-    return bool(book.list_service('desk', now))
+def is_used(registry: BackendRegistry, now: float) -> bool:
+    return bool(registry.list_service('desk', now))
 
 
-def test_a_list_that_lags_does_not_bring_a_leaving_server_back():
-    book = make_book()
-    assert book.mark_leaving(ServerStart('a'))
-    assert not book.mark_leaving(ServerStart('a'))
+def test_a_lagging_list_does_not_restore_a_leaving_server():
+    registry = make_registry()
+    assert registry.mark_leaving(ServerStart('a'))
+    assert not registry.mark_leaving(ServerStart('a'))
     for revision in range(2, 5):
-        book.put(make_told_record(revision=revision), revision * 600.0)
-        assert not is_used(book, revision * 600.0)
+        registry.put(make_leaving_record(revision=revision), revision * 600.0)
+        assert not is_used(registry, revision * 600.0)
 
 
-def test_a_server_that_left_and_is_listed_late_gets_nothing():
+def test_a_server_that_left_and_is_listed_late_gets_no_requests():
     """A store that comes back after its entry lapsed may list it as ready."""
-    book = make_book()
-    book.mark_leaving(ServerStart('a'))
-    book.remove('a', 1_000.0)
+    registry = make_registry()
+    registry.mark_leaving(ServerStart('a'))
+    registry.remove('a', 1_000.0)
     for now in (1_200.0, 1_800.0, 9_000.0):
-        book.complete_read(now)
-    assert book.find('a') is None
+        registry.complete_read(now)
+    assert registry.find('a') is None
     for revision in range(5, 8):
-        book.put(make_told_record(revision=revision), 9_000.0 + revision)
-    assert book.find('a') is not None
-    assert not is_used(book, 9_100.0)
+        registry.put(make_leaving_record(revision=revision), 9_000.0 + revision)
+    assert registry.find('a') is not None
+    assert not is_used(registry, 9_100.0)
 
 
 def test_a_new_start_of_a_server_that_left_is_used():
-    book = make_book(born=1)
-    book.mark_leaving(ServerStart('a', 1))
-    book.put(make_told_record(born=2), 600.0)
-    assert is_used(book, 600.0)
+    registry = make_registry(born=1)
+    registry.mark_leaving(ServerStart('a', 1))
+    registry.put(make_leaving_record(born=2), 600.0)
+    assert is_used(registry, 600.0)
 
 
-def test_servers_that_left_are_remembered_within_bounds():
-    book = BackendRegistry()
+def test_tracked_left_starts_are_bounded():
+    registry = BackendRegistry()
     for born in range(3_000):
-        book.put(make_told_record(born=born), 0.0)
-        book.mark_leaving(ServerStart('a', born))
-    assert len(book._left_starts) < 2_000
-    book.put(make_told_record(born=2_999, revision=2), 600.0)
-    assert not is_used(book, 600.0)
+        registry.put(make_leaving_record(born=born), 0.0)
+        registry.mark_leaving(ServerStart('a', born))
+    assert len(registry._left_starts) < 2_000
+    registry.put(make_leaving_record(born=2_999, revision=2), 600.0)
+    assert not is_used(registry, 600.0)
 
 
 @pytest.mark.anyio
 async def test_a_server_that_leaves_is_logged_once(tmp_path):
     async with staging(tmp_path, answer_leaving, answer_well) as stage:
-        await learn_leaving(stage)
+        await receive_leaving(stage)
         (line,) = list_events(stage.log, 'backend_leaving')
     assert (line['peer'], line['request']) == ('i-0', 'req-1')
 
@@ -127,7 +127,7 @@
 @pytest.mark.parametrize('kind', naming())
 @pytest.mark.parametrize('path', ['/once/x', '/safe/x', '/stream/x'])
 @pytest.mark.anyio
-async def test_any_answer_may_say_that_a_server_leaves(tmp_path, kind, path):
+async def test_any_answer_may_announce_leaving(tmp_path, kind, path):
     script = naming(server_leaving='1')[kind]
     async with staging(tmp_path, script) as stage:
         await stage.call(path)
@@ -138,7 +138,7 @@
     'header', ['oleanderdyke_request_id', 'oleanderdyke_instance_id']
 )
 @pytest.mark.anyio
-async def test_what_is_no_answer_of_the_server_says_nothing(tmp_path, header):
+async def test_answers_of_other_servers_announce_no_leaving(tmp_path, header):
     async def answer_for_another(peer):
         await peer.answer(server_leaving='1', **{header: 'another'})
 
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_server_may_say_that_it_leaves_while_a_connection_is_opened(
+async def test_a_server_may_announce_leaving_while_a_connection_is_opened(
     tmp_path,
 ):
     async with staging(tmp_path, answer_well) as stage:
--- a/tests/test_newest_weights.py
+++ b/tests/test_newest_weights.py
@@ -27,11 +27,11 @@
 REQUESTS = 6
 
 
-def make_book(newest):
-    book = BackendRegistry()
+def make_registry(newest):
+    registry = BackendRegistry()
     for number in range(ENGINES):
         version = 2 if number < newest else 1
-        book.put(
+        registry.put(
             ServerRecord(
                 server=f'i-{number}',
                 service='asistente',
@@ -42,10 +42,10 @@
             ),
             0.0,
         )
-    return book
+    return registry
 
 
-def send(book, random, name):
+def send(registry, random, name):
     parts = (PromptPart(name, 500), PromptPart(f'own {name}', 170))
     demand = CallDemand(
         'asistente',
@@ -54,8 +54,8 @@
         newest_version=2,
         random_value=random.random(),
     )
-    record = choose_backend(demand, book, 0.0).backend.record
-    book.record_sent(record.start, name, Owed(0.0, 670))
+    record = choose_backend(demand, registry, 0.0).backend.record
+    registry.record_sent(record.start, name, Owed(0.0, 670))
     return record.versions['m']
 
 
@@ -63,8 +63,8 @@
     """Return which share of requests goes to the newest weights."""
     sent = []
     for entry in range(entries):
-        book, random = make_book(newest), Random(entry)
-        sent += [send(book, random, f'{each}') for each in range(REQUESTS)]
+        registry, random = make_registry(newest), Random(entry)
+        sent += [send(registry, random, f'{each}') for each in range(REQUESTS)]
     return sent.count(2) / len(sent)
 
 
@@ -78,5 +78,5 @@
     assert find_share(newest) >= 0.8 * newest / ENGINES
 
 
-def test_hardly_any_request_runs_on_the_weights_of_a_last_engine():
+def test_few_requests_run_on_the_last_engine_with_old_weights():
     assert find_share(ENGINES - 1) > 0.97
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -20,7 +20,7 @@
     return should_refuse(RequestAge(waited, 400.0), **facts)
 
 
-def test_nothing_is_refused_while_places_are_free():
+def test_nothing_is_refused_while_slots_are_free():
     assert not any(
         refuse(random_value=random_value / 100) for random_value in range(100)
     )
@@ -31,7 +31,7 @@
     assert not refuse(expected=500.0, waited=300.0)
 
 
-def test_a_growing_part_is_refused_as_engines_fill():
+def test_more_requests_are_refused_as_engine_memory_fills():
     refused = [
         sum(
             refuse(fill=fill, random_value=random_value / 100)
@@ -44,7 +44,7 @@
     assert refused[-1] == 95
 
 
-def test_a_guess_alone_refuses_nothing():
+def test_estimated_memory_use_alone_refuses_nothing():
     assert refuse(fill=2.0)
     assert not refuse(fill=2.0, delay=10.0)
     assert refuse(fill=2.0, delay=10.0, waiting=3)
@@ -55,7 +55,7 @@
     assert not refuse(fill=1.1, random_value=0.5, size=0.1)
 
 
-def test_how_long_a_caller_has_waited_follows_from_its_deadline():
+def test_the_time_waited_follows_from_the_deadline():
     assert find_request_age(4_000, 4_000, 400).is_first_try
     assert find_request_age(3_500, 4_000, 400).is_late
     assert find_request_age(None, 4_000, 400).is_first_try
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -87,7 +87,7 @@
 # Two servers that had named a limit got up to three times as much, as no entry
 # read what they named.
 @pytest.mark.anyio
-async def test_entries_together_keep_to_the_limit_that_a_server_names(tmp_path):
+async def test_entries_together_respect_an_announced_limit(tmp_path):
     limited = LimitedServer(LIMIT)
     async with serving_entries(tmp_path, 3, limited, answer_well) as stages:
         async with anyio.create_task_group() as tasks:
@@ -99,7 +99,7 @@
         assert limited.count_since(begun) <= LIMIT * seconds + BURST
 
 
-async def learn_limit(stage: Stage) -> None:
+async def receive_limit(stage: Stage) -> None:
     """Have an entry alone hear what its first server names."""
     settle(stage)
     assert (await stage.call('/safe/first')).status == ANSWERED
@@ -110,7 +110,7 @@
 @pytest.mark.anyio
 async def test_a_call_beyond_all_limits_is_refused_at_once(tmp_path):
     async with staging(tmp_path, LimitedServer(2.0)) as stage:
-        await learn_limit(stage)
+        await receive_limit(stage)
         with anyio.fail_after(0.5):
             found = await stage.call('/once/x')
         assert found.status == REFUSED
@@ -125,16 +125,16 @@
     limited = LimitedServer(2.0)
     async with staging(tmp_path, limited, answer_well) as stage:
         prefer(stage, 0)
-        await learn_limit(stage)
+        await receive_limit(stage)
         assert (await stage.call('/once/x')).status == ANSWERED
         assert [len(each.received) for each in stage.replicas] == [1, 1]
 
 
 @pytest.mark.anyio
-async def test_a_server_that_names_no_limit_any_more_gets_requests(tmp_path):
+async def test_a_server_gets_requests_again_after_its_limit_ends(tmp_path):
     limited = LimitedServer(6.0)
     async with staging(tmp_path, limited) as stage:
-        await learn_limit(stage)
+        await receive_limit(stage)
         limited.limit = None
         await anyio.sleep(0.6)
         for _ in range(5):
@@ -155,7 +155,7 @@
 @pytest.mark.anyio
 @pytest.mark.parametrize('kind', naming())
 @pytest.mark.parametrize('path', ['/once/x', '/safe/x', '/stream/x'])
-async def test_any_answer_may_name_a_limit(tmp_path, kind, path):
+async def test_any_answer_may_announce_a_limit(tmp_path, kind, path):
     script = naming(server_limit='2.0')[kind]
     async with staging(tmp_path, script) as stage:
         await stage.call(path)
@@ -166,7 +166,7 @@
 @pytest.mark.parametrize(
     'header', ['oleanderdyke_request_id', 'oleanderdyke_instance_id']
 )
-async def test_what_is_no_answer_of_the_server_names_no_limit(tmp_path, header):
+async def test_answers_of_other_servers_set_no_limit(tmp_path, header):
     async def answer_for_another(peer):
         await peer.answer(server_limit='2.0', **{header: 'another'})
 
--- a/tests/test_rate_model.py
+++ b/tests/test_rate_model.py
@@ -20,7 +20,12 @@
 from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.send_limits import Obstacle, SendLimits
 from oleanderdyke.kernel.servers import ServerStart
-from tests.test_send_limits import choose, make_book, make_limits, make_record
+from tests.test_send_limits import (
+    choose,
+    make_limits,
+    make_record,
+    make_registry,
+)
 
 LIMITED = ServerStart('a')
 # What the protocol promises a server that names a limit.
@@ -73,7 +78,7 @@
 
     name: str
     limits: SendLimits
-    book: BackendRegistry
+    registry: BackendRegistry
     told_at: float = math.inf
     heard: tuple[float, float] = (-math.inf, math.inf)
 
@@ -111,10 +116,10 @@
     def ask(self, entry: Entry) -> None:
         """Take a request of a caller, and plan the next one."""
         self.plan(self.random.expovariate(1 / ARRIVAL), self.ask, entry)
-        chosen = choose(entry.book, entry.limits, now=self.now)
+        chosen = choose(entry.registry, entry.limits, now=self.now)
         if isinstance(chosen, Obstacle):
             return
-        backend = entry.book.find(chosen)
+        backend = entry.registry.find(chosen)
         if self.reserves:
             entry.limits.record_sent(backend, self.now)
         is_slow = self.random.random() < self.slow_share
@@ -122,7 +127,7 @@
         self.plan(delay, self.send, entry, chosen, self.now)
 
     def send(self, entry: Entry, chosen: str, chosen_at: float) -> None:
-        backend = entry.book.find(chosen)
+        backend = entry.registry.find(chosen)
         limits = entry.limits
         if limits.find_send_obstacle(backend, chosen_at, self.now):
             return
@@ -139,7 +144,7 @@
         self.plan(way, self.learn, entry, self.limit(self.now))
 
     def learn(self, entry: Entry, rate: float) -> None:
-        entry.book.record_rate_limit(LIMITED, rate, self.now, self.now)
+        entry.registry.record_rate_limit(LIMITED, rate, self.now, self.now)
         entry.heard = (self.now, rate)
         is_named = rate < math.inf
         entry.told_at = min(entry.told_at, self.now) if is_named else math.inf
@@ -152,7 +157,7 @@
             told_at, rate = max(entry.heard for entry in near)
             if self.now - told_at < SECOND:
                 for entry in near:
-                    entry.book.record_rate_limit(
+                    entry.registry.record_rate_limit(
                         LIMITED, rate, told_at, self.now
                     )
 
@@ -187,9 +192,11 @@
     for number, name in enumerate(names):
         is_old = number < count
         view = View(names[:count] if is_old else names, is_counted=is_old)
-        book = make_book(make_record('a'), make_record('b', data_centre='x'))
+        registry = make_registry(
+            make_record('a'), make_record('b', data_centre='x')
+        )
         limits = make_limits(name, view, cold_limits={})
-        entries.append(Entry(name, limits, book))
+        entries.append(Entry(name, limits, registry))
     return entries
 
 
@@ -212,9 +219,7 @@
 @pytest.mark.parametrize('limit', LIMITS)
 @pytest.mark.parametrize('count', [1, 3, 27])
 @pytest.mark.parametrize('seed', range(2))
-def test_a_limit_holds_while_news_and_answers_are_on_their_way(
-    limit, count, seed
-):
+def test_a_limit_holds_while_news_and_answers_are_delayed(limit, count, seed):
     found = play(LIMITS[limit], seed, make_entries(count))
     assert found.find_excess() <= 0
 
@@ -225,14 +230,14 @@
     assert found.find_excess() <= 0
 
 
-def test_a_limited_server_gets_most_of_what_it_accepts():
+def test_a_limited_server_gets_most_of_its_rate():
     found = play(keep(2.3), 1, make_entries(6))
     later = [at for at in found.arrivals if at >= BEGUN + SETTLED]
     seconds = (END - BEGUN - SETTLED) / SECOND
     assert len(later) >= 0.7 * 2.3 * seconds
 
 
-def test_a_server_without_a_limit_any_more_gets_all_that_it_did():
+def test_the_full_rate_returns_after_a_limit_ends():
     found = play(come_and_go, 1, make_entries(6))
     before = sum(2e3 <= at < 4e3 for at in found.arrivals)
     free = sum(30e3 <= at < 32e3 for at in found.arrivals)
@@ -240,7 +245,7 @@
 
 
 @pytest.mark.parametrize('reserves', [True, False])
-def test_a_turn_has_to_be_taken_as_a_server_is_chosen(reserves):
+def test_a_send_must_be_reserved_when_a_server_is_chosen(reserves):
     """Sends are on their way for a while where connections are slow."""
     changes = {'reserves': reserves, 'slow_share': 1.0}
     excess = [
--- a/tests/test_rate_shares.py
+++ b/tests/test_rate_shares.py
@@ -23,9 +23,9 @@
 )
 from tests.test_send_limits import (
     choose,
-    make_book,
     make_limits,
     make_record,
+    make_registry,
 )
 
 START = ServerStart('a')
@@ -46,7 +46,7 @@
     return SECOND * entries.count / rate
 
 
-def share_by_news(rate, server, *, entry, entries) -> float:
+def share_by_known(rate, server, *, entry, entries) -> float:
     """Give each entry the same, by the entries that it knows."""
     return SECOND * max(len(entries.known), 1) / rate
 
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize('rate', [0.1, 0.5, 1.7, 2.3, 10.0])
 @pytest.mark.parametrize('old', [1, 3, 6, 27, 68])
 @pytest.mark.parametrize('new', [1, 2, 6])
-def test_entries_that_others_do_not_know_yet_exceed_no_limit(old, new, rate):
+def test_entries_unknown_to_others_respect_the_limit(old, new, rate):
     names = list_names(old + new)
     fresh = EntryCounts(names, old + new + SPARE, sharing=math.inf)
     views = dict.fromkeys(names, fresh)
@@ -111,7 +111,7 @@
 
 @given(st.data(), st.integers(1, 40), st.floats(0.0, 60.0))
 @settings(max_examples=100, deadline=None)
-def test_entries_that_know_of_some_that_are_gone_exceed_no_limit(
+def test_entries_that_count_departed_ones_respect_the_limit(
     data, entries, rate
 ):
     """Each knows all that are alive, and some others that were."""
@@ -127,7 +127,7 @@
 
 @given(st.integers(1, 120), st.floats(0.0, 60.0))
 @settings(max_examples=100, deadline=None)
-def test_entries_with_a_share_may_all_send_in_one_instant(entries, rate):
+def test_simultaneous_sends_of_sharing_entries_respect_the_limit(entries, rate):
     """Nothing orders the sends of different entries."""
     intervals = [
         find_interval(rate, 'a', entry=name, entries=view)
@@ -147,24 +147,24 @@
     assert count_most(sends) > find_allowed(2.3)
 
 
-def test_shares_by_news_alone_break_a_limit_where_news_differ():
+def test_shares_by_known_entries_break_a_limit_if_views_differ():
     names = list_names(27)
     views = {
         name: make_entries(names[number : number + 3], 27)
         for number, name in enumerate(names)
     }
-    sends = play_idle_entries(share_by_news, 2.3, views)
+    sends = play_idle_entries(share_by_known, 2.3, views)
     assert count_most(sends) > find_allowed(2.3)
 
 
 @pytest.mark.parametrize('entries', [1, 3, 6, 27, 68])
-def test_a_server_gets_four_fifths_of_what_it_accepts_or_more(entries):
+def test_a_server_gets_at_least_four_fifths_of_its_rate(entries):
     sends = play_idle_entries(find_interval, 2.3, make_views(entries))
     assert 0.8 * 2.3 <= len(sends) / 300 <= 1.1 * 2.3
 
 
 @pytest.mark.parametrize('entries', [1, 27, 410])
-def test_a_server_that_accepts_nothing_is_asked_seldom_by_all(entries):
+def test_a_server_that_accepts_nothing_is_probed_seldom(entries):
     sends = play_idle_entries(find_interval, 0.0, make_views(entries))
     assert 0 < len(sends) <= 0.15 * 300
 
@@ -175,7 +175,7 @@
     assert math.isinf(interval)
 
 
-def test_a_limit_holds_until_an_answer_names_none():
+def test_a_limit_holds_until_an_answer_has_none():
     limit = RateLimit()
     assert limit.update(2.3, 1_000.0, 1_000.0)
     assert not limit.update(2.3, 1_400.0, 1_400.0)
@@ -185,7 +185,7 @@
     assert not limit.is_set
 
 
-def test_an_answer_that_was_overtaken_ends_no_limit():
+def test_an_answer_out_of_order_ends_no_limit():
     limit = RateLimit()
     limit.update(2.3, 1_000.0, 1_000.0)
     assert not limit.update(math.inf, 1_200.0, 1_200.0)
@@ -194,7 +194,7 @@
     assert limit.update(math.inf, 1_250.0, 1_250.0)
 
 
-def test_what_a_neighbour_heard_earlier_changes_nothing():
+def test_an_older_report_of_a_neighbour_is_ignored():
     limit = RateLimit()
     limit.update(2.3, 1_000.0, 1_000.0)
     limit.update(math.inf, 2_000.0, 2_000.0)
@@ -202,72 +202,76 @@
     assert not limit.is_set
 
 
-def name_limit(book, rate: float, now: float) -> None:
-    assert book.record_rate_limit(START, rate, now, now)
+def announce_limit(registry, rate: float, now: float) -> None:
+    assert registry.record_rate_limit(START, rate, now, now)
 
 
 def test_a_limited_server_gets_a_request_of_an_entry_each_interval():
-    book = make_book(make_record('a'))
+    registry = make_registry(make_record('a'))
     limits = make_limits(entries=KnownEntries(('front-1',), spare=0))
-    name_limit(book, 2.0, 0.0)
-    assert choose(book, limits, now=499.0) is Obstacle.LIMITED
-    assert choose(book, limits, now=500.0) == 'a'
-    limits.record_sent(book.find('a'), 500.0)
-    assert choose(book, limits, now=999.0) is Obstacle.LIMITED
-    assert choose(book, limits, now=1_000.0) == 'a'
+    announce_limit(registry, 2.0, 0.0)
+    assert choose(registry, limits, now=499.0) is Obstacle.LIMITED
+    assert choose(registry, limits, now=500.0) == 'a'
+    limits.record_sent(registry.find('a'), 500.0)
+    assert choose(registry, limits, now=999.0) is Obstacle.LIMITED
+    assert choose(registry, limits, now=1_000.0) == 'a'
 
 
-def test_what_a_limited_server_does_not_accept_goes_to_another():
-    book = make_book(make_record('a'), make_record('b', data_centre='yard'))
+def test_requests_beyond_a_limit_go_to_another_server():
+    registry = make_registry(
+        make_record('a'), make_record('b', data_centre='yard')
+    )
     limits = make_limits()
-    assert choose(book, limits) == 'a'
-    name_limit(book, 2.0, 0.0)
-    assert choose(book, limits, now=1.0) == 'b'
+    assert choose(registry, limits) == 'a'
+    announce_limit(registry, 2.0, 0.0)
+    assert choose(registry, limits, now=1.0) == 'b'
 
 
-def test_several_choices_in_one_instant_share_one_turn():
-    book = make_book(make_record('a'))
+def test_simultaneous_choices_share_one_send():
+    registry = make_registry(make_record('a'))
     limits = make_limits()
-    name_limit(book, 2.0, 0.0)
+    announce_limit(registry, 2.0, 0.0)
     chosen = []
     for _ in range(5):
-        found = choose(book, limits, now=9_000.0)
+        found = choose(registry, limits, now=9_000.0)
         chosen.append(found)
         if found == 'a':
-            limits.record_sent(book.find('a'), 9_000.0)
+            limits.record_sent(registry.find('a'), 9_000.0)
     assert chosen == ['a', *[Obstacle.LIMITED] * 4]
 
 
-def test_a_choice_made_before_a_limit_was_named_is_not_sent():
-    book = make_book(make_record('a'))
-    limits, backend = make_limits(), book.find('a')
+def test_a_choice_made_before_a_limit_was_known_is_not_sent():
+    registry = make_registry(make_record('a'))
+    limits, backend = make_limits(), registry.find('a')
     assert limits.find_send_obstacle(backend, 100.0, 300.0) is None
-    name_limit(book, 2.0, 200.0)
+    announce_limit(registry, 2.0, 200.0)
     assert limits.find_send_obstacle(backend, 100.0, 300.0) is Obstacle.LIMITED
     assert limits.find_send_obstacle(backend, 9_000.0, 9_000.0) is None
 
 
 # What a neighbour was told before the choice came after it, and the choice was
 # sent beside all others that were made without knowing.
-def test_a_choice_made_before_a_neighbour_told_of_a_limit_is_not_sent():
-    book = make_book(make_record('a'))
-    assert book.record_rate_limit(START, 2.0, 100.0, 900.0)
-    backend = book.find('a')
+def test_a_choice_made_before_a_neighbour_reported_a_limit_is_not_sent():
+    registry = make_registry(make_record('a'))
+    assert registry.record_rate_limit(START, 2.0, 100.0, 900.0)
+    backend = registry.find('a')
     found = make_limits().find_send_obstacle(backend, 500.0, 950.0)
     assert found is Obstacle.LIMITED
 
 
 def test_a_new_start_of_a_server_has_no_limit():
-    book = make_book(make_record('a', born=1))
-    assert book.record_rate_limit(ServerStart('a', 1), 2.0, 0.0, 0.0)
-    book.put(make_record('a', born=2), 100.0)
-    assert not book.find('a').limit.is_set
-    assert not book.record_rate_limit(ServerStart('a', 1), 3.0, 200.0, 200.0)
+    registry = make_registry(make_record('a', born=1))
+    assert registry.record_rate_limit(ServerStart('a', 1), 2.0, 0.0, 0.0)
+    registry.put(make_record('a', born=2), 100.0)
+    assert not registry.find('a').limit.is_set
+    assert not registry.record_rate_limit(
+        ServerStart('a', 1), 3.0, 200.0, 200.0
+    )
 
 
-def test_the_first_turn_of_several_servers_is_found():
-    book = make_book(make_record('a'), make_record('b'))
+def test_the_earliest_send_time_of_several_servers_is_found():
+    registry = make_registry(make_record('a'), make_record('b'))
     limits = make_limits(entries=KnownEntries(('front-1',), spare=0))
-    name_limit(book, 2.0, 0.0)
-    book.record_rate_limit(ServerStart('b'), 4.0, 0.0, 0.0)
-    assert limits.find_next_send_time(book.list_known(), 100.0) == 250.0
+    announce_limit(registry, 2.0, 0.0)
+    registry.record_rate_limit(ServerStart('b'), 4.0, 0.0, 0.0)
+    assert limits.find_next_send_time(registry.list_known(), 100.0) == 250.0
--- a/tests/test_read_rate.py
+++ b/tests/test_read_rate.py
@@ -26,55 +26,55 @@
 FIRST_BYTE = 45.0
 
 
-def make_book():
-    book = BackendRegistry()
+def make_registry():
+    registry = BackendRegistry()
     record = ServerRecord('a', 'lm', 'a:1', 'hall', versions={'m': 1})
-    book.replace([record], 0.0)
-    book.complete_read(0.0)
-    return book
+    registry.replace([record], 0.0)
+    registry.complete_read(0.0)
+    return registry
 
 
-def teach(book, rate, tokens=6_000):
+def add_samples(registry, rate, tokens=6_000):
     """Let first bytes show how fast the engines read."""
     for number in range(20):
         owed = Owed(0.0, tokens, is_alone=True)
-        book.record_sent(START, f'{number}', owed)
-        book.record_received(START, f'{number}', tokens / rate + FIRST_BYTE)
-        book.record_ended(START, f'{number}', 0)
-    book.find('a').heard = 0.0
+        registry.record_sent(START, f'{number}', owed)
+        registry.record_received(START, f'{number}', tokens / rate + FIRST_BYTE)
+        registry.record_ended(START, f'{number}', 0)
+    registry.find('a').heard = 0.0
 
 
 @pytest.mark.parametrize('rate', [20.0, 48.0, 112.0, 300.0])
-def test_an_engine_is_not_silent_while_it_reads_what_it_was_sent(rate):
-    book = make_book()
-    teach(book, rate)
+def test_an_engine_is_not_silent_during_prefill(rate):
+    registry = make_registry()
+    add_samples(registry, rate)
     tokens = int(rate * 900.0)
-    book.record_sent(START, 'x', Owed(0.0, tokens))
-    assert is_usable(book.find('a'), 900.0 + SILENCE_LIMIT - 1.0)
-    assert not is_usable(book.find('a'), 900.0 + SILENCE_LIMIT + 1.0)
+    registry.record_sent(START, 'x', Owed(0.0, tokens))
+    assert is_usable(registry.find('a'), 900.0 + SILENCE_LIMIT - 1.0)
+    assert not is_usable(registry.find('a'), 900.0 + SILENCE_LIMIT + 1.0)
 
 
-def test_an_engine_that_owes_no_reading_is_silent_as_soon_as_before():
-    book = make_book()
-    book.record_sent(START, 'x', Owed(0.0, 0))
-    assert not is_usable(book.find('a'), SILENCE_LIMIT + 1.0)
+def test_an_engine_without_prefill_is_silent_after_the_limit():
+    registry = make_registry()
+    registry.record_sent(START, 'x', Owed(0.0, 0))
+    assert not is_usable(registry.find('a'), SILENCE_LIMIT + 1.0)
 
 
-def test_an_engine_that_owes_much_is_silent_within_two_seconds():
-    book = make_book()
+def test_an_engine_with_much_prefill_is_silent_within_two_seconds():
+    registry = make_registry()
     for number in range(30):
-        book.record_sent(START, f'{number}', Owed(0.0, 20_000))
-    assert not is_usable(book.find('a'), 2_001.0)
+        registry.record_sent(START, f'{number}', Owed(0.0, 20_000))
+    assert not is_usable(registry.find('a'), 2_001.0)
 
 
-def test_the_rate_is_that_of_most_prompts_that_nothing_waited_before():
+def test_the_prefill_rate_is_the_median_of_samples():
     rate = PrefillRate()
     for duration in (100.0, 100.0, 100.0, 5.0, 900.0):
         rate.add_sample(5_000, duration)
     assert rate.estimate_time(10_000) == pytest.approx(200.0)
 
 
-def test_short_prompts_and_no_time_tell_nothing():
+def test_short_prompts_and_zero_durations_are_ignored():
     rate = PrefillRate()
     first = rate.estimate_time(1_000)
     rate.add_sample(100, 1.0)
@@ -82,9 +82,9 @@
     assert rate.estimate_time(1_000) == first
 
 
-def test_a_first_byte_behind_others_does_not_tell_the_rate():
-    book = make_book()
-    before = book.find('a').reading.estimate_time(1_000)
-    book.record_sent(START, 'x', Owed(0.0, 6_000))
-    book.record_received(START, 'x', 5_000.0)
-    assert book.find('a').reading.estimate_time(1_000) == before
+def test_a_first_byte_after_queueing_is_no_sample():
+    registry = make_registry()
+    before = registry.find('a').reading.estimate_time(1_000)
+    registry.record_sent(START, 'x', Owed(0.0, 6_000))
+    registry.record_received(START, 'x', 5_000.0)
+    assert registry.find('a').reading.estimate_time(1_000) == before
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -47,7 +47,7 @@
 # requests and more of it meanwhile, and callers were refused for want of
 # retries while other servers had room.
 @pytest.mark.anyio
-async def test_a_server_that_asks_to_retry_later_gets_nothing_meanwhile(
+async def test_a_server_that_asks_to_retry_later_gets_no_requests(
     tmp_path,
 ):
     refusing = BackoffServer('1.5')
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_call_that_all_servers_want_later_is_refused_at_once(tmp_path):
+async def test_a_call_is_refused_at_once_if_all_servers_back_off(tmp_path):
     async with staging(tmp_path, BackoffServer('2.5')) as stage:
         await stage.call('/once/x')
         with anyio.fail_after(0.5):
@@ -75,7 +75,7 @@
 # An entry that can't count the others has no turn at a limited server, ever:
 # its callers were told to come back after "nan" seconds.
 @pytest.mark.anyio
-async def test_a_refused_caller_is_always_told_a_time(tmp_path):
+async def test_a_refusal_always_has_a_finite_retry_time(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         core = stage.core
         core.limits.entries = Entries(spare=math.inf)
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_pause_counts_while_a_connection_is_opened(tmp_path):
+async def test_a_backoff_applies_while_a_connection_is_opened(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         core = stage.core
         act_while_opening(
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.anyio
-async def test_one_line_tells_for_how_long_a_server_gets_nothing(tmp_path):
+async def test_one_log_line_has_the_duration_of_a_backoff(tmp_path):
     async with staging(tmp_path, BackoffServer('1.5')) as stage:
         for _ in range(3):
             await stage.call('/once/x')
@@ -108,7 +108,7 @@
 
 @pytest.mark.anyio
 @pytest.mark.parametrize('text', ['soon', '-3', 'nan', '9' * 400, DATE])
-async def test_a_pause_that_cannot_be_read_is_logged_once(tmp_path, text):
+async def test_a_malformed_backoff_is_logged_once(tmp_path, text):
     async with staging(tmp_path, BackoffServer(text)) as stage:
         for _ in range(2):
             assert (await stage.call('/once/x')).status == REFUSED
@@ -120,58 +120,58 @@
 A = ServerStart('a')
 
 
-def make_book(**changes) -> BackendRegistry:
-    book = BackendRegistry()
-    book.replace([make_record('a', **changes)], 0.0)
-    book.complete_read(0.0)
-    return book
+def make_registry(**changes) -> BackendRegistry:
+    registry = BackendRegistry()
+    registry.replace([make_record('a', **changes)], 0.0)
+    registry.complete_read(0.0)
+    return registry
 
 
-def find_obstacle(book: BackendRegistry, now: float) -> Obstacle | None:
-    return make_limits().find_obstacle(book.find('a'), (), now)
+def find_obstacle(registry: BackendRegistry, now: float) -> Obstacle | None:
+    return make_limits().find_obstacle(registry.find('a'), (), now)
 
 
-def test_a_server_gets_nothing_until_the_end_and_no_longer():
-    book = make_book()
-    assert book.record_backoff(A, 3_000.0, 100.0)
-    assert find_obstacle(book, 3_099.0) is Obstacle.BACKOFF
-    assert find_obstacle(book, 3_100.0) is None
+def test_a_backoff_ends_in_time():
+    registry = make_registry()
+    assert registry.record_backoff(A, 3_000.0, 100.0)
+    assert find_obstacle(registry, 3_099.0) is Obstacle.BACKOFF
+    assert find_obstacle(registry, 3_100.0) is None
 
 
-def test_a_later_shorter_pause_does_not_end_one_sooner():
-    book = make_book()
-    book.record_backoff(A, 3_000.0, 100.0)
-    assert not book.record_backoff(A, 500.0, 200.0)
-    assert find_obstacle(book, 3_099.0) is Obstacle.BACKOFF
-    assert not book.record_backoff(A, 3_000.0, 1_000.0)
-    assert find_obstacle(book, 3_999.0) is Obstacle.BACKOFF
+def test_a_shorter_backoff_does_not_shorten_the_current_one():
+    registry = make_registry()
+    registry.record_backoff(A, 3_000.0, 100.0)
+    assert not registry.record_backoff(A, 500.0, 200.0)
+    assert find_obstacle(registry, 3_099.0) is Obstacle.BACKOFF
+    assert not registry.record_backoff(A, 3_000.0, 1_000.0)
+    assert find_obstacle(registry, 3_999.0) is Obstacle.BACKOFF
 
 
 @pytest.mark.parametrize('pause', [1e9, 1e300])
-def test_a_server_gets_nothing_for_minutes_at_most(pause):
-    book = make_book()
-    book.record_backoff(A, pause, 0.0)
-    assert find_obstacle(book, 60_000.0) is Obstacle.BACKOFF
-    assert find_obstacle(book, 3_600_000.0) is None
+def test_a_backoff_lasts_minutes_at_most(pause):
+    registry = make_registry()
+    registry.record_backoff(A, pause, 0.0)
+    assert find_obstacle(registry, 60_000.0) is Obstacle.BACKOFF
+    assert find_obstacle(registry, 3_600_000.0) is None
 
 
-def test_a_pause_of_no_time_changes_nothing():
-    book = make_book()
-    assert not book.record_backoff(A, 0.0, 100.0)
-    assert find_obstacle(book, 100.0) is None
+def test_a_zero_backoff_is_ignored():
+    registry = make_registry()
+    assert not registry.record_backoff(A, 0.0, 100.0)
+    assert find_obstacle(registry, 100.0) is None
 
 
-def test_a_new_start_of_a_server_asked_for_no_pause():
-    book = make_book(born=1)
-    book.record_backoff(ServerStart('a', 1), 3_000.0, 0.0)
-    book.put(make_record('a', born=2), 100.0)
-    assert find_obstacle(book, 100.0) is None
+def test_a_new_start_of_a_server_has_no_backoff():
+    registry = make_registry(born=1)
+    registry.record_backoff(ServerStart('a', 1), 3_000.0, 0.0)
+    registry.put(make_record('a', born=2), 100.0)
+    assert find_obstacle(registry, 100.0) is None
 
 
-def test_a_server_with_a_limit_gets_requests_after_both_ends():
-    book, limits = make_book(), make_limits()
-    book.record_rate_limit(A, 1.0, 0.0, 0.0)
-    limits.record_sent(book.find('a'), 0.0)
-    book.record_backoff(A, 9_000.0, 0.0)
-    assert limits.find_next_send_time([book.find('a')], 100.0) == 9_000.0
-    assert find_obstacle(book, 100.0) is Obstacle.BACKOFF
+def test_rate_limit_and_backoff_must_both_end():
+    registry, limits = make_registry(), make_limits()
+    registry.record_rate_limit(A, 1.0, 0.0, 0.0)
+    limits.record_sent(registry.find('a'), 0.0)
+    registry.record_backoff(A, 9_000.0, 0.0)
+    assert limits.find_next_send_time([registry.find('a')], 100.0) == 9_000.0
+    assert find_obstacle(registry, 100.0) is Obstacle.BACKOFF
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -76,14 +76,14 @@
     return router.choose(demand(**changes), fleet, now, Random(1))
 
 
-def test_prefix_is_used_where_it_is():
+def test_cached_prefix_is_used_by_its_replica():
     fleet = fleet_of('e0', 'e1', 'e2')
     fleet.apply('e1', SEGMENTS, ())
     plan = choose(fleet)
     assert (plan.agent, plan.cached, plan.fetched) == ('e1', 40, 0)
 
 
-def test_kept_prefix_is_fetched_and_named_in_the_plan():
+def test_stored_prefix_is_fetched_according_to_the_plan():
     fleet = fleet_of('e0', 'e1')
     add_store(fleet)
     plan = choose(fleet)
@@ -99,7 +99,7 @@
     assert choose(fleet).fetched == 0
 
 
-def test_part_is_fetched_while_the_request_waits_anyway():
+def test_part_of_a_prefix_is_fetched_during_queueing():
     link = LinkView(0.0, 4e8)
     source = plan_prefill(
         COSTS,
@@ -138,7 +138,7 @@
     assert len(agents) == 1
 
 
-def test_failed_request_leaves_nothing_behind():
+def test_failed_request_leaves_no_pending_prefix():
     fleet = fleet_of('e0', 'e1')
     router = make_predicted(AGENCY)
     first = choose(fleet, router)
@@ -149,12 +149,12 @@
     assert (again.agent, again.cached) == (first.agent, 0)
 
 
-def test_little_work_goes_first():
+def test_short_requests_have_priority():
     fleet = fleet_of('e0')
     assert choose(fleet).priority > choose(fleet, tokens=500).priority
 
 
-def test_other_weights_are_never_chosen():
+def test_replicas_with_other_weights_are_never_chosen():
     refusal = choose(fleet_of('e0', 'e1'), weight_digest='w2')
     assert isinstance(refusal, Refusal)
     assert refusal.kind is ErrorKind.NO_REPLICA
@@ -195,7 +195,7 @@
     assert tracker.estimate_wait(quiet, 1_100.0) == 0.0
 
 
-def test_reported_work_is_not_counted_twice():
+def test_reported_tokens_are_not_counted_twice():
     tracker = BacklogTracker(200.0, 8_000.0)
     tracker.note_sent('r1', 'e0', 8_000, 0.0)
     load = Load(waiting_tokens=12_000, prefill_tokens_per_second=8_000.0)
@@ -211,7 +211,7 @@
     assert not should_drop_fetch(COSTS, **busy, **given)
 
 
-def test_meter_learns_a_degraded_link():
+def test_meter_measures_a_degraded_link():
     meter = LinkMeter(1e9)
     meter.note_asked(10**9, 0.0)
     for second in range(1, 9):
--- a/tests/test_send_limits.py
+++ b/tests/test_send_limits.py
@@ -62,112 +62,118 @@
     return SendLimits(entry, entries, **fields)
 
 
-def make_book(*records) -> BackendRegistry:
-    book = BackendRegistry()
-    book.replace(records or [make_record()], 0.0)
-    book.complete_read(0.0)
-    return book
+def make_registry(*records) -> BackendRegistry:
+    registry = BackendRegistry()
+    registry.replace(records or [make_record()], 0.0)
+    registry.complete_read(0.0)
+    return registry
 
 
-def choose(book, limits, homes=(), now=0.0):
-    listed = book.list_service('desk', now)
-    blocked = limits.find_blocked(listed, homes, now)
+def choose(registry, limits, allowed=(), now=0.0):
+    listed = registry.list_service('desk', now)
+    blocked = limits.find_blocked(listed, allowed, now)
     demand = CallDemand(service='desk', data_centre='hall', blocked=blocked)
-    choice = choose_backend(demand, book, now)
+    choice = choose_backend(demand, registry, now)
     if choice is None:
         return find_obstacle(demand, listed)
     return choice.backend.record.server
 
 
 def test_nothing_goes_to_a_data_centre_under_evacuation():
-    book = make_book(make_record('a'), make_record('b', data_centre='yard'))
+    registry = make_registry(
+        make_record('a'), make_record('b', data_centre='yard')
+    )
     limits = make_limits()
-    assert choose(book, limits) == 'a'
+    assert choose(registry, limits) == 'a'
     limits.evacuations.begin('hall')
-    assert choose(book, limits) == 'b'
+    assert choose(registry, limits) == 'b'
     limits.evacuations.end('hall', 0.0)
-    assert choose(book, limits) == 'a'
+    assert choose(registry, limits) == 'a'
 
 
-def test_the_evacuation_of_all_data_centres_is_named_as_the_obstacle():
-    book = make_book(make_record('a'), make_record('b', data_centre='yard'))
+def test_the_evacuation_of_all_data_centres_is_the_obstacle():
+    registry = make_registry(
+        make_record('a'), make_record('b', data_centre='yard')
+    )
     limits = make_limits()
     limits.evacuations.begin('hall')
     limits.evacuations.begin('yard')
-    assert choose(book, limits) is Obstacle.EVACUATED
+    assert choose(registry, limits) is Obstacle.EVACUATED
 
 
-def test_without_servers_nothing_else_is_named():
-    book = make_book(make_record(service='other'))
-    assert choose(book, make_limits()) is Obstacle.UNLISTED
+def test_without_servers_no_other_obstacle_is_reported():
+    registry = make_registry(make_record(service='other'))
+    assert choose(registry, make_limits()) is Obstacle.UNLISTED
 
 
-def test_requests_with_homes_stay_in_their_regions():
-    book = make_book(make_record('a'), make_record('b', data_centre='port'))
+def test_requests_stay_in_their_allowed_regions():
+    registry = make_registry(
+        make_record('a'), make_record('b', data_centre='port')
+    )
     limits = make_limits()
-    assert choose(book, limits, homes={'south'}) == 'b'
-    assert choose(book, limits, homes={'north'}) == 'a'
-    assert choose(book, limits, homes={'east'}) is Obstacle.REGION
+    assert choose(registry, limits, allowed={'south'}) == 'b'
+    assert choose(registry, limits, allowed={'north'}) == 'a'
+    assert choose(registry, limits, allowed={'east'}) is Obstacle.REGION
 
 
-def test_a_data_centre_of_unknown_region_is_nobodys_home():
-    book = make_book(make_record('a', data_centre='barn'))
-    assert choose(book, make_limits(), homes={'north'}) is Obstacle.REGION
+def test_a_data_centre_of_unknown_region_is_never_allowed():
+    registry = make_registry(make_record('a', data_centre='barn'))
+    assert choose(registry, make_limits(), allowed={'north'}) is Obstacle.REGION
 
 
-def test_a_cold_server_gets_one_request_of_each_of_many_entries_a_second():
-    book = make_book(make_record(cold_remaining=3_000.0))
+def test_each_of_many_entries_sends_a_cold_server_one_request_a_second():
+    registry = make_registry(make_record(cold_remaining=3_000.0))
     limits = make_limits(entries=Entries(tuple(f'e{n}' for n in range(27))))
-    backend = book.find('a')
-    assert choose(book, limits) == 'a'
+    backend = registry.find('a')
+    assert choose(registry, limits) == 'a'
     limits.record_sent(backend, 0.0)
-    assert choose(book, limits, now=1_000.0) is Obstacle.COLD
-    assert choose(book, limits, now=1_050.0) == 'a'
+    assert choose(registry, limits, now=1_000.0) is Obstacle.COLD
+    assert choose(registry, limits, now=1_050.0) == 'a'
 
 
-def test_a_server_that_is_no_longer_cold_has_no_share():
-    book = make_book(make_record(cold_remaining=3_000.0))
+def test_a_server_that_is_no_longer_cold_has_no_limit():
+    registry = make_registry(make_record(cold_remaining=3_000.0))
     limits = make_limits(entries=Entries(tuple(f'e{n}' for n in range(27))))
-    limits.record_sent(book.find('a'), 2_999.0)
-    assert choose(book, limits, now=2_999.5) is Obstacle.COLD
-    assert choose(book, limits, now=3_000.0) == 'a'
+    limits.record_sent(registry.find('a'), 2_999.0)
+    assert choose(registry, limits, now=2_999.5) is Obstacle.COLD
+    assert choose(registry, limits, now=3_000.0) == 'a'
 
 
 def test_a_server_may_become_cold_again_without_a_restart():
-    book = make_book(make_record())
+    registry = make_registry(make_record())
     limits = make_limits(entries=Entries(tuple(f'e{n}' for n in range(27))))
-    backend = book.find('a')
+    backend = registry.find('a')
     limits.record_sent(backend, 9_000.0)
-    assert choose(book, limits, now=9_000.0) == 'a'
-    book.put(make_record(cold_remaining=2_500.0, revision=9), 9_100.0)
-    assert choose(book, limits, now=9_100.0) is Obstacle.COLD
+    assert choose(registry, limits, now=9_000.0) == 'a'
+    registry.put(make_record(cold_remaining=2_500.0, revision=9), 9_100.0)
+    assert choose(registry, limits, now=9_100.0) is Obstacle.COLD
 
 
 def test_servers_count_as_cold_after_the_evacuation_of_their_data_centre():
-    book = make_book(make_record())
+    registry = make_registry(make_record())
     limits = make_limits()
     limits.evacuations.begin('hall')
     limits.evacuations.end('hall', 5_000.0)
-    assert limits.is_cold(book.find('a'), 7_999.0)
-    assert not limits.is_cold(book.find('a'), 8_000.0)
+    assert limits.is_cold(registry.find('a'), 7_999.0)
+    assert not limits.is_cold(registry.find('a'), 8_000.0)
 
 
 def test_a_service_without_a_cold_rate_is_never_cold():
-    book = make_book(make_record(cold_remaining=3_000.0))
-    assert not make_limits(cold_limits={}).is_cold(book.find('a'), 0.0)
+    registry = make_registry(make_record(cold_remaining=3_000.0))
+    assert not make_limits(cold_limits={}).is_cold(registry.find('a'), 0.0)
 
 
-def test_without_a_count_of_entries_a_cold_server_gets_nothing():
+def test_without_a_count_of_entries_a_cold_server_gets_no_requests():
     interval = find_interval(
         LIMIT, 'a', entry='e', known=('e',), count=math.inf
     )
     assert math.isinf(interval)
     entries = Entries(spare=math.inf)
-    book = make_book(make_record(cold_remaining=3_000.0))
-    assert choose(book, make_limits(entries=entries)) is Obstacle.COLD
+    registry = make_registry(make_record(cold_remaining=3_000.0))
+    assert choose(registry, make_limits(entries=entries)) is Obstacle.COLD
 
 
-def test_a_single_entry_uses_most_of_what_a_cold_server_tolerates():
+def test_a_single_entry_uses_most_of_a_cold_limit():
     interval = find_interval(LIMIT, 'a', entry='e', known=('e',), count=1)
     assert 24 <= SECOND / interval <= 30
 
@@ -180,7 +186,7 @@
 
 
 @pytest.mark.parametrize('entries', [27, 68])
-def test_a_cold_server_gets_most_of_what_it_tolerates(entries):
+def test_a_cold_server_gets_most_of_its_limit(entries):
     sends = play_cold_start(entries, spare=2)
     assert len(sends) / 3 >= 0.6 * 17
 
@@ -309,8 +315,8 @@
             )
             for name in names
         ]
-        self.books = [
-            make_book(
+        self.registries = [
+            make_registry(
                 make_record('a'),
                 make_record('b'),
                 make_record('c', data_centre='yard'),
@@ -379,17 +385,17 @@
             cold_remaining=3_000.0,
             revision=self.beat,
         )
-        for book in self.books:
-            book.put(record, self.now)
+        for registry in self.registries:
+            registry.put(record, self.now)
 
     @rule(number=st.integers(0, 4), count=st.integers(1, 6))
     def send(self, number: int, count: int) -> None:
-        limits, book = self.readers[number].limits, self.books[number]
+        limits, registry = self.readers[number].limits, self.registries[number]
         for _ in range(count):
-            chosen = choose(book, limits, now=self.now)
+            chosen = choose(registry, limits, now=self.now)
             if isinstance(chosen, Obstacle):
                 return
-            limits.record_sent(book.find(chosen), self.now)
+            limits.record_sent(registry.find(chosen), self.now)
             self._arrive(self.servers[chosen])
 
     def _arrive(self, server: Server) -> None:
@@ -419,19 +425,19 @@
             assert len(recent) <= 9
 
 
-class CarelessMachine(LimitsMachine):
+class UndercountingMachine(LimitsMachine):
     """Counts only itself, so that its shares add up to too much."""
 
     count_spare = -4
 
 
-class DeafMachine(LimitsMachine):
+class LateMachine(LimitsMachine):
     """Reads the operators' orders later than they allow."""
 
     period = 6_000.0
 
 
-def test_limits_hold_whatever_entries_know():
+def test_limits_hold_for_any_lag_of_entries():
     run_state_machine_as_test(
         LimitsMachine,
         settings=settings(
@@ -442,15 +448,15 @@
 
 def test_entries_that_count_only_themselves_are_caught():
     with pytest.raises(AssertionError):
-        play_cold_server(CarelessMachine())
+        play_cold_server(UndercountingMachine())
 
 
 def test_entries_that_read_orders_too_late_are_caught():
     with pytest.raises(AssertionError):
-        play_evacuation(DeafMachine())
+        play_evacuation(LateMachine())
 
 
-def test_the_same_acts_break_nothing_where_entries_know_enough():
+def test_the_same_steps_pass_with_correct_entries():
     play_cold_server(LimitsMachine())
     play_evacuation(LimitsMachine())
 
@@ -472,9 +478,9 @@
         machine.nothing_is_sent_late_to_an_evacuated_data_centre()
 
 
-def test_a_start_of_a_server_has_a_share_of_its_own():
-    book = make_book(make_record(cold_remaining=3_000.0, born=1))
+def test_each_start_of_a_server_has_its_own_share():
+    registry = make_registry(make_record(cold_remaining=3_000.0, born=1))
     limits = make_limits(entries=Entries(tuple(f'e{n}' for n in range(27))))
-    limits.record_sent(book.find('a'), 0.0)
-    book.put(make_record(cold_remaining=3_000.0, born=2), 100.0)
-    assert book.find_start(ServerStart('a', 2)).sent_at == -math.inf
+    limits.record_sent(registry.find('a'), 0.0)
+    registry.put(make_record(cold_remaining=3_000.0, born=2), 100.0)
+    assert registry.find_start(ServerStart('a', 2)).sent_at == -math.inf
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -19,7 +19,7 @@
 SEGMENTS = tuple(bytes([number]) * 8 for number in range(3))
 
 
-def test_removal_told_after_a_dispatch_wins() -> None:
+def test_a_removal_after_a_dispatch_overrides_it() -> None:
     table = PendingPrefixes(limit=1_000)
     first = Demand('r', 't', 's', deadline=1_000, segments=SEGMENTS)
     other = (*SEGMENTS[:2], b'o' * 8, b'p' * 8)
@@ -45,7 +45,7 @@
     table.note_finished('s')
 
 
-def test_context_that_was_sent_counts_for_some_seconds_only() -> None:
+def test_pending_context_expires_after_some_seconds() -> None:
     table = PendingPrefixes(limit=1_000)
     demand = Demand('r', 't', 's', deadline=1_000, segments=SEGMENTS)
     table.note_sent(demand, Plan('a', 'test'), 0.0)
@@ -56,7 +56,7 @@
     assert table.extend('a', SEGMENTS, 0, 6_000.0) == Reach(0)
 
 
-def test_full_list_overrides_all_but_what_is_under_way() -> None:
+def test_a_full_list_overrides_all_but_pending_segments() -> None:
     table = PendingPrefixes(limit=1_000)
     for request, agent in (('r', 'a'), ('q', 'b')):
         demand = Demand(request, 't', 's', deadline=1_000, segments=SEGMENTS)
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize(('full', 'cached'), [(True, 1), (False, 3)])
-async def test_entry_passes_on_what_a_full_list_lacks(
+async def test_entry_drops_segments_that_a_full_list_lacks(
     *, full: bool, cached: int
 ) -> None:
     edge = Edge()
@@ -93,7 +93,7 @@
     assert plan.cached == cached
 
 
-async def test_entry_passes_on_what_an_agent_lost() -> None:
+async def test_entry_drops_segments_that_an_agent_removed() -> None:
     edge = Edge()
     link: Any = edge.add_agent(MODEL, BackendKind.ENGINE)
     agents = AgentLinks(edge.core, ConfigurationFeed(edge.core, edge.log))  # type: ignore[arg-type] # a fake log
--- a/tests/test_weights_gate.py
+++ b/tests/test_weights_gate.py
@@ -36,7 +36,7 @@
     )
 
 
-async def name_weights(stage, version=2):
+async def announce_weights(stage, version=2):
     named = {'model': MODEL, 'version': version}
     stage.store.put(OPERATOR, f'version/{MODEL}', named)
     await anyio.sleep(0.1)
@@ -52,7 +52,7 @@
     )
 
 
-async def dictate(peer):
+async def send_events_slowly(peer):
     """Send an event each 200 ms for five seconds."""
     await send_events(peer, 1, 2)
     for number in range(3, 28):
@@ -60,24 +60,26 @@
         await peer.send(make_chunk(make_event(number)))
 
 
-async def test_a_request_that_names_no_model_meets_no_weights_past_their_time(
+async def test_a_request_without_a_model_never_runs_on_expired_weights(
     tmp_path,
 ):
     async with stage_old(tmp_path, answer_well) as stage:
-        await name_weights(stage)
+        await announce_weights(stage)
         assert (await ask(stage, model='')).status == 200
         await anyio.sleep(LIMIT / 1_000)
         assert (await ask(stage, model='')).status == 503
         assert len(stage.replicas[0].received) == 1
 
 
-async def test_a_head_without_an_event_has_not_begun(tmp_path):
+async def test_an_answer_head_without_an_event_does_not_count_as_begun(
+    tmp_path,
+):
     """The engine sends to others meanwhile, so that it is not silent."""
     taken_back = anyio.Event()
 
-    async def promise_or_dictate(peer):
+    async def send_head_only(peer):
         if peer.request.headers['oleanderdyke-request-id'] != 'req-1':
-            await dictate(peer)
+            await send_events_slowly(peer)
             return
         await peer.send(
             make_head(
@@ -89,8 +91,8 @@
         await peer.wait_closed()
         taken_back.set()
 
-    async with stage_old(tmp_path, promise_or_dictate) as stage:
-        await name_weights(stage)
+    async with stage_old(tmp_path, send_head_only) as stage:
+        await announce_weights(stage)
         async with anyio.create_task_group() as others:
             others.start_soon(ask, stage, MODEL, 'req-2')
             with anyio.fail_after(LIMIT / 1_000 - 0.1):
@@ -100,10 +102,10 @@
     assert answer.status == 502
 
 
-async def test_nothing_is_sent_where_it_would_wait_past_the_time(tmp_path):
+async def test_no_request_is_sent_that_would_wait_past_the_expiry(tmp_path):
     """Callers that come back are sent also where requests wait for long."""
     async with stage_old(tmp_path, answer_well, limit=6_000.0) as stage:
-        await name_weights(stage)
+        await announce_weights(stage)
         await anyio.sleep(1.0)
         now = stage.core.clock.now()
         (backend,) = stage.core.book.list_service('desk', now)
