--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -38,7 +38,7 @@
 
 
 def release_all(chosen, steps=40):
-    """Let one request after another go and finish."""
+    """Release and finish queued requests one by one; return their order."""
     order = []
     for step in range(steps):
         now = 1_000.0 * (step + 1)
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -379,7 +379,7 @@
 
 
 def test_a_store_outage_is_detected_from_reads_of_a_neighbour():
-    """Its answers come as ever, and tell of reads from before."""
+    """Answers arrive as usual, but report reads from before the outage."""
     registry = BackendRegistry()
     registry.replace([make_record('i-1')], 0.0)
     for now in (600.0, 1_200.0, 1_800.0, 2_400.0):
@@ -417,7 +417,7 @@
 
 
 def test_a_server_known_alive_to_others_counts_as_silent_later():
-    """It lets runs of little urgency wait, and sends this entry nothing."""
+    """The server lets less urgent requests wait and sends them nothing."""
     registry = BackendRegistry()
     registry.put(make_record('a'), 0.0)
     registry.record_sent(A, 'x', Owed(0.0, 0, 5, 0))
@@ -425,14 +425,14 @@
     assert backend.find_silence(700.0) == 700.0
     registry.record_load(A, ServerLoad(8, 2, 16), 600.0)
     assert backend.find_silence(700.0) == 0.0
-    # A connection may be dead although its server lives.
+    # A connection may be broken although its server is alive.
     registry.record_load(A, ServerLoad(8, 2, 16), 1_500.0)
     assert backend.find_silence(1_600.0) == 600.0
 
 
 @pytest.mark.parametrize(('slots', 'chosen'), [(16, 'b'), (128, 'a')])
 def test_a_slot_of_few_costs_more_than_the_distance(slots, chosen):
-    """Three runs are a fifth of one engine's batch and nothing of another's."""
+    """Three requests fill a fifth of a small batch, little of a large one."""
     registry = BackendRegistry()
     far = {'data_centre': 'other', 'slots': slots}
     for server, changes in (('a', {'slots': slots}), ('b', far)):
@@ -447,7 +447,7 @@
 
 
 def measure_replace_time(servers):
-    """Return the processor time of taking a whole list, the least of three."""
+    """Return the least processor time of three replacements of the list."""
     records = [
         make_record(f'{number}', address=f'{number}:1')
         for number in range(servers)
@@ -461,6 +461,7 @@
 
 
 def test_the_time_to_apply_a_list_grows_linearly():
-    # Each server was compared with all that were taken before it: with ten
-    # times the servers a hundred times the work, at each entry that starts.
+    # Comparing each server with all others that were listed before it makes the
+    # start of an entry quadratic: ten times the servers take a hundred times as
+    # long.
     assert measure_replace_time(4_000) < 2 * 8 * measure_replace_time(500)
--- a/tests/test_choice_cost.py
+++ b/tests/test_choice_cost.py
@@ -1,4 +1,4 @@
-"""Choosing a server costs work for each engine, and no more than that."""
+"""The cost of choosing a server grows linearly with the engines."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 def choose(registry: BackendRegistry) -> None:
-    """Choose as for each request of a model."""
+    """Choose a server as for each model request."""
     limits = make_limits(entries=Entries(('front-1',)), cold_limits={})
     listed = registry.list_service('desk', NOW)
     blocked = limits.find_blocked(listed, (), NOW)
@@ -69,7 +69,7 @@
 
 
 def count_calls(act: Callable[[], None]) -> Counter[str]:
-    """Count the calls of functions, by the file that defines them."""
+    """Count the function calls by the file that defines the function."""
     calls: Counter[str] = Counter()
 
     def note(frame, event, _argument) -> None:
--- a/tests/test_leaving_answers.py
+++ b/tests/test_leaving_answers.py
@@ -1,4 +1,4 @@
-"""Backend servers say in their answers that they leave."""
+"""Backend servers announce in their answers that they are leaving."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 
 
 async def receive_leaving(stage: Stage) -> None:
-    """Have an entry hear from its first server that it leaves."""
+    """Let an entry receive the announcement of its first server."""
     prefer(stage, 0)
     assert (await stage.call('/once/first')).status == ANSWERED
     assert count_received(stage) == [1, 0]
 
 
 async def list_again(stage: Stage, revision: int) -> None:
-    """Have the first server listed as ready, and wait until that is read."""
+    """List the first server as ready and wait until that is read."""
     backend = stage.core.book.find('i-0')
     record = make_record(backend.record.address, seq=revision)
     stage.store.put(SERVERS, 'i-0', record)
@@ -47,8 +47,8 @@
 
 
 @pytest.mark.anyio
-# A server that had said in its answers that it leaves got requests for six
-# seconds, as the store that lists the servers was away.
+# A server that had announced leaving in its answers got requests for six more
+# seconds while the store with the list of servers was unavailable.
 async def test_a_server_that_announces_leaving_gets_no_more_requests(tmp_path):
     async with staging(tmp_path, answer_leaving, answer_well) as stage:
         await receive_leaving(stage)
@@ -86,7 +86,7 @@
 
 
 def test_a_server_that_left_and_is_listed_late_gets_no_requests():
-    """A store that comes back after its entry lapsed may list it as ready."""
+    """A restored store may list a server as ready whose entry has lapsed."""
     registry = make_registry()
     registry.mark_leaving(ServerStart('a'))
     registry.remove('a', 1_000.0)
--- a/tests/test_newest_weights.py
+++ b/tests/test_newest_weights.py
@@ -1,14 +1,11 @@
-"""Engines that had loaded first were sent nearly all that came.
-
-What was seen: a third of 48 engines had the newest weights, and got 48 requests
-each in two seconds, 942 ms to the first token; those on the weights before got
-3 each, at 170 ms. Engines whose memory is full put back what they have begun.
-
-How it came about: each of 68 entries preferred the newest weights with all its
-requests. What crowds an engine is mostly sent by the 67 others, and is known
-when first tokens come late.
-
-What proved it: requests, engines and first tokens by weights in the log.
+"""Engines with the newest weights must not get nearly all requests.
+
+Each of 68 entries preferred the newest weights for all its requests. An entry
+sees the load from the 67 others only when first tokens are late, so the first
+engines with new weights were overloaded: with 16 of 48 engines on the newest
+weights, those got 48 requests each in two seconds and took 942 ms to the first
+token; the others got 3 each and took 170 ms. Engines with full memory preempt
+what they have begun.
 """
 
 from __future__ import annotations
@@ -23,7 +20,7 @@
 from oleanderdyke.kernel.servers import ModelDemand, PromptPart, ServerRecord
 
 ENGINES = 48
-# What one entry has under way of all requests.
+# Requests that one entry has running at a time.
 REQUESTS = 6
 
 
@@ -60,7 +57,7 @@
 
 
 def find_share(newest, entries=68):
-    """Return which share of requests goes to the newest weights."""
+    """Return the share of requests that go to the newest weights."""
     sent = []
     for entry in range(entries):
         registry, random = make_registry(newest), Random(entry)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Backend servers in need name how many requests a second they accept."""
+"""Overloaded backend servers announce the request rate they accept."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from tests.test_send_limits import Entries
 
 LIMIT = 4.0
-# Beside the rate itself a server tolerates some requests at once.
+# Requests that a server tolerates at once beyond its rate.
 BURST = 5
 ANSWERED, REFUSED = 200, 503
 CLOCK = make_clock()
 
 
 class LimitedServer:
-    """Name a limit in each answer and note when requests came."""
+    """Announce a limit in each answer and record the arrivals."""
 
     def __init__(self, limit: float) -> None:
         self.limit: float | None = limit
@@ -39,7 +39,7 @@
 
 @contextlib.asynccontextmanager
 async def serving_entries(directory, count, *scripts):
-    """Run some entries before the same backend servers."""
+    """Run several entries with the same backend servers."""
     async with contextlib.AsyncExitStack() as stack:
         stages: list[Stage] = []
         for number in range(count):
@@ -59,7 +59,7 @@
 
 
 def settle(stage: Stage, others: Sequence[Stage] = ()) -> None:
-    """Have an entry know exactly who is there, as all do after a while."""
+    """Make the exact set of entries known, as it is after a while."""
     names = {each.core.settings.process for each in (stage, *others)}
     stage.core.limits.entries = Entries(tuple(names), spare=0)
 
@@ -71,7 +71,7 @@
 
 
 async def send_for(stage: Stage, seconds: float) -> list[int]:
-    """Send a request each 40 ms; return the statuses of the answers."""
+    """Send a request every 40 ms; return the statuses of the answers."""
     statuses: list[int] = []
 
     async def send() -> None:
@@ -84,8 +84,8 @@
     return statuses
 
 
-# Two servers that had named a limit got up to three times as much, as no entry
-# read what they named.
+# Entries that ignored announced limits sent two servers up to three times their
+# rate.
 @pytest.mark.anyio
 async def test_entries_together_respect_an_announced_limit(tmp_path):
     limited = LimitedServer(LIMIT)
@@ -100,7 +100,7 @@
 
 
 async def receive_limit(stage: Stage) -> None:
-    """Have an entry alone hear what its first server names."""
+    """Let a single entry receive the limit of its first server."""
     settle(stage)
     assert (await stage.call('/safe/first')).status == ANSWERED
     backend = stage.core.book.find('i-0')
@@ -114,7 +114,7 @@
         with anyio.fail_after(0.5):
             found = await stage.call('/once/x')
         assert found.status == REFUSED
-        # One of two requests a second has been sent just now.
+        # One of two requests per second has just been sent.
         assert 0.3 <= float(found.headers['retry-after']) <= 0.7
         assert len(stage.replicas[0].received) == 1
         assert 'got the requests that they accept' in stage.log.read_text()
--- a/tests/test_rate_model.py
+++ b/tests/test_rate_model.py
@@ -1,7 +1,7 @@
-"""Play entries before a server that names a limit, in virtual time.
+"""Simulate entries and a rate-limited server in virtual time.
 
-Requests, answers and news of neighbours take time and overtake each other, as
-entries start, stand still and learn of the limit one after the other.
+Requests, answers and reports of neighbours are delayed and reordered. Entries
+start, pause and learn of the limit at different times.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 )
 
 LIMITED = ServerStart('a')
-# What the protocol promises a server that names a limit.
+# Bounds that the protocol guarantees to a server with a limit.
 WINDOW = 4 * SECOND
 SETTLED = 3 * SECOND
 TOLD = SECOND / 2
@@ -57,7 +57,7 @@
 
 @dataclass
 class View:
-    """Entries that one knows; others may not count it yet."""
+    """The entries that one entry knows; `is_counted` if all others know it."""
 
     known: tuple[str, ...]
     is_counted: bool = True
@@ -74,7 +74,7 @@
 
 @dataclass
 class Entry:
-    """One entry, and since when the server has told it of a limit."""
+    """One entry, and the time since when it has received a limit."""
 
     name: str
     limits: SendLimits
@@ -85,7 +85,7 @@
 
 @dataclass
 class Play:
-    """Run events in the order of their moments."""
+    """Run events in the order of their times."""
 
     limit: Limit
     random: Random
@@ -94,7 +94,7 @@
     slow_share: float = 0.2
     now: float = 0.0
     arrivals: list[float] = field(default_factory=list)
-    # Those of entries that had been told.
+    # Arrivals from entries that had received the limit before.
     counted: list[float] = field(default_factory=list)
     _events: list[tuple[float, int, Callable[[], None]]] = field(
         default_factory=list
@@ -114,7 +114,7 @@
         heapq.heappush(self._events, event)
 
     def ask(self, entry: Entry) -> None:
-        """Take a request of a caller, and plan the next one."""
+        """Send a request of a caller, and schedule the next one."""
         self.plan(self.random.expovariate(1 / ARRIVAL), self.ask, entry)
         chosen = choose(entry.registry, entry.limits, now=self.now)
         if isinstance(chosen, Obstacle):
@@ -139,7 +139,7 @@
             self.plan(self.random.uniform(2, 600.0), self.answer, entry)
 
     def answer(self, entry: Entry) -> None:
-        """Name the limit of now; the answer is on its way for a while."""
+        """Send the current limit; the answer takes some milliseconds."""
         way = self.random.uniform(1, 9)
         self.plan(way, self.learn, entry, self.limit(self.now))
 
@@ -150,7 +150,7 @@
         entry.told_at = min(entry.told_at, self.now) if is_named else math.inf
 
     def share(self) -> None:
-        """Pass on what was heard lately among each three entries."""
+        """Exchange recent limits within each group of three entries."""
         self.plan(NEWS, self.share)
         for number in range(0, len(self.entries), 3):
             near = self.entries[number : number + 3]
@@ -162,7 +162,7 @@
                     )
 
     def find_excess(self) -> float:
-        """Return by how much the worst window exceeds what is allowed."""
+        """Return the largest excess of a window over the allowed requests."""
         excess = -math.inf
         for number, since in enumerate(self.counted):
             if not self._is_settled(since):
@@ -173,7 +173,7 @@
         return excess
 
     def _is_settled(self, since: float) -> bool:
-        """Return whether a limit has been named for long at a moment."""
+        """Return whether a limit has been in force for the settling time."""
         return all(
             self.limit(since - SETTLED * step / _STEPS) < math.inf
             for step in range(_STEPS + 1)
@@ -246,7 +246,7 @@
 
 @pytest.mark.parametrize('reserves', [True, False])
 def test_a_send_must_be_reserved_when_a_server_is_chosen(reserves):
-    """Sends are on their way for a while where connections are slow."""
+    """Sends on slow connections take effect long after the choice."""
     changes = {'reserves': reserves, 'slow_share': 1.0}
     excess = [
         play(keep(20.0), seed, make_entries(27), **changes).find_excess()
--- a/tests/test_rate_shares.py
+++ b/tests/test_rate_shares.py
@@ -1,4 +1,4 @@
-"""Entries share the rate that a backend server in need accepts of them all."""
+"""Entries share the request rate that an overloaded server accepts."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 START = ServerStart('a')
 WINDOW = 4 * SECOND
-# What a server tolerates in a window beside its rate.
+# What a server tolerates in a window: a factor of its rate and a burst.
 OVERAGE, BURST = 1.5, 5
 SPARE = 2
 
@@ -42,12 +42,12 @@
 
 
 def share_equally(rate, server, *, entry, entries) -> float:
-    """Give each entry the same, however little that is."""
+    """Give all entries the same share, however small."""
     return SECOND * entries.count / rate
 
 
 def share_by_known(rate, server, *, entry, entries) -> float:
-    """Give each entry the same, by the entries that it knows."""
+    """Give each entry a share by the number of entries that it knows."""
     return SECOND * max(len(entries.known), 1) / rate
 
 
@@ -58,7 +58,7 @@
 def play_idle_entries(
     share: Share, rate: float, views: Mapping[str, EntryCounts]
 ) -> list[float]:
-    """Let entries with much to send learn of a limit within half a second."""
+    """Return the sends of busy entries that learn of a limit within 0.5 s."""
     random = Random(len(views))
     sends = []
     for name, entries in views.items():
@@ -71,13 +71,13 @@
 
 
 def make_views(number: int) -> dict[str, EntryCounts]:
-    """Let each entry know of all others."""
+    """Build views in which each entry knows all others."""
     names = list_names(number)
     return dict.fromkeys(names, make_entries(names, number + SPARE))
 
 
 def count_most(sends: list[float]) -> int:
-    """Count the most requests in any window."""
+    """Return the largest number of sends in a window."""
     most, first = 0, 0
     for number, at in enumerate(sends):
         while sends[first] < at - WINDOW:
@@ -114,7 +114,7 @@
 def test_entries_that_count_departed_ones_respect_the_limit(
     data, entries, rate
 ):
-    """Each knows all that are alive, and some others that were."""
+    """Each entry knows all live entries and some that have ended."""
     names = list_names(entries)
     gone = tuple(f'gone-{number}' for number in range(9))
     views = {}
@@ -128,7 +128,7 @@
 @given(st.integers(1, 120), st.floats(0.0, 60.0))
 @settings(max_examples=100, deadline=None)
 def test_simultaneous_sends_of_sharing_entries_respect_the_limit(entries, rate):
-    """Nothing orders the sends of different entries."""
+    """The sends of different entries are not coordinated."""
     intervals = [
         find_interval(rate, 'a', entry=name, entries=view)
         for name, view in make_views(entries).items()
@@ -249,8 +249,8 @@
     assert limits.find_send_obstacle(backend, 9_000.0, 9_000.0) is None
 
 
-# What a neighbour was told before the choice came after it, and the choice was
-# sent beside all others that were made without knowing.
+# The neighbour had the limit before the choice, but its report arrived after
+# it. Such a choice was sent, as were all others made without the limit.
 def test_a_choice_made_before_a_neighbour_reported_a_limit_is_not_sent():
     registry = make_registry(make_record('a'))
     assert registry.record_rate_limit(START, 2.0, 100.0, 900.0)
--- a/tests/test_read_rate.py
+++ b/tests/test_read_rate.py
@@ -1,15 +1,11 @@
-"""Sound engines were taken for silent while they read long prompts.
-
-What was seen: on a day with a third of the engines lost, 33 attempts were given
-up as "the server is silent". An engine that is taken for silent gets no work
-for half a second and more, and what it has begun is read again elsewhere.
-
-How it came about: an engine that owes a first byte was silent after 500 ms,
-and reading counted with 112 tokens a millisecond. These engines read 48: a
-prompt of 23,000 tokens alone takes 480 ms.
-
-What proved it: with what is owed and the rate that first bytes show taken into
-account, three of them were left.
+"""Engines must not count as silent while they prefill long prompts.
+
+An engine that owed a first byte counted as silent after 500 ms, with the
+prefill rate assumed as 112 tokens per millisecond. These engines prefill 48, so
+that a prompt of 23,000 tokens alone takes 480 ms. With a third of the engines
+lost, 33 attempts were given up because "the server is silent", 3 with the owed
+tokens and the measured rate taken into account. A silent engine gets no work
+for half a second or more, and its requests are prefilled again elsewhere.
 """
 
 from __future__ import annotations
@@ -35,7 +31,7 @@
 
 
 def add_samples(registry, rate, tokens=6_000):
-    """Let first bytes show how fast the engines read."""
+    """Add samples of the prefill rate through first bytes."""
     for number in range(20):
         owed = Owed(0.0, tokens, is_alone=True)
         registry.record_sent(START, f'{number}', owed)
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -1,4 +1,4 @@
-"""Backend servers that refuse a request may ask to retry it later."""
+"""Backend servers that refuse a request may ask for a later retry."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class BackoffServer:
-    """Refuse each request for a while, and note when requests came."""
+    """Refuse every request with a retry time and record the arrivals."""
 
     def __init__(self, pause: str) -> None:
         self.pause = pause
@@ -43,9 +43,9 @@
     return statuses
 
 
-# Two servers that had each asked an entry to retry after three seconds got six
-# requests and more of it meanwhile, and callers were refused for want of
-# retries while other servers had room.
+# Two servers that had asked for a retry after three seconds got six or more
+# requests in that time, and callers were refused for lack of retries although
+# other servers had free slots.
 @pytest.mark.anyio
 async def test_a_server_that_asks_to_retry_later_gets_no_requests(
     tmp_path,
@@ -72,8 +72,8 @@
         assert 'asked to retry later' in stage.log.read_text()
 
 
-# An entry that can't count the others has no turn at a limited server, ever:
-# its callers were told to come back after "nan" seconds.
+# An entry that cannot count the others may never send to a limited server; its
+# callers got a retry time of "nan" seconds.
 @pytest.mark.anyio
 async def test_a_refusal_always_has_a_finite_retry_time(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
--- a/tests/test_send_limits.py
+++ b/tests/test_send_limits.py
@@ -31,7 +31,7 @@
 
 @dataclass
 class Entries:
-    """Entries known to one process."""
+    """Entries known to one process; `spare` more may be alive."""
 
     known: tuple[str, ...] = ()
     spare: float = 2.0
@@ -180,7 +180,7 @@
 
 @pytest.mark.parametrize('entries', [1, 3, 27, 30, 31, 68, 410])
 def test_all_entries_together_stay_within_the_limit_of_a_cold_server(entries):
-    """Restarted servers look idle to every entry at the same moment."""
+    """Restarted servers look idle to every entry at the same time."""
     sends = play_cold_start(entries, spare=2)
     assert count_most_in_a_second(sends) <= LIMIT.per_second
 
@@ -197,7 +197,7 @@
 
 
 def play_cold_start(entries: int, spare: float) -> list[float]:
-    """Send as often as each entry may in the first three seconds."""
+    """Send at the highest rate of each entry for the first three seconds."""
     random = Random(entries)
     names = tuple(f'front-{number}' for number in range(entries))
     sends = []
@@ -244,7 +244,7 @@
 @given(st.data())
 @settings(max_examples=100, deadline=None)
 def test_entries_that_know_of_different_others_stay_within_a_limit(data):
-    """A count that is no underestimate suffices where shares are equal."""
+    """With equal shares, a count that is no underestimate is sufficient."""
     names = tuple(f'front-{number}' for number in range(27))
     most = 0
     for name in names:
@@ -259,7 +259,7 @@
 
 @dataclass
 class Reader:
-    """An entry whose news of the operators' orders lag behind."""
+    """An entry that reads the operators' orders with a delay."""
 
     limits: SendLimits
     position: int = 0
@@ -267,7 +267,7 @@
 
 @dataclass
 class Order:
-    """One record of the operators."""
+    """One order of the operators."""
 
     data_centre: str
     is_active: bool
@@ -275,7 +275,7 @@
 
 @dataclass
 class Server:
-    """What is true of a backend server, whoever knows it."""
+    """The actual state of a backend server."""
 
     name: str
     data_centre: str
@@ -283,17 +283,17 @@
     arrivals: list[float] = field(default_factory=list)
 
     def turn_cold(self, now: float) -> None:
-        """Count only what arrives from now on."""
+        """Restart the cold period and the count of arrivals."""
         self.cold_until = now + 3_000.0
         self.arrivals.clear()
 
 
 class LimitsMachine(RuleBasedStateMachine):
-    """Entries with news of different age send to servers that turn cold.
+    """Entries with a delayed view of orders send to cold servers.
 
-    Each entry has read what operators wrote up to a period ago, which is
-    shorter than any evacuation. What servers tell of themselves is read at
-    once: nobody can know of a server that turns cold in silence.
+    Each entry has read the orders up to a period ago, which is shorter than any
+    evacuation. Reports of the servers are read at once, because no entry can
+    know of a server that becomes cold without a report.
     """
 
     period = 1_000.0
@@ -375,7 +375,7 @@
 
     @rule(server=st.sampled_from('abc'))
     def turn_cold(self, server: str) -> None:
-        """A server tells all entries at once that it is cold."""
+        """Let a server report to all entries at once that it is cold."""
         self.beat += 1
         found = self.servers[server]
         found.turn_cold(self.now)
@@ -426,13 +426,13 @@
 
 
 class UndercountingMachine(LimitsMachine):
-    """Counts only itself, so that its shares add up to too much."""
+    """Counts only the entry itself, so that the shares exceed the limit."""
 
     count_spare = -4
 
 
 class LateMachine(LimitsMachine):
-    """Reads the operators' orders later than they allow."""
+    """Reads the operators' orders later than the bound allows."""
 
     period = 6_000.0
 
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -1,4 +1,4 @@
-"""Check what is expected of context under way."""
+"""Expected context of dispatches that are under way."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     table.note_removed('b', SEGMENTS)
     assert table.extend('a', SEGMENTS, 0, 90.0) == Reach(3)
     table.note_removed('a', SEGMENTS[1:2])
-    # What lies behind a gap is of no use, whichever dispatch brought it.
+    # Segments after a gap are of no use, whichever dispatch brought them.
     assert table.extend('a', SEGMENTS, 0, 90.0) == Reach(1)
     assert table.extend('a', other, 0, 90.0) == Reach(1)
     assert table.extend('a', other, 2, 90.0) == Reach(4)
@@ -52,7 +52,7 @@
     table.mark_ready('r', 50.0)
     table.note_finished('r')
     assert table.extend('a', SEGMENTS, 0, 1_000.0) == Reach(3)
-    # Nothing else was sent since, so nothing swept the table.
+    # No later dispatch has removed expired segments from the table.
     assert table.extend('a', SEGMENTS, 0, 6_000.0) == Reach(0)
 
 
@@ -68,7 +68,7 @@
     table.note_listed('a', SEGMENTS[:1])
     assert table.extend('a', SEGMENTS, 0, 60.0) == Reach(1)
     assert table.extend('b', SEGMENTS, 0, 60.0) == Reach(3)
-    # What another dispatch is bringing again is not lost.
+    # Segments that another dispatch is bringing again are kept.
     again = Demand('s', 't', 's', deadline=1_000, segments=SEGMENTS)
     table.note_sent(again, Plan('a', 'test', cached=1), 70.0)
     table.note_listed('a', SEGMENTS[:1])
--- a/tests/test_weights_gate.py
+++ b/tests/test_weights_gate.py
@@ -1,6 +1,6 @@
-"""Nothing passes the place where requests are sent on weights past their time.
+"""No request may be sent on expired weights.
 
-Each way around it that a review found has a test here.
+Each test covers a path that bypassed the check.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def stage_old(directory, script, limit=LIMIT):
-    """Run an entry before one engine that stays on the weights before."""
+    """Run an entry with one engine that keeps its old weights."""
     return hosted.staging(
         directory,
         script,
@@ -53,7 +53,7 @@
 
 
 async def send_events_slowly(peer):
-    """Send an event each 200 ms for five seconds."""
+    """Send an event every 200 ms for five seconds."""
     await send_events(peer, 1, 2)
     for number in range(3, 28):
         await anyio.sleep(0.2)
@@ -74,7 +74,7 @@
 async def test_an_answer_head_without_an_event_does_not_count_as_begun(
     tmp_path,
 ):
-    """The engine sends to others meanwhile, so that it is not silent."""
+    """The engine sends data of other requests, so that it is not silent."""
     taken_back = anyio.Event()
 
     async def send_head_only(peer):
@@ -103,7 +103,7 @@
 
 
 async def test_no_request_is_sent_that_would_wait_past_the_expiry(tmp_path):
-    """Callers that come back are sent also where requests wait for long."""
+    """Retried requests are sent even if requests wait for long."""
     async with stage_old(tmp_path, answer_well, limit=6_000.0) as stage:
         await announce_weights(stage)
         await anyio.sleep(1.0)
