--- a/bench/store_memory.py
+++ b/bench/store_memory.py
@@ -17,8 +17,8 @@
 from random import Random
 
 from oleanderdyke.clock import HOUR, Millis
-from oleanderdyke.kernel.blocks import digest_segment, hint
-from oleanderdyke.kernel.demand import Keeper, SegmentHint
+from oleanderdyke.kernel.blocks import digest_segment, make_hint
+from oleanderdyke.kernel.demand import RetentionPolicy, SegmentHint
 from oleanderdyke.kernel.store_index import (
     StoreIndex,
     StoreLimits,
@@ -40,13 +40,13 @@
 class GapKeeper:
     """Remember nothing and find the worth in the expected gap."""
 
-    def worth(
+    def estimate_value(
         self, _segment: SegmentHint, _length: int, gap: Millis, _now: Millis
     ) -> float:
         """Return more for a shorter gap."""
         return -gap
 
-    def note_used(self, _segment: SegmentHint, _now: Millis) -> None:
+    def record_use(self, _segment: SegmentHint, _now: Millis) -> None:
         """Learn nothing."""
 
 
@@ -71,8 +71,8 @@
         verified = self.index.add_part(part, 0.0)
         assert isinstance(verified, WriteVerified)
         sealed = self.index.seal('w', segment, 0.0)
-        self.index.take_deletions()
-        self.gaps[hint(segment)] = gap
+        self.index.drain_deletions()
+        self.gaps[make_hint(segment)] = gap
         return isinstance(sealed, WriteSealed)
 
     def fill(self, count: int) -> None:
@@ -81,11 +81,11 @@
             gap = self.random.uniform(1.0, 48.0) * HOUR
             assert self.write(gap)
             if number % 1_000 == 0:
-                self.index.log.take()
-        self.index.log.take()
+                self.index.log.drain()
+        self.index.log.drain()
 
 
-def make_writer(count: int, keeper: Keeper) -> _Writer:
+def make_writer(count: int, keeper: RetentionPolicy) -> _Writer:
     """Build a full index."""
     limits = StoreLimits(capacity_bytes=count * len(_DATA))
     index = StoreIndex(limits, keeper, 'incarnation-1', Random(1))
@@ -94,7 +94,7 @@
     return writer
 
 
-def measure_bytes(count: int, make: Callable[[], Keeper]) -> float:
+def measure_bytes(count: int, make: Callable[[], RetentionPolicy]) -> float:
     """Return the bytes that each entry takes."""
     gc.collect()
     tracemalloc.start()
@@ -106,7 +106,7 @@
     return held / count
 
 
-def measure_evictions(count: int, keeper: Keeper) -> tuple[float, int]:
+def measure_evictions(count: int, keeper: RetentionPolicy) -> tuple[float, int]:
     """Return microseconds for a write into a full index, and those kept."""
     writer = make_writer(count, keeper)
     start = time.process_time()
@@ -123,7 +123,7 @@
     ranks = []
     for _ in range(EVICTIONS // 5):
         writer.write(0.5 * HOUR)
-        for events in writer.index.log.take():
+        for events in writer.index.log.drain():
             ranks += [gaps[each] for each in events.removed if each in gaps]
     shares = [1 - bisect_right(poorest, gap) / count for gap in ranks]
     return sum(shares) / len(shares)
--- a/src/oleanderdyke/entry/hosted/attempt.py
+++ b/src/oleanderdyke/entry/hosted/attempt.py
@@ -32,10 +32,17 @@
 from oleanderdyke.entry.inbox import Inbox
 from oleanderdyke.errors import ErrorKind, Ran
 from oleanderdyke.events import EventName
-from oleanderdyke.kernel.attempt_events import Received, SendDispatch, Unsent
-from oleanderdyke.kernel.backend import Backend, Owed
-from oleanderdyke.kernel.named_weights import BEGIN_MARGIN, SEND_MARGIN
+from oleanderdyke.kernel.attempt_events import (
+    DispatchNotSent,
+    MessageReceived,
+    SendDispatch,
+)
+from oleanderdyke.kernel.backend import Backend, PendingAttempt
 from oleanderdyke.kernel.servers import AnswerMetadata, ServerStart
+from oleanderdyke.kernel.weight_versions import (
+    CANCEL_MARGIN,
+    FIRST_TOKEN_MARGIN,
+)
 from oleanderdyke.links.messages import (
     AnswerChunk,
     AnswerEnd,
@@ -103,8 +110,8 @@
     async def start(self) -> None:
         """Send the request on a kept connection or a new one."""
         core = self._core
-        backend = core.book.find_start(self._start)
-        if backend is None or core.book.is_leaving_or_gone(self._start):
+        backend = core.backends.find_start(self._start)
+        if backend is None or core.backends.is_leaving_or_gone(self._start):
             self._report_unsent('the server has left')
             return
         address = self._address = backend.record.address
@@ -113,7 +120,7 @@
             if connection is None:
                 connection = await core.pool.open(address)
         except OSError as error:
-            core.book.record_failure(self._start, core.clock.now())
+            core.backends.record_failure(self._start, core.clock.now())
             core.pool.drop_idle(address)
             self._report_unsent(f'cannot connect: {type(error).__name__}')
             return
@@ -131,7 +138,7 @@
         """
         if self._done or not self._sent or self._has_begun:
             return
-        if not may_begin(self._core, self._weights, BEGIN_MARGIN):
+        if not may_begin(self._core, self._weights, CANCEL_MARGIN):
             self._close_failed(
                 ErrorKind.STREAM_BROKEN, Ran.MAYBE, 'it waits on old weights'
             )
@@ -143,7 +150,7 @@
         """
         if self._done or not self._sent:
             return
-        if self._core.book.is_superseded(self._start):
+        if self._core.backends.is_superseded(self._start):
             self._close_failed(
                 ErrorKind.STREAM_BROKEN, Ran.MAYBE, 'its server started anew'
             )
@@ -161,12 +168,12 @@
             self._note_lost()
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, reason)
 
-    def find_silence(self, now: Millis) -> Millis:
+    def find_overdue_time(self, now: Millis) -> Millis:
         """Return for how long the server has owed bytes and sent none."""
-        backend = self._core.book.find_start(self._start)
+        backend = self._core.backends.find_start(self._start)
         if self._done or backend is None:
             return 0.0
-        return backend.find_silence(now)
+        return backend.find_overdue_time(now)
 
     def take_head(self, status: int, headers: Headers) -> None:
         """Judge the head of the answer."""
@@ -181,7 +188,7 @@
             self._lessons.take_refusal(facts, self._weights)
             self._report_failure(ErrorKind.OVERLOADED, Ran.NO, f'{status}')
         elif status >= _SERVER_ERROR and self._reserve_retry():
-            self._core.book.record_error(self._start)
+            self._core.backends.record_error(self._start)
             self._report_failure(ErrorKind.STREAM_BROKEN, Ran.YES, f'{status}')
         elif self._goes_on() and not is_rest(status, headers):
             reason = f'{status} instead of the rest of the stream'
@@ -215,12 +222,12 @@
             )
             return
         self._release()
-        self._core.book.record_success(self._start)
+        self._core.backends.record_success(self._start)
         self._finish()
         end = AnswerEnd(
             self._call.request, self._number, self._sequence, digest=b''
         )
-        self._inbox.put(Received(end))
+        self._inbox.put(MessageReceived(end))
 
     def lose(self, reason: str) -> None:
         """Report that the answer broke off."""
@@ -239,7 +246,7 @@
         each would cost one more request.
         """
         core = self._core
-        core.book.record_failure(self._start, core.clock.now())
+        core.backends.record_failure(self._start, core.clock.now())
         if not self._has_answered:
             core.pool.drop_idle(self._address)
 
@@ -249,7 +256,7 @@
         What was true when the server was chosen may have changed while the
         connection was opened, by 300 ms at most.
         """
-        if self._core.book.is_leaving_or_gone(self._start):
+        if self._core.backends.is_leaving_or_gone(self._start):
             return 'the server left while connecting'
         obstacle = self._core.limits.find_send_obstacle(
             backend, self._chosen_at, self._core.clock.now()
@@ -259,8 +266,10 @@
         weights = find_weights(self._call, backend)
         # What would wait at the engine until its time is over runs late where
         # a server doesn't drop the requests of closed connections.
-        delay = backend.find_delay(self._call.priority, self._core.clock.now())
-        if not may_begin(self._core, weights, SEND_MARGIN + delay):
+        delay = backend.find_queue_delay(
+            self._call.priority, self._core.clock.now()
+        )
+        if not may_begin(self._core, weights, FIRST_TOKEN_MARGIN + delay):
             return 'its weights were replaced too long ago'
         return ''
 
@@ -280,19 +289,19 @@
         demand = call.asked.demand
         tokens = 0
         if demand is not None:
-            ready = backend.count_kept(demand.parts)
+            ready = backend.count_cached_tokens(demand.parts)
             ready = max(ready, dispatch.contexts.fetched_tokens)
             tokens = max(demand.prompt_tokens - ready, 0)
         self._memory = 0 if demand is None else demand.memory_tokens
         now = core.clock.now()
-        owed = Owed(
+        owed = PendingAttempt(
             now,
             tokens,
             call.priority,
             self._memory,
             is_alone=not backend.waiting and not backend.count_waiting(now),
         )
-        core.book.record_sent(self._start, self._name, owed)
+        core.backends.record_sent(self._start, self._name, owed)
         core.limits.record_sent(backend, now)
         connection.send(head, call.body, self)
         core.log.write(
@@ -327,7 +336,7 @@
 
     def _learn(self, facts: AnswerMetadata) -> None:
         core = self._core
-        core.book.record_received(self._start, self._name, core.clock.now())
+        core.backends.record_received(self._start, self._name, core.clock.now())
         if is_own_answer(facts, self._call.request, self.server):
             self._lessons.take_facts(facts)
         if self._connection is not None:
@@ -347,7 +356,7 @@
     def _release(self) -> None:
         """Pass on the head and what was held of the body."""
         if self._head is not None:
-            self._inbox.put(Received(self._head))
+            self._inbox.put(MessageReceived(self._head))
             self._head = None
         held, self._held = self._held, None
         if held:
@@ -358,12 +367,12 @@
             self._call.request, self._number, self._sequence, data
         )
         self._sequence += 1
-        self._inbox.put(Received(chunk))
+        self._inbox.put(MessageReceived(chunk))
 
     def _note_heard(self) -> None:
-        backend = self._core.book.find_start(self._start)
+        backend = self._core.backends.find_start(self._start)
         if backend is not None:
-            backend.heard = self._core.clock.now()
+            backend.last_heard_at = self._core.clock.now()
 
     def _close_failed(self, kind: ErrorKind, ran: Ran, reason: str) -> None:
         self._report_failure(kind, ran, reason)
@@ -376,12 +385,12 @@
             self._splitter.restart()
         self._log_broken(ran, reason)
         failed = Failed(self._call.request, self._number, kind, ran, reason)
-        self._inbox.put(Received(failed))
+        self._inbox.put(MessageReceived(failed))
 
     def _report_unsent(self, reason: str) -> None:
         self._done = True
         self._log_broken(Ran.NO, reason)
-        self._inbox.put(Unsent(self._number))
+        self._inbox.put(DispatchNotSent(self._number))
 
     def _log_broken(self, ran: Ran, reason: str) -> None:
         self._core.log.write(
@@ -396,4 +405,6 @@
     def _finish(self) -> None:
         self._done = True
         if self._sent:
-            self._core.book.record_ended(self._start, self._name, self._memory)
+            self._core.backends.record_ended(
+                self._start, self._name, self._memory
+            )
--- a/src/oleanderdyke/entry/hosted/lessons.py
+++ b/src/oleanderdyke/entry/hosted/lessons.py
@@ -22,13 +22,13 @@
     def take_facts(self, facts: AnswerMetadata) -> None:
         """Learn what an answer tells of its server."""
         if facts.is_leaving:
-            self._core.note_leaving(self._start, self._call.request)
+            self._core.mark_leaving(self._start, self._call.request)
         if facts.retry_after is not None:
-            self._core.note_backoff(
+            self._core.record_backoff(
                 self._start, facts.retry_after, self._call.request
             )
         if facts.rate_limit is not None:
-            self._core.note_limit(
+            self._core.record_rate_limit(
                 self._start, facts.rate_limit, request=self._call.request
             )
         self._log_malformed(facts)
@@ -36,14 +36,14 @@
             self._core.note_load(self._start, facts.load)
         demand = self._call.asked.demand
         if demand is not None and facts.weight_version is not None:
-            self._core.book.record_version(
+            self._core.backends.record_version(
                 self._start, demand.model, facts.weight_version
             )
 
     def _log_malformed(self, facts: AnswerMetadata) -> None:
         core, start = self._core, self._start
         for found in facts.malformed:
-            if core.book.record_malformed(start, found.field):
+            if core.backends.record_malformed(start, found.field):
                 core.log.write(
                     EventName.RECORD_REFUSED,
                     name=found.field.value,
@@ -56,30 +56,30 @@
         """Learn why a call that was `sent` for some weights was not run."""
         core, demand = self._core, self._call.asked.demand
         if facts.server and facts.server != self._start.server:
-            core.book.mark_replaced(self._start)
+            core.backends.mark_replaced(self._start)
             return
         now = core.clock.now()
-        backend = core.book.find_start(self._start)
+        backend = core.backends.find_start(self._start)
         if demand is not None and backend is not None:
             held = backend.record.versions.get(demand.model, 0)
             if facts.is_misdirected and facts.server:
                 self._take_newer(demand.model, held, sent)
                 return
             if held < core.rollout.weights.find_newest(demand.model):
-                core.book.record_reload(self._start, now)
+                core.backends.record_reload(self._start, now)
                 return
-        core.book.record_refusal(self._start, now)
+        core.backends.record_refusal(self._start, now)
 
     def take_begun(self) -> None:
         """Learn that a server has read a prompt, and likely keeps its parts."""
         core, demand = self._core, self._call.asked.demand
-        backend = core.book.find_start(self._start)
+        backend = core.backends.find_start(self._start)
         deployment = core.deployment
         if demand is None or backend is None or deployment is None:
             return
-        memory = deployment.find_memory(backend.record.service)
+        memory = deployment.find_memory_tokens(backend.record.service)
         if memory is not None:
-            core.book.record_kept(self._start, demand.parts, memory)
+            core.backends.record_kept(self._start, demand.parts, memory)
 
     def _take_newer(self, model: str, held: int, sent: Weights) -> None:
         """Learn that a server no longer holds the weights that it told.
@@ -89,10 +89,10 @@
         until it is listed again.
         """
         core = self._core
-        later = core.rollout.weights.find_following(model, held)
+        later = core.rollout.weights.find_next(model, held)
         if held != sent.get(model):
             return
         if later > held:
-            core.book.record_version(self._start, model, later)
+            core.backends.record_version(self._start, model, later)
         else:
-            core.book.record_refusal(self._start, core.clock.now())
+            core.backends.record_refusal(self._start, core.clock.now())
--- a/src/oleanderdyke/entry/hosted/watch.py
+++ b/src/oleanderdyke/entry/hosted/watch.py
@@ -108,17 +108,19 @@
         core = self._core
         notices = await self._loads.read()
         if notices is None:
-            core.rollout.queue.forget()
+            core.rollout.queue.clear()
             return
         for notice in notices:
-            core.rollout.take(
-                notice, now=core.clock.now(), shift=core.engine_clock.most
+            core.rollout.apply(
+                notice,
+                now=core.clock.now(),
+                clock_offset=core.engine_clock.max_offset,
             )
             # The list tells the same up to two seconds later.
-            backend = core.book.find(notice.server)
+            backend = core.backends.find(notice.server)
             if backend is not None and notice.held:
                 start = backend.record.start
-                core.book.record_version(start, notice.model, notice.held)
+                core.backends.record_version(start, notice.model, notice.held)
         if notices and not self._long_loads.was_shared:
             await anyio.sleep(_LOADS_HOLD / SECOND)
 
@@ -136,7 +138,7 @@
                 # An answer that comes late, or that a suspended entry finds
                 # once it goes on, tells nothing of the time in between.
                 core.configuration_read = asked_at + news.waited
-                core.rollout.weights.note_read(asked_at + news.waited)
+                core.rollout.weights.record_read(asked_at + news.waited)
                 core.configuration_asked = asked_at + min(news.waited, 0.0)
 
     async def _read_servers(self) -> None:
@@ -148,14 +150,14 @@
         now = core.clock.now()
         # What a neighbour tells may be older than the way that it came.
         read_at = asked_at + news.waited if self._short.was_shared else now
-        core.book.record_list_read(now, read_at)
-        _take_servers(core.book, news, now)
-        core.book.complete_read(now, read_at)
-        self._roster.note(core.book, now, now - (core.servers_read or now))
+        core.backends.record_list_read(now, read_at)
+        _take_servers(core.backends, news, now)
+        core.backends.complete_read(now, read_at)
+        self._roster.note(core.backends, now, now - (core.servers_read or now))
         core.servers_read = now
         # Connections to a start that has ended may be dead without a sign, as
         # behind a cut; each would cost a request half a second.
-        for ended in core.book.take_superseded():
+        for ended in core.backends.take_superseded():
             core.pool.drop_idle(ended.address)
 
     async def _follow(
@@ -185,7 +187,7 @@
 
     def _name(self, named: NamedVersion) -> None:
         core = self._core
-        if not core.rollout.weights.name(named.model, named.version):
+        if not core.rollout.weights.add(named.model, named.version):
             return
         core.log.write(
             EventName.VERSION_NAMED, model=named.model, version=named.version
--- a/src/oleanderdyke/kernel/attempt_core.py
+++ b/src/oleanderdyke/kernel/attempt_core.py
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MachineSettings:
+class AttemptSettings:
     """Bound the waits and tries of one request.
 
     `replica_wait` bounds, over all its tries, how long a request whose run was
@@ -74,15 +74,15 @@
     proven not to have run; without it they count as attempts.
     """
 
-    claim_wait: Millis = 2 * SECOND
-    receipt_wait: Millis = 1 * SECOND
-    ask_wait: Millis = 1 * SECOND
-    poll_wait: Millis = 250.0
+    claim_timeout: Millis = 2 * SECOND
+    receipt_timeout: Millis = 1 * SECOND
+    query_timeout: Millis = 1 * SECOND
+    poll_interval: Millis = 250.0
     linger: Millis = 60 * SECOND
     replica_wait: Millis = 5 * SECOND
     max_attempts: int = 4
     max_claims: int = 6
-    max_asks: int = 4
+    max_queries: int = 4
     max_alone_tries: int = 40
     max_refusals: int | None = None
 
@@ -108,7 +108,7 @@
         self,
         facts: RequestFacts,
         *,
-        settings: MachineSettings,
+        settings: AttemptSettings,
         budget: RetryBudget,
     ) -> None:
         self._facts = facts
@@ -225,7 +225,7 @@
         if self._has_paid:
             self._has_paid = False
             return True
-        return self._budget.take()
+        return self._budget.try_withdraw()
 
     def _may_run_again(self) -> bool:
         return (
--- a/src/oleanderdyke/kernel/backends.py
+++ b/src/oleanderdyke/kernel/backends.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from oleanderdyke.clock import MINUTE, SECOND, Millis
-from oleanderdyke.kernel.backend import Owed
+from oleanderdyke.kernel.backend import PendingAttempt
 from oleanderdyke.kernel.server_list import ServerList
 from oleanderdyke.kernel.servers import (
     AnswerField,
@@ -44,7 +44,7 @@
         self,
         start: ServerStart,
         attempt: str,
-        owed: Owed,
+        owed: PendingAttempt,
     ) -> None:
         """Record that an attempt was sent."""
         backend = self.find_start(start)
@@ -60,7 +60,7 @@
         server is to blame.
         """
         for backend in self._backends.values():
-            backend.heard = max(backend.heard, now)
+            backend.last_heard_at = max(backend.last_heard_at, now)
 
     def record_received(
         self, start: ServerStart, attempt: str, now: Millis
@@ -68,10 +68,10 @@
         """Record that bytes of an attempt arrived."""
         backend = self.find_start(start)
         if backend is not None:
-            backend.heard = now
+            backend.last_heard_at = now
             owed = backend.waiting.pop(attempt, None)
             if owed is not None:
-                backend.note_first_byte(owed, now)
+                backend.record_first_byte(owed, now)
 
     def record_ended(
         self, start: ServerStart, attempt: str, memory: int
@@ -100,7 +100,7 @@
         pause = _MIN_EJECTION * 2**backend.failures
         backend.failures += 1
         until = now + min(pause, _MAX_EJECTION)
-        backend.out_until = max(backend.out_until, until)
+        backend.excluded_until = max(backend.excluded_until, until)
 
     def record_error(self, start: ServerStart) -> None:
         """Record that a server answered with an error of its own."""
@@ -116,7 +116,7 @@
         pause = _REFUSAL_PAUSE * 2**backend.refusals
         backend.refusals += 1
         until = now + min(pause, _MAX_REFUSAL_PAUSE)
-        backend.out_until = max(backend.out_until, until)
+        backend.excluded_until = max(backend.excluded_until, until)
 
     def record_reload(self, start: ServerStart, now: Millis) -> None:
         """Record that an engine refused because it is loading new weights."""
@@ -185,7 +185,7 @@
         versions[model] = version
         backend.record = replace(backend.record, versions=versions)
         backend.reload_until = 0.0
-        backend.forget_kept()
+        backend.clear_cache()
 
     def record_kept(
         self, start: ServerStart, parts: Sequence[PromptPart], capacity: int
@@ -198,9 +198,9 @@
         if backend is None:
             return
         for part in parts:
-            backend.kept_tokens -= backend.kept.pop(part.name, 0)
-            backend.kept[part.name] = part.tokens
-            backend.kept_tokens += part.tokens
-        while backend.kept_tokens > capacity and backend.kept:
-            _, tokens = backend.kept.popitem(last=False)
-            backend.kept_tokens -= tokens
+            backend.cached_tokens -= backend.cached_parts.pop(part.name, 0)
+            backend.cached_parts[part.name] = part.tokens
+            backend.cached_tokens += part.tokens
+        while backend.cached_tokens > capacity and backend.cached_parts:
+            _, tokens = backend.cached_parts.popitem(last=False)
+            backend.cached_tokens -= tokens
--- a/src/oleanderdyke/kernel/prediction.py
+++ b/src/oleanderdyke/kernel/prediction.py
@@ -61,7 +61,7 @@
         self._hold_time = _INITIAL_HOLD_TIME
         self._short_share = _INITIAL_SHORT_SHARE
 
-    def note_sent(
+    def record_sent(
         self,
         request: str,
         agent: str,
@@ -74,7 +74,7 @@
 
         Short requests are prefilled before all others.
         """
-        self.note_finished(request, now)
+        self.record_finished(request, now)
         backlog = self._backlogs.setdefault(agent, _AgentBacklog())
         dispatch = Dispatched(agent, tokens, now, short)
         self._update_short_share(dispatch)
@@ -86,7 +86,7 @@
         backlog.waiting += 1
         backlog.history.append(dispatch)
 
-    def note_first_token(self, request: str, now: Millis) -> None:
+    def record_first_token(self, request: str, now: Millis) -> None:
         """Record that the prefill of a dispatch has ended."""
         dispatch = self._dispatches.get(request)
         if dispatch is None or dispatch.first_token_at is not None:
@@ -101,12 +101,12 @@
         backlog.running += 1
         backlog.progressed_at = now
 
-    def note_finished(self, request: str, now: Millis) -> None:
+    def record_finished(self, request: str, now: Millis) -> None:
         """Remove a dispatch."""
         dispatch = self._dispatches.get(request)
         if dispatch is None:
             return
-        self.note_first_token(request, now)
+        self.record_first_token(request, now)
         del self._dispatches[request]
         self._backlogs[dispatch.agent].running -= 1
         held = now - (dispatch.first_token_at or now)
--- a/src/oleanderdyke/policies/admission.py
+++ b/src/oleanderdyke/policies/admission.py
@@ -9,7 +9,11 @@
 
 from oleanderdyke.clock import Millis
 from oleanderdyke.errors import ErrorKind
-from oleanderdyke.kernel.admission import FairQueue, Waiting, spread
+from oleanderdyke.kernel.admission import (
+    FairQueue,
+    QueuedRequest,
+    hash_to_fraction,
+)
 from oleanderdyke.kernel.demand import (
     SEGMENT_TOKENS,
     Admission,
@@ -90,7 +94,7 @@
         self._find_terms = find_terms
         self._limits = TeamLimits(find_terms)
         self._services: dict[str, _Service] = {}
-        self._waiting: dict[str, tuple[_Classified, Waiting]] = {}
+        self._waiting: dict[str, tuple[_Classified, QueuedRequest]] = {}
         self._running: dict[str, Demand] = {}
         self._start_deadlines: list[tuple[Millis, str]] = []
 
@@ -131,22 +135,22 @@
                 released += self._release(service)
         return released
 
-    def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
+    def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Record the plan of an admitted request that was sent."""
         present = (plan.cached + plan.fetched) * SEGMENT_TOKENS
         tokens = float(max(0, demand.tokens - present))
         capacity = self._find_service(demand.service).capacity
-        capacity.note_sent(demand, plan, tokens, now)
+        capacity.record_sent(demand, plan, tokens, now)
 
-    def note_first_token(self, request: str, now: Millis) -> None:
+    def record_first_token(self, request: str, now: Millis) -> None:
         """Record that the prefill of a request has ended."""
         demand = self._running.get(request)
         if demand is None:
             return
         capacity = self._find_service(demand.service).capacity
-        capacity.note_first_token(request, now)
+        capacity.record_first_token(request, now)
 
-    def note_finished(self, request: str, now: Millis) -> None:
+    def record_finished(self, request: str, now: Millis) -> None:
         """Release what a request occupied, queued or running."""
         if request in self._waiting:
             self._drop(request, now)
@@ -154,9 +158,9 @@
         demand = self._running.pop(request, None)
         if demand is None:
             return
-        self._limits.note_finished(demand.team, now)
+        self._limits.record_finished(demand.team, now)
         capacity = self._find_service(demand.service).capacity
-        capacity.note_finished(request, now)
+        capacity.record_finished(request, now)
 
     def _find_service(self, name: str) -> _Service:
         service = self._services.get(name)
@@ -203,7 +207,7 @@
         latest = demand.deadline - service.capacity.duration
         if now + wait > latest:
             return self._refuse(service, classified, now, 'would be late')
-        waiting = Waiting(demand, classified.cost, now)
+        waiting = QueuedRequest(demand, classified.cost, now)
         service.queues[classified.kind].push(waiting, weight)
         self._waiting[demand.request] = classified, waiting
         self._limits.note_started(demand, now)
@@ -234,7 +238,7 @@
         after = min(ceiling, service.return_at - now)
         service.return_at = min(service.return_at, now + ceiling)
         after = max(self._settings.retry_after_floor, after)
-        after *= 1 + _JITTER * spread(classified.demand.request)
+        after *= 1 + _JITTER * hash_to_fraction(classified.demand.request)
         return Refusal(ErrorKind.OVERLOADED, reason, after)
 
     def _expire(self, now: Millis) -> list[tuple[str, Admitted | Refusal]]:
@@ -253,7 +257,7 @@
         classified, waiting = self._waiting.pop(request)
         service = self._find_service(classified.demand.service)
         service.queues[classified.kind].remove(waiting)
-        self._limits.note_finished(classified.demand.team, now)
+        self._limits.record_finished(classified.demand.team, now)
         return classified
 
     def _release(
@@ -289,13 +293,13 @@
         """Return nothing, as no request is ever queued."""
         return ()
 
-    def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
+    def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Ignore the event, as no load is tracked."""
 
-    def note_first_token(self, request: str, now: Millis) -> None:
+    def record_first_token(self, request: str, now: Millis) -> None:
         """Ignore the event, as no load is tracked."""
 
-    def note_finished(self, request: str, now: Millis) -> None:
+    def record_finished(self, request: str, now: Millis) -> None:
         """Ignore the event, as no load is tracked."""
 
 
--- a/src/oleanderdyke/policies/capacity.py
+++ b/src/oleanderdyke/policies/capacity.py
@@ -93,36 +93,36 @@
         self._totals.short_tokens += tokens if short else 0.0
         self._totals.requests += 1
 
-    def note_sent(
+    def record_sent(
         self, demand: Demand, plan: Plan, tokens: float, now: Millis
     ) -> None:
         """Count the tokens that a request's plan recomputes."""
         short = tokens <= self._settings.short_tokens
-        self._backlog.note_sent(
+        self._backlog.record_sent(
             demand.request, plan.agent, tokens, now, short=short
         )
         self._sent[demand.request] = _Sent(tokens, now, short)
 
-    def note_first_token(self, request: str, now: Millis) -> None:
+    def record_first_token(self, request: str, now: Millis) -> None:
         """Remove the tokens of a prefill that has ended."""
         sent = self._sent.get(request)
         if sent is None or not sent.prefilling:
             return
         sent.prefilling = False
-        self._backlog.note_first_token(request, now)
+        self._backlog.record_first_token(request, now)
         totals = self._totals
         totals.tokens = max(0.0, totals.tokens - sent.tokens)
         if sent.short:
             totals.short_tokens = max(0.0, totals.short_tokens - sent.tokens)
 
-    def note_finished(self, request: str, now: Millis) -> None:
+    def record_finished(self, request: str, now: Millis) -> None:
         """Remove a request that has ended."""
         self._totals.requests = max(0, self._totals.requests - 1)
-        self.note_first_token(request, now)
+        self.record_first_token(request, now)
         sent = self._sent.pop(request, None)
         if sent is None:
             return
-        self._backlog.note_finished(request, now)
+        self._backlog.record_finished(request, now)
         self._duration += _SMOOTHING * (now - sent.sent_at - self._duration)
 
     def _compute_totals(
--- a/src/oleanderdyke/policies/routing.py
+++ b/src/oleanderdyke/policies/routing.py
@@ -91,41 +91,45 @@
         best = self._choose_cheapest(demand, choices, now)
         return _make_plan(best, self._settings)
 
-    def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
+    def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Record the prefill, the fetch and the prefix of a dispatch."""
         present = (plan.cached + plan.fetched) * SEGMENT_TOKENS
         tokens = max(0, demand.tokens - present)
         brought = demand.tokens - plan.cached * SEGMENT_TOKENS
         self._pressure.record_added(plan.agent, brought, now)
-        self._backlog.note_sent(
+        self._backlog.record_sent(
             demand.request,
             plan.agent,
             tokens,
             now,
             short=plan.priority == SHORT_PRIORITY,
         )
-        self._links.note_sent(demand.request, plan, now)
-        self._pending.note_sent(demand, plan, now)
+        self._links.record_sent(demand.request, plan, now)
+        self._pending.record_sent(demand, plan, now)
 
-    def note_first_token(self, request: str, now: Millis) -> None:
+    def record_first_token(self, request: str, now: Millis) -> None:
         """Record that the context of a request is in place."""
-        self._backlog.note_first_token(request, now)
+        self._backlog.record_first_token(request, now)
         self._links.remove(request)
         self._pending.mark_ready(request, now)
 
-    def note_finished(self, request: str, now: Millis) -> None:
+    def record_finished(self, request: str, now: Millis) -> None:
         """Remove a request that has ended."""
-        self._backlog.note_finished(request, now)
+        self._backlog.record_finished(request, now)
         self._links.remove(request)
-        self._pending.note_finished(request)
+        self._pending.record_finished(request)
 
-    def note_removed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
+    def record_segments_removed(
+        self, agent: str, segments: Sequence[SegmentHint]
+    ) -> None:
         """Drop expected segments that an agent has removed."""
-        self._pending.note_removed(agent, segments)
+        self._pending.record_segments_removed(agent, segments)
 
-    def note_listed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
+    def record_segments_listed(
+        self, agent: str, segments: Sequence[SegmentHint]
+    ) -> None:
         """Drop expected segments that an agent's full list lacks."""
-        self._pending.note_listed(agent, segments)
+        self._pending.record_segments_listed(agent, segments)
 
     def _evaluate(
         self,
@@ -213,21 +217,25 @@
         held = fleet.count_leading(least.agent, demand.segments)
         return Plan(least.agent, 'least outstanding', cached=held)
 
-    def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
+    def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Count a dispatched request."""
-        self._backlog.note_sent(demand.request, plan.agent, 0, now)
+        self._backlog.record_sent(demand.request, plan.agent, 0, now)
 
-    def note_first_token(self, request: str, now: Millis) -> None:
+    def record_first_token(self, request: str, now: Millis) -> None:
         """Ignore the event: only whole requests are counted."""
 
-    def note_finished(self, request: str, now: Millis) -> None:
+    def record_finished(self, request: str, now: Millis) -> None:
         """Remove a request that has ended."""
-        self._backlog.note_finished(request, now)
+        self._backlog.record_finished(request, now)
 
-    def note_removed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
+    def record_segments_removed(
+        self, agent: str, segments: Sequence[SegmentHint]
+    ) -> None:
         """Ignore the event: no prefixes are tracked."""
 
-    def note_listed(self, agent: str, segments: Sequence[SegmentHint]) -> None:
+    def record_segments_listed(
+        self, agent: str, segments: Sequence[SegmentHint]
+    ) -> None:
         """Ignore the event: no prefixes are tracked."""
 
     def _count(self, replica: Replica) -> int:
--- a/src/oleanderdyke/policies/sources.py
+++ b/src/oleanderdyke/policies/sources.py
@@ -59,7 +59,7 @@
         self._agents: dict[SegmentHint, dict[str, str]] = {}
         self._agents_with_gaps: set[str] = set()
 
-    def note_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
+    def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Expect the missing segments of a prompt at the plan's agent."""
         segments = demand.segments[plan.cached + plan.joined :]
         if not segments:
@@ -85,13 +85,15 @@
         pending.done = True
         pending.expires_at = now + _READY_RETENTION
 
-    def note_finished(self, request: str) -> None:
+    def record_finished(self, request: str) -> None:
         """Drop the segments of a request that ended before they were ready."""
         pending = self._pending.get(request)
         if pending is not None and not pending.done:
             self._drop(request)
 
-    def note_removed(self, agent: str, segments: Iterable[SegmentHint]) -> None:
+    def record_segments_removed(
+        self, agent: str, segments: Iterable[SegmentHint]
+    ) -> None:
         """Drop segments that an agent reports as removed."""
         for segment in segments:
             agents = self._agents.get(segment, {})
@@ -101,7 +103,9 @@
             if not agents:
                 del self._agents[segment]
 
-    def note_listed(self, agent: str, segments: Iterable[SegmentHint]) -> None:
+    def record_segments_listed(
+        self, agent: str, segments: Iterable[SegmentHint]
+    ) -> None:
         """Drop ready segments that an agent's full list lacks.
 
         Segments that are still on their way are kept.
@@ -115,7 +119,7 @@
             if segment not in listed
             and self._is_expected(segment, agent, request)
         ]
-        self.note_removed(agent, lost)
+        self.record_segments_removed(agent, lost)
 
     def holders(self, segment: SegmentHint) -> Iterable[str]:
         """Return the agents that will soon hold a segment."""
@@ -187,7 +191,7 @@
         self._fetches: dict[str, _Fetch] = {}
         self._stores: dict[str, dict[str, _Fetch]] = {}
 
-    def note_sent(self, request: str, plan: Plan, now: Millis) -> None:
+    def record_sent(self, request: str, plan: Plan, now: Millis) -> None:
         """Count the bytes of a plan that fetches."""
         self.remove(request)
         fetched = plan.fetched - plan.joined
--- a/tests/safety_model.py
+++ b/tests/safety_model.py
@@ -16,9 +16,9 @@
 from oleanderdyke.errors import ErrorKind, Ran
 from oleanderdyke.kernel import attempt_events as ev
 from oleanderdyke.kernel.attempts import (
-    MachineSettings,
+    AttemptSettings,
     RequestFacts,
-    RequestMachine,
+    RequestStateMachine,
 )
 from oleanderdyke.kernel.claim_records import (
     ClaimsRecord,
@@ -28,7 +28,7 @@
 from oleanderdyke.kernel.claim_runs import RunAnswer
 from oleanderdyke.kernel.claims import ClaimTable, Free
 from oleanderdyke.kernel.demand import Plan, Refusal, Replica
-from oleanderdyke.kernel.gate import Gate, GateSettings, Pass
+from oleanderdyke.kernel.gate import Accepted, Gate, GateSettings
 from oleanderdyke.kernel.quarantine import QuarantineSettings, make_quarantine
 from oleanderdyke.kernel.retries import RetryBudget, RetrySettings
 from oleanderdyke.links.messages import (
@@ -112,7 +112,7 @@
 
     gate: type[Gate] = Gate
     table: type[ClaimTable] = ClaimTable
-    machine: type[RequestMachine] = RequestMachine
+    machine: type[RequestStateMachine] = RequestStateMachine
     make_key: Callable[[str, str, str], str] = make_key
 
 
@@ -139,12 +139,12 @@
             rights=Anyone(),
         )
         self.gate.set_phase(AgentPhase.SERVING)
-        self.gate.note_beat(1)
+        self.gate.record_heartbeat(1)
 
     def receive(self, envelope: Envelope) -> None:
         message = envelope.message
         if isinstance(message, ClaimQuery):
-            answer = self.gate.answer(message)
+            answer = self.gate.answer_query(message)
             self._send(envelope.sender, ev.ClaimAnswered(answer))
         elif isinstance(message, Dispatch):
             self._admit(message, envelope.sender)
@@ -154,8 +154,8 @@
     def _admit(self, dispatch: Dispatch, sender: tuple[str, int]) -> None:
         result = self.gate.admit(dispatch, 0.0)
         if isinstance(result, Failed):
-            self._send(sender, ev.Received(result))
-        elif isinstance(result, Pass):
+            self._send(sender, ev.MessageReceived(result))
+        elif isinstance(result, Accepted):
             body = f'{dispatch.team}/run-{len(self.world.runs)}/'.encode()
             self.world.note_run(dispatch, body)
             self.running.append((dispatch, body, sender))
@@ -168,10 +168,10 @@
             None if cut else RunAnswer(200, (), body + body),
         )
         events: list[ev.Event] = [
-            ev.Received(
+            ev.MessageReceived(
                 AnswerHead(dispatch.request, dispatch.attempt, 200, ())
             ),
-            ev.Received(
+            ev.MessageReceived(
                 AnswerChunk(dispatch.request, dispatch.attempt, 0, body)
             ),
         ]
@@ -182,13 +182,13 @@
                 ErrorKind.BACKEND_FAILED,
                 Ran.YES,
             )
-            events.append(ev.Received(failed))
+            events.append(ev.MessageReceived(failed))
         else:
             events += [
-                ev.Received(
+                ev.MessageReceived(
                     AnswerChunk(dispatch.request, dispatch.attempt, 1, body)
                 ),
-                ev.Received(
+                ev.MessageReceived(
                     AnswerEnd(dispatch.request, dispatch.attempt, 2, b'')
                 ),
             ]
@@ -197,16 +197,16 @@
     def tick(self, count: int) -> None:
         """Send heartbeats, which count as the agent's own time."""
         self.beat += count
-        self.gate.note_beat(self.beat)
+        self.gate.record_heartbeat(self.beat)
 
     def crash(self) -> None:
         senders = {
             (d.request, d.attempt): sender for d, _, sender in self.running
         }
         self.running.clear()
-        for failed in self.gate.crash(0.0):
+        for failed in self.gate.finish_crashed(0.0):
             sender = senders[failed.request, failed.attempt]
-            self._send(sender, ev.Received(failed))
+            self._send(sender, ev.MessageReceived(failed))
 
     def _send(self, sender: tuple[str, int], *events: ev.Event) -> None:
         """Send one bundle; within a link the order is kept."""
@@ -222,7 +222,7 @@
         self.name = name
         self.incarnation = incarnation
         self.table = world.variants.table()
-        self.machines: dict[str, RequestMachine] = {}
+        self.machines: dict[str, RequestStateMachine] = {}
         self.timers: list[tuple[str, ev.TimerFired]] = []
         self.claims: dict[str, tuple[str, str, str]] = {}
         self.view = {
@@ -248,17 +248,17 @@
                 key=key,
                 horizon=1e12,
             ),
-            settings=MachineSettings(max_asks=2),
+            settings=AttemptSettings(max_queries=2),
             budget=self.budget,
         )
         self.machines[call.request] = machine
-        verdict = self.table.verdict(key, digest) if key else None
+        verdict = self.table.get_verdict(key, digest) if key else None
         self._perform(call.request, machine.start(0.0, verdict))
 
     def tell(self, request: str, event: ev.Event) -> None:
         machine = self.machines.get(request)
         if machine is not None:
-            self._perform(request, machine.on(event, 0.0))
+            self._perform(request, machine.handle_event(event, 0.0))
 
     def tell_all(self, event: ev.Event) -> None:
         for request in list(self.machines):
@@ -268,16 +268,16 @@
         log = self.world.log
         if not log.up:
             return
-        self.table.note_end(log.end)
+        self.table.set_catch_up_target(log.end)
         start = max(self.table.next_offset, log.first)
         for offset in range(start, min(log.end, start + limit)):
             self.table.apply(offset, float(offset), log.records[offset])
-        self.table.note_end(log.end)
+        self.table.set_catch_up_target(log.end)
         self._settle()
 
     def _settle(self) -> None:
         for claim_id, (request, key, digest) in list(self.claims.items()):
-            verdict = self.table.settle(claim_id, key, digest)
+            verdict = self.table.get_claim_verdict(claim_id, key, digest)
             if not isinstance(verdict, Free):
                 del self.claims[claim_id]
                 self.tell(request, ev.ClaimSettled(claim_id, verdict))
@@ -351,7 +351,7 @@
             Append(self.name, request, records, claim_id, is_outcome)
         )
 
-    def _do_ask_claim(self, request: str, action: ev.AskClaim) -> None:
+    def _do_ask_claim(self, request: str, action: ev.QueryClaim) -> None:
         call = self.world.calls[request]
         query = ClaimQuery(request, call.team, action.claim)
         self._send(action.agent, action.claim.incarnation, query)
@@ -407,7 +407,7 @@
         ev.AppendClaim: _do_append_claim,
         ev.AppendRelease: _do_append_release,
         ev.AppendOutcome: _do_append_outcome,
-        ev.AskClaim: _do_ask_claim,
+        ev.QueryClaim: _do_ask_claim,
         ev.SendDispatch: _do_send_dispatch,
         ev.StartTimer: _do_start_timer,
         ev.DeliverChunk: _do_deliver_chunk,
@@ -514,7 +514,7 @@
         """Repeat every live claim, before the log forgets."""
         table = self.entries[entry].table
         if table.caught_up:
-            records = table.due_for_carry(float('inf'), 10_000)
+            records = table.list_due_renewals(float('inf'), 10_000)
             through = table.next_offset - 1
             append = Append(entry, '', tuple(records), through=through)
             self.appends.append(append)
@@ -561,7 +561,7 @@
 
 
 def find_request(event: ev.Event) -> str:
-    if isinstance(event, ev.Received):
+    if isinstance(event, ev.MessageReceived):
         return event.message.request
     assert isinstance(event, ev.ClaimAnswered)
     return event.answer.request
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from oleanderdyke.kernel.backend import Owed
+from oleanderdyke.kernel.backend import PendingAttempt
 from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.overload import (
     LATE_RANK,
@@ -107,9 +107,9 @@
 def test_new_weights_discard_cached_context():
     registry = make_engines('a')
     registry.record_kept(A, PARTS, 60_000)
-    assert registry.find('a').count_kept(PARTS) == 7_500
+    assert registry.find('a').count_cached_tokens(PARTS) == 7_500
     registry.record_version(A, 'm', 2)
-    assert registry.find('a').count_kept(PARTS) == 0
+    assert registry.find('a').count_cached_tokens(PARTS) == 0
 
 
 def test_the_oldest_version_includes_leaving_engines():
@@ -142,7 +142,7 @@
 
 def test_a_silent_server_is_not_usable():
     registry = make_registry('a', 'b')
-    registry.record_sent(A, 'x', Owed(0.0, 0))
+    registry.record_sent(A, 'x', PendingAttempt(0.0, 0))
     late = SILENCE_LIMIT + 1
     assert not is_usable(registry.find('a'), late)
     registry.record_received(A, 'other', late)
@@ -151,7 +151,7 @@
 
 def test_plain_calls_go_to_the_least_loaded_server():
     registry = make_registry('a', 'b')
-    registry.record_sent(A, 'x', Owed(0.0, 0))
+    registry.record_sent(A, 'x', PendingAttempt(0.0, 0))
     assert choose(registry) == 'b'
     registry.record_load(B, ServerLoad(5, 3, 6), 0.0)
     assert choose(registry) == 'a'
@@ -216,20 +216,20 @@
 def test_queueing_delay_follows_from_first_bytes_and_their_absence():
     registry = make_engines('a')
     backend = registry.find('a')
-    registry.record_sent(A, 'x', Owed(0.0, 0))
-    assert backend.find_delay(0, 445.0) == pytest.approx(400.0)
+    registry.record_sent(A, 'x', PendingAttempt(0.0, 0))
+    assert backend.find_queue_delay(0, 445.0) == pytest.approx(400.0)
     registry.record_received(A, 'x', 445.0)
-    assert backend.find_delay(0, 445.0) > 100.0
-    assert backend.find_delay(0, 9_000.0) == 0.0
+    assert backend.find_queue_delay(0, 445.0) > 100.0
+    assert backend.find_queue_delay(0, 9_000.0) == 0.0
 
 
 def test_less_urgent_requests_do_not_delay_others():
     registry = make_engines('a')
-    registry.record_sent(A, 'x', Owed(0.0, 9_000, rank=LATE_RANK))
+    registry.record_sent(A, 'x', PendingAttempt(0.0, 9_000, rank=LATE_RANK))
     backend = registry.find('a')
-    assert backend.find_delay(1, 5_000.0) == 0.0
-    assert backend.count_owed_tokens(1) == 0
-    assert backend.count_owed_tokens(LATE_RANK) == 9_000
+    assert backend.find_queue_delay(1, 5_000.0) == 0.0
+    assert backend.count_pending_tokens(1) == 0
+    assert backend.count_pending_tokens(LATE_RANK) == 9_000
 
 
 def test_a_reported_load_decays_over_time():
@@ -243,7 +243,7 @@
 
 def test_ended_requests_release_their_tokens():
     registry = make_engines('a')
-    registry.record_sent(A, 'x', Owed(0.0, 10, memory=700))
+    registry.record_sent(A, 'x', PendingAttempt(0.0, 10, memory=700))
     assert registry.find('a').running_tokens == 700
     registry.record_ended(A, 'x', 700)
     assert (registry.find('a').running, registry.find('a').running_tokens) == (
@@ -254,11 +254,11 @@
 
 def test_a_server_without_output_for_running_requests_is_silent():
     registry = make_engines('a')
-    registry.record_sent(A, 'x', Owed(0.0, 10))
+    registry.record_sent(A, 'x', PendingAttempt(0.0, 10))
     registry.record_received(A, 'x', 100.0)
-    assert registry.find('a').find_silence(900.0) == 800.0
+    assert registry.find('a').find_overdue_time(900.0) == 800.0
     registry.record_ended(A, 'x', 0)
-    assert registry.find('a').find_silence(900.0) == 0.0
+    assert registry.find('a').find_overdue_time(900.0) == 0.0
 
 
 def test_a_late_record_does_not_bring_a_server_back():
@@ -289,7 +289,7 @@
 
 def test_an_entry_that_cannot_be_read_ends_no_running_work():
     registry = make_engines('a')
-    registry.record_sent(A, 'x', Owed(0.0, 10, memory=700))
+    registry.record_sent(A, 'x', PendingAttempt(0.0, 10, memory=700))
     registry.mark_unreadable(['a'])
     registry.complete_read(60_000.0)
     assert registry.find('a').running == 1
@@ -319,7 +319,7 @@
 
 def test_an_unreadable_entry_does_not_restore_a_removed_server():
     registry = make_registry('a')
-    registry.record_sent(A, 'x', Owed(0.0, 10))
+    registry.record_sent(A, 'x', PendingAttempt(0.0, 10))
     registry.remove('a', 500.0)
     registry.mark_unreadable(['a'])
     registry.complete_read(600.0)
@@ -375,7 +375,7 @@
     registry.put(make_record('a', versions={'m': 1}, revision=1), 0.0)
     registry.record_kept(ServerStart('a'), PARTS, 60_000)
     registry.put(make_record('a', versions={'m': 2}, revision=2), 1.0)
-    assert registry.find('a').count_kept(PARTS) == 0
+    assert registry.find('a').count_cached_tokens(PARTS) == 0
 
 
 def test_a_store_outage_is_detected_from_reads_of_a_neighbour():
@@ -420,14 +420,14 @@
     """The server lets less urgent requests wait and sends them nothing."""
     registry = BackendRegistry()
     registry.put(make_record('a'), 0.0)
-    registry.record_sent(A, 'x', Owed(0.0, 0, 5, 0))
+    registry.record_sent(A, 'x', PendingAttempt(0.0, 0, 5, 0))
     backend = registry.find('a')
-    assert backend.find_silence(700.0) == 700.0
+    assert backend.find_overdue_time(700.0) == 700.0
     registry.record_load(A, ServerLoad(8, 2, 16), 600.0)
-    assert backend.find_silence(700.0) == 0.0
+    assert backend.find_overdue_time(700.0) == 0.0
     # A connection may be broken although its server is alive.
     registry.record_load(A, ServerLoad(8, 2, 16), 1_500.0)
-    assert backend.find_silence(1_600.0) == 600.0
+    assert backend.find_overdue_time(1_600.0) == 600.0
 
 
 @pytest.mark.parametrize(('slots', 'chosen'), [(16, 'b'), (128, 'a')])
@@ -438,7 +438,7 @@
     for server, changes in (('a', {'slots': slots}), ('b', far)):
         registry.put(make_record(server, versions={'m': 1}, **changes), 0.0)
     for number in range(3):
-        registry.record_sent(A, str(number), Owed(0.0, 0))
+        registry.record_sent(A, str(number), PendingAttempt(0.0, 0))
         registry.record_received(A, str(number), 10.0)
     demand = CallDemand('desk', 'hall', model=ModelDemand('m', 10, 7, ()))
     assert (
--- a/tests/test_choice_cost.py
+++ b/tests/test_choice_cost.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from oleanderdyke.kernel import rate_limits
-from oleanderdyke.kernel.backend import Owed
+from oleanderdyke.kernel.backend import PendingAttempt
 from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.placement import (
     SILENCE_LIMIT,
@@ -53,9 +53,9 @@
     registry.complete_read(0.0)
     for backend in registry.list_known():
         start = backend.record.start
-        registry.record_sent(start, 'one', Owed(NOW - 30, 500, 2, 900))
+        registry.record_sent(start, 'one', PendingAttempt(NOW - 30, 500, 2, 900))
         registry.record_load(start, ServerLoad(5, 1, 16), NOW)
-        backend.heard = NOW - 20
+        backend.last_heard_at = NOW - 20
     return registry
 
 
@@ -108,10 +108,10 @@
 def test_a_server_is_unusable_only_when_silent(heard, sent, tokens):
     registry = make_engines(1)
     backend = registry.find('i-0')
-    backend.heard = NOW - heard
+    backend.last_heard_at = NOW - heard
     backend.waiting.clear()
     for number, ago in enumerate(sent):
-        owed = Owed(NOW - ago, tokens, 2, 900)
+        owed = PendingAttempt(NOW - ago, tokens, 2, 900)
         registry.record_sent(ServerStart('i-0'), f'{number}', owed)
-    is_silent = backend.find_silence(NOW) >= SILENCE_LIMIT
+    is_silent = backend.find_overdue_time(NOW) >= SILENCE_LIMIT
     assert is_usable(backend, NOW) is not is_silent
--- a/tests/test_newest_weights.py
+++ b/tests/test_newest_weights.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from oleanderdyke.kernel.backend import Owed
+from oleanderdyke.kernel.backend import PendingAttempt
 from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.placement import CallDemand, choose_backend
 from oleanderdyke.kernel.servers import ModelDemand, PromptPart, ServerRecord
@@ -52,7 +52,7 @@
         random_value=random.random(),
     )
     record = choose_backend(demand, registry, 0.0).backend.record
-    registry.record_sent(record.start, name, Owed(0.0, 670))
+    registry.record_sent(record.start, name, PendingAttempt(0.0, 670))
     return record.versions['m']
 
 
--- a/tests/test_read_rate.py
+++ b/tests/test_read_rate.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from oleanderdyke.kernel.backend import Owed
+from oleanderdyke.kernel.backend import PendingAttempt
 from oleanderdyke.kernel.backends import BackendRegistry
 from oleanderdyke.kernel.placement import SILENCE_LIMIT, is_usable
 from oleanderdyke.kernel.prefill_rate import PrefillRate
@@ -33,11 +33,11 @@
 def add_samples(registry, rate, tokens=6_000):
     """Add samples of the prefill rate through first bytes."""
     for number in range(20):
-        owed = Owed(0.0, tokens, is_alone=True)
+        owed = PendingAttempt(0.0, tokens, is_alone=True)
         registry.record_sent(START, f'{number}', owed)
         registry.record_received(START, f'{number}', tokens / rate + FIRST_BYTE)
         registry.record_ended(START, f'{number}', 0)
-    registry.find('a').heard = 0.0
+    registry.find('a').last_heard_at = 0.0
 
 
 @pytest.mark.parametrize('rate', [20.0, 48.0, 112.0, 300.0])
@@ -45,21 +45,21 @@
     registry = make_registry()
     add_samples(registry, rate)
     tokens = int(rate * 900.0)
-    registry.record_sent(START, 'x', Owed(0.0, tokens))
+    registry.record_sent(START, 'x', PendingAttempt(0.0, tokens))
     assert is_usable(registry.find('a'), 900.0 + SILENCE_LIMIT - 1.0)
     assert not is_usable(registry.find('a'), 900.0 + SILENCE_LIMIT + 1.0)
 
 
 def test_an_engine_without_prefill_is_silent_after_the_limit():
     registry = make_registry()
-    registry.record_sent(START, 'x', Owed(0.0, 0))
+    registry.record_sent(START, 'x', PendingAttempt(0.0, 0))
     assert not is_usable(registry.find('a'), SILENCE_LIMIT + 1.0)
 
 
 def test_an_engine_with_much_prefill_is_silent_within_two_seconds():
     registry = make_registry()
     for number in range(30):
-        registry.record_sent(START, f'{number}', Owed(0.0, 20_000))
+        registry.record_sent(START, f'{number}', PendingAttempt(0.0, 20_000))
     assert not is_usable(registry.find('a'), 2_001.0)
 
 
@@ -81,6 +81,6 @@
 def test_a_first_byte_after_queueing_is_no_sample():
     registry = make_registry()
     before = registry.find('a').reading.estimate_time(1_000)
-    registry.record_sent(START, 'x', Owed(0.0, 6_000))
+    registry.record_sent(START, 'x', PendingAttempt(0.0, 6_000))
     registry.record_received(START, 'x', 5_000.0)
     assert registry.find('a').reading.estimate_time(1_000) == before
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -7,9 +7,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from oleanderdyke.kernel.backend import Owed
+from oleanderdyke.kernel.backend import PendingAttempt
 from oleanderdyke.kernel.backends import BackendRegistry
-from oleanderdyke.kernel.outdated import OutdatedContext
+from oleanderdyke.kernel.outdated_context import OutdatedContext
 from oleanderdyke.kernel.placement import CallDemand, choose_backend, is_usable
 from oleanderdyke.kernel.servers import (
     PromptPart,
@@ -93,9 +93,9 @@
 
 def test_nothing_known_of_the_earlier_start_holds_for_the_later_one():
     book = make_book(EARLIER, versions={'m': 3})
-    book.record_sent(EARLIER, 'x', Owed(0.0, 10, memory=700))
+    book.record_sent(EARLIER, 'x', PendingAttempt(0.0, 10, memory=700))
     book.record_received(EARLIER, 'x', 900.0)
-    book.record_sent(EARLIER, 'y', Owed(0.0, 10, memory=700))
+    book.record_sent(EARLIER, 'y', PendingAttempt(0.0, 10, memory=700))
     book.record_load(EARLIER, ServerLoad(5, 3, 6), 0.0)
     book.record_kept(EARLIER, PARTS, 60_000)
     book.record_failure(EARLIER, 0.0)
@@ -105,7 +105,10 @@
     assert found.record.versions == {'m': 1}
     assert (found.running, found.running_tokens, found.waiting) == (0, 0, {})
     assert (found.load, found.errors, found.listed_at) == (None, 0.0, 10.0)
-    assert (found.count_kept(PARTS), found.find_delay(0, 10.0)) == (0, 0.0)
+    assert (
+        found.count_cached_tokens(PARTS),
+        found.find_queue_delay(0, 10.0),
+    ) == (0, 0.0)
     assert is_usable(found, 10.0)
 
 
@@ -138,9 +141,9 @@
 
 def test_late_results_of_the_earlier_start_change_nothing():
     book = make_book(EARLIER)
-    book.record_sent(EARLIER, 'x', Owed(0.0, 10, memory=700))
+    book.record_sent(EARLIER, 'x', PendingAttempt(0.0, 10, memory=700))
     book.put(make_record(LATER), 10.0)
-    book.record_sent(LATER, 'y', Owed(10.0, 10, memory=300))
+    book.record_sent(LATER, 'y', PendingAttempt(10.0, 10, memory=300))
     book.record_failure(LATER, 10.0)
     book.record_received(EARLIER, 'x', 20.0)
     book.record_ended(EARLIER, 'x', 700)
@@ -154,10 +157,18 @@
     book.record_kept(EARLIER, PARTS, 60_000)
     book.mark_replaced(EARLIER)
     found = book.find_start(LATER)
-    assert (found.running, found.running_tokens, found.heard) == (1, 300, 0.0)
-    assert (found.failures, found.out_until, found.refusals) == (1, 510.0, 0)
+    assert (found.running, found.running_tokens, found.last_heard_at) == (
+        1,
+        300,
+        0.0,
+    )
+    assert (found.failures, found.excluded_until, found.refusals) == (
+        1,
+        510.0,
+        0,
+    )
     assert (found.errors, found.reload_until) == (0.2, 0.0)
-    assert (found.load, found.count_kept(PARTS)) == (None, 0)
+    assert (found.load, found.count_cached_tokens(PARTS)) == (None, 0)
     assert not found.record.is_leaving
     assert found.record.versions == {'m': 1}
 
@@ -169,7 +180,9 @@
     'leaving': lambda book, start: book.put(
         make_record(start, is_leaving=True), 5.0
     ),
-    'sent': lambda book, start: book.record_sent(start, 'x', Owed(5.0, 10)),
+    'sent': lambda book, start: book.record_sent(
+        start, 'x', PendingAttempt(5.0, 10)
+    ),
     'heard': lambda book, start: book.record_received(start, 'x', 6.0),
     'ended': lambda book, start: book.record_ended(start, 'x', 0),
     'good': lambda book, start: book.record_success(start),
@@ -263,8 +276,8 @@
 
 def test_context_is_kept_while_an_engine_is_back_on_older_weights():
     book, outdated = make_book(EARLIER, versions={'m': 2}), OutdatedContext()
-    outdated.note('m', 2, book.find_oldest_version('m'), 0.0)
-    assert outdated.list_settled(60_000.0) == {'m': 2}
+    outdated.update('m', 2, book.find_oldest_version('m'), 0.0)
+    assert outdated.list_oldest_usable(60_000.0) == {'m': 2}
     book.put(make_record(LATER, versions={'m': 1}), 60_000.0)
-    outdated.note('m', 2, book.find_oldest_version('m'), 60_000.0)
-    assert outdated.list_settled(120_000.0) == {}
+    outdated.update('m', 2, book.find_oldest_version('m'), 60_000.0)
+    assert outdated.list_oldest_usable(120_000.0) == {}
