--- a/tests/test_choice_cost.py
+++ b/tests/test_choice_cost.py
@@ -53,7 +53,9 @@
     registry.complete_read(0.0)
     for backend in registry.list_known():
         start = backend.record.start
-        registry.record_sent(start, 'one', PendingAttempt(NOW - 30, 500, 2, 900))
+        registry.record_sent(
+            start, 'one', PendingAttempt(NOW - 30, 500, 2, 900)
+        )
         registry.record_load(start, ServerLoad(5, 1, 16), NOW)
         backend.last_heard_at = NOW - 20
     return registry
