--- a/src/oleanderdyke/kernel/backends.py
+++ b/src/oleanderdyke/kernel/backends.py
@@ -44,14 +44,14 @@
         self,
         start: ServerStart,
         attempt: str,
-        owed: PendingAttempt,
+        pending: PendingAttempt,
     ) -> None:
         """Record that an attempt was sent."""
         backend = self.find_start(start)
         if backend is not None:
             backend.running += 1
-            backend.running_tokens += owed.memory
-            backend.waiting[attempt] = owed
+            backend.running_tokens += pending.memory
+            backend.waiting[attempt] = pending
 
     def reset_silence(self, now: Millis) -> None:
         """Restart the silence timers of all servers at `now`.
@@ -69,9 +69,9 @@
         backend = self.find_start(start)
         if backend is not None:
             backend.last_heard_at = now
-            owed = backend.waiting.pop(attempt, None)
-            if owed is not None:
-                backend.record_first_byte(owed, now)
+            pending = backend.waiting.pop(attempt, None)
+            if pending is not None:
+                backend.record_first_byte(pending, now)
 
     def record_ended(
         self, start: ServerStart, attempt: str, memory: int
@@ -137,7 +137,7 @@
         self,
         start: ServerStart,
         per_second: float,
-        told_at: Millis,
+        reported_at: Millis,
         now: Millis,
     ) -> bool:
         """Update the rate that a server accepts; return whether it changed.
@@ -147,7 +147,7 @@
         backend = self.find_start(start)
         if backend is None:
             return False
-        return backend.limit.update(per_second, told_at, now)
+        return backend.limit.update(per_second, reported_at, now)
 
     def record_backoff(
         self, start: ServerStart, pause: Millis, now: Millis
@@ -164,12 +164,14 @@
         backend.backoff_until = max(backend.backoff_until, until)
         return not is_backing_off and backend.backoff_until > now
 
-    def record_malformed(self, start: ServerStart, named: AnswerField) -> bool:
+    def record_malformed(
+        self, start: ServerStart, answer_field: AnswerField
+    ) -> bool:
         """Record a malformed field; return whether it is the first."""
         backend = self.find_start(start)
-        if backend is None or named in backend.malformed:
+        if backend is None or answer_field in backend.malformed:
             return False
-        backend.malformed.add(named)
+        backend.malformed.add(answer_field)
         return True
 
     def record_version(
--- a/src/oleanderdyke/kernel/placement.py
+++ b/src/oleanderdyke/kernel/placement.py
@@ -228,8 +228,8 @@
         return 0.0
     fetched, missing = _split_prompt(demand, demand.model, backend)
     estimate_time = backend.reading.estimate_time
-    owed_time = estimate_time(backend.count_pending_tokens(demand.rank))
-    delay = max(backend.find_queue_delay(demand.rank, now), owed_time)
+    pending_time = estimate_time(backend.count_pending_tokens(demand.rank))
+    delay = max(backend.find_queue_delay(demand.rank, now), pending_time)
     return delay + estimate_time(missing) + fetched / _FETCH_TOKENS_PER_MS
 
 
@@ -324,13 +324,13 @@
 ) -> tuple[int, int]:
     """Return how many tokens are fetched and how many are prefilled."""
     version = backend.record.versions.get(model.model)
-    kept = _count_kept(demand, backend)
+    cached = _count_cached(demand, backend)
     fetchable = 0 if version is None else demand.fetchable.get(version, 0)
-    fetched = max(fetchable - kept, 0)
-    return fetched, max(model.prompt_tokens - kept - fetched, 0)
+    fetched = max(fetchable - cached, 0)
+    return fetched, max(model.prompt_tokens - cached - fetched, 0)
 
 
-def _count_kept(demand: CallDemand, backend: Backend) -> int:
+def _count_cached(demand: CallDemand, backend: Backend) -> int:
     if demand.model is None:
         return 0
     return backend.count_cached_tokens(demand.model.parts)
--- a/src/oleanderdyke/kernel/prediction.py
+++ b/src/oleanderdyke/kernel/prediction.py
@@ -42,8 +42,8 @@
     history: deque[Dispatched] = field(default_factory=deque)
     beat: int = -1
     incarnation: str = ''
-    others_tokens: float = 0.0
-    others_requests: int = 0
+    other_tokens: float = 0.0
+    other_requests: int = 0
 
 
 class BacklogTracker:
@@ -109,8 +109,8 @@
         self.record_first_token(request, now)
         del self._dispatches[request]
         self._backlogs[dispatch.agent].running -= 1
-        held = now - (dispatch.first_token_at or now)
-        self._hold_time += _SMOOTHING * (held - self._hold_time)
+        hold_time = now - (dispatch.first_token_at or now)
+        self._hold_time += _SMOOTHING * (hold_time - self._hold_time)
 
     def count_outstanding(self, agent: str) -> int:
         """Return the number of own requests that an agent has not finished."""
@@ -123,7 +123,7 @@
         if backlog is None:
             return float(replica.load.waiting_tokens)
         self._apply_report(backlog, replica, now)
-        return self._count_own(backlog, replica, now) + backlog.others_tokens
+        return self._count_own(backlog, replica, now) + backlog.other_tokens
 
     def estimate_wait(self, replica: Replica, now: Millis) -> Millis:
         """Estimate how long a new request waits for its prefill."""
@@ -137,7 +137,7 @@
         if backlog is None:
             return replica.load.waiting_tokens * self._short_share
         self._apply_report(backlog, replica, now)
-        others = backlog.others_tokens * self._short_share
+        others = backlog.other_tokens * self._short_share
         return others + backlog.short_tokens
 
     def estimate_short_wait(self, replica: Replica, now: Millis) -> Millis:
@@ -162,7 +162,7 @@
         backlog = self._backlogs.get(replica.agent)
         if backlog is None:
             return replica.load.running + replica.load.waiting
-        return backlog.waiting + backlog.running + backlog.others_requests
+        return backlog.waiting + backlog.running + backlog.other_requests
 
     def _update_short_share(self, dispatch: Dispatched) -> None:
         """Update the share of tokens in short requests, weighted by tokens."""
@@ -188,13 +188,13 @@
         if replica.beat == backlog.beat:
             return
         backlog.beat = replica.beat
-        moment = replica.heard - self._lag
+        reported_at = replica.heard - self._lag
         _trim_history(backlog, now - _HISTORY)
-        tokens, requests = _count_at(backlog, moment)
+        tokens, requests = _count_at(backlog, reported_at)
         load = replica.load
-        backlog.others_tokens = max(0.0, load.waiting_tokens - tokens)
-        seen = load.running + load.waiting
-        backlog.others_requests = max(0, seen - requests)
+        backlog.other_tokens = max(0.0, load.waiting_tokens - tokens)
+        reported = load.running + load.waiting
+        backlog.other_requests = max(0, reported - requests)
 
 
 def _trim_history(backlog: _AgentBacklog, before: Millis) -> None:
@@ -202,13 +202,16 @@
         backlog.history.popleft()
 
 
-def _count_at(backlog: _AgentBacklog, moment: Millis) -> tuple[float, int]:
+def _count_at(backlog: _AgentBacklog, reported_at: Millis) -> tuple[float, int]:
     tokens = 0.0
     requests = 0
     for dispatch in backlog.history:
-        if dispatch.sent_at > moment:
+        if dispatch.sent_at > reported_at:
             break
-        if dispatch.first_token_at is None or dispatch.first_token_at > moment:
+        if (
+            dispatch.first_token_at is None
+            or dispatch.first_token_at > reported_at
+        ):
             tokens += dispatch.tokens
             requests += 1
     return tokens, requests + backlog.running
--- a/src/oleanderdyke/policies/admission.py
+++ b/src/oleanderdyke/policies/admission.py
@@ -80,10 +80,10 @@
     ) -> float:
         """Estimate the work to be done before a new request of a team."""
         queue = self.queues[classified.kind]
-        ahead = queue.estimate_ahead(
+        work = queue.estimate_ahead(
             classified.demand.team, classified.cost, weight
         )
-        return ahead + sum(each.cost for each in self.queues[: classified.kind])
+        return work + sum(each.cost for each in self.queues[: classified.kind])
 
 
 class FairAdmission:
@@ -111,11 +111,11 @@
         service.mean_cost += _MEAN_SMOOTHING * (
             classified.cost - service.mean_cost
         )
-        if service.has_waiting(classified.kind) or not self._has_room(
+        if service.has_waiting(classified.kind) or not self._has_capacity(
             service, classified.kind
         ):
             return self._refuse_or_queue(service, classified, now)
-        self._limits.note_started(demand, now)
+        self._limits.record_started(demand, now)
         self._run(service, classified)
         weight = self._find_terms(demand.team).weight
         service.queues[classified.kind].charge(
@@ -180,7 +180,7 @@
             missing,
         )
 
-    def _has_room(self, service: _Service, kind: _RequestClass) -> bool:
+    def _has_capacity(self, service: _Service, kind: _RequestClass) -> bool:
         capacity = service.capacity
         wait = capacity.estimate_wait(short=kind is _RequestClass.SHORT)
         target = self._settings.queue_target
@@ -191,7 +191,7 @@
 
     def _run(self, service: _Service, classified: _Classified) -> None:
         self._running[classified.demand.request] = classified.demand
-        service.capacity.note_admitted(
+        service.capacity.record_admitted(
             classified.missing, short=classified.kind is _RequestClass.SHORT
         )
 
@@ -210,7 +210,7 @@
         waiting = QueuedRequest(demand, classified.cost, now)
         service.queues[classified.kind].push(waiting, weight)
         self._waiting[demand.request] = classified, waiting
-        self._limits.note_started(demand, now)
+        self._limits.record_started(demand, now)
         heapq.heappush(self._start_deadlines, (latest, demand.request))
         return _QUEUED
 
@@ -270,7 +270,7 @@
                 _RequestClass.LONG
             ):
                 break
-            while queue and self._has_room(service, kind):
+            while queue and self._has_capacity(service, kind):
                 request = queue.pop().demand.request
                 classified, _ = self._waiting.pop(request)
                 self._run(service, classified)
--- a/src/oleanderdyke/policies/capacity.py
+++ b/src/oleanderdyke/policies/capacity.py
@@ -33,7 +33,7 @@
     tokens: float
     sent_at: Millis
     short: bool
-    prefilling: bool = True
+    is_prefilling: bool = True
 
 
 class ServiceCapacity:
@@ -87,7 +87,7 @@
             by_tokens = by_slots
         return max(1e-6, min(by_slots, by_tokens) / self._settings.entries)
 
-    def note_admitted(self, tokens: float, *, short: bool) -> None:
+    def record_admitted(self, tokens: float, *, short: bool) -> None:
         """Count a request that is about to be sent."""
         self._totals.tokens += tokens
         self._totals.short_tokens += tokens if short else 0.0
@@ -106,9 +106,9 @@
     def record_first_token(self, request: str, now: Millis) -> None:
         """Remove the tokens of a prefill that has ended."""
         sent = self._sent.get(request)
-        if sent is None or not sent.prefilling:
+        if sent is None or not sent.is_prefilling:
             return
-        sent.prefilling = False
+        sent.is_prefilling = False
         self._backlog.record_first_token(request, now)
         totals = self._totals
         totals.tokens = max(0.0, totals.tokens - sent.tokens)
--- a/src/oleanderdyke/policies/exports.py
+++ b/src/oleanderdyke/policies/exports.py
@@ -9,7 +9,7 @@
 from oleanderdyke.kernel.demand import SegmentHint
 from oleanderdyke.policies.settings import PolicySettings
 
-_PRIOR_RETURNS = 0.3
+_PRIOR_REUSES = 0.3
 
 
 class ExportPolicy:
@@ -17,7 +17,7 @@
 
     def __init__(self, settings: PolicySettings) -> None:
         self._limit = settings.gap_memory
-        self._needed = count_needed_returns(settings)
+        self._needed = count_needed_reuses(settings)
         self._uses: OrderedDict[SegmentHint, int] = OrderedDict()
 
     def record_use(self, segments: Sequence[SegmentHint]) -> None:
@@ -38,10 +38,10 @@
 
     def _expect(self, segment: SegmentHint) -> float:
         """Estimate the uses to come from the reuses so far."""
-        return _PRIOR_RETURNS + max(0, self._uses.get(segment, 0) - 1)
+        return _PRIOR_REUSES + max(0, self._uses.get(segment, 0) - 1)
 
 
-def count_needed_returns(settings: PolicySettings) -> float:
+def count_needed_reuses(settings: PolicySettings) -> float:
     """Return how many fetches are needed to pay for one export."""
     link = settings.w_link * settings.kv_bytes_per_token
     prefill = SECOND / settings.prefill_tokens_per_second
--- a/src/oleanderdyke/policies/limits.py
+++ b/src/oleanderdyke/policies/limits.py
@@ -54,7 +54,7 @@
             return _refuse(demand, 'token rate limit', wait)
         return None
 
-    def note_started(self, demand: Demand, now: Millis) -> None:
+    def record_started(self, demand: Demand, now: Millis) -> None:
         """Count a request that was admitted or queued."""
         use = self._team_uses.get(demand.team)
         if use is None:
--- a/src/oleanderdyke/policies/pressure.py
+++ b/src/oleanderdyke/policies/pressure.py
@@ -22,18 +22,18 @@
         self._updated_at[agent] = now
 
     def estimate_displaced(
-        self, brought: Mapping[str, float], now: Millis
+        self, added: Mapping[str, float], now: Millis
     ) -> Mapping[str, float]:
         """Estimate the cost of what new tokens displace in each cache.
 
         A cache with more additions than the others loses more context that
         would have been used again.
         """
-        recent = {agent: self.count_recent(agent, now) for agent in brought}
+        recent = {agent: self.count_recent(agent, now) for agent in added}
         mean = sum(recent.values()) / max(1, len(recent)) + 1.0
         return {
             agent: tokens * recent[agent] / mean
-            for agent, tokens in brought.items()
+            for agent, tokens in added.items()
         }
 
     def count_recent(self, agent: str, now: Millis) -> float:
--- a/src/oleanderdyke/policies/registries.py
+++ b/src/oleanderdyke/policies/registries.py
@@ -39,7 +39,7 @@
         """Return a new admission that looks up teams by name."""
 
 
-class MakeKeeper(Protocol):
+class MakeRetentionPolicy(Protocol):
     """Factory of eviction policies."""
 
     def __call__(self, settings: PolicySettings) -> RetentionPolicy:
@@ -48,4 +48,4 @@
 
 ROUTERS: Registry[MakeRouter] = Registry('router')
 ADMISSIONS: Registry[MakeAdmission] = Registry('admission')
-KEEPERS: Registry[MakeKeeper] = Registry('keeper')
+KEEPERS: Registry[MakeRetentionPolicy] = Registry('keeper')
--- a/src/oleanderdyke/policies/routing.py
+++ b/src/oleanderdyke/policies/routing.py
@@ -47,7 +47,7 @@
     replica: Replica
     store: str
     reach: Reach
-    source: PrefillPlan
+    prefill: PrefillPlan
 
 
 class PredictedRouter:
@@ -95,8 +95,8 @@
         """Record the prefill, the fetch and the prefix of a dispatch."""
         present = (plan.cached + plan.fetched) * SEGMENT_TOKENS
         tokens = max(0, demand.tokens - present)
-        brought = demand.tokens - plan.cached * SEGMENT_TOKENS
-        self._pressure.record_added(plan.agent, brought, now)
+        added = demand.tokens - plan.cached * SEGMENT_TOKENS
+        self._pressure.record_added(plan.agent, added, now)
         self._backlog.record_sent(
             demand.request,
             plan.agent,
@@ -153,8 +153,8 @@
             link=store.link,
             latency=self._find_latency(demand, replica),
         )
-        source = plan_prefill(self._costs, estimate)
-        return _Choice(replica, store.agent, reach, source)
+        prefill = plan_prefill(self._costs, estimate)
+        return _Choice(replica, store.agent, reach, prefill)
 
     def _choose_cheapest(
         self, demand: Demand, choices: Sequence[_Choice], now: Millis
@@ -171,14 +171,14 @@
         home = find_home_agent(demand, choices)
         home_weight = self._settings.w_home
 
-        def weigh(each: _Choice) -> float:
-            cost = each.source.cost + weight * displaced[each.replica.agent]
+        def find_cost(each: _Choice) -> float:
+            cost = each.prefill.cost + weight * displaced[each.replica.agent]
             if each.replica.agent != home:
-                brought = demand.tokens - each.reach.cached * SEGMENT_TOKENS
-                cost += home_weight * brought
+                added = demand.tokens - each.reach.cached * SEGMENT_TOKENS
+                cost += home_weight * added
             return cost
 
-        return min(choices, key=weigh)
+        return min(choices, key=find_cost)
 
     def _find_latency(self, demand: Demand, replica: Replica) -> Millis:
         near = demand.data_centre in {'', replica.data_centre}
@@ -269,20 +269,20 @@
 
 
 def _make_plan(choice: _Choice, settings: PolicySettings) -> Plan:
-    source = choice.source
+    prefill = choice.prefill
     reach = choice.reach
-    short = source.rest <= settings.short_tokens
+    short = prefill.rest <= settings.short_tokens
     reason = (
-        f'cached {reach.cached} fetch {source.fetched} '
-        f'recompute {source.rest} tokens in {source.time:.0f} ms'
+        f'cached {reach.cached} fetch {prefill.fetched} '
+        f'recompute {prefill.rest} tokens in {prefill.time:.0f} ms'
     )
     return Plan(
         choice.replica.agent,
         reason,
-        store=choice.store if source.fetched or reach.joined else '',
+        store=choice.store if prefill.fetched or reach.joined else '',
         cached=reach.cached - reach.joined,
-        fetched=source.fetched + reach.joined,
-        predicted=source.time,
+        fetched=prefill.fetched + reach.joined,
+        predicted=prefill.time,
         joined=reach.joined,
         priority=SHORT_PRIORITY if short else LONG_PRIORITY,
     )
--- a/src/oleanderdyke/policies/sources.py
+++ b/src/oleanderdyke/policies/sources.py
@@ -111,7 +111,7 @@
         Segments that are still on their way are kept.
         """
         listed = set(segments)
-        lost = [
+        missing = [
             segment
             for request, pending in self._pending.items()
             if pending.done and pending.agent == agent
@@ -119,7 +119,7 @@
             if segment not in listed
             and self._is_expected(segment, agent, request)
         ]
-        self.record_segments_removed(agent, lost)
+        self.record_segments_removed(agent, missing)
 
     def holders(self, segment: SegmentHint) -> Iterable[str]:
         """Return the agents that will soon hold a segment."""
@@ -179,8 +179,8 @@
 @dataclass(slots=True)
 class _Fetch:
     store: str
-    count: float
-    sent: Millis
+    byte_count: float
+    sent_at: Millis
 
 
 class LinkTracker:
@@ -213,14 +213,16 @@
         load = store.load
         rate = load.link_bytes_per_second
         rate = rate or self._settings.link_bytes_per_second
-        moment = store.heard - self._settings.report_lag
+        reported_at = store.heard - self._settings.report_lag
         own = self._stores.get(store.agent, {})
         sent_bytes = sum(
-            each.count for each in own.values() if each.sent > moment
+            each.byte_count
+            for each in own.values()
+            if each.sent_at > reported_at
         )
         # Assume that the other entries have fetched as much since then.
         sent_bytes *= self._settings.entries
-        drained = max(0.0, now - moment) * rate / SECOND
+        drained = max(0.0, now - reported_at) * rate / SECOND
         left = max(0.0, load.link_bytes_in_flight + sent_bytes - drained)
         latency = self._settings.far_latency
         return LinkView(left, max(1.0, rate), latency)
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -6,7 +6,7 @@
 
 from bench.caches import StoreCache
 from oleanderdyke.clock import HOUR, MINUTE
-from oleanderdyke.policies.exports import ExportPolicy, count_needed_returns
+from oleanderdyke.policies.exports import ExportPolicy, count_needed_reuses
 from oleanderdyke.policies.keeping import make_expected_saving, make_lru
 from oleanderdyke.policies.settings import AGENCY, COUNCIL, PolicySettings
 
@@ -104,4 +104,4 @@
 
 def test_expensive_link_needs_more_reuse():
     dear = PolicySettings(w_recompute=0.25, w_link=2e-6)
-    assert count_needed_returns(dear) > count_needed_returns(COUNCIL)
+    assert count_needed_reuses(dear) > count_needed_reuses(COUNCIL)
--- a/tests/test_weights_gate.py
+++ b/tests/test_weights_gate.py
@@ -75,7 +75,7 @@
     tmp_path,
 ):
     """The engine sends data of other requests, so that it is not silent."""
-    taken_back = anyio.Event()
+    connection_closed = anyio.Event()
 
     async def send_head_only(peer):
         if peer.request.headers['oleanderdyke-request-id'] != 'req-1':
@@ -89,7 +89,7 @@
             )
         )
         await peer.wait_closed()
-        taken_back.set()
+        connection_closed.set()
 
     async with stage_old(tmp_path, send_head_only) as stage:
         await announce_weights(stage)
@@ -97,7 +97,7 @@
             others.start_soon(ask, stage, MODEL, 'req-2')
             with anyio.fail_after(LIMIT / 1_000 - 0.1):
                 answer = await ask(stage)
-                await taken_back.wait()
+                await connection_closed.wait()
             others.cancel_scope.cancel()
     assert answer.status == 502
 
