--- a/src/oleanderdyke/kernel/placement.py
+++ b/src/oleanderdyke/kernel/placement.py
@@ -14,7 +14,7 @@
 from oleanderdyke.kernel.send_limits import Obstacle
 from oleanderdyke.kernel.servers import ModelDemand, ServerStart
 
-# Tokens of context that a store sends per millisecond: 18 KB each at 58 Gbit/s.
+# A store sends context at 58 Gbit/s, 18 KB per token.
 _FETCH_TOKENS_PER_MS = 390.0
 # Delay of the first token for each running request, from the 3.4 ms step that
 # all requests of a batch share.
@@ -43,7 +43,7 @@
 _ERROR_COST: Millis = 1_000.0
 # Servers silent for longer than this are skipped while others respond. A busy
 # engine sends a byte every few milliseconds; prefilling the longest prompts
-# takes some hundred.
+# takes some hundred milliseconds.
 SILENCE_LIMIT: Millis = 500.0
 # Number of servers that cache the shared context of a prompt. More than one, so
 # that a single crash or overload does not move all of it.
--- a/src/oleanderdyke/policies/keeping.py
+++ b/src/oleanderdyke/policies/keeping.py
@@ -1,4 +1,4 @@
-"""Eviction policies for cached context."""
+"""Retention policies for cached context."""
 
 from __future__ import annotations
 
--- a/src/oleanderdyke/policies/registries.py
+++ b/src/oleanderdyke/policies/registries.py
@@ -40,10 +40,10 @@
 
 
 class MakeRetentionPolicy(Protocol):
-    """Factory of eviction policies."""
+    """Factory of retention policies."""
 
     def __call__(self, settings: PolicySettings) -> RetentionPolicy:
-        """Return a new eviction policy."""
+        """Return a new retention policy."""
 
 
 ROUTERS: Registry[MakeRouter] = Registry('router')
