--- a/src/oleanderdyke/entry/hosted/watch.py
+++ b/src/oleanderdyke/entry/hosted/watch.py
@@ -130,7 +130,7 @@
 
     async def _read_operator(self) -> None:
         core = self._core
-        asked_at = core.clock.now()
+        requested_at = core.clock.now()
         news = await self._operator.read()
         if news is not None:
             for deployment in news.list_configurations():
@@ -142,22 +142,24 @@
                 # Count from the request: a response that arrives late, or that
                 # a suspended entry reads after it resumes, says nothing about
                 # the time in between.
-                core.configuration_read_at = asked_at + news.waited
-                core.rollout.weights.record_read(asked_at + news.waited)
-                core.configuration_requested_at = asked_at + min(
+                core.configuration_read_at = requested_at + news.waited
+                core.rollout.weights.record_read(requested_at + news.waited)
+                core.configuration_requested_at = requested_at + min(
                     news.waited, 0.0
                 )
 
     async def _read_servers(self) -> None:
         core = self._core
-        asked_at = core.clock.now()
+        requested_at = core.clock.now()
         news = await self._servers.read()
         if news is None:
             return
         now = core.clock.now()
         # A read shared by a peer may be older than its transfer time.
         read_at = (
-            asked_at + news.waited if self._servers_store.was_shared else now
+            requested_at + news.waited
+            if self._servers_store.was_shared
+            else now
         )
         core.backends.record_list_read(now, read_at)
         _apply_servers(core.backends, news, now)
@@ -225,16 +227,16 @@
         core = self._core
         evacuations = core.limits.evacuations
         if order.is_active:
-            is_news = evacuations.begin(order.data_centre)
+            is_changed = evacuations.begin(order.data_centre)
             event = EventName.EVACUATION_BEGUN
         else:
-            is_news = evacuations.end(order.data_centre, core.clock.now())
+            is_changed = evacuations.end(order.data_centre, core.clock.now())
             event = EventName.EVACUATION_ENDED
-        if is_news:
+        if is_changed:
             core.log.write(event, name=order.data_centre)
 
     def _apply_configuration(self, deployment: Deployment) -> None:
-        """Apply a configuration unless it is older than the current one."""
+        """Apply a configuration if it is newer than the current one."""
         known = self._core.deployment
         if known is not None and deployment.version <= known.version:
             return
