--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -11,7 +11,7 @@
 from oleanderdyke.policies.admission import make_fair
 from oleanderdyke.policies.registries import TeamTerms
 from oleanderdyke.policies.settings import PolicySettings
-from test_routing import replica
+from test_routing import make_replica
 
 SETTINGS = PolicySettings(entries=1)
 IDLE = Load(slots=4, prefill_tokens_per_second=8_000.0)
@@ -21,56 +21,56 @@
 )  # fmt: skip
 
 
-def fleet_with(load, beat=1):
+def make_fleet(load, beat=1):
     fleet = LateFleet()
-    fleet.hear(replica('e0', load=load, beat=beat))
+    fleet.hear(make_replica('e0', load=load, beat=beat))
     return fleet
 
 
-def demand(request, team='a', **changes):
+def make_demand(request, team='a', **changes):
     given = {'service': 'models', 'deadline': 60_000.0, 'tokens': 8_000}
     return Demand(request=request, team=team, **(given | changes))
 
 
-def admission(**terms):
+def make_admission(**terms):
     known = {team: TeamTerms(**given) for team, given in terms.items()}
     return make_fair(SETTINGS, lambda team: known.get(team, TeamTerms()))
 
 
-def release_all(chosen, steps=40):
+def release_all(policy, steps=40):
     """Release and finish queued requests one by one; return their order."""
     order = []
     for step in range(steps):
         now = 1_000.0 * (step + 1)
-        idle = fleet_with(IDLE, beat=step + 2)
-        for request, answer in chosen.release(idle, now):
+        idle = make_fleet(IDLE, beat=step + 2)
+        for request, answer in policy.release(idle, now):
             assert isinstance(answer, Admitted)
             order.append(request)
-            chosen.record_finished(request, now)
+            policy.record_finished(request, now)
     return order
 
 
 def test_idle_service_admits_at_once():
-    chosen = admission()
-    assert chosen.admit(demand('r'), fleet_with(IDLE), 0.0) == Admitted()
+    policy = make_admission()
+    assert policy.admit(make_demand('r'), make_fleet(IDLE), 0.0) == Admitted()
 
 
 def test_busy_service_queues_and_releases_in_time():
-    chosen = admission()
-    assert chosen.admit(demand('r'), fleet_with(BUSY), 0.0) == Queued()
-    assert not chosen.release(fleet_with(BUSY), 10.0)
-    idle = fleet_with(IDLE, beat=2)
-    assert chosen.release(idle, 1_000.0) == [('r', Admitted())]
+    policy = make_admission()
+    assert policy.admit(make_demand('r'), make_fleet(BUSY), 0.0) == Queued()
+    assert not policy.release(make_fleet(BUSY), 10.0)
+    idle = make_fleet(IDLE, beat=2)
+    assert policy.release(idle, 1_000.0) == [('r', Admitted())]
 
 
 def test_large_team_does_not_delay_a_small_one():
-    chosen = admission()
-    busy = fleet_with(BUSY)
+    policy = make_admission()
+    busy = make_fleet(BUSY)
     for index in range(12):
-        late = demand(f'a{index}', deadline=1e9)
-        assert chosen.admit(late, busy, 0.0) == Queued()
-    chosen.admit(demand('b0', 'b', deadline=1e9), busy, 0.0)
-    assert release_all(chosen).index('b0') <= 2
+        late = make_demand(f'a{index}', deadline=1e9)
+        assert policy.admit(late, busy, 0.0) == Queued()
+    policy.admit(make_demand('b0', 'b', deadline=1e9), busy, 0.0)
+    assert release_all(policy).index('b0') <= 2
 
 
 def test_weights_set_the_shares():
@@ -78,17 +78,18 @@
     for index in range(30):
         for team, weight in (('a', 3.0), ('b', 1.0)):
             queue.push(
-                QueuedRequest(demand(f'{team}{index}', team), 10, 0), weight
+                QueuedRequest(make_demand(f'{team}{index}', team), 10, 0),
+                weight,
             )
     first = [queue.pop().demand.team for _ in range(20)]
     assert first.count('a') == 15
 
 
 def test_late_requests_are_refused_with_increasing_retry_times():
-    chosen = admission()
-    busy = fleet_with(BUSY)
+    policy = make_admission()
+    busy = make_fleet(BUSY)
     answers = [
-        chosen.admit(demand(f'r{index}', deadline=4_000.0), busy, 0.0)
+        policy.admit(make_demand(f'r{index}', deadline=4_000.0), busy, 0.0)
         for index in range(40)
     ]
     refused = [each for each in answers if isinstance(each, Refusal)]
@@ -97,39 +98,41 @@
 
 
 def test_queued_request_is_refused_when_it_would_be_late():
-    chosen = admission()
-    busy = fleet_with(BUSY)
-    assert chosen.admit(demand('r', deadline=12_000.0), busy, 0.0) == Queued()
-    [(request, answer)] = chosen.release(busy, 11_500.0)
+    policy = make_admission()
+    busy = make_fleet(BUSY)
+    assert (
+        policy.admit(make_demand('r', deadline=12_000.0), busy, 0.0) == Queued()
+    )
+    [(request, answer)] = policy.release(busy, 11_500.0)
     assert (request, answer.kind) == ('r', ErrorKind.OVERLOADED)
-    assert not chosen.release(fleet_with(IDLE, beat=3), 19_000.0)
+    assert not policy.release(make_fleet(IDLE, beat=3), 19_000.0)
 
 
 def test_background_requests_wait_for_all_others():
-    chosen = admission()
-    busy = fleet_with(BUSY)
-    letter = demand('letter', background=True, deadline=1e9)
-    assert chosen.admit(letter, busy, 0.0) == Queued()
-    chosen.admit(demand('r', deadline=1e9), busy, 0.0)
-    assert release_all(chosen) == ['r', 'letter']
+    policy = make_admission()
+    busy = make_fleet(BUSY)
+    letter = make_demand('letter', background=True, deadline=1e9)
+    assert policy.admit(letter, busy, 0.0) == Queued()
+    policy.admit(make_demand('r', deadline=1e9), busy, 0.0)
+    assert release_all(policy) == ['r', 'letter']
 
 
 def test_short_requests_pass_queued_long_ones():
-    chosen = admission()
+    policy = make_admission()
     busy = Load(
         running=1, waiting_tokens=80_000, slots=4,
         prefill_tokens_per_second=8_000.0,
     )  # fmt: skip
     fleet = LateFleet()
     for index in range(4):
-        fleet.hear(replica(f'e{index}', load=busy))
+        fleet.hear(make_replica(f'e{index}', load=busy))
     for index in range(4):
-        assert chosen.admit(demand(f'l{index}'), fleet, 0.0) == Queued()
-    quick = demand('s', tokens=100)
+        assert policy.admit(make_demand(f'l{index}'), fleet, 0.0) == Queued()
+    quick = make_demand('s', tokens=100)
     kept = Load(slots=4, prefill_tokens_per_second=8_000.0, running=1)
     for index in range(4):
-        fleet.hear(replica(f'e{index}', load=kept, beat=2))
-    assert chosen.admit(quick, fleet, 100.0) == Admitted()
+        fleet.hear(make_replica(f'e{index}', load=kept, beat=2))
+    assert policy.admit(quick, fleet, 100.0) == Admitted()
 
 
 @pytest.mark.parametrize(
@@ -141,15 +144,15 @@
     ],
 )
 def test_limits_apply_to_each_team_separately(limits, allowed):
-    chosen = admission(a={'limits': limits})
-    fleet = fleet_with(Load(slots=100, prefill_tokens_per_second=1e9))
+    policy = make_admission(a={'limits': limits})
+    fleet = make_fleet(Load(slots=100, prefill_tokens_per_second=1e9))
     answers = [
-        chosen.admit(demand(f'r{index}'), fleet, 0.0) for index in range(6)
+        policy.admit(make_demand(f'r{index}'), fleet, 0.0) for index in range(6)
     ]
     refused = [each for each in answers if isinstance(each, Refusal)]
     assert len(refused) == 6 - allowed
     assert {each.kind for each in refused} == {ErrorKind.RATE_LIMITED}
-    assert chosen.admit(demand('o', 'b'), fleet, 0.0) == Admitted()
+    assert policy.admit(make_demand('o', 'b'), fleet, 0.0) == Admitted()
 
 
 def test_token_bucket_refills():
@@ -165,29 +168,29 @@
     for index in range(5_000):
         queue.charge(f't{index}', 1.0, 1.0)
     assert not queue._finish
-    chosen = admission()
+    policy = make_admission()
     for index in range(5_000):
-        fleet = fleet_with(IDLE)
-        chosen.admit(demand(f'r{index}', f't{index}'), fleet, float(index))
-        chosen.record_finished(f'r{index}', float(index))
-    assert not chosen._running
-    assert not chosen._waiting
-    assert not len(chosen._limits)
+        fleet = make_fleet(IDLE)
+        policy.admit(make_demand(f'r{index}', f't{index}'), fleet, float(index))
+        policy.record_finished(f'r{index}', float(index))
+    assert not policy._running
+    assert not policy._waiting
+    assert not len(policy._limits)
 
 
 def test_queue_is_bounded():
     settings = PolicySettings(entries=1, queued_limit=2)
-    chosen = make_fair(settings, lambda team: TeamTerms())
-    busy = fleet_with(BUSY)
+    policy = make_fair(settings, lambda team: TeamTerms())
+    busy = make_fleet(BUSY)
     answers = [
-        chosen.admit(demand(f'r{index}', deadline=1e9), busy, 0.0)
+        policy.admit(make_demand(f'r{index}', deadline=1e9), busy, 0.0)
         for index in range(3)
     ]
     assert isinstance(answers[-1], Refusal)
 
 
 def test_caller_who_left_the_queue_is_not_released():
-    chosen = admission()
-    chosen.admit(demand('r'), fleet_with(BUSY), 0.0)
-    chosen.record_finished('r', 100.0)
-    assert not chosen.release(fleet_with(IDLE, beat=2), 1_000.0)
+    policy = make_admission()
+    policy.admit(make_demand('r'), make_fleet(BUSY), 0.0)
+    policy.record_finished('r', 100.0)
+    assert not policy.release(make_fleet(IDLE, beat=2), 1_000.0)
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -454,9 +454,9 @@
     ]
     times = []
     for _ in range(3):
-        registry, begun = BackendRegistry(), time.process_time()
+        registry, started_at = BackendRegistry(), time.process_time()
         registry.replace(records, 0.0)
-        times.append(time.process_time() - begun)
+        times.append(time.process_time() - started_at)
     return min(times)
 
 
--- a/tests/test_choice_cost.py
+++ b/tests/test_choice_cost.py
@@ -70,18 +70,18 @@
     assert choose_among(demand, listed, NOW) is not None
 
 
-def count_calls(act: Callable[[], None]) -> Counter[str]:
+def count_calls(call: Callable[[], None]) -> Counter[str]:
     """Count the function calls by the file that defines the function."""
     calls: Counter[str] = Counter()
 
-    def note(frame, event, _argument) -> None:
+    def count_call(frame, event, _argument) -> None:
         if event in {'call', 'c_call'}:
             calls[frame.f_code.co_filename] += 1
 
-    act()
-    sys.setprofile(note)
+    call()
+    sys.setprofile(count_call)
     try:
-        act()
+        call()
     finally:
         sys.setprofile(None)
     return calls
--- a/tests/test_newest_weights.py
+++ b/tests/test_newest_weights.py
@@ -56,7 +56,7 @@
     return record.versions['m']
 
 
-def find_share(newest, entries=68):
+def find_newest_share(newest, entries=68):
     """Return the share of requests that go to the newest weights."""
     sent = []
     for entry in range(entries):
@@ -67,13 +67,13 @@
 
 @pytest.mark.parametrize('newest', [2, 10, 16, 24])
 def test_few_engines_on_the_newest_weights_get_little_more_than_others(newest):
-    assert find_share(newest) <= 2 * newest / ENGINES
+    assert find_newest_share(newest) <= 2 * newest / ENGINES
 
 
 @pytest.mark.parametrize('newest', [10, 24, 40])
 def test_engines_on_the_newest_weights_get_their_share(newest):
-    assert find_share(newest) >= 0.8 * newest / ENGINES
+    assert find_newest_share(newest) >= 0.8 * newest / ENGINES
 
 
 def test_few_requests_run_on_the_last_engine_with_old_weights():
-    assert find_share(ENGINES - 1) > 0.97
+    assert find_newest_share(ENGINES - 1) > 0.97
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -8,7 +8,7 @@
 
 
 def refuse(waited=0.0, **changes):
-    facts = {
+    arguments = {
         'expected': 10.0,
         'delay': 90.0,
         'waiting': 0,
@@ -17,7 +17,7 @@
         'random_value': 0.5,
         **changes,
     }
-    return should_refuse(RequestAge(waited, 400.0), **facts)
+    return should_refuse(RequestAge(waited, 400.0), **arguments)
 
 
 def test_nothing_is_refused_while_slots_are_free():
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -54,11 +54,11 @@
             stages.append(await stack.enter_async_context(staged))
         for stage in stages:
             await wait_until(stage.is_ready)
-            settle(stage, stages)
+            set_known_entries(stage, stages)
         yield stages
 
 
-def settle(stage: Stage, others: Sequence[Stage] = ()) -> None:
+def set_known_entries(stage: Stage, others: Sequence[Stage] = ()) -> None:
     """Make the exact set of entries known, as it is after a while."""
     names = {each.core.settings.process for each in (stage, *others)}
     stage.core.limits.entries = Entries(tuple(names), spare=0)
@@ -101,7 +101,7 @@
 
 async def receive_limit(stage: Stage) -> None:
     """Let a single entry receive the limit of its first server."""
-    settle(stage)
+    set_known_entries(stage)
     assert (await stage.call('/safe/first')).status == ANSWERED
     backend = stage.core.backends.find('i-0')
     assert backend.limit.is_set
--- a/tests/test_rate_model.py
+++ b/tests/test_rate_model.py
@@ -30,29 +30,29 @@
 LIMITED = ServerStart('a')
 # Bounds that the protocol guarantees to a server with a limit.
 WINDOW = 4 * SECOND
-SETTLED = 3 * SECOND
-TOLD = SECOND / 2
+SETTLING_TIME = 3 * SECOND
+GRACE_TIME = SECOND / 2
 OVERAGE, BURST = 1.5, 5
-BEGUN, END = 4 * SECOND, 32 * SECOND
-ARRIVAL = 120.0
-NEWS = SECOND / 2
+BEGIN, END = 4 * SECOND, 32 * SECOND
+MEAN_ARRIVAL = 120.0
+EXCHANGE_INTERVAL = SECOND / 2
 _STEPS = 40
 
 Limit = Callable[[float], float]
 
 
 def keep(rate: float) -> Limit:
-    return lambda now: rate if now >= BEGUN else math.inf
+    return lambda now: rate if now >= BEGIN else math.inf
 
 
-def change_each_second(now: float) -> float:
+def vary(now: float) -> float:
     rates = (2.3, 1.7, 4.0, 0.5)
-    return rates[int(now / SECOND) % 4] if now >= BEGUN else math.inf
+    return rates[int(now / SECOND) % 4] if now >= BEGIN else math.inf
 
 
-def come_and_go(now: float) -> float:
-    is_named = now >= BEGUN and now % (16 * SECOND) < 13 * SECOND
-    return 2.3 if is_named else math.inf
+def set_and_clear(now: float) -> float:
+    is_limited = now >= BEGIN and now % (16 * SECOND) < 13 * SECOND
+    return 2.3 if is_limited else math.inf
 
 
 @dataclass
@@ -79,12 +79,12 @@
     name: str
     limits: SendLimits
     registry: BackendRegistry
-    told_at: float = math.inf
-    heard: tuple[float, float] = (-math.inf, math.inf)
+    limited_at: float = math.inf
+    latest: tuple[float, float] = (-math.inf, math.inf)
 
 
 @dataclass
-class Play:
+class Simulation:
     """Run events in the order of their times."""
 
     limit: Limit
@@ -103,8 +103,8 @@
 
     def run(self) -> None:
         for entry in self.entries:
-            self.plan(self.random.uniform(0, ARRIVAL), self.ask, entry)
-        self.plan(NEWS, self.share)
+            self.plan(self.random.uniform(0, MEAN_ARRIVAL), self.request, entry)
+        self.plan(EXCHANGE_INTERVAL, self.exchange)
         while self._events and self._events[0][0] < END:
             self.now, _, act = heapq.heappop(self._events)
             act()
@@ -113,9 +113,11 @@
         event = (self.now + delay, next(self._numbers), lambda: act(*given))
         heapq.heappush(self._events, event)
 
-    def ask(self, entry: Entry) -> None:
+    def request(self, entry: Entry) -> None:
         """Send a request of a caller, and schedule the next one."""
-        self.plan(self.random.expovariate(1 / ARRIVAL), self.ask, entry)
+        self.plan(
+            self.random.expovariate(1 / MEAN_ARRIVAL), self.request, entry
+        )
         chosen = choose(entry.registry, entry.limits, now=self.now)
         if isinstance(chosen, Obstacle):
             return
@@ -134,31 +136,33 @@
         limits.record_sent(backend, self.now)
         if chosen == LIMITED.server:
             self.arrivals.append(self.now)
-            if self.now - entry.told_at >= TOLD:
+            if self.now - entry.limited_at >= GRACE_TIME:
                 self.counted.append(self.now)
             self.plan(self.random.uniform(2, 600.0), self.answer, entry)
 
     def answer(self, entry: Entry) -> None:
         """Send the current limit; the answer takes some milliseconds."""
-        way = self.random.uniform(1, 9)
-        self.plan(way, self.learn, entry, self.limit(self.now))
+        transit = self.random.uniform(1, 9)
+        self.plan(transit, self.receive, entry, self.limit(self.now))
 
-    def learn(self, entry: Entry, rate: float) -> None:
+    def receive(self, entry: Entry, rate: float) -> None:
         entry.registry.record_rate_limit(LIMITED, rate, self.now, self.now)
-        entry.heard = (self.now, rate)
-        is_named = rate < math.inf
-        entry.told_at = min(entry.told_at, self.now) if is_named else math.inf
+        entry.latest = (self.now, rate)
+        is_limited = rate < math.inf
+        entry.limited_at = (
+            min(entry.limited_at, self.now) if is_limited else math.inf
+        )
 
-    def share(self) -> None:
+    def exchange(self) -> None:
         """Exchange recent limits within each group of three entries."""
-        self.plan(NEWS, self.share)
+        self.plan(EXCHANGE_INTERVAL, self.exchange)
         for number in range(0, len(self.entries), 3):
-            near = self.entries[number : number + 3]
-            told_at, rate = max(entry.heard for entry in near)
-            if self.now - told_at < SECOND:
-                for entry in near:
+            group = self.entries[number : number + 3]
+            limited_at, rate = max(entry.latest for entry in group)
+            if self.now - limited_at < SECOND:
+                for entry in group:
                     entry.registry.record_rate_limit(
-                        LIMITED, rate, told_at, self.now
+                        LIMITED, rate, limited_at, self.now
                     )
 
     def find_excess(self) -> float:
@@ -175,7 +179,7 @@
     def _is_settled(self, since: float) -> bool:
         """Return whether a limit has been in force for the settling time."""
         return all(
-            self.limit(since - SETTLED * step / _STEPS) < math.inf
+            self.limit(since - SETTLING_TIME * step / _STEPS) < math.inf
             for step in range(_STEPS + 1)
         )
 
@@ -200,10 +204,12 @@
     return entries
 
 
-def play(limit: Limit, seed: int, entries: list[Entry], **changes) -> Play:
-    found = Play(limit, Random(seed), entries, **changes)
-    found.run()
-    return found
+def simulate(
+    limit: Limit, seed: int, entries: list[Entry], **changes
+) -> Simulation:
+    simulation = Simulation(limit, Random(seed), entries, **changes)
+    simulation.run()
+    return simulation
 
 
 LIMITS = {
@@ -211,8 +217,8 @@
     '0': keep(0.0),
     '0.4': keep(0.4),
     '20': keep(20.0),
-    'change': change_each_second,
-    'come and go': come_and_go,
+    'vary': vary,
+    'set and clear': set_and_clear,
 }
 
 
@@ -220,27 +226,27 @@
 @pytest.mark.parametrize('count', [1, 3, 27])
 @pytest.mark.parametrize('seed', range(2))
 def test_a_limit_holds_while_news_and_answers_are_delayed(limit, count, seed):
-    found = play(LIMITS[limit], seed, make_entries(count))
-    assert found.find_excess() <= 0
+    simulation = simulate(LIMITS[limit], seed, make_entries(count))
+    assert simulation.find_excess() <= 0
 
 
 @pytest.mark.parametrize('seed', range(4))
 def test_a_limit_holds_beside_entries_that_have_just_started(seed):
-    found = play(keep(2.3), seed, make_entries(6, new=6))
-    assert found.find_excess() <= 0
+    simulation = simulate(keep(2.3), seed, make_entries(6, new=6))
+    assert simulation.find_excess() <= 0
 
 
 def test_a_limited_server_gets_most_of_its_rate():
-    found = play(keep(2.3), 1, make_entries(6))
-    later = [at for at in found.arrivals if at >= BEGUN + SETTLED]
-    seconds = (END - BEGUN - SETTLED) / SECOND
+    simulation = simulate(keep(2.3), 1, make_entries(6))
+    later = [at for at in simulation.arrivals if at >= BEGIN + SETTLING_TIME]
+    seconds = (END - BEGIN - SETTLING_TIME) / SECOND
     assert len(later) >= 0.7 * 2.3 * seconds
 
 
 def test_the_full_rate_returns_after_a_limit_ends():
-    found = play(come_and_go, 1, make_entries(6))
-    before = sum(2e3 <= at < 4e3 for at in found.arrivals)
-    free = sum(30e3 <= at < 32e3 for at in found.arrivals)
+    simulation = simulate(set_and_clear, 1, make_entries(6))
+    before = sum(2e3 <= at < 4e3 for at in simulation.arrivals)
+    free = sum(30e3 <= at < 32e3 for at in simulation.arrivals)
     assert free >= 0.7 * before
 
 
@@ -249,7 +255,7 @@
     """Sends on slow connections take effect long after the choice."""
     changes = {'reserves': reserves, 'slow_share': 1.0}
     excess = [
-        play(keep(20.0), seed, make_entries(27), **changes).find_excess()
+        simulate(keep(20.0), seed, make_entries(27), **changes).find_excess()
         for seed in range(2)
     ]
     assert (max(excess) <= 0) is reserves
--- a/tests/test_rate_shares.py
+++ b/tests/test_rate_shares.py
@@ -55,7 +55,7 @@
     return EntryCounts(known, count, sharing=len(known))
 
 
-def play_idle_entries(
+def simulate_entries(
     share: Share, rate: float, views: Mapping[str, EntryCounts]
 ) -> list[float]:
     """Return the sends of busy entries that learn of a limit within 0.5 s."""
@@ -76,7 +76,7 @@
     return dict.fromkeys(names, make_entries(names, number + SPARE))
 
 
-def count_most(sends: list[float]) -> int:
+def count_most_in_window(sends: list[float]) -> int:
     """Return the largest number of sends in a window."""
     most, first = 0, 0
     for number, at in enumerate(sends):
@@ -93,8 +93,8 @@
 @pytest.mark.parametrize('rate', [0.0, 0.1, 0.5, 1.7, 2.3, 10.0, 80.0])
 @pytest.mark.parametrize('entries', [1, 3, 6, 27, 68, 410])
 def test_all_entries_together_stay_within_a_limit(entries, rate):
-    sends = play_idle_entries(find_interval, rate, make_views(entries))
-    assert count_most(sends) <= find_allowed(rate)
+    sends = simulate_entries(find_interval, rate, make_views(entries))
+    assert count_most_in_window(sends) <= find_allowed(rate)
 
 
 @pytest.mark.parametrize('rate', [0.1, 0.5, 1.7, 2.3, 10.0])
@@ -105,8 +105,8 @@
     fresh = EntryCounts(names, old + new + SPARE, sharing=math.inf)
     views = dict.fromkeys(names, fresh)
     views |= dict.fromkeys(names[:old], make_entries(names[:old], old + SPARE))
-    sends = play_idle_entries(find_interval, rate, views)
-    assert count_most(sends) <= find_allowed(rate)
+    sends = simulate_entries(find_interval, rate, views)
+    assert count_most_in_window(sends) <= find_allowed(rate)
 
 
 @given(st.data(), st.integers(1, 40), st.floats(0.0, 60.0))
@@ -121,8 +121,8 @@
     for name in names:
         known = {*names, *data.draw(st.sets(st.sampled_from(gone)))}
         views[name] = make_entries(known, len(known) + SPARE)
-    sends = play_idle_entries(find_interval, rate, views)
-    assert count_most(sends) <= find_allowed(rate)
+    sends = simulate_entries(find_interval, rate, views)
+    assert count_most_in_window(sends) <= find_allowed(rate)
 
 
 @given(st.integers(1, 120), st.floats(0.0, 60.0))
@@ -143,8 +143,8 @@
 
 
 def test_equal_shares_of_many_entries_break_a_limit_when_all_were_idle():
-    sends = play_idle_entries(share_equally, 2.3, make_views(68))
-    assert count_most(sends) > find_allowed(2.3)
+    sends = simulate_entries(share_equally, 2.3, make_views(68))
+    assert count_most_in_window(sends) > find_allowed(2.3)
 
 
 def test_shares_by_known_entries_break_a_limit_if_views_differ():
@@ -153,19 +153,19 @@
         name: make_entries(names[number : number + 3], 27)
         for number, name in enumerate(names)
     }
-    sends = play_idle_entries(share_by_known, 2.3, views)
-    assert count_most(sends) > find_allowed(2.3)
+    sends = simulate_entries(share_by_known, 2.3, views)
+    assert count_most_in_window(sends) > find_allowed(2.3)
 
 
 @pytest.mark.parametrize('entries', [1, 3, 6, 27, 68])
 def test_a_server_gets_at_least_four_fifths_of_its_rate(entries):
-    sends = play_idle_entries(find_interval, 2.3, make_views(entries))
+    sends = simulate_entries(find_interval, 2.3, make_views(entries))
     assert 0.8 * 2.3 <= len(sends) / 300 <= 1.1 * 2.3
 
 
 @pytest.mark.parametrize('entries', [1, 27, 410])
 def test_a_server_that_accepts_nothing_is_probed_seldom(entries):
-    sends = play_idle_entries(find_interval, 0.0, make_views(entries))
+    sends = simulate_entries(find_interval, 0.0, make_views(entries))
     assert 0 < len(sends) <= 0.15 * 300
 
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -25,7 +25,9 @@
 COSTS = Costs(1.0, 0.02, 1e-8, 2_000, 1.0, 100_000)
 
 
-def replica(name, *, load=None, kind=BackendKind.ENGINE, beat=1, heard=0.0):
+def make_replica(
+    name, *, load=None, kind=BackendKind.ENGINE, beat=1, heard=0.0
+):
     load = load or Load(
         prefill_tokens_per_second=8_000.0, link_bytes_per_second=2e9
     )
@@ -45,14 +47,14 @@
     )
 
 
-def fleet_of(*names):
+def make_fleet(*names):
     fleet = LateFleet()
     for name in names:
-        fleet.hear(replica(name))
+        fleet.hear(make_replica(name))
     return fleet
 
 
-def demand(request='r1', **changes):
+def make_demand(request='r1', **changes):
     given = {
         'team': 't',
         'service': 'models',
@@ -66,25 +68,25 @@
 
 def add_store(fleet, *, rate=2e9, in_flight=0):
     load = Load(link_bytes_per_second=rate, link_bytes_in_flight=in_flight)
-    store = replica('store', load=load, kind=BackendKind.STORE)
+    store = make_replica('store', load=load, kind=BackendKind.STORE)
     fleet.hear(store, store=True)
     fleet.apply('store', SEGMENTS, ())
 
 
 def choose(fleet, router=None, now=1_000.0, **changes):
     router = router or make_predicted(AGENCY)
-    return router.choose(demand(**changes), fleet, now, Random(1))
+    return router.choose(make_demand(**changes), fleet, now, Random(1))
 
 
 def test_cached_prefix_is_used_by_its_replica():
-    fleet = fleet_of('e0', 'e1', 'e2')
+    fleet = make_fleet('e0', 'e1', 'e2')
     fleet.apply('e1', SEGMENTS, ())
     plan = choose(fleet)
     assert (plan.agent, plan.cached, plan.fetched) == ('e1', 40, 0)
 
 
 def test_stored_prefix_is_fetched_according_to_the_plan():
-    fleet = fleet_of('e0', 'e1')
+    fleet = make_fleet('e0', 'e1')
     add_store(fleet)
     plan = choose(fleet)
     assert (plan.store, plan.fetched) == ('store', 40)
@@ -94,24 +96,24 @@
     'link', [{'rate': 1e7}, {'in_flight': int(2e11)}], ids=['slow', 'busy']
 )
 def test_degraded_link_is_avoided(link):
-    fleet = fleet_of('e0', 'e1')
+    fleet = make_fleet('e0', 'e1')
     add_store(fleet, **link)
     assert choose(fleet).fetched == 0
 
 
 def test_part_of_a_prefix_is_fetched_during_queueing():
     link = LinkView(0.0, 4e8)
-    source = plan_prefill(
+    prefill = plan_prefill(
         COSTS,
         ReplicaEstimate(
             1_000, 1_000, 8_000.0, TOKENS, 0, covered=40, link=link
         ),
     )
-    assert 0 < source.fetched < 40
+    assert 0 < prefill.fetched < 40
 
 
 def test_council_fetches_where_the_agency_recomputes():
-    fleet = fleet_of('e0', 'e1')
+    fleet = make_fleet('e0', 'e1')
     add_store(fleet, rate=5e8)
     agency = choose(fleet)
     council = choose(fleet, make_predicted(COUNCIL))
@@ -119,58 +121,60 @@
 
 
 def test_fetch_under_way_is_joined_and_not_repeated():
-    fleet = fleet_of('e0', 'e1', 'e2')
+    fleet = make_fleet('e0', 'e1', 'e2')
     add_store(fleet)
     router = make_predicted(AGENCY)
     first = choose(fleet, router)
-    router.record_sent(demand(), first, 1_000.0)
+    router.record_sent(make_demand(), first, 1_000.0)
     second = choose(fleet, router, request='r2', now=1_010.0)
     assert second.agent == first.agent
     assert (second.joined, second.fetched) == (40, 40)
 
 
 def test_entries_send_a_cold_prefix_to_the_same_replica():
-    fleet = fleet_of(*(f'e{index}' for index in range(6)))
+    fleet = make_fleet(*(f'e{index}' for index in range(6)))
     agents = {
-        make_predicted(AGENCY).choose(demand(), fleet, 0.0, Random(seed)).agent
+        make_predicted(AGENCY)
+        .choose(make_demand(), fleet, 0.0, Random(seed))
+        .agent
         for seed in range(8)
     }
     assert len(agents) == 1
 
 
 def test_failed_request_leaves_no_pending_prefix():
-    fleet = fleet_of('e0', 'e1')
+    fleet = make_fleet('e0', 'e1')
     router = make_predicted(AGENCY)
     first = choose(fleet, router)
     for agent in ('e0', 'e1'):
-        router.record_sent(demand(), Plan(agent, ''), 1_000.0)
+        router.record_sent(make_demand(), Plan(agent, ''), 1_000.0)
     router.record_finished('r1', 1_500.0)
     again = choose(fleet, router, request='r2', now=1_600.0)
     assert (again.agent, again.cached) == (first.agent, 0)
 
 
 def test_short_requests_have_priority():
-    fleet = fleet_of('e0')
+    fleet = make_fleet('e0')
     assert choose(fleet).priority > choose(fleet, tokens=500).priority
 
 
 def test_replicas_with_other_weights_are_never_chosen():
-    refusal = choose(fleet_of('e0', 'e1'), weight_digest='w2')
+    refusal = choose(make_fleet('e0', 'e1'), weight_digest='w2')
     assert isinstance(refusal, Refusal)
     assert refusal.kind is ErrorKind.NO_REPLICA
 
 
 def test_excluded_replica_is_not_chosen():
-    fleet = fleet_of('e0', 'e1')
+    fleet = make_fleet('e0', 'e1')
     fleet.apply('e0', SEGMENTS, ())
     plan = make_predicted(AGENCY).choose(
-        demand(), fleet, 0.0, Random(1), exclude=frozenset({'e0'})
+        make_demand(), fleet, 0.0, Random(1), exclude=frozenset({'e0'})
     )
     assert plan.agent == 'e1'
 
 
 def test_holder_is_found_in_a_large_fleet_with_few_predictions():
-    fleet = fleet_of(*(f'e{index}' for index in range(200)))
+    fleet = make_fleet(*(f'e{index}' for index in range(200)))
     fleet.apply('e150', SEGMENTS[:-1], ())
     counted = []
     count = fleet.count_leading
@@ -181,25 +185,25 @@
 
 def test_plain_service_takes_the_less_loaded_replica():
     fleet = LateFleet()
-    fleet.hear(replica('e0', load=Load(running=9, waiting=9, slots=8)))
-    fleet.hear(replica('e1', load=Load(running=1, slots=8)))
+    fleet.hear(make_replica('e0', load=Load(running=9, waiting=9, slots=8)))
+    fleet.hear(make_replica('e1', load=Load(running=1, slots=8)))
     assert choose(fleet, tokens=0, segments=()).agent == 'e1'
 
 
 def test_own_dispatches_count_before_reports_show_them():
     tracker = BacklogTracker(200.0, 8_000.0)
-    quiet = replica('e0')
+    idle = make_replica('e0')
     tracker.record_sent('r1', 'e0', 8_000, 100.0)
-    assert tracker.estimate_wait(quiet, 100.0) == pytest.approx(1_000.0)
+    assert tracker.estimate_wait(idle, 100.0) == pytest.approx(1_000.0)
     tracker.record_first_token('r1', 1_100.0)
-    assert tracker.estimate_wait(quiet, 1_100.0) == 0.0
+    assert tracker.estimate_wait(idle, 1_100.0) == 0.0
 
 
 def test_reported_tokens_are_not_counted_twice():
     tracker = BacklogTracker(200.0, 8_000.0)
     tracker.record_sent('r1', 'e0', 8_000, 0.0)
     load = Load(waiting_tokens=12_000, prefill_tokens_per_second=8_000.0)
-    shown = replica('e0', load=load, beat=2, heard=300.0)
+    shown = make_replica('e0', load=load, beat=2, heard=300.0)
     assert tracker.estimate_tokens(shown, 0.0) == pytest.approx(12_000)
 
 
--- a/tests/test_send_limits.py
+++ b/tests/test_send_limits.py
@@ -181,22 +181,22 @@
 @pytest.mark.parametrize('entries', [1, 3, 27, 30, 31, 68, 410])
 def test_all_entries_together_stay_within_the_limit_of_a_cold_server(entries):
     """Restarted servers look idle to every entry at the same time."""
-    sends = play_cold_start(entries, spare=2)
+    sends = simulate_cold_start(entries, spare=2)
     assert count_most_in_a_second(sends) <= LIMIT.per_second
 
 
 @pytest.mark.parametrize('entries', [27, 68])
 def test_a_cold_server_gets_most_of_its_limit(entries):
-    sends = play_cold_start(entries, spare=2)
+    sends = simulate_cold_start(entries, spare=2)
     assert len(sends) / 3 >= 0.6 * 17
 
 
 def test_shares_that_ignore_the_other_entries_break_the_limit():
-    sends = play_cold_start(27, spare=-26)
+    sends = simulate_cold_start(27, spare=-26)
     assert count_most_in_a_second(sends) > LIMIT.per_second
 
 
-def play_cold_start(entries: int, spare: float) -> list[float]:
+def simulate_cold_start(entries: int, spare: float) -> list[float]:
     """Send at the highest rate of each entry for the first three seconds."""
     random = Random(entries)
     names = tuple(f'front-{number}' for number in range(entries))
@@ -282,7 +282,7 @@
     cold_until: float = -math.inf
     arrivals: list[float] = field(default_factory=list)
 
-    def turn_cold(self, now: float) -> None:
+    def become_cold(self, now: float) -> None:
         """Restart the cold period and the count of arrivals."""
         self.cold_until = now + 3_000.0
         self.arrivals.clear()
@@ -329,7 +329,7 @@
             'c': Server('c', 'yard'),
         }
         self.sent_late: list[str] = []
-        self.beat = 1
+        self.revision = 1
 
     def _is_active(self, data_centre: str) -> bool:
         states = [
@@ -349,7 +349,7 @@
         if not is_active:
             for server in self.servers.values():
                 if server.data_centre == data_centre:
-                    server.turn_cold(self.now)
+                    server.become_cold(self.now)
 
     @rule(step=st.floats(1.0, 400.0))
     def wait(self, step: float) -> None:
@@ -374,16 +374,16 @@
                 evacuations.end(order.data_centre, self.now)
 
     @rule(server=st.sampled_from('abc'))
-    def turn_cold(self, server: str) -> None:
+    def become_cold(self, server: str) -> None:
         """Let a server report to all entries at once that it is cold."""
-        self.beat += 1
+        self.revision += 1
         found = self.servers[server]
-        found.turn_cold(self.now)
+        found.become_cold(self.now)
         record = make_record(
             server,
             data_centre=found.data_centre,
             cold_remaining=3_000.0,
-            revision=self.beat,
+            revision=self.revision,
         )
         for registry in self.registries:
             registry.put(record, self.now)
@@ -448,21 +448,21 @@
 
 def test_entries_that_count_only_themselves_are_caught():
     with pytest.raises(AssertionError):
-        play_cold_server(UndercountingMachine())
+        run_cold_server(UndercountingMachine())
 
 
 def test_entries_that_read_orders_too_late_are_caught():
     with pytest.raises(AssertionError):
-        play_evacuation(LateMachine())
+        run_evacuation(LateMachine())
 
 
 def test_the_same_steps_pass_with_correct_entries():
-    play_cold_server(LimitsMachine())
-    play_evacuation(LimitsMachine())
+    run_cold_server(LimitsMachine())
+    run_evacuation(LimitsMachine())
 
 
-def play_cold_server(machine: LimitsMachine) -> None:
-    machine.turn_cold('a')
+def run_cold_server(machine: LimitsMachine) -> None:
+    machine.become_cold('a')
     for _ in range(10):
         for number in range(5):
             machine.send(number, count=1)
@@ -470,7 +470,7 @@
         machine.wait(120.0)
 
 
-def play_evacuation(machine: LimitsMachine) -> None:
+def run_evacuation(machine: LimitsMachine) -> None:
     machine.order('hall')
     for _ in range(20):
         machine.wait(400.0)
