--- a/tests/test_choice_cost.py
+++ b/tests/test_choice_cost.py
@@ -113,7 +113,7 @@
     backend.last_heard_at = NOW - heard
     backend.waiting.clear()
     for number, ago in enumerate(sent):
-        owed = PendingAttempt(NOW - ago, tokens, 2, 900)
-        registry.record_sent(ServerStart('i-0'), f'{number}', owed)
+        pending = PendingAttempt(NOW - ago, tokens, 2, 900)
+        registry.record_sent(ServerStart('i-0'), f'{number}', pending)
     is_silent = backend.find_overdue_time(NOW) >= SILENCE_LIMIT
     assert is_usable(backend, NOW) is not is_silent
--- a/tests/test_read_rate.py
+++ b/tests/test_read_rate.py
@@ -1,11 +1,11 @@
 """Engines must not count as silent while they prefill long prompts.
 
-An engine that owed a first byte counted as silent after 500 ms, with the
+An engine with a pending first byte counted as silent after 500 ms, with the
 prefill rate assumed as 112 tokens per millisecond. These engines prefill 48, so
 that a prompt of 23,000 tokens alone takes 480 ms. With a third of the engines
-lost, 33 attempts were given up because "the server is silent", 3 with the owed
-tokens and the measured rate taken into account. A silent engine gets no work
-for half a second or more, and its requests are prefilled again elsewhere.
+lost, 33 attempts were given up because "the server is silent"; 3 were with the
+pending tokens and the measured rate taken into account. A silent engine gets no
+work for half a second or more, and its requests are prefilled again elsewhere.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 def add_samples(registry, rate, tokens=6_000):
     """Add samples of the prefill rate through first bytes."""
     for number in range(20):
-        owed = PendingAttempt(0.0, tokens, is_alone=True)
-        registry.record_sent(START, f'{number}', owed)
+        pending = PendingAttempt(0.0, tokens, is_alone=True)
+        registry.record_sent(START, f'{number}', pending)
         registry.record_received(START, f'{number}', tokens / rate + FIRST_BYTE)
         registry.record_ended(START, f'{number}', 0)
     registry.find('a').last_heard_at = 0.0
