--- a/tests/test_choice_cost.py
+++ b/tests/test_choice_cost.py
@@ -70,18 +70,18 @@
     assert choose_among(demand, listed, NOW) is not None
 
 
-def count_calls(act: Callable[[], None]) -> Counter[str]:
+def count_calls(call: Callable[[], None]) -> Counter[str]:
     """Count the function calls by the file that defines the function."""
     calls: Counter[str] = Counter()
 
-    def note(frame, event, _argument) -> None:
+    def count_call(frame, event, _argument) -> None:
         if event in {'call', 'c_call'}:
             calls[frame.f_code.co_filename] += 1
 
-    act()
-    sys.setprofile(note)
+    call()
+    sys.setprofile(count_call)
     try:
-        act()
+        call()
     finally:
         sys.setprofile(None)
     return calls
@@ -113,7 +113,7 @@
     backend.last_heard_at = NOW - heard
     backend.waiting.clear()
     for number, ago in enumerate(sent):
-        owed = PendingAttempt(NOW - ago, tokens, 2, 900)
-        registry.record_sent(ServerStart('i-0'), f'{number}', owed)
+        pending = PendingAttempt(NOW - ago, tokens, 2, 900)
+        registry.record_sent(ServerStart('i-0'), f'{number}', pending)
     is_silent = backend.find_overdue_time(NOW) >= SILENCE_LIMIT
     assert is_usable(backend, NOW) is not is_silent
