--- a/src/oleanderdyke/kernel/eviction.py
+++ b/src/oleanderdyke/kernel/eviction.py
@@ -45,12 +45,12 @@
         self,
         entries: SealedEntries,
         pins: PinTable,
-        keeper: RetentionPolicy,
+        retention_policy: RetentionPolicy,
         random: Random,
     ) -> None:
         self._entries = entries
         self._pins = pins
-        self._keeper = keeper
+        self._retention_policy = retention_policy
         self._random = random
         self._pool: list[_Candidate] = []
 
@@ -58,7 +58,7 @@
         self, incoming: SealedMeta, needed_bytes: int, now: Millis
     ) -> tuple[SegmentId, ...] | WriteRefusal:
         """Return the segments to free for `incoming`, or why it is refused."""
-        incoming_score = self._keeper.estimate_value(
+        incoming_score = self._retention_policy.estimate_value(
             make_hint(incoming.segment), incoming.length, incoming.gap, now
         )
         ranked = self._rank(needed_bytes, now)
@@ -113,7 +113,7 @@
             read = self._entries.read_ranking(row)
             if self._pins.is_pinned(read.generation):
                 continue
-            score = self._keeper.estimate_value(
+            score = self._retention_policy.estimate_value(
                 read.hint, read.length, read.gap, now
             )
             found.append(
--- a/src/oleanderdyke/kernel/gate.py
+++ b/src/oleanderdyke/kernel/gate.py
@@ -98,7 +98,9 @@
         self._running: dict[_AttemptKey, Dispatch] = {}
         self._seen_attempts: set[_AttemptKey] = set()
         self._seen_by_heartbeat: deque[tuple[int, _AttemptKey]] = deque()
-        self._lane = ExclusiveSlot(reserve_beats=settings.reserve_beats)
+        self._exclusive_slot = ExclusiveSlot(
+            reserve_beats=settings.reserve_beats
+        )
         self._claims = ClaimRuns(
             max_age=settings.max_age,
             capacity=settings.claims,
@@ -128,7 +130,7 @@
         """Record a sent heartbeat; forget attempts older than `max_age`."""
         self._heartbeat = max(self._heartbeat, sequence)
         self._claims.record_heartbeat(sequence)
-        self._lane.record_heartbeat(sequence)
+        self._exclusive_slot.record_heartbeat(sequence)
         oldest = self._heartbeat - self._settings.max_age
         while (
             self._seen_by_heartbeat and self._seen_by_heartbeat[0][0] < oldest
@@ -146,7 +148,7 @@
         if dispatch.claim is not None:
             self._claims.add(dispatch.claim, dispatch.team, RunState.RUNNING)
         if self._must_be_alone(dispatch, now):
-            self._lane.enter(dispatch.digest)
+            self._exclusive_slot.enter(dispatch.digest)
         self._running[dispatch.request, dispatch.attempt] = dispatch
         return Accepted()
 
@@ -214,8 +216,8 @@
 
     def is_quarantined(self, digest: str, now: Millis) -> bool:
         """Return whether a request's digest is refused due to crashes."""
-        standing = self._quarantine.get_status(digest, now)
-        return standing is QuarantineStatus.QUARANTINED
+        status = self._quarantine.get_status(digest, now)
+        return status is QuarantineStatus.QUARANTINED
 
     def answer_query(self, query: ClaimQuery) -> ClaimAnswer:
         """Return the state of a claim; bar it if it has not started."""
@@ -235,7 +237,7 @@
         del self._running[dispatch.request, dispatch.attempt]
         if dispatch.claim is not None:
             self._claims.finish(dispatch.claim, answer)
-        return self._lane.leave(dispatch.digest)
+        return self._exclusive_slot.leave(dispatch.digest)
 
     def _is_own(self, claim: Claim) -> bool:
         return (
@@ -396,7 +398,7 @@
     ) -> _Refusal | None:
         if self._must_be_alone(dispatch, now):
             return self._check_alone(dispatch)
-        if self._lane.is_closed():
+        if self._exclusive_slot.is_closed():
             return _Refusal(
                 ErrorKind.OVERLOADED,
                 'another request has to run alone',
@@ -412,15 +414,15 @@
         return None
 
     def _check_alone(self, dispatch: Dispatch) -> _Refusal | None:
-        if self._lane.request(dispatch.digest, len(self._running)):
+        if self._exclusive_slot.request(dispatch.digest, len(self._running)):
             return None
         return _Refusal(
             ErrorKind.OVERLOADED, 'request has to run alone', _ALONE_RETRY_AFTER
         )
 
     def _must_be_alone(self, dispatch: Dispatch, now: Millis) -> bool:
-        standing = self._quarantine.get_status(dispatch.digest, now)
-        return dispatch.alone or standing is QuarantineStatus.SUSPECT
+        status = self._quarantine.get_status(dispatch.digest, now)
+        return dispatch.alone or status is QuarantineStatus.SUSPECT
 
 
 def _make_lost_failure(dispatch: Dispatch) -> Failed:
--- a/src/oleanderdyke/kernel/store_index.py
+++ b/src/oleanderdyke/kernel/store_index.py
@@ -84,18 +84,20 @@
     def __init__(
         self,
         limits: StoreLimits,
-        keeper: RetentionPolicy,
+        retention_policy: RetentionPolicy,
         incarnation: str,
         random: Random,
     ) -> None:
         self._limits = limits
-        self._keeper = keeper
+        self._retention_policy = retention_policy
         self._incarnation = incarnation
         self._generations = count(1)
         self._entries = SealedEntries()
         self._writes: dict[SegmentId, OpenWrite] = {}
         self._pins = PinTable(limit=limits.pins, time=limits.pin_time)
-        self._evictor = Evictor(self._entries, self._pins, keeper, random)
+        self._evictor = Evictor(
+            self._entries, self._pins, retention_policy, random
+        )
         self._pending_deletions: dict[str, int] = {}
         self._deletions: list[str] = []
         self._used = 0
@@ -177,7 +179,7 @@
         pinned = self._pins.add(entry.meta, entry.generation, now)
         if pinned is None:
             return ReadRefused(ReadRefusal.BUSY)
-        self._keeper.record_use(make_hint(segment), now)
+        self._retention_policy.record_use(make_hint(segment), now)
         return pinned
 
     def is_pin_valid(self, pinned: Pinned, now: Millis) -> bool:
@@ -303,7 +305,7 @@
     def _publish(self, entry: SealedEntry, now: Millis) -> None:
         segment = entry.meta.segment
         self._entries.add(entry)
-        self._keeper.record_use(make_hint(segment), now)
+        self._retention_policy.record_use(make_hint(segment), now)
         self.log.add(make_hint(segment))
 
     def _delete_pending(self, name: str) -> None:
--- a/tests/store_spaces.py
+++ b/tests/store_spaces.py
@@ -22,7 +22,7 @@
 )
 
 
-class FlatKeeper:
+class GapPolicy:
     """Value a segment by its expected gap; short gaps are worth more."""
 
     def estimate_value(self, segment, length, gap, now):
@@ -33,7 +33,7 @@
 
 
 def make_index(kind=StoreIndex, limits=LIMITS, incarnation='i1'):
-    return kind(limits, FlatKeeper(), incarnation, Random(7))
+    return kind(limits, GapPolicy(), incarnation, Random(7))
 
 
 def make_id(number):
--- a/tests/test_store_index.py
+++ b/tests/test_store_index.py
@@ -264,7 +264,7 @@
 
 def test_a_reused_entry_is_not_evicted_by_an_outdated_score():
     limits = replace(LIMITS, capacity_bytes=200 * SIZE)
-    index = StoreIndex(limits, UseCountKeeper(), 'i1', Random(7))
+    index = StoreIndex(limits, UseCountPolicy(), 'i1', Random(7))
     for number in range(200):
         assert isinstance(store(index, number), WriteSealed)
     for number in range(200, 240):
@@ -277,7 +277,7 @@
     assert sum(is_readable(index, each) for each in range(200)) == len(held)
 
 
-class UseCountKeeper:
+class UseCountPolicy:
     """Value a segment by its number of uses."""
 
     def __init__(self):
