--- a/src/oleanderdyke/kernel/load_queue.py
+++ b/src/oleanderdyke/kernel/load_queue.py
@@ -175,8 +175,8 @@
         queued = self._queued.get(notice.holder)
         if queued is None or queued.is_lost:
             return False
-        asked = (notice.server, notice.model, notice.held)
-        return (queued.server, queued.model, queued.held) == asked
+        requested = (notice.server, notice.model, notice.held)
+        return (queued.server, queued.model, queued.held) == requested
 
     def is_queued(self, holder: str) -> bool:
         """Return whether an agent has a queued load, its engine lost or not."""
