--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -225,7 +225,7 @@
             if each.data_centre == 'hall-0' and each is not reader
         )
         desk = other.desk
-        assert RECORD_SOURCE not in desk._neighbours._asked_at
+        assert RECORD_SOURCE not in desk._neighbours._requested_at
         link, back = FakeLink('asker'), FakeLink(other.name)
         link.other, back.other = back, link
         link.process = back.process = other
