--- a/tests/test_fault_matrix.py
+++ b/tests/test_fault_matrix.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from test_drain import LeavesWork
+from test_drain import ExitsEarly
 from test_request_safety import (
     DeafMachine,
     ForgivingGate,
@@ -136,7 +136,7 @@
             'leaving',
         ),
         (
-            Variants(drain=LeavesWork),
+            Variants(drain=ExitsEarly),
             choose(Kind.CUT, at=Point.LEAVING),
             'planned stop',
         ),
