--- a/src/oleanderdyke/entry/agents.py
+++ b/src/oleanderdyke/entry/agents.py
@@ -41,18 +41,18 @@
         self._incarnations: dict[str, str] = {}
         self._processes: dict[str, str] = {}
         self._phases: dict[str, AgentPhase] = {}
-        self._beats = 0
-        self._news = anyio.Event()
+        self._beat_number = 0
+        self._beat_due = anyio.Event()
         self._handlers: Mapping[type[Message], Callable[[Link, Any], None]] = {
-            AnswerHead: self._pass_on,
-            AnswerChunk: self._pass_on,
-            AnswerEnd: self._pass_on,
-            Failed: self._pass_on,
-            ClaimAnswer: self._pass_on,
-            Heartbeat: self._take_heartbeat,
-            SegmentEvents: self._take_segments,
+            AnswerHead: self._forward_to_request,
+            AnswerChunk: self._forward_to_request,
+            AnswerEnd: self._forward_to_request,
+            Failed: self._forward_to_request,
+            ClaimAnswer: self._forward_to_request,
+            Heartbeat: self._handle_heartbeat,
+            SegmentEvents: self._handle_segments,
             ConfigurationRequest: feed.answer,
-            ConfigurationDifference: feed.take_difference,
+            ConfigurationDifference: feed.apply_difference,
             Refused: self._log_refused,
         }
 
@@ -77,9 +77,9 @@
         )
         self._replace_incarnations(link)
         for running in tuple(core.running.values()):
-            running.gain(link)
+            running.handle_link_up(link)
         self._feed.add_link(link)
-        core.spawn(self._beat, link)
+        core.spawn(self._send_beats, link)
 
     async def on_message(self, link: Link, message: Message) -> None:
         """Take one message that could not be taken at once."""
@@ -114,7 +114,7 @@
             core.fleet.on_link_down(peer.process, peer.incarnation)
         self._feed.drop_link(link)
         for running in tuple(core.running.values()):
-            running.lose(link)
+            running.handle_link_down(link)
 
     def _replace_incarnations(self, link: Link) -> None:
         """End what lived under the same process name or address before."""
@@ -129,7 +129,7 @@
                     running.end_incarnation(name, old)
         self._incarnations[process] = incarnation
 
-    def _pass_on(
+    def _forward_to_request(
         self,
         _: Link,
         message: AnswerHead | AnswerChunk | AnswerEnd | Failed | ClaimAnswer,
@@ -138,17 +138,17 @@
         if running is not None:
             running.take(message)
 
-    def _take_heartbeat(self, link: Link, beat: Heartbeat) -> None:
+    def _handle_heartbeat(self, link: Link, beat: Heartbeat) -> None:
         core, agent = self._core, link.peer.process
         now = core.clock.now()
-        self._merge_held(beat)
+        self._merge_quarantine(beat)
         if not core.fleet.on_heartbeat(agent, beat, now):
-            self._answer_former(link, beat)
+            self._notify_superseded(link, beat)
             return
-        self._note_phase(agent, beat.phase)
-        self._feed.hear(link, beat.offset)
+        self._update_phase(agent, beat.phase)
+        self._feed.handle_peer_offset(link, beat.offset)
 
-    def _answer_former(self, link: Link, beat: Heartbeat) -> None:
+    def _notify_superseded(self, link: Link, beat: Heartbeat) -> None:
         """Tell an agent that came back that another took its place."""
         agent = link.peer.process
         latest = self._incarnations.get(agent, beat.incarnation)
@@ -156,7 +156,7 @@
             notice = Superseded(agent, beat.incarnation)
             self._core.spawn(_send, link, notice)
 
-    def _note_phase(self, agent: str, phase: AgentPhase) -> None:
+    def _update_phase(self, agent: str, phase: AgentPhase) -> None:
         if self._phases.get(agent) is phase:
             return
         self._phases[agent] = phase
@@ -167,7 +167,7 @@
         )
         self._core.log.write(event, agent=agent, phase=phase.value)
 
-    def _take_segments(self, link: Link, events: SegmentEvents) -> None:
+    def _handle_segments(self, link: Link, events: SegmentEvents) -> None:
         core, peer = self._core, link.peer
         request = core.fleet.on_segments(
             peer.process, peer.incarnation, events, core.clock.now()
@@ -187,40 +187,40 @@
             detail=refused.detail,
         )
 
-    async def _beat(self, link: Link) -> None:
+    async def _send_beats(self, link: Link) -> None:
         """Send beats, at once when there is news, else now and then."""
         core = self._core
         while not link.closed:
             await _send(link, self._make_beat())
             core.metrics.set_gauge(Gauge.LINKS, len(self._incarnations))
             with anyio.move_on_after(core.settings.beat / SECOND):
-                await self._news.wait()
+                await self._beat_due.wait()
 
     def _make_beat(self) -> EntryBeat:
         core = self._core
-        self._beats += 1
-        quarantined, suspects = self._list_held()
+        self._beat_number += 1
+        quarantined, suspects = self._list_quarantine()
         return EntryBeat(
             core.incarnation,
-            self._beats,
+            self._beat_number,
             core.reader.offset,
             quarantined,
             suspects,
         )
 
-    def _merge_held(self, beat: Heartbeat) -> None:
+    def _merge_quarantine(self, beat: Heartbeat) -> None:
         """Take over what is held against requests, and pass on what is new."""
         if not beat.quarantined and not beat.suspects:
             return
-        before = self._list_held()
+        before = self._list_quarantine()
         self._core.quarantine.merge(
             beat.quarantined, beat.suspects, self._core.clock.now()
         )
-        if self._list_held() != before:
-            self._news.set()
-            self._news = anyio.Event()
+        if self._list_quarantine() != before:
+            self._beat_due.set()
+            self._beat_due = anyio.Event()
 
-    def _list_held(self) -> tuple[tuple[str, ...], tuple[str, ...]]:
+    def _list_quarantine(self) -> tuple[tuple[str, ...], tuple[str, ...]]:
         now = self._core.clock.now()
         quarantine = self._core.quarantine
         return quarantine.list_quarantined(now), quarantine.list_suspects(now)
--- a/src/oleanderdyke/entry/app.py
+++ b/src/oleanderdyke/entry/app.py
@@ -19,13 +19,13 @@
     Receive,
     Scope,
     Send,
-    find_key,
+    find_idempotency_key,
     make_not_found,
     make_request_id,
     parse_head,
     split_path,
 )
-from oleanderdyke.entry.effects import Tools, note_refusal
+from oleanderdyke.entry.effects import EntryResources, log_refusal
 from oleanderdyke.entry.lookup import (
     find_model_service,
     find_plain_service,
@@ -34,9 +34,9 @@
 )
 from oleanderdyke.entry.queue import ReleaseQueue
 from oleanderdyke.entry.requests import RequestDriver
-from oleanderdyke.entry.resume import ResumeAsk, ResumeDriver
+from oleanderdyke.entry.resume import ResumeDriver, ResumeRequest
 from oleanderdyke.entry.sse import Position, parse_position
-from oleanderdyke.entry.targets import note_refused
+from oleanderdyke.entry.targets import evaluate_refused
 from oleanderdyke.entry.tokens import decode_token
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 from oleanderdyke.events import EventName
@@ -54,9 +54,11 @@
 class App:
     """Route requests; answer every fault with a typed error."""
 
-    def __init__(self, tools: Tools, queue: ReleaseQueue, admin: Serve) -> None:
-        self._core: Core = tools.core
-        self._tools = tools
+    def __init__(
+        self, resources: EntryResources, queue: ReleaseQueue, admin: Serve
+    ) -> None:
+        self._core: Core = resources.core
+        self._resources = resources
         self._queue = queue
         self._fixed: Mapping[tuple[str, str], Serve] = {
             ('GET', '/live'): self._serve_live,
@@ -114,7 +116,7 @@
                 request=request,
                 detail=type(_find_first(fault)).__name__,
             )
-        note_refusal(self._core, request, error)
+        log_refusal(self._core, request, error)
         if answer.started:
             return
         await answer.send_error(error)
@@ -154,7 +156,7 @@
             target,
             chat,
             find_weights(self._core, target),
-            find_key(head),
+            find_idempotency_key(head),
         )
         await self._run(call, body, answer)
 
@@ -167,7 +169,7 @@
         if head.method not in target.spec.methods:
             raise _make_wrong_method(', '.join(target.spec.methods))
         body.set_limit(target.spec.body_limit)
-        key = find_key(head)
+        key = find_idempotency_key(head)
         bound = target.spec.body_limit if key else _HELD_BYTES
         data = await body.read_up_to(bound + 1)
         path = '/' + '/'.join(rest)
@@ -190,7 +192,7 @@
         team = self._find_team(head)
         _, _, token = split_path(head.target, 3)
         await body.read()
-        ask = ResumeAsk(
+        ask = ResumeRequest(
             head.request, team.name, decode_token(token), _find_position(head)
         )
         core = self._core
@@ -202,7 +204,9 @@
             metrics=core.metrics,
             position=ask.position,
         )
-        driver = ResumeDriver(self._tools, ask, body=body, delivery=delivery)
+        driver = ResumeDriver(
+            self._resources, ask, body=body, delivery=delivery
+        )
         await self._count(head.request, driver.run)
 
     def _find_team(self, head: Head) -> StoredObject:
@@ -226,20 +230,20 @@
         started = core.clock.now()
         try:
             driver = RequestDriver(
-                self._tools, self._queue, call, body=body, answer=answer
+                self._resources, self._queue, call, body=body, answer=answer
             )
             await self._count(call.request, driver.run)
         except Exception as fault:
             error = _find_error(fault)
             if error is not None:
                 duration = core.clock.now() - started
-                note_refused(core, call, error.kind, duration=duration)
+                evaluate_refused(core, call, error.kind, duration=duration)
             raise
 
     async def _count(
         self, request: str, run: Callable[[], Awaitable[None]]
     ) -> None:
-        stopper = self._tools.stopper
+        stopper = self._resources.stopper
         stopper.begin(request)
         try:
             await run()
--- a/src/oleanderdyke/entry/claims.py
+++ b/src/oleanderdyke/entry/claims.py
@@ -73,7 +73,7 @@
         self._active = 0
 
     @property
-    def synced(self) -> bool:
+    def is_caught_up(self) -> bool:
         """Return whether the log has been read to its end."""
         return self._core.claims.caught_up
 
@@ -138,7 +138,7 @@
             if watched.inbox is inbox:
                 del self._watched[claim_id]
 
-    def settle_read(self) -> None:
+    def settle_claims(self) -> None:
         """Settle the claims that have been read back."""
         for claim_id in tuple(self._watched):
             self._settle(claim_id)
@@ -154,7 +154,7 @@
                     tasks.start_soon(self._append, self._take_group())
                 self._wake = anyio.Event()
 
-    async def carry(self) -> None:
+    async def renew_claims(self) -> None:
         """Repeat live claims before the log forgets them, until cancelled.
 
         Every entry does it; whoever is first spares the others the work.
@@ -163,9 +163,9 @@
         while True:
             share = self._core.random.uniform(*_CARRY_SHARES)
             await anyio.sleep(retention * share / SECOND)
-            self.append_due(retention)
+            self.append_due_renewals(retention)
 
-    def append_due(self, retention: Millis) -> None:
+    def append_due_renewals(self, retention: Millis) -> None:
         """Append the claims whose latest record has half its time behind."""
         table = self._core.claims
         latest = max(table.log_time, self._core.clock.wall())
@@ -174,7 +174,7 @@
             records = due[start : start + self._settings.batch]
             self._add(_Pending(records, _ignore, _ignore))
 
-    async def repeat(self, pending: _Pending) -> None:
+    async def retry(self, pending: _Pending) -> None:
         """Wait, then append once more."""
         await anyio.sleep(self._core.settings.log.retry / SECOND)
         self._add(pending)
@@ -224,7 +224,7 @@
             if full or pending.repeats > _REPEATS:
                 self._give_up(record)
                 return
-            self._core.spawn(self.repeat, pending)
+            self._core.spawn(self.retry, pending)
 
         pending = _Pending((record,), log_appended, try_again)
         return pending
--- a/src/oleanderdyke/entry/configuration.py
+++ b/src/oleanderdyke/entry/configuration.py
@@ -39,7 +39,7 @@
         self._filled: dict[Link, Millis] = {}
         self._snapshots = anyio.Semaphore(_SNAPSHOTS_AT_ONCE)
 
-    def take_page(self, page: LogPage) -> None:
+    def apply_page(self, page: LogPage) -> None:
         """Take a page of the log."""
         if self._core.reader.on_page(page, self._core.clock.now()):
             self._announce_offset('log')
@@ -48,7 +48,7 @@
         """Learn of a peer and of its offset."""
         self._links[link.peer.process] = link
         self._pushed.pop(link.peer.process, None)
-        self.hear(link, link.peer.offset)
+        self.handle_peer_offset(link, link.peer.offset)
 
     def drop_link(self, link: Link) -> None:
         """Forget a peer."""
@@ -59,7 +59,7 @@
             self._pushed.pop(process, None)
             self._core.reader.on_peer_disconnected(process)
 
-    def hear(self, link: Link, offset: int) -> None:
+    def handle_peer_offset(self, link: Link, offset: int) -> None:
         """Compare a peer's offset with ours; ask it or help it."""
         process = link.peer.process
         core = self._core
@@ -82,7 +82,7 @@
             self._filled[link] = math.inf
             self._core.spawn(self._fill, link, request)
 
-    def take_difference(
+    def apply_difference(
         self, link: Link, message: ConfigurationDifference
     ) -> None:
         """Take what a peer has sent."""
--- a/src/oleanderdyke/entry/core.py
+++ b/src/oleanderdyke/entry/core.py
@@ -49,16 +49,16 @@
 Spawn: TypeAlias = Callable[..., object]
 
 
-class Running(Protocol):
+class RunningRequest(Protocol):
     """Take what concerns one running request; nothing here waits."""
 
     def take(self, message: Message) -> None:
         """Take a message of an agent about this request."""
 
-    def lose(self, link: Link) -> None:
+    def handle_link_down(self, link: Link) -> None:
         """Learn that a link is gone."""
 
-    def gain(self, link: Link) -> None:
+    def handle_link_up(self, link: Link) -> None:
         """Learn of a new link."""
 
     def end_incarnation(self, agent: str, incarnation: str) -> None:
@@ -70,7 +70,7 @@
     def hand_over(self) -> None:
         """Leave the stream to another entry."""
 
-    def stop(self, *, hurry: bool) -> None:
+    def stop(self, *, immediate: bool) -> None:
         """Learn that the entry stops."""
 
 
@@ -101,12 +101,12 @@
     admission: Admission
     exports: ExportPolicy
     drain: Drain
-    machine: AttemptSettings
-    running: dict[str, Running] = field(default_factory=dict)
+    attempt_settings: AttemptSettings
+    running: dict[str, RunningRequest] = field(default_factory=dict)
     targets: TargetMonitors = field(default_factory=TargetMonitors)
     find_link: FindLink = _find_no_link
     # Cleared while the links of a new entry are being opened.
-    settled: bool = True
+    links_ready: bool = True
     spawn: Spawn = _spawn_nothing
 
     @property
@@ -140,7 +140,7 @@
         fault = self.find_configuration_fault()
         if fault:
             return fault
-        return '' if self.settled else 'connecting to agents'
+        return '' if self.links_ready else 'connecting to agents'
 
 
 def make_core(
@@ -180,7 +180,7 @@
         ),
         exports=ExportPolicy(settings.policies),
         drain=Drain(settings.drain),
-        machine=AttemptSettings(
+        attempt_settings=AttemptSettings(
             claim_timeout=settings.claims.wait,
             max_attempts=settings.requests.attempts,
             replica_wait=settings.requests.replica_wait,
--- a/src/oleanderdyke/entry/delivery.py
+++ b/src/oleanderdyke/entry/delivery.py
@@ -85,13 +85,13 @@
         return streamed / (self.chunks - 1)
 
     @property
-    def is_flowing(self) -> bool:
+    def can_forward_chunk(self) -> bool:
         """Return whether `pass_chunk` can be used for the next chunk."""
         if self._head is not None or self._unsent or self.error is not None:
             return False
         return self.first_token is not None and self._answer.is_writable
 
-    def pass_chunk(self, chunk: DeliverChunk) -> None:
+    def forward_chunk(self, chunk: DeliverChunk) -> None:
         """Send a part of an answer at once; only while `is_flowing`."""
         self.put_chunk(chunk)
         data = self._take_unsent()
--- a/src/oleanderdyke/entry/dispatches.py
+++ b/src/oleanderdyke/entry/dispatches.py
@@ -22,7 +22,7 @@
     *,
     offset: int,
     deadline: Millis,
-    worthy: int,
+    export_count: int,
 ) -> Dispatch:
     """Build what an agent is told first; the body follows.
 
@@ -51,7 +51,7 @@
         namespace=call.namespace,
         segments=call.segments,
         fetch=_make_fetch(call, action.plan, fleet),
-        keep=_make_keep(call, action.replica, fleet, worthy),
+        keep=_make_keep(call, action.replica, fleet, export_count),
         incarnation=action.incarnation,
         beat=action.beat,
         priority=action.plan.priority,
@@ -78,17 +78,19 @@
 
 
 def _make_keep(
-    call: Call, replica: Replica, fleet: Fleet, worthy: int
+    call: Call, replica: Replica, fleet: Fleet, export_count: int
 ) -> FetchPlan | None:
-    stores = fleet.stores(call.service) if worthy else ()
+    stores = fleet.stores(call.service) if export_count else ()
     if not stores:
         return None
     hints = [make_hint(segment) for segment in call.segments]
     store = _choose_store(stores, replica, hints, fleet)
     held = fleet.count_leading(store.agent, hints)
-    if held >= worthy:
+    if held >= export_count:
         return None
-    return FetchPlan(store.agent, store.address, call.segments[held:worthy])
+    return FetchPlan(
+        store.agent, store.address, call.segments[held:export_count]
+    )
 
 
 def _choose_store(
--- a/src/oleanderdyke/entry/edge.py
+++ b/src/oleanderdyke/entry/edge.py
@@ -118,7 +118,7 @@
     )
 
 
-def find_key(head: Head) -> str:
+def find_idempotency_key(head: Head) -> str:
     """Return the idempotency key or nothing; raise BAD_REQUEST."""
     key = head.find('idempotency-key')
     if key is None:
@@ -206,7 +206,7 @@
         self.ended = not event.get('more_body', False)
         return part
 
-    async def wait_gone(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Return when the caller has closed; call it after the body."""
         while (await self._receive())['type'] != 'http.disconnect':
             continue
--- a/src/oleanderdyke/entry/effects.py
+++ b/src/oleanderdyke/entry/effects.py
@@ -12,11 +12,11 @@
 from oleanderdyke.entry.claims import ClaimLog
 from oleanderdyke.entry.core import Core
 from oleanderdyke.entry.delivery import Delivery
-from oleanderdyke.entry.inbox import CreditDue, Inbox, Item, Undeliverable
+from oleanderdyke.entry.inbox import CreditDue, DeliveryFailed, Inbox, Item
 from oleanderdyke.entry.routes import choose_route
 from oleanderdyke.entry.sender import AttemptSender
 from oleanderdyke.entry.stopping import Stopper
-from oleanderdyke.entry.targets import note_answered, note_refused
+from oleanderdyke.entry.targets import evaluate_answered, evaluate_refused
 from oleanderdyke.entry.tokens import StreamToken, encode_token
 from oleanderdyke.errors import OleanderError
 from oleanderdyke.events import EventName
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tools:
+class EntryResources:
     """Hold what every request of an entry uses."""
 
     core: Core
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        tools: Tools,
+        resources: EntryResources,
         call: Call,
         demand: Demand,
         *,
@@ -71,9 +71,9 @@
         start_upload: Callable[[], None],
         start_timer: Callable[[Item, Millis], None],
     ) -> None:
-        self._core = tools.core
-        self._claims = tools.claims
-        self._stopper = tools.stopper
+        self._core = resources.core
+        self._claims = resources.claims
+        self._stopper = resources.stopper
         self._call = call
         self._demand = demand
         self._inbox = inbox
@@ -81,23 +81,23 @@
         self._delivery = delivery
         self._start_upload = start_upload
         self._put_later = start_timer
-        self._started = tools.core.clock.now()
+        self._started = resources.core.clock.now()
         self._gone = False
         self._handlers = self._make_handlers()
 
-    async def carry_out(self, actions: tuple[Action, ...]) -> None:
+    async def execute(self, actions: tuple[Action, ...]) -> None:
         """Carry out actions one after the other."""
         for action in actions:
             await self._handlers[type(action)](action)
 
-    def pass_chunk(self, chunk: DeliverChunk) -> None:
+    def forward_chunk(self, chunk: DeliverChunk) -> None:
         """Send on a chunk of a flowing answer at once."""
         try:
-            self._delivery.pass_chunk(chunk)
+            self._delivery.forward_chunk(chunk)
         except OleanderError as error:
-            self._inbox.put(Undeliverable(error))
+            self._inbox.put(DeliveryFailed(error))
             return
-        if self._sender.note_passed():
+        if self._sender.count_forwarded_chunk():
             self._inbox.put(CreditDue())
 
     async def flush(self) -> None:
@@ -118,13 +118,13 @@
         could be resumed is known.
         """
         if actions is None:
-            self._stopper.take_back(self._call.request)
+            self._stopper.mark_not_resumable(self._call.request)
             return False
-        await self.carry_out(actions)
+        await self.execute(actions)
         await self._guard(self._delivery.hand_over())
         return True
 
-    def note_gone(self) -> None:
+    def report_caller_gone(self) -> None:
         """Tell the machine once that the caller has gone."""
         if not self._gone:
             self._gone = True
@@ -148,7 +148,7 @@
             AppendClaim: self._append_claim,
             AppendRelease: self._append_release,
             AppendOutcome: self._append_outcome,
-            QueryClaim: self._sender.ask,
+            QueryClaim: self._sender.query_claim,
             SendDispatch: self._dispatch,
             SendCancel: self._sender.cancel,
             SendResume: self._resume,
@@ -211,7 +211,7 @@
             self._delivery.put_chunk(action)
         except OleanderError as error:
             await self.fail(error)
-            self.note_gone()
+            self.report_caller_gone()
         if first:
             self._core.router.record_first_token(
                 self._call.request, self._core.clock.now()
@@ -225,8 +225,8 @@
 
     async def _refuse(self, action: Refuse) -> None:
         core, call = self._core, self._call
-        note_refusal(core, call.request, action)
-        note_refused(
+        log_refusal(core, call.request, action)
+        evaluate_refused(
             core,
             call,
             action.kind,
@@ -249,10 +249,10 @@
         try:
             await sending
         except edge.CallerGone:
-            self.note_gone()
+            self.report_caller_gone()
         except OleanderError as error:
             await self.fail(error)
-            self.note_gone()
+            self.report_caller_gone()
 
     def _note_end(self, action: DeliverEnd) -> None:
         duration = self._core.clock.now() - self._started
@@ -263,7 +263,7 @@
             metrics.add(Count.PROMPT_TOKENS, end.prompt_tokens, service)
             metrics.add(Count.RECOMPUTED_TOKENS, end.recomputed_tokens, service)
             metrics.add(Count.LINK_BYTES, end.link_bytes, service)
-        note_answered(self._core, self._call, self._delivery, end)
+        evaluate_answered(self._core, self._call, self._delivery, end)
         self.log(
             EventName.REQUEST_FINISHED,
             status=self._delivery.status,
@@ -275,7 +275,7 @@
         )
 
 
-def note_refusal(
+def log_refusal(
     core: Core, request: str, refused: Refuse | OleanderError
 ) -> None:
     """Log and count a request that was refused."""
--- a/src/oleanderdyke/entry/hosted/driver.py
+++ b/src/oleanderdyke/entry/hosted/driver.py
@@ -115,9 +115,9 @@
         if not self._reply.ended and self._reply.status:
             raise BrokenAnswer
 
-    def stop(self, *, hurry: bool) -> None:
+    def stop(self, *, immediate: bool) -> None:
         """Learn that the entry stops."""
-        if hurry:
+        if immediate:
             self._inbox.put(Stopping(immediate=True))
 
     def hand_over(self) -> None:
@@ -266,7 +266,7 @@
         """Do nothing: the loop sees that the machine is done."""
 
     async def _watch_caller(self) -> None:
-        await self._body.wait_gone()
+        await self._body.wait_disconnected()
         if not self._reply.ended:
             self._told.tell_cancelled(self._find_progress())
             self._inbox.put(CallerGone())
--- a/src/oleanderdyke/entry/inbox.py
+++ b/src/oleanderdyke/entry/inbox.py
@@ -28,14 +28,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Undeliverable:
+class DeliveryFailed:
     """A part of the answer can't be passed on."""
 
     fault: OleanderError
 
 
 @dataclass(frozen=True, slots=True)
-class Decided:
+class PendingActions:
     """Hold actions that could not be done while bytes were read."""
 
     actions: tuple[Action, ...]
@@ -55,8 +55,8 @@
     Event
     | Released
     | UploadFailed
-    | Undeliverable
-    | Decided
+    | DeliveryFailed
+    | PendingActions
     | CreditDue
     | HandedOver
 )
@@ -72,7 +72,7 @@
     def __init__(self) -> None:
         self._items: deque[Item] = deque()
         self._waiting: asyncio.Future[None] | None = None
-        self.shortcut: Callable[[Item], bool] | None = None
+        self.direct_handler: Callable[[Item], bool] | None = None
 
     def __len__(self) -> int:
         return len(self._items)
@@ -83,7 +83,7 @@
         if waiting is None or waiting.done():
             self._items.append(item)
             return
-        if self.shortcut is not None and self.shortcut(item):
+        if self.direct_handler is not None and self.direct_handler(item):
             return
         self._items.append(item)
         if not waiting.done():
--- a/src/oleanderdyke/entry/logreader.py
+++ b/src/oleanderdyke/entry/logreader.py
@@ -30,13 +30,13 @@
         name: str,
         *,
         find_start: Callable[[], int],
-        take_page: Callable[[LogPage], None],
+        apply_page: Callable[[LogPage], None],
     ) -> None:
         self._core = core
         self._client = client
         self._name = name
         self._find_start = find_start
-        self._take_page = take_page
+        self._take_page = apply_page
         self._down = False
         self._reached = False
 
--- a/src/oleanderdyke/entry/requests.py
+++ b/src/oleanderdyke/entry/requests.py
@@ -13,15 +13,15 @@
 from oleanderdyke.entry.calls import Call
 from oleanderdyke.entry.core import Core
 from oleanderdyke.entry.delivery import Delivery
-from oleanderdyke.entry.effects import Effects, Tools
+from oleanderdyke.entry.effects import Effects, EntryResources
 from oleanderdyke.entry.inbox import (
     CreditDue,
-    Decided,
+    DeliveryFailed,
     HandedOver,
     Inbox,
     Item,
+    PendingActions,
     Released,
-    Undeliverable,
     UploadFailed,
 )
 from oleanderdyke.entry.queue import ReleaseQueue
@@ -61,15 +61,15 @@
 
     def __init__(
         self,
-        tools: Tools,
+        resources: EntryResources,
         queue: ReleaseQueue,
         call: Call,
         *,
         body: edge.Body,
         answer: Answer,
     ) -> None:
-        core = tools.core
-        self._tools = tools
+        core = resources.core
+        self._resources = resources
         self._core = core
         self._queue = queue
         self._call = call
@@ -91,10 +91,10 @@
             label=call.label,
             clock=core.clock,
             metrics=core.metrics,
-            extra=_make_extra(call),
+            extra=_make_extra_headers(call),
         )
         self._effects = Effects(
-            tools,
+            resources,
             call,
             self._demand,
             inbox=self._inbox,
@@ -104,11 +104,13 @@
             start_timer=self._start_timer,
         )
         self._machine = RequestStateMachine(
-            _make_facts(core, call), settings=core.machine, budget=core.budget
+            _make_facts(core, call),
+            settings=core.attempt_settings,
+            budget=core.budget,
         )
         self._tasks: TaskGroup | None = None
         self._timers: list[asyncio.TimerHandle] = []
-        self._inbox.shortcut = self._pass_on
+        self._inbox.direct_handler = self._forward_directly
 
     async def run(self) -> None:
         """Answer the caller, then finish what the machine still waits for.
@@ -122,21 +124,21 @@
                 self._tasks = tasks
                 if self._body.ended:
                     tasks.start_soon(self._watch_caller)
-                await self._lead()
+                await self._drive()
                 tasks.cancel_scope.cancel()
         finally:
             del self._core.running[request]
-            self._forget()
+            self._clean_up()
 
     def take(self, message: Message) -> None:
         """Take a message of an agent about this request."""
         self._receiver.take(message)
 
-    def lose(self, link: Link) -> None:
+    def handle_link_down(self, link: Link) -> None:
         """Learn that a link is gone."""
-        self._sender.lose(link)
+        self._sender.handle_link_down(link)
 
-    def gain(self, link: Link) -> None:
+    def handle_link_up(self, link: Link) -> None:
         """Learn of a new link."""
         self._inbox.put(LinkUp(link.peer.process, link.peer.incarnation))
 
@@ -152,35 +154,35 @@
         """Leave the stream to another entry."""
         self._inbox.put(HandedOver())
 
-    def stop(self, *, hurry: bool) -> None:
+    def stop(self, *, immediate: bool) -> None:
         """Learn that the entry stops."""
-        self._inbox.put(Stopping(immediate=hurry))
+        self._inbox.put(Stopping(immediate=immediate))
 
-    def _pass_on(self, item: Item) -> bool:
+    def _forward_directly(self, item: Item) -> bool:
         """Pass on a chunk of a flowing answer without a turn of the loop."""
         if (
             type(item) is not MessageReceived
             or type(item.message) is not AnswerChunk
         ):
             return False
-        if not self._delivery.is_flowing:
+        if not self._delivery.can_forward_chunk:
             return False
         actions = self._machine.handle_event(item, self._core.clock.now())
         for place, action in enumerate(actions):
             if not isinstance(action, DeliverChunk):
-                self._inbox.put(Decided(actions[place:]))
+                self._inbox.put(PendingActions(actions[place:]))
                 break
-            self._effects.pass_chunk(action)
+            self._effects.forward_chunk(action)
         return True
 
-    async def _lead(self) -> None:
+    async def _drive(self) -> None:
         core = self._core
         verdict = self._find_verdict()
         self._start_timer(DeadlinePassed(), self._deadline - core.clock.now())
         await self._pass_admission()
         if self._call.key:
             verdict = self._find_verdict()
-        await self._effects.carry_out(
+        await self._effects.execute(
             self._machine.start(core.clock.now(), verdict)
         )
         while not self._machine.done:
@@ -188,12 +190,12 @@
                 await self._effects.flush()
             item = await self._inbox.take()
             if isinstance(item, HandedOver):
-                if await self._pass_to_other():
+                if await self._hand_over_stream():
                     return
                 continue
-            await self._effects.carry_out(await self._answer_item(item))
+            await self._effects.execute(await self._handle_item(item))
 
-    async def _pass_to_other(self) -> bool:
+    async def _hand_over_stream(self) -> bool:
         """Leave the stream to another entry, if it can be resumed now."""
         return await self._effects.hand_over(self._machine.hand_over())
 
@@ -226,7 +228,7 @@
         finally:
             self._queue.leave()
 
-    async def _answer_item(self, item: Item) -> tuple[Action, ...]:
+    async def _handle_item(self, item: Item) -> tuple[Action, ...]:
         now = self._core.clock.now()
         self._log_item(item)
         if isinstance(item, Released | HandedOver):
@@ -234,14 +236,14 @@
         if isinstance(item, CreditDue):
             await self._sender.grant(0)
             return ()
-        if isinstance(item, Decided):
+        if isinstance(item, PendingActions):
             return item.actions
-        if isinstance(item, UploadFailed | Undeliverable):
+        if isinstance(item, UploadFailed | DeliveryFailed):
             await self._fail(item)
             return self._machine.handle_event(CallerGone(), now)
         return self._machine.handle_event(item, now)
 
-    async def _fail(self, item: UploadFailed | Undeliverable) -> None:
+    async def _fail(self, item: UploadFailed | DeliveryFailed) -> None:
         fault = item.fault
         if not isinstance(fault, OleanderError):
             return
@@ -265,10 +267,10 @@
             )
 
     async def _watch_caller(self) -> None:
-        await self._body.wait_gone()
+        await self._body.wait_disconnected()
         if not self._delivery.ended:
             self._effects.log(EventName.REQUEST_CANCELLED)
-            self._effects.note_gone()
+            self._effects.report_caller_gone()
 
     def _start_timer(self, item: Item, delay: Millis) -> None:
         loop = asyncio.get_running_loop()
@@ -288,18 +290,18 @@
         call = self._call
         if not call.key:
             return None
-        if not self._tools.claims.synced:
+        if not self._resources.claims.is_caught_up:
             raise OleanderError(
                 ErrorKind.NOT_READY, 'the claims log is being read', ran=Ran.NO
             )
         return self._core.claims.get_verdict(call.key, call.digest)
 
-    def _forget(self) -> None:
+    def _clean_up(self) -> None:
         for timer in self._timers:
             timer.cancel()
         core, request = self._core, self._call.request
         now = core.clock.now()
-        self._tools.claims.forget(self._inbox)
+        self._resources.claims.forget(self._inbox)
         core.router.record_finished(request, now)
         core.admission.record_finished(request, now)
         self._queue.release()
@@ -338,7 +340,7 @@
         )
 
 
-def _make_extra(call: Call) -> Headers:
+def _make_extra_headers(call: Call) -> Headers:
     if not call.key:
         return ()
     return ((_HORIZON_HEADER, str(int(call.spec.horizon / SECOND))),)
--- a/src/oleanderdyke/entry/resume.py
+++ b/src/oleanderdyke/entry/resume.py
@@ -10,7 +10,7 @@
 
 from oleanderdyke.entry import edge
 from oleanderdyke.entry.delivery import Delivery
-from oleanderdyke.entry.effects import Tools
+from oleanderdyke.entry.effects import EntryResources
 from oleanderdyke.entry.inbox import HandedOver, Inbox, Item
 from oleanderdyke.entry.receiver import AnswerReceiver
 from oleanderdyke.entry.sse import Position
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ResumeAsk:
+class ResumeRequest:
     """Name the stream a team wants to go on with, and what it has of it."""
 
     request: str
@@ -61,22 +61,22 @@
 
     def __init__(
         self,
-        tools: Tools,
-        ask: ResumeAsk,
+        resources: EntryResources,
+        resume: ResumeRequest,
         *,
         body: edge.Body,
         delivery: Delivery,
     ) -> None:
-        self._core = tools.core
-        self._stopper = tools.stopper
-        self._ask = ask
+        self._core = resources.core
+        self._stopper = resources.stopper
+        self._resume = resume
         self._body = body
         self._delivery = delivery
         self._inbox = Inbox()
-        self._receiver = AnswerReceiver(ask.request, self._inbox)
+        self._receiver = AnswerReceiver(resume.request, self._inbox)
         self._link: Link | None = None
         self._ungranted = 0
-        self._credit = tools.core.settings.requests.credit // 2
+        self._credit = resources.core.settings.requests.credit // 2
         self._parts: Mapping[type[Message], Callable[[Any], Awaitable[None]]]
         self._parts = {
             AnswerHead: self._pass_head,
@@ -87,35 +87,35 @@
 
     async def run(self) -> None:
         """Answer the caller; raise OleanderError or CallerGone."""
-        link = self._core.find_link(self._ask.stream.agent)
+        link = self._core.find_link(self._resume.stream.agent)
         if link is None:
             raise make_stream_gone()
         self._link = link
-        self._core.running[self._ask.request] = self
+        self._core.running[self._resume.request] = self
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._watch_caller)
-                await self._lead(link)
+                await self._drive(link)
                 tasks.cancel_scope.cancel()
         finally:
-            del self._core.running[self._ask.request]
+            del self._core.running[self._resume.request]
 
     def take(self, message: Message) -> None:
         """Take a message of the agent."""
         self._receiver.take(message)
 
-    def lose(self, link: Link) -> None:
+    def handle_link_down(self, link: Link) -> None:
         """Learn that a link is gone."""
         if link is self._link:
             peer = link.peer
             self._inbox.put(LinkLost(peer.process, peer.incarnation))
 
-    def gain(self, link: Link) -> None:
+    def handle_link_up(self, link: Link) -> None:
         """Ignore a new link: a caller whose stream broke asks again."""
 
     def end_incarnation(self, agent: str, incarnation: str) -> None:
         """Learn that an incarnation of an agent is over for good."""
-        if agent == self._ask.stream.agent:
+        if agent == self._resume.stream.agent:
             self._inbox.put(IncarnationEnded(agent, incarnation))
 
     def release(self, decision: Admitted | Refusal) -> None:
@@ -125,26 +125,26 @@
         """Leave the stream to another entry."""
         self._inbox.put(HandedOver())
 
-    def stop(self, *, hurry: bool) -> None:
+    def stop(self, *, immediate: bool) -> None:
         """Learn that the entry stops."""
-        if hurry:
+        if immediate:
             self._inbox.put(Stopping(immediate=True))
 
-    async def _lead(self, link: Link) -> None:
-        start = self._ask.position.chunk + 1
+    async def _drive(self, link: Link) -> None:
+        start = self._resume.position.chunk + 1
         self._receiver.expect_rest(_ATTEMPT, start)
         self._core.log.write(
             EventName.STREAM_RESUMED,
-            request=self._ask.request,
-            team=self._ask.team,
-            agent=self._ask.stream.agent,
+            request=self._resume.request,
+            team=self._resume.team,
+            agent=self._resume.stream.agent,
         )
         await link.send(
             Resume(
-                self._ask.request,
+                self._resume.request,
                 _ATTEMPT,
-                self._ask.team,
-                self._ask.stream.token,
+                self._resume.team,
+                self._resume.stream.token,
                 start,
             )
         )
@@ -155,9 +155,9 @@
             if isinstance(item, MessageReceived):
                 await self._parts[type(item.message)](item.message)
             else:
-                await self._end(item)
+                await self._handle_end(item)
 
-    async def _end(self, item: Item) -> None:
+    async def _handle_end(self, item: Item) -> None:
         if isinstance(item, CallerGone):
             raise edge.CallerGone
         if isinstance(item, HandedOver | Stopping):
@@ -168,8 +168,8 @@
         )
 
     async def _pass_head(self, head: AnswerHead) -> None:
-        token = encode_token(self._ask.stream)
-        self._stopper.mark_resumable(self._ask.request)
+        token = encode_token(self._resume.stream)
+        self._stopper.mark_resumable(self._resume.request)
         self._delivery.put_head(DeliverHead(head.status, head.headers, token))
 
     async def _pass_chunk(self, chunk: AnswerChunk) -> None:
@@ -183,7 +183,7 @@
         await self._delivery.flush()
         if self._ungranted < self._credit or self._link is None:
             return
-        credit = Credit(self._ask.request, _ATTEMPT, self._ungranted)
+        credit = Credit(self._resume.request, _ATTEMPT, self._ungranted)
         self._ungranted = 0
         await self._link.send(credit)
 
@@ -203,6 +203,6 @@
         )
 
     async def _watch_caller(self) -> None:
-        await self._body.wait_gone()
+        await self._body.wait_disconnected()
         if not self._delivery.ended:
             self._inbox.put(CallerGone())
--- a/src/oleanderdyke/entry/sender.py
+++ b/src/oleanderdyke/entry/sender.py
@@ -121,7 +121,7 @@
         )
         await self._send(link, message)
 
-    async def ask(self, action: QueryClaim) -> None:
+    async def query_claim(self, action: QueryClaim) -> None:
         """Ask an agent what became of a claim."""
         link = self._core.find_link(action.agent)
         if link is None:
@@ -142,12 +142,12 @@
         self._ungranted = 0
         await self._send(self._link, credit)
 
-    def note_passed(self) -> bool:
+    def count_forwarded_chunk(self) -> bool:
         """Count a chunk that the caller has taken; tell whether to grant."""
         self._ungranted += 1
         return self._is_grant_due()
 
-    def lose(self, link: Link) -> None:
+    def handle_link_down(self, link: Link) -> None:
         """Tell the machine where the link was in use."""
         if link is self._link:
             peer = link.peer
@@ -166,7 +166,7 @@
         try:
             await link.send(message)
         except OleanderError:
-            self.lose(link)
+            self.handle_link_down(link)
 
     def _make_dispatch(self, action: SendDispatch) -> Message:
         core = self._core
@@ -176,10 +176,10 @@
             core.fleet,
             offset=core.reader.offset,
             deadline=max(self._deadline - core.clock.now(), 0.0),
-            worthy=self._count_worthy(),
+            export_count=self._count_exportable(),
         )
 
-    def _count_worthy(self) -> int:
+    def _count_exportable(self) -> int:
         """Count one use of the prompt, however often it is sent."""
         exports = self._core.exports
         hints = [make_hint(segment) for segment in self._call.segments]
--- a/src/oleanderdyke/entry/shell.py
+++ b/src/oleanderdyke/entry/shell.py
@@ -16,7 +16,7 @@
 from oleanderdyke.entry.claims import ClaimLog
 from oleanderdyke.entry.configuration import ConfigurationFeed
 from oleanderdyke.entry.core import Core, log_readiness, make_core
-from oleanderdyke.entry.effects import Tools
+from oleanderdyke.entry.effects import EntryResources
 from oleanderdyke.entry.logreader import LogReader
 from oleanderdyke.entry.queue import ReleaseQueue
 from oleanderdyke.entry.server import EdgeServer, make_server, open_listener
@@ -50,7 +50,7 @@
         self._pool = self._make_pool()
         self._watch = VmWatch(core, self._vms, self._pool)
         core.find_link = self._pool.find
-        core.settled = False
+        core.links_ready = False
 
     async def run(self) -> None:
         """Serve until a planned stop is over."""
@@ -84,20 +84,20 @@
             self._client,
             log.configuration,
             find_start=lambda: self._core.reader.log_position,
-            take_page=self._feed.take_page,
+            apply_page=self._feed.apply_page,
         )
         claims = LogReader(
             self._core,
             self._client,
             log.claims,
             find_start=lambda: self._core.claims.next_offset,
-            take_page=self._take_claims,
+            apply_page=self._take_claims,
         )
         for run in (
             configuration.run,
             claims.run,
             self._claims.run,
-            self._claims.carry,
+            self._claims.renew_claims,
             self._feed.append_snapshots,
             self._watch.run,
             self._settle,
@@ -112,7 +112,7 @@
         for record in page.records:
             table.apply(record.offset, record.at, record.data)
         table.set_catch_up_target(page.end)
-        self._claims.settle_read()
+        self._claims.settle_claims()
 
     async def _tick(self) -> None:
         core, fault = self._core, ''
@@ -124,9 +124,9 @@
     async def _settle(self) -> None:
         """Hold back readiness, for a bounded time, until links are up."""
         with anyio.move_on_after(_SETTLE_LIMIT):
-            while not (self._watch.settled and self._claims.synced):
+            while not (self._watch.all_linked and self._claims.is_caught_up):
                 await anyio.sleep(_SETTLE_POLL)
-        self._core.settled = True
+        self._core.links_ready = True
 
     async def _close(self, server: EdgeServer) -> None:
         """Let the last records and answers go out, within bounds."""
@@ -154,9 +154,9 @@
         )
 
     def _make_server(self) -> EdgeServer:
-        tools = Tools(self._core, self._claims, self._stopper)
+        resources = EntryResources(self._core, self._claims, self._stopper)
         admin = make_admin_edge(self._core, self._client)
-        app = App(tools, self._queue, admin.serve)
+        app = App(resources, self._queue, admin.serve)
         return make_server(app, self._core.settings.http)
 
 
--- a/src/oleanderdyke/entry/stopping.py
+++ b/src/oleanderdyke/entry/stopping.py
@@ -33,7 +33,7 @@
     def hand_over(self) -> None:
         """Leave the answer to another entry."""
 
-    def stop(self, *, hurry: bool) -> None:
+    def stop(self, *, immediate: bool) -> None:
         """Learn that the entry stops."""
 
 
@@ -67,7 +67,7 @@
 
     def __init__(self, core: Stoppable) -> None:
         self._core = core
-        self._told = False
+        self._requests_notified = False
         self._exit = anyio.Event()
         self._signalled = anyio.Event()
 
@@ -86,53 +86,53 @@
     def end(self, request: str) -> None:
         """Forget a request."""
         core = self._core
-        self._carry_out(core.drain.end_work(request, core.clock.now()))
+        self._execute(core.drain.end_work(request, core.clock.now()))
 
     def mark_resumable(self, request: str) -> None:
         """Note that a request can be resumed through another entry."""
         core = self._core
-        self._carry_out(core.drain.mark_resumable(request, core.clock.now()))
+        self._execute(core.drain.mark_resumable(request, core.clock.now()))
 
-    def take_back(self, request: str) -> None:
+    def mark_not_resumable(self, request: str) -> None:
         """Note that a request can't be resumed through another entry yet."""
         self._core.drain.mark_not_resumable(request)
 
-    def take_signal(self, name: str) -> None:
+    def handle_signal(self, name: str) -> None:
         """Begin to stop, or hurry."""
         core = self._core
         core.log.write(EventName.PROCESS_STOPPING, signal=name)
-        self._carry_out(core.drain.signal(core.clock.now()))
+        self._execute(core.drain.signal(core.clock.now()))
         self._signalled.set()
 
     async def watch(self, signals: AsyncIterator[signal.Signals]) -> None:
         """Take signals until cancelled."""
         async for number in signals:
-            self.take_signal(signal.Signals(number).name)
+            self.handle_signal(signal.Signals(number).name)
 
     async def run(self) -> None:
         """Return when the process should exit."""
         await self._signalled.wait()
         core = self._core
         while not self._exit.is_set():
-            self._carry_out(core.drain.tick(core.clock.now()))
-            self._tell_stopping()
+            self._execute(core.drain.tick(core.clock.now()))
+            self._notify_requests()
             with anyio.move_on_after(_TICK):
                 await self._exit.wait()
 
-    def _tell_stopping(self) -> None:
+    def _notify_requests(self) -> None:
         """Tell every request once that no new work is taken any more."""
         accepting = (DrainPhase.SERVING, DrainPhase.ANNOUNCED)
-        if self._told or self._core.drain.phase in accepting:
+        if self._requests_notified or self._core.drain.phase in accepting:
             return
-        self._told = True
+        self._requests_notified = True
         for running in tuple(self._core.running.values()):
-            running.stop(hurry=False)
+            running.stop(immediate=False)
 
-    def _carry_out(self, actions: tuple[DrainAction, ...]) -> None:
+    def _execute(self, actions: tuple[DrainAction, ...]) -> None:
         for action in actions:
-            self._carry_out_one(action)
+            self._execute_one(action)
 
-    def _carry_out_one(self, action: DrainAction) -> None:
+    def _execute_one(self, action: DrainAction) -> None:
         match action:
             case Announce():
                 self._core.log.write(EventName.DRAIN_STARTED)
@@ -155,4 +155,4 @@
             self._core.log.write(EventName.REQUEST_CUT, request=request)
             running = self._core.running.get(request)
             if running is not None:
-                running.stop(hurry=True)
+                running.stop(immediate=True)
--- a/src/oleanderdyke/entry/targets.py
+++ b/src/oleanderdyke/entry/targets.py
@@ -16,7 +16,7 @@
 _DIGITS = 3
 
 
-def note_answered(
+def evaluate_answered(
     core: Core, call: Call, delivery: Delivery, end: AnswerEnd | None
 ) -> None:
     """Judge a whole answer; only streams show when their tokens came."""
@@ -31,7 +31,7 @@
     _judge(core, call, served)
 
 
-def note_refused(
+def evaluate_refused(
     core: Core,
     call: Call,
     kind: ErrorKind,
--- a/src/oleanderdyke/entry/vmwatch.py
+++ b/src/oleanderdyke/entry/vmwatch.py
@@ -30,7 +30,7 @@
         self._known: dict[str, None] = {}
 
     @property
-    def settled(self) -> bool:
+    def all_linked(self) -> bool:
         """Return whether every known address has a link."""
         return bool(self._known) and all(map(self._pool.find, self._known))
 
--- a/tests/edges.py
+++ b/tests/edges.py
@@ -17,7 +17,7 @@
 from oleanderdyke.entry.claims import ClaimLog
 from oleanderdyke.entry.core import Core, make_core
 from oleanderdyke.entry.edge import Body, Head, make_not_found
-from oleanderdyke.entry.effects import Tools
+from oleanderdyke.entry.effects import EntryResources
 from oleanderdyke.entry.queue import ReleaseQueue
 from oleanderdyke.entry.settings import (
     EntrySettings,
@@ -109,7 +109,7 @@
         for offset in range(table.next_offset, len(self.batches)):
             table.apply(offset, 1_000.0, self.batches[offset])
         table.set_catch_up_target(len(self.batches))
-        claims.settle_read()
+        claims.settle_claims()
 
 
 @dataclass
@@ -217,8 +217,8 @@
         self.claims = ClaimLog(self.core, self.log)  # type: ignore[arg-type]
         self.stopper = Stopper(self.core)
         self.queue = ReleaseQueue(self.core)
-        tools = Tools(self.core, self.claims, self.stopper)
-        self.app = App(tools, self.queue, _serve_nothing)
+        resources = EntryResources(self.core, self.claims, self.stopper)
+        self.app = App(resources, self.queue, _serve_nothing)
         if configured:
             self.configure()
 
--- a/tests/entry_scene.py
+++ b/tests/entry_scene.py
@@ -73,7 +73,7 @@
         edge.start(tasks)
         if claims:
             tasks.start_soon(follow_log, edge)
-            await wait(lambda: edge.claims.synced)
+            await wait(lambda: edge.claims.is_caught_up)
         yield edge, link
 
 
--- a/tests/matrix/callers.py
+++ b/tests/matrix/callers.py
@@ -18,7 +18,7 @@
 from oleanderdyke.entry.chat import parse_chat
 from oleanderdyke.entry.delivery import RESUME_HEADER
 from oleanderdyke.entry.edge import CallerGone, Head
-from oleanderdyke.entry.resume import ResumeAsk
+from oleanderdyke.entry.resume import ResumeRequest
 from oleanderdyke.entry.sse import Position, parse_position
 from oleanderdyke.entry.tokens import decode_token
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
@@ -103,7 +103,7 @@
         self.done = True
         self.outcome = 'gone'
         if self.driver is not None and self.entry is not None:
-            self.entry.after(1.0, self.driver.effects.note_gone)
+            self.entry.after(1.0, self.driver.effects.report_caller_gone)
 
     def note_dead(self, process: object) -> None:
         """Learn that the entry's connection is gone."""
@@ -215,7 +215,7 @@
         reply.go_on_with(request)
         stream = decode_token(self.token)
         position = reply.find_position(call.body)
-        ask = ResumeAsk(self._request, self.team, stream, position)
+        ask = ResumeRequest(self._request, self.team, stream, position)
 
         def serve() -> None:
             try:
--- a/tests/matrix/drivers.py
+++ b/tests/matrix/drivers.py
@@ -12,7 +12,7 @@
 from oleanderdyke.entry.edge import CallerGone
 from oleanderdyke.entry.inbox import HandedOver, Inbox, Item
 from oleanderdyke.entry.requests import RequestDriver
-from oleanderdyke.entry.resume import ResumeAsk, ResumeDriver
+from oleanderdyke.entry.resume import ResumeDriver, ResumeRequest
 from oleanderdyke.entry.tokens import make_stream_gone
 from oleanderdyke.errors import OleanderError
 from oleanderdyke.kernel.attempt_events import DeadlinePassed, MessageReceived
@@ -114,7 +114,7 @@
             self._start_timer(DeadlinePassed(), left)
             await self._pass_admission()
             now = core.clock.now()
-            await self._effects.carry_out(self._machine.start(now, verdict))
+            await self._effects.execute(self._machine.start(now, verdict))
         except OleanderError:
             self.finish()
             raise
@@ -126,18 +126,18 @@
         self._turns.over = True
         drive(_close(self._answer))
         self._core.running.pop(self._call.request, None)
-        self._forget()
+        self._clean_up()
         self._entry.stopper.end(self._call.request)
 
     async def _take_turn(self, item: Item | None) -> None:
         if item is None:
             await self._effects.flush()
         elif isinstance(item, HandedOver):
-            if await self._pass_to_other():
+            if await self._hand_over_stream():
                 self.finish()
                 return
         else:
-            await self._effects.carry_out(await self._answer_item(item))
+            await self._effects.execute(await self._handle_item(item))
         if self._machine.done:
             self.finish()
 
@@ -149,7 +149,7 @@
     """Go on with a stream as the driver does."""
 
     def __init__(
-        self, entry: ModelEntry, ask: ResumeAsk, delivery: Delivery
+        self, entry: ModelEntry, ask: ResumeRequest, delivery: Delivery
     ) -> None:
         self._entry = entry
         caller: Any = _Caller()
@@ -158,7 +158,7 @@
 
     async def begin(self) -> None:
         """Ask for the rest; raise OleanderError."""
-        core, ask = self._core, self._ask
+        core, ask = self._core, self._resume
         link = core.find_link(ask.stream.agent)
         if link is None:
             self.finish()
@@ -174,8 +174,8 @@
         """Forget the stream."""
         self._turns.over = True
         drive(_close(self._delivery._answer))
-        self._core.running.pop(self._ask.request, None)
-        self._entry.stopper.end(self._ask.request)
+        self._core.running.pop(self._resume.request, None)
+        self._entry.stopper.end(self._resume.request)
 
     async def _take_turn(self, item: Item | None) -> None:
         try:
@@ -194,7 +194,7 @@
         elif isinstance(item, MessageReceived):
             await self._parts[type(item.message)](item.message)
         else:
-            await self._end(item)
+            await self._handle_end(item)
 
 
 async def _close(answer: Answer) -> None:
--- a/tests/matrix/entry.py
+++ b/tests/matrix/entry.py
@@ -15,9 +15,9 @@
 from oleanderdyke.entry.configuration import ConfigurationFeed
 from oleanderdyke.entry.core import Core
 from oleanderdyke.entry.delivery import Delivery
-from oleanderdyke.entry.effects import Tools
+from oleanderdyke.entry.effects import EntryResources
 from oleanderdyke.entry.queue import ReleaseQueue
-from oleanderdyke.entry.resume import ResumeAsk
+from oleanderdyke.entry.resume import ResumeRequest
 from oleanderdyke.entry.settings import (
     EntrySettings,
     LogSettings,
@@ -125,7 +125,7 @@
         self.feed = ConfigurationFeed(core, port)
         self.stopper = Stopper(core)
         self.links = AgentLinks(core, self.feed)
-        self.tools = Tools(core, self.claim_log, self.stopper)
+        self.tools = EntryResources(core, self.claim_log, self.stopper)
         self.queue = ReleaseQueue(core)
         core.find_link = self._find_link  # type: ignore[assignment]
         core.spawn = self._spawn
@@ -152,7 +152,7 @@
         self._run(request.begin, answer)
         return request
 
-    def resume(self, ask: ResumeAsk, answer: Answer) -> None:
+    def resume(self, ask: ResumeRequest, answer: Answer) -> None:
         """Go on with a stream; raise OleanderError."""
         self.stopper.begin(ask.request)
         delivery = Delivery(
@@ -200,7 +200,7 @@
     def stop(self) -> None:
         """Take a stop signal."""
         self.world.points.strike(Point.LEAVING, self)
-        self.do(lambda: self.stopper.take_signal('SIGTERM'))
+        self.do(lambda: self.stopper.handle_signal('SIGTERM'))
         self.world.points.strike(Point.LEAVING, self, after=True)
 
     def _make_core(self, incarnation: str) -> Core:
@@ -234,7 +234,9 @@
             ),
             exports=ExportPolicy(policies),
             drain=world.variants.drain(ENTRY_DRAIN),
-            machine=AttemptSettings(claim_timeout=settings.claims.wait),
+            attempt_settings=AttemptSettings(
+                claim_timeout=settings.claims.wait
+            ),
         )
 
     def _run(
@@ -257,10 +259,10 @@
         return None
 
     def _spawn(self, act: Callable[..., Any], *args: Any) -> None:
-        if act == self.claim_log.repeat:
+        if act == self.claim_log.retry:
             retry = self.core.settings.log.retry
             self.after(retry, lambda: self.claim_log._add(args[0]))
-        elif act != self.links._beat:
+        elif act != self.links._send_beats:
             drive(act(*args))
 
     def _dial(self) -> None:
@@ -284,7 +286,7 @@
     def _poll(self) -> None:
         self.read_soon(self.core.settings.log.configuration)
         self.read_soon(self.core.settings.log.claims)
-        self.claim_log.append_due(self.world.retention)
+        self.claim_log.append_due_renewals(self.world.retention)
         if self.core.reader.is_snapshot_due(self.core.clock.wall()):
             drive(self.feed.append_snapshot())
 
@@ -303,7 +305,7 @@
             if is_claims:
                 self._take_claims(page)
             else:
-                self.feed.take_page(page)
+                self.feed.apply_page(page)
             self.world.points.strike(point, self, after=True)
 
         self.do(take)
@@ -313,13 +315,13 @@
         for record in page.records:
             table.apply(record.offset, record.at, record.data)
         table.set_catch_up_target(page.end)
-        self.claim_log.settle_read()
+        self.claim_log.settle_claims()
 
     def _tick(self) -> None:
         if self.stopper._signalled.is_set():
             drain = self.core.drain
-            self.world.tick_drain(self, drain, self.stopper._carry_out)
-            self.stopper._tell_stopping()
+            self.world.tick_drain(self, drain, self.stopper._execute)
+            self.stopper._notify_requests()
 
 
 async def _send(end: End, message: Message) -> None:
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -136,7 +136,7 @@
 
 def test_is_not_ready_from_the_first_signal_on():
     edge = Edge()
-    edge.stopper.take_signal('SIGTERM')
+    edge.stopper.handle_signal('SIGTERM')
     ready = ask(edge, 'GET', '/ready')
     assert (ready.status, read_error(ready)['kind']) == (503, 'stopping')
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -136,7 +136,7 @@
         def react(message: Message) -> None:
             if is_last(message):
                 for running in edge.core.running.values():
-                    running.lose(link)  # type: ignore[arg-type]
+                    running.handle_link_down(link)  # type: ignore[arg-type]
 
         link.react = react
         reply = await edge.call('POST', BOOKINGS)
@@ -201,7 +201,7 @@
         assert not link.sent
         admission.decision = decision
         if decision is None:
-            edge.core.running[admission.queued[0]].stop(hurry=False)
+            edge.core.running[admission.queued[0]].stop(immediate=False)
         await wait(lambda: replies)
         (reply,) = replies
         assert reply.status == status
@@ -227,7 +227,7 @@
     async with serving() as (edge, link):
         feed = make_feed(edge)
         feed.add_link(link)  # type: ignore[arg-type]
-        feed.hear(link, 1)  # type: ignore[arg-type]
+        feed.handle_peer_offset(link, 1)  # type: ignore[arg-type]
         await wait(lambda: link.sent)
         (difference,) = link.find(ConfigurationDifference)
         assert difference.through == edge.core.reader.offset
@@ -238,7 +238,7 @@
         feed = make_feed(edge)
         offset = edge.core.reader.offset
         while not link.sent:
-            feed.hear(link, offset + 1)  # type: ignore[arg-type]
+            feed.handle_peer_offset(link, offset + 1)  # type: ignore[arg-type]
             await anyio.sleep(0.02)
         assert link.sent == [ConfigurationRequest(offset)]
 
@@ -256,7 +256,7 @@
         page = LogPage(records, first, first + len(records))
         feed = make_feed(other)
         while other.core.find_fault():
-            feed.take_page(page)
+            feed.apply_page(page)
         reply = await other.call('GET', '/ready')
         assert reply.status == 200
         for kind in ObjectKind:
@@ -280,7 +280,7 @@
             running.take(AnswerChunk(dispatch.request, 1, 0, b'data: a\n\n'))
         await wait(lambda: edge.core.drain.running == (dispatch.request,))
         tasks.start_soon(edge.stopper.run)
-        edge.stopper.take_signal('SIGTERM')
+        edge.stopper.handle_signal('SIGTERM')
         refused = await edge.call('GET', BOOKINGS)
         assert refused.status == 503
         assert json.loads(refused.body)['error']['ran'] == 'no'
@@ -360,7 +360,7 @@
         edge = Edge(level='debug')
         edge.start(tasks)
         tasks.start_soon(follow_log, edge)
-        await wait(lambda: edge.claims.synced)
+        await wait(lambda: edge.claims.is_caught_up)
         for service, kind in KINDS.items():
             link = edge.add_agent(service, kind)
             agent = Agent(edge, link, [b'answer-text'])
--- a/tests/test_entry_claims.py
+++ b/tests/test_entry_claims.py
@@ -102,7 +102,7 @@
         )
         edge.start(tasks)
         tasks.start_soon(follow_log, edge)
-        await wait(lambda: edge.claims.synced)
+        await wait(lambda: edge.claims.is_caught_up)
 
         def fail_outcome(message: Message) -> None:
             if is_last(message):
@@ -120,7 +120,7 @@
         Agent(edge, link, [b'ok'])
         await edge.call('POST', BOOKINGS, headers=KEY)
         await wait(lambda: edge.core.claims.next_offset == 2)
-        edge.claims.append_due(1_000.0)
+        edge.claims.append_due_renewals(1_000.0)
         await wait(lambda: len(edge.log.batches) == 3)
         (carried,) = decode_batch(edge.log.batches[2])
         assert isinstance(carried, RenewalRecord)
--- a/tests/test_entry_streams.py
+++ b/tests/test_entry_streams.py
@@ -99,14 +99,16 @@
 async def test_stream_goes_on_over_a_new_link():
     async with bounded() as tasks:
         edge, link = make_model()
-        edge.core.machine = replace(edge.core.machine, query_timeout=20.0)
+        edge.core.attempt_settings = replace(
+            edge.core.attempt_settings, query_timeout=20.0
+        )
         edge.start(tasks)
         replies, dispatch = await start_chat(edge, link)
         request = dispatch.request
         running = edge.core.running[request]
         running.take(AnswerHead(request, 1, 200, SSE, 'stream-1'))
         running.take(AnswerChunk(request, 1, 0, b'data: a\n\n'))
-        running.lose(link)  # type: ignore[arg-type]
+        running.handle_link_down(link)  # type: ignore[arg-type]
         await wait(lambda: link.find(Resume))
         (resume,) = link.find(Resume)
         assert (resume.sequence, resume.token) == (1, 'stream-1')
@@ -128,11 +130,11 @@
         edge, link, dispatch = await begin_flow(tasks, reply, Writer(reply))
         running = edge.core.running[dispatch.request]
         edge.core.find_link = lambda _: None
-        running.lose(link)  # type: ignore[arg-type]
+        running.handle_link_down(link)  # type: ignore[arg-type]
         await wait_all_tasks_blocked()
         assert not link.find(Resume)
         edge.core.find_link = edge.links.get  # type: ignore[assignment]
-        running.gain(link)  # type: ignore[arg-type]
+        running.handle_link_up(link)  # type: ignore[arg-type]
         await wait_all_tasks_blocked()
         (resume,) = link.find(Resume)
         assert resume.sequence == 1
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -14,7 +14,7 @@
 from oleanderdyke.entry.core import make_core
 from oleanderdyke.entry.delivery import Delivery
 from oleanderdyke.entry.settings import EntrySettings, LogSettings, VmSettings
-from oleanderdyke.entry.targets import note_answered, note_refused
+from oleanderdyke.entry.targets import evaluate_answered, evaluate_refused
 from oleanderdyke.errors import ErrorKind
 from oleanderdyke.kernel.attempt_events import DeliverChunk, DeliverHead
 from oleanderdyke.kernel.objects import (
@@ -147,7 +147,7 @@
     def answer(self, call: Call, *gaps: float, **options) -> None:
         end = AnswerEnd(call.request, 1, len(gaps), b'', 20, 100, 7)
         delivery = self.deliver(call, *gaps, **options)
-        note_answered(self.core, call, delivery, end)
+        evaluate_answered(self.core, call, delivery, end)
 
     def list_missed(self) -> list[tuple[str, str, str]]:
         found = map(parse_line, self.lines.getvalue().splitlines())
@@ -180,12 +180,12 @@
 def test_refusal_counts_as_missed_unless_the_caller_is_at_fault():
     bench = Bench()
     call = bench.call('lost')
-    note_refused(bench.core, call, ErrorKind.DEADLINE, duration=30.0)
-    note_refused(
+    evaluate_refused(bench.core, call, ErrorKind.DEADLINE, duration=30.0)
+    evaluate_refused(
         bench.core, bench.call('much'), ErrorKind.RATE_LIMITED, duration=1.0
     )
     begun = bench.call('begun')
-    note_refused(
+    evaluate_refused(
         bench.core,
         begun,
         ErrorKind.STREAM_BROKEN,
@@ -207,7 +207,7 @@
     for number in range(9):
         first.answer(first.call(f'a{number}'), 100, 10)
     second.answer(second.call('b'), 5_000, 10)
-    note_refused(
+    evaluate_refused(
         second.core, second.call('c'), ErrorKind.OVERLOADED, duration=0
     )
     for bench in (first, second):
--- a/tests/test_waiting_for_servers.py
+++ b/tests/test_waiting_for_servers.py
@@ -109,7 +109,7 @@
 async def hurry(stage):
     await anyio.sleep(0.3)
     for running in tuple(stage.core.running.values()):
-        running.stop(hurry=True)
+        running.stop(immediate=True)
 
 
 async def test_a_request_waits_while_all_engines_take_new_weights(tmp_path):
