--- a/src/oleanderdyke/entry/admin.py
+++ b/src/oleanderdyke/entry/admin.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Watched:
+class WatchResult:
     """Hold what changed after an offset; `complete` unless too long ago."""
 
     offset: int
@@ -122,7 +122,7 @@
         self, caller: Caller, kind: ObjectKind, name: str
     ) -> StoredObject:
         """Return an object; raise NOT_FOUND."""
-        _check_own(caller, kind, name)
+        _check_access(caller, kind, name)
         stored = self._catalog.get(kind, name)
         if stored is None:
             raise OleanderError(ErrorKind.NOT_FOUND, f'no {kind} {name!r}')
@@ -132,7 +132,7 @@
         self, caller: Caller, kind: ObjectKind, name: str
     ) -> tuple[Outcome, ...]:
         """Return the recent outcomes for one object, oldest first."""
-        _check_own(caller, kind, name)
+        _check_access(caller, kind, name)
         return self._catalog.history(kind, name)
 
     async def publish(
@@ -147,7 +147,7 @@
         changes = [self._make_change(caller, item) for item in inputs]
         outcomes = await self._publisher.publish(changes)
         for change, outcome in zip(changes, outcomes, strict=True):
-            _check_same(change, outcome)
+            _check_same_change(change, outcome)
         return outcomes
 
     async def find_outcome(
@@ -156,10 +156,12 @@
         """Return what became of a record; raise OUTCOME_UNKNOWN."""
         wait = min(wait, WAIT_LIMIT)
         (outcome,) = await self._publisher.settle([record_id], wait)
-        _check_own(caller, outcome.kind, outcome.name)
+        _check_access(caller, outcome.kind, outcome.name)
         return outcome
 
-    async def watch(self, caller: Caller, after: int, wait: Millis) -> Watched:
+    async def watch(
+        self, caller: Caller, after: int, wait: Millis
+    ) -> WatchResult:
         """Wait until something has changed after an offset."""
         check_operator(caller)
         catalog = self._catalog
@@ -171,7 +173,7 @@
             self._clock,
             poll=_WATCH_POLL,
         )
-        return Watched(
+        return WatchResult(
             catalog.offset,
             catalog.list_outcomes(after),
             catalog.difference(after) is not None,
@@ -197,7 +199,7 @@
             if item.record_id and not _RECORD_ID.fullmatch(item.record_id):
                 fault = 'record_id: allowed: 32 lower-case hex characters'
                 raise OleanderError(ErrorKind.BAD_REQUEST, fault)
-            _check_own(caller, item.kind, item.name)
+            _check_access(caller, item.kind, item.name)
             if caller.team:
                 self._check_tokens_only(item)
 
@@ -228,27 +230,29 @@
         raise OleanderError(ErrorKind.FORBIDDEN, 'this is for operators')
 
 
-def make_conflict(lost: Sequence[Rejected]) -> OleanderError:
+def make_conflict(rejected: Sequence[Rejected]) -> OleanderError:
     """Return the error that tells who won, or why the change is invalid."""
-    invalid = any(item.reason is RejectionReason.INVALID for item in lost)
+    invalid = any(item.reason is RejectionReason.INVALID for item in rejected)
     kind = ErrorKind.BAD_REQUEST if invalid else ErrorKind.CONFLICT
-    return OleanderError(kind, '; '.join(map(_explain, lost)), ran=Ran.NO)
+    return OleanderError(
+        kind, '; '.join(map(_describe_rejection, rejected)), ran=Ran.NO
+    )
 
 
-def _explain(lost: Rejected) -> str:
-    winner = f', last changed by {lost.winner}' if lost.winner else ''
-    return f'{lost.kind} {lost.name}: {lost.detail}{winner}'
+def _describe_rejection(rejected: Rejected) -> str:
+    winner = f', last changed by {rejected.winner}' if rejected.winner else ''
+    return f'{rejected.kind} {rejected.name}: {rejected.detail}{winner}'
 
 
-def _check_own(caller: Caller, kind: ObjectKind, name: str) -> None:
+def _check_access(caller: Caller, kind: ObjectKind, name: str) -> None:
     if caller.team and (kind, name) != (ObjectKind.TEAM, caller.team):
         # The same answer whether or not there is such an object.
         raise OleanderError(ErrorKind.FORBIDDEN, 'this is for operators')
 
 
-def _check_same(change: Change, outcome: Outcome) -> None:
-    mine = (change.operator, change.kind, change.name)
-    if mine != (outcome.operator, outcome.kind, outcome.name):
+def _check_same_change(change: Change, outcome: Outcome) -> None:
+    submitted = (change.operator, change.kind, change.name)
+    if submitted != (outcome.operator, outcome.kind, outcome.name):
         fault = 'record_id: it belongs to another change'
         raise OleanderError(ErrorKind.BAD_REQUEST, fault)
 
--- a/src/oleanderdyke/entry/admin_documents.py
+++ b/src/oleanderdyke/entry/admin_documents.py
@@ -11,7 +11,7 @@
 from urllib.parse import parse_qs
 
 from oleanderdyke.clock import Millis
-from oleanderdyke.entry.admin import ChangeInput, Watched
+from oleanderdyke.entry.admin import ChangeInput, WatchResult
 from oleanderdyke.entry.documents import make_bad_request, parse_document
 from oleanderdyke.errors import ErrorKind, OleanderError
 from oleanderdyke.kernel.catalog import Applied, ObjectPage, Outcome
@@ -91,8 +91,8 @@
     """Read the body of a publication; raise BAD_REQUEST with all faults."""
     found = structure_document(parse_document(body), _ChangeList, source=_BODY)
     return tuple(
-        _parse_change(raw, ('changes', str(place)))
-        for place, raw in enumerate(found.changes)
+        _parse_change(raw, ('changes', str(index)))
+        for index, raw in enumerate(found.changes)
     )
 
 
@@ -114,7 +114,7 @@
     )
 
 
-def show_object(stored: StoredObject) -> dict[str, Any]:
+def describe_object(stored: StoredObject) -> dict[str, Any]:
     """Return an object as JSON shows it, without its defaults."""
     return {
         'kind': stored.kind.value,
@@ -124,38 +124,38 @@
     }
 
 
-def show_page(page: ObjectPage, offset: int) -> dict[str, Any]:
+def describe_page(page: ObjectPage, offset: int) -> dict[str, Any]:
     """Return a page of objects as JSON shows it."""
-    objects = [show_object(item) for item in page.objects]
+    objects = [describe_object(item) for item in page.objects]
     return {'objects': objects, 'after': page.after, 'offset': offset}
 
 
-def show_outcome(outcome: Outcome) -> dict[str, Any]:
+def describe_outcome(outcome: Outcome) -> dict[str, Any]:
     """Return an outcome as JSON shows it."""
     result = 'applied' if isinstance(outcome, Applied) else 'lost'
     return {'result': result, **dataclasses.asdict(outcome)}
 
 
-def show_outcomes(outcomes: Iterable[Outcome]) -> dict[str, Any]:
+def describe_outcomes(outcomes: Iterable[Outcome]) -> dict[str, Any]:
     """Return outcomes as JSON shows them."""
-    return {'outcomes': [show_outcome(item) for item in outcomes]}
+    return {'outcomes': [describe_outcome(item) for item in outcomes]}
 
 
-def show_watched(watched: Watched) -> dict[str, Any]:
+def describe_watch(watched: WatchResult) -> dict[str, Any]:
     """Return what a watch has seen as JSON shows it."""
     return {
         'offset': watched.offset,
         'complete': watched.complete,
-        **show_outcomes(watched.outcomes),
+        **describe_outcomes(watched.outcomes),
     }
 
 
 def encode(document: object) -> bytes:
     """Return JSON; data classes and enumerations are allowed."""
-    return json.dumps(document, default=_to_plain).encode()
+    return json.dumps(document, default=_convert_value).encode()
 
 
-def _to_plain(value: Any) -> Any:
+def _convert_value(value: Any) -> Any:
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
         return dataclasses.asdict(value)
     if isinstance(value, enum.Enum):
--- a/src/oleanderdyke/entry/admin_edge.py
+++ b/src/oleanderdyke/entry/admin_edge.py
@@ -15,14 +15,14 @@
 )
 from oleanderdyke.entry.admin_documents import (
     Query,
+    describe_object,
+    describe_outcome,
+    describe_outcomes,
+    describe_page,
+    describe_watch,
     encode,
     parse_changes,
     parse_kind,
-    show_object,
-    show_outcome,
-    show_outcomes,
-    show_page,
-    show_watched,
 )
 from oleanderdyke.entry.admin_status import make_status
 from oleanderdyke.entry.answers import Answer
@@ -42,13 +42,13 @@
 
 _OK = 200
 _ACCEPTED = 202
-_PARTS = 5
+_MAX_PATH_PARTS = 5
 
-Handle: TypeAlias = Callable[['Ask'], Awaitable[tuple[int, Any]]]
+Handler: TypeAlias = Callable[['AdminRequest'], Awaitable[tuple[int, Any]]]
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class AdminRequest:
     """Hold what one request asks."""
 
     caller: Caller
@@ -63,13 +63,13 @@
     def __init__(self, core: Core, administration: Administration) -> None:
         self._core = core
         self._administration = administration
-        self._handlers: Mapping[tuple[str, str, int], Handle] = {
+        self._handlers: Mapping[tuple[str, str, int], Handler] = {
             ('GET', 'objects', 1): self._list,
             ('GET', 'objects', 2): self._get,
-            ('GET', 'history', 2): self._show_history,
+            ('GET', 'history', 2): self._get_history,
             ('GET', 'outcomes', 1): self._find_outcome,
             ('GET', 'watch', 0): self._watch,
-            ('GET', 'status', 0): self._show_status,
+            ('GET', 'status', 0): self._get_status,
             ('POST', 'changes', 0): self._publish,
             ('POST', 'drain', 1): self._drain,
         }
@@ -77,76 +77,78 @@
     async def serve(self, head: Head, body: Body, answer: Answer) -> None:
         """Serve one request below `/admin/v1/`; raise OleanderError."""
         caller = self._administration.identify(hash_token(head))
-        _, _, what, *names = split_path(head.target, _PARTS)
-        handle = self._find(head.method, what, len(names))
-        ask = Ask(caller, tuple(names), Query(head.query), await body.read())
-        status, document = await handle(ask)
+        _, _, resource, *names = split_path(head.target, _MAX_PATH_PARTS)
+        handler = self._find_handler(head.method, resource, len(names))
+        request = AdminRequest(
+            caller, tuple(names), Query(head.query), await body.read()
+        )
+        status, document = await handler(request)
         await answer.send_json(status, encode(document))
 
-    def _find(self, method: str, what: str, count: int) -> Handle:
-        handle = self._handlers.get((method, what, count))
-        if handle is not None:
-            return handle
+    def _find_handler(self, method: str, resource: str, count: int) -> Handler:
+        handler = self._handlers.get((method, resource, count))
+        if handler is not None:
+            return handler
         allowed = [
             known
             for known, name, names in self._handlers
-            if (name, names) == (what, count)
+            if (name, names) == (resource, count)
         ]
         if not allowed:
             raise make_not_found()
         fault = f'allowed here: {", ".join(allowed)}'
         raise OleanderError(ErrorKind.METHOD_NOT_ALLOWED, fault)
 
-    async def _list(self, ask: Ask) -> tuple[int, Any]:
+    async def _list(self, request: AdminRequest) -> tuple[int, Any]:
         page = self._administration.list_objects(
-            ask.caller,
-            parse_kind(ask.names[0]),
-            ask.query.read_selector(),
-            after=ask.query.read_text('after'),
-            limit=ask.query.read_number('limit', PAGE_LIMIT),
+            request.caller,
+            parse_kind(request.names[0]),
+            request.query.read_selector(),
+            after=request.query.read_text('after'),
+            limit=request.query.read_number('limit', PAGE_LIMIT),
         )
-        return _OK, show_page(page, self._core.catalog.offset)
+        return _OK, describe_page(page, self._core.catalog.offset)
 
-    async def _get(self, ask: Ask) -> tuple[int, Any]:
-        kind, name = parse_kind(ask.names[0]), ask.names[1]
-        stored = self._administration.get_object(ask.caller, kind, name)
+    async def _get(self, request: AdminRequest) -> tuple[int, Any]:
+        kind, name = parse_kind(request.names[0]), request.names[1]
+        stored = self._administration.get_object(request.caller, kind, name)
         offset = self._core.catalog.offset
-        return _OK, {**show_object(stored), 'offset': offset}
+        return _OK, {**describe_object(stored), 'offset': offset}
 
-    async def _show_history(self, ask: Ask) -> tuple[int, Any]:
-        kind, name = parse_kind(ask.names[0]), ask.names[1]
-        found = self._administration.history(ask.caller, kind, name)
-        return _OK, show_outcomes(found)
+    async def _get_history(self, request: AdminRequest) -> tuple[int, Any]:
+        kind, name = parse_kind(request.names[0]), request.names[1]
+        found = self._administration.history(request.caller, kind, name)
+        return _OK, describe_outcomes(found)
 
-    async def _find_outcome(self, ask: Ask) -> tuple[int, Any]:
+    async def _find_outcome(self, request: AdminRequest) -> tuple[int, Any]:
         outcome = await self._administration.find_outcome(
-            ask.caller, ask.names[0], ask.query.read_wait()
+            request.caller, request.names[0], request.query.read_wait()
         )
-        return _OK, show_outcome(outcome)
+        return _OK, describe_outcome(outcome)
 
-    async def _watch(self, ask: Ask) -> tuple[int, Any]:
-        after = ask.query.read_number('after', self._core.catalog.offset)
+    async def _watch(self, request: AdminRequest) -> tuple[int, Any]:
+        after = request.query.read_number('after', self._core.catalog.offset)
         watched = await self._administration.watch(
-            ask.caller, after, ask.query.read_wait()
+            request.caller, after, request.query.read_wait()
         )
-        return _OK, show_watched(watched)
+        return _OK, describe_watch(watched)
 
-    async def _show_status(self, ask: Ask) -> tuple[int, Any]:
-        check_operator(ask.caller)
-        offset = ask.query.read_number('offset', self._core.catalog.offset)
-        missed = ask.query.read_number('missed', 0)
+    async def _get_status(self, request: AdminRequest) -> tuple[int, Any]:
+        check_operator(request.caller)
+        offset = request.query.read_number('offset', self._core.catalog.offset)
+        missed = request.query.read_number('missed', 0)
         status = make_status(self._core, offset, missed=max(missed, 0))
         return _OK, status
 
-    async def _publish(self, ask: Ask) -> tuple[int, Any]:
+    async def _publish(self, request: AdminRequest) -> tuple[int, Any]:
         outcomes = await self._administration.publish(
-            ask.caller, parse_changes(ask.body)
+            request.caller, parse_changes(request.body)
         )
-        found = show_outcomes(outcomes)
-        lost = [item for item in outcomes if isinstance(item, Rejected)]
-        if not lost:
+        found = describe_outcomes(outcomes)
+        rejected = [item for item in outcomes if isinstance(item, Rejected)]
+        if not rejected:
             return _OK, found
-        error = make_conflict(lost)
+        error = make_conflict(rejected)
         fault = {
             'kind': error.kind,
             'message': error.message,
@@ -154,9 +156,9 @@
         }
         return error.status, {'error': fault, **found}
 
-    async def _drain(self, ask: Ask) -> tuple[int, Any]:
-        agent = ask.names[0]
-        await self._administration.drain(ask.caller, agent)
+    async def _drain(self, request: AdminRequest) -> tuple[int, Any]:
+        agent = request.names[0]
+        await self._administration.drain(request.caller, agent)
         return _ACCEPTED, {'agent': agent, 'asked': True}
 
 
--- a/src/oleanderdyke/entry/admin_status.py
+++ b/src/oleanderdyke/entry/admin_status.py
@@ -123,7 +123,7 @@
     for view in views:
         if view.condition is not Condition.DROPPED:
             offsets[view.replica.agent] = view.offset
-    missing = sorted(name for name, has in offsets.items() if has < offset)
+    missing = sorted(name for name, known in offsets.items() if known < offset)
     have = len(offsets) - len(missing)
     return Reach(offset, have, len(offsets), tuple(missing))
 
@@ -158,9 +158,9 @@
 def _measure_service(
     core: Core, name: str, spec: ServiceSpec, missed: int
 ) -> ServiceStatus:
-    metrics, book = core.metrics, core.targets.get(name)
+    metrics, monitor = core.metrics, core.targets.get(name)
     model = spec.kind is ServiceKind.MODEL
-    refusals = sorted((kind.value, n) for kind, n in book.refusals.items())
+    refusals = sorted((kind.value, n) for kind, n in monitor.refusals.items())
     timings = (
         (timing.value, metrics.encode_timing(timing, name))
         for timing in _TIMINGS
@@ -170,7 +170,7 @@
         kind=spec.kind.value,
         requests=int(metrics.read_count(Count.REQUESTS, name)),
         targets=spec.targets,
-        standings=book.evaluate(spec.targets, core.clock.now())
+        standings=monitor.evaluate(spec.targets, core.clock.now())
         if model
         else (),
         prompt_tokens=int(metrics.read_count(Count.PROMPT_TOKENS, name)),
@@ -180,6 +180,6 @@
         link_bytes=int(metrics.read_count(Count.LINK_BYTES, name)),
         refusals=dict(refusals),
         missed=int(metrics.read_count(Count.MISSED_TARGETS, name)),
-        missed_requests=book.list_missed(missed) if missed else (),
+        missed_requests=monitor.list_missed(missed) if missed else (),
         timings=dict(timings) if missed else {},
     )
--- a/src/oleanderdyke/entry/app.py
+++ b/src/oleanderdyke/entry/app.py
@@ -43,31 +43,36 @@
 from oleanderdyke.kernel.objects import StoredObject
 from oleanderdyke.metrics import RENDERED_TYPE, Count, Gauge
 
-Serve: TypeAlias = Callable[[Head, Body, Answer], Awaitable[None]]
+RequestHandler: TypeAlias = Callable[[Head, Body, Answer], Awaitable[None]]
 
 _CLASS_HEADER = 'oleander-class'
 _BACKGROUND = 'background'
 # A body up to this size can be sent again and is read before routing.
-_HELD_BYTES = 256 * 1024
+_REPLAYABLE_BYTES = 256 * 1024
 
 
 class App:
     """Route requests; answer every fault with a typed error."""
 
     def __init__(
-        self, resources: EntryResources, queue: ReleaseQueue, admin: Serve
+        self,
+        resources: EntryResources,
+        queue: ReleaseQueue,
+        admin: RequestHandler,
     ) -> None:
         self._core: Core = resources.core
         self._resources = resources
         self._queue = queue
-        self._fixed: Mapping[tuple[str, str], Serve] = {
+        self._exact_routes: Mapping[tuple[str, str], RequestHandler] = {
             ('GET', '/live'): self._serve_live,
             ('GET', '/ready'): self._serve_ready,
             ('GET', '/metrics'): self._serve_metrics,
             ('POST', '/v1/chat/completions'): self._serve_chat,
         }
-        self._methods = {path: method for method, path in self._fixed}
-        self._prefixes: Mapping[str, Serve] = {
+        self._allowed_methods = {
+            path: method for method, path in self._exact_routes
+        }
+        self._prefix_routes: Mapping[str, RequestHandler] = {
             '/v1/services/': self._serve_plain,
             '/v1/streams/': self._serve_stream,
             '/admin/v1/': admin,
@@ -88,33 +93,33 @@
             body = Body(
                 receive, settings.body_limit, settings.body_timeout, head
             )
-            await self._find_serve(head)(head, body, answer)
+            await self._find_handler(head)(head, body, answer)
         except Exception as error:
             await self._answer_fault(answer, request, error)
 
-    def _find_serve(self, head: Head) -> Serve:
-        fixed = self._fixed.get((head.method, head.target))
+    def _find_handler(self, head: Head) -> RequestHandler:
+        fixed = self._exact_routes.get((head.method, head.target))
         if fixed is not None:
             return fixed
-        if head.target in self._methods:
-            allowed = self._methods[head.target]
+        if head.target in self._allowed_methods:
+            allowed = self._allowed_methods[head.target]
             raise _make_wrong_method(allowed)
-        for prefix, serve in self._prefixes.items():
+        for prefix, handler in self._prefix_routes.items():
             if head.target.startswith(prefix):
-                return serve
+                return handler
         raise make_not_found()
 
     async def _answer_fault(
         self, answer: Answer, request: str, fault: BaseException
     ) -> None:
-        error = _find_error(fault)
+        error = _convert_error(fault)
         if error is None:
             return
         if error.kind is ErrorKind.INTERNAL:
             self._core.log.write(
                 EventName.PROCESS_FAILED,
                 request=request,
-                detail=type(_find_first(fault)).__name__,
+                detail=type(_unwrap_group(fault)).__name__,
             )
         log_refusal(self._core, request, error)
         if answer.started:
@@ -170,7 +175,7 @@
             raise _make_wrong_method(', '.join(target.spec.methods))
         body.set_limit(target.spec.body_limit)
         key = find_idempotency_key(head)
-        bound = target.spec.body_limit if key else _HELD_BYTES
+        bound = target.spec.body_limit if key else _REPLAYABLE_BYTES
         data = await body.read_up_to(bound + 1)
         path = '/' + '/'.join(rest)
         call = make_plain_call(
@@ -192,7 +197,7 @@
         team = self._find_team(head)
         _, _, token = split_path(head.target, 3)
         await body.read()
-        ask = ResumeRequest(
+        resume = ResumeRequest(
             head.request, team.name, decode_token(token), _find_position(head)
         )
         core = self._core
@@ -202,12 +207,12 @@
             label='resumed',
             clock=core.clock,
             metrics=core.metrics,
-            position=ask.position,
+            position=resume.position,
         )
         driver = ResumeDriver(
-            self._resources, ask, body=body, delivery=delivery
+            self._resources, resume, body=body, delivery=delivery
         )
-        await self._count(head.request, driver.run)
+        await self._run_counted(head.request, driver.run)
 
     def _find_team(self, head: Head) -> StoredObject:
         """Return the caller's team; raise NOT_READY without configuration."""
@@ -232,15 +237,15 @@
             driver = RequestDriver(
                 self._resources, self._queue, call, body=body, answer=answer
             )
-            await self._count(call.request, driver.run)
+            await self._run_counted(call.request, driver.run)
         except Exception as fault:
-            error = _find_error(fault)
+            error = _convert_error(fault)
             if error is not None:
                 duration = core.clock.now() - started
                 evaluate_refused(core, call, error.kind, duration=duration)
             raise
 
-    async def _count(
+    async def _run_counted(
         self, request: str, run: Callable[[], Awaitable[None]]
     ) -> None:
         stopper = self._resources.stopper
@@ -267,15 +272,15 @@
     )
 
 
-def _find_first(fault: BaseException) -> BaseException:
+def _unwrap_group(fault: BaseException) -> BaseException:
     while isinstance(fault, BaseExceptionGroup):
         fault = fault.exceptions[0]
     return fault
 
 
-def _find_error(fault: BaseException) -> OleanderError | None:
+def _convert_error(fault: BaseException) -> OleanderError | None:
     """Return the error to answer with, or none where the caller has gone."""
-    first = _find_first(fault)
+    first = _unwrap_group(fault)
     if isinstance(first, CallerGone):
         return None
     if isinstance(first, OleanderError):
--- a/src/oleanderdyke/entry/calls.py
+++ b/src/oleanderdyke/entry/calls.py
@@ -101,7 +101,7 @@
         path=CHAT_PATH,
         headers=_CHAT_HEADERS,
         body=body,
-        digest=_digest(target, 'POST', CHAT_PATH, unsalted),
+        digest=_hash_request(target, 'POST', CHAT_PATH, unsalted),
         idempotent=not idempotency_key,
         key=_make_key(target, idempotency_key),
         weight_digest=weights.digest,
@@ -138,7 +138,7 @@
         path=path,
         headers=forward_headers(head.headers),
         body=body,
-        digest=_digest(target, head.method, path, body),
+        digest=_hash_request(target, head.method, path, body),
         idempotent=idempotent and whole,
         whole=whole,
         key='' if idempotent else _make_key(target, idempotency_key),
@@ -152,7 +152,7 @@
     return make_key(target.team, target.service, idempotency_key)
 
 
-def _digest(target: Target, method: str, path: str, body: bytes) -> str:
+def _hash_request(target: Target, method: str, path: str, body: bytes) -> str:
     hasher = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for text in (target.team, target.service, method, path):
         data = text.encode()
--- a/src/oleanderdyke/entry/chat.py
+++ b/src/oleanderdyke/entry/chat.py
@@ -12,8 +12,8 @@
 from oleanderdyke.kernel.routing import BACKGROUND_PRIORITY, SHORT_PRIORITY
 
 # A prompt of another form would not match its segments.
-_PROMPT_FIELDS = ('tools', 'tool_choice', 'functions', 'function_call')
-_OWN_FIELDS = frozenset(
+_UNSUPPORTED_FIELDS = ('tools', 'tool_choice', 'functions', 'function_call')
+_HANDLED_FIELDS = frozenset(
     (
         'background',
         'cache_salt',
@@ -29,8 +29,8 @@
 _MESSAGE_FIELDS = frozenset(('role', 'content'))
 _MESSAGE_LIMIT = 10_000
 _TOKEN_LIMIT = 1_000_000
-_NAME_LIMIT = 200
-_DEFAULT_TOKENS = 256
+_MODEL_NAME_LIMIT = 200
+_DEFAULT_MAX_TOKENS = 256
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,13 +72,13 @@
 def parse_chat(body: bytes) -> Chat:
     """Check a chat request; raise BAD_REQUEST naming the field."""
     document = parse_document(body)
-    for name in _PROMPT_FIELDS:
+    for name in _UNSUPPORTED_FIELDS:
         if name in document:
             raise make_bad_request(f'{name} is not supported')
     extra = {
         name: found
         for name, found in document.items()
-        if name not in _OWN_FIELDS
+        if name not in _HANDLED_FIELDS
     }
     _check_text(extra)
     return Chat(
@@ -93,7 +93,7 @@
 
 def _read_name(document: dict[str, Any]) -> str:
     found = document.get('model')
-    if not isinstance(found, str) or not 0 < len(found) <= _NAME_LIMIT:
+    if not isinstance(found, str) or not 0 < len(found) <= _MODEL_NAME_LIMIT:
         raise make_bad_request('model must be the name of a service or model')
     return found
 
@@ -108,7 +108,7 @@
 def _read_tokens(document: dict[str, Any]) -> int:
     found = document.get('max_completion_tokens', document.get('max_tokens'))
     if found is None:
-        return _DEFAULT_TOKENS
+        return _DEFAULT_MAX_TOKENS
     whole = isinstance(found, int) and not isinstance(found, bool)
     if whole and 0 < found <= _TOKEN_LIMIT:
         return int(found)
--- a/src/oleanderdyke/entry/claims.py
+++ b/src/oleanderdyke/entry/claims.py
@@ -31,25 +31,25 @@
 from oleanderdyke.kernel.claims import Owned
 from oleanderdyke.metrics import Count, Timing
 
-_APPENDS = 4
-_REPEATS = 40
-_REPEAT_LIMIT = 2_000
-_CARRY_LIMIT = 1_000
-_CARRY_SHARES = (0.02, 0.06)
+_MAX_CONCURRENT_APPENDS = 4
+_RETRY_LIMIT = 40
+_QUEUE_LIMIT = 2_000
+_RENEWAL_LIMIT = 1_000
+_RENEWAL_INTERVAL_SHARES = (0.02, 0.06)
 
 
 @dataclass(slots=True)
-class _Pending:
+class _PendingAppend:
     """Hold records that must be in one append, and who waits for it."""
 
     records: tuple[ClaimsRecord, ...]
     on_appended: Callable[[int], None]
     on_failed: Callable[[Ran], None]
-    repeats: int = 0
+    retries: int = 0
 
 
 @dataclass(slots=True)
-class _Watched:
+class _PendingClaim:
     """Hold a claim that is on its way through the log."""
 
     key: str
@@ -67,8 +67,8 @@
         self._client = client
         self._settings = core.settings.claims
         self._log = core.settings.log.claims
-        self._pending: deque[_Pending] = deque()
-        self._watched: dict[str, _Watched] = {}
+        self._pending: deque[_PendingAppend] = deque()
+        self._pending_claims: dict[str, _PendingClaim] = {}
         self._wake = anyio.Event()
         self._active = 0
 
@@ -87,28 +87,30 @@
     ) -> None:
         """Append a claim and report its verdict to the inbox."""
         record = action.record
-        watched = _Watched(
+        claim = _PendingClaim(
             record.key, digest, inbox, since=self._core.clock.now()
         )
-        self._watched[record.claim_id] = watched
+        self._pending_claims[record.claim_id] = claim
 
-        def note_appended(offset: int) -> None:
-            watched.offset = offset
+        def handle_appended(offset: int) -> None:
+            claim.offset = offset
             self._core.metrics.add(Count.CLAIMS)
             self._settle(record.claim_id)
 
-        def note_failed(ran: Ran) -> None:
+        def handle_failed(ran: Ran) -> None:
             if ran is Ran.NO:
-                self._watched.pop(record.claim_id, None)
+                self._pending_claims.pop(record.claim_id, None)
                 inbox.put(ClaimFailed(record.claim_id))
 
         release = () if action.release is None else (action.release,)
-        self._add(_Pending((*release, record), note_appended, note_failed))
+        self._add(
+            _PendingAppend((*release, record), handle_appended, handle_failed)
+        )
 
     def append_release(self, action: AppendRelease) -> None:
         """Append a release or withdrawal, repeating while the log is out."""
         self._add(
-            self._make_repeated(
+            self._make_retried(
                 action.record, EventName.CLAIM_RELEASED, lambda _: None
             )
         )
@@ -116,31 +118,31 @@
     def append_outcome(self, action: AppendOutcome, inbox: Inbox) -> None:
         """Append an outcome, repeating; report the first try to the inbox."""
 
-        def note_failed(pending: _Pending) -> None:
-            if pending.repeats == 1:
+        def handle_failed(pending: _PendingAppend) -> None:
+            if pending.retries == 1:
                 inbox.put(OutcomeFailed())
 
-        pending = self._make_repeated(
-            action.record, EventName.OUTCOME_APPENDED, note_failed
+        pending = self._make_retried(
+            action.record, EventName.OUTCOME_APPENDED, handle_failed
         )
         log_appended = pending.on_appended
 
-        def note_appended(offset: int) -> None:
+        def handle_appended(offset: int) -> None:
             log_appended(offset)
             inbox.put(OutcomeRecorded())
 
-        pending.on_appended = note_appended
+        pending.on_appended = handle_appended
         self._add(pending)
 
-    def forget(self, inbox: Inbox) -> None:
+    def discard_inbox(self, inbox: Inbox) -> None:
         """Stop reporting to a request that is over."""
-        for claim_id, watched in tuple(self._watched.items()):
-            if watched.inbox is inbox:
-                del self._watched[claim_id]
+        for claim_id, claim in tuple(self._pending_claims.items()):
+            if claim.inbox is inbox:
+                del self._pending_claims[claim_id]
 
     def settle_claims(self) -> None:
         """Settle the claims that have been read back."""
-        for claim_id in tuple(self._watched):
+        for claim_id in tuple(self._pending_claims):
             self._settle(claim_id)
 
     async def run(self) -> None:
@@ -149,7 +151,7 @@
             while True:
                 await self._wake.wait()
                 await anyio.sleep(self._settings.delay / SECOND)
-                while self._pending and self._active < _APPENDS:
+                while self._pending and self._active < _MAX_CONCURRENT_APPENDS:
                     self._active += 1
                     tasks.start_soon(self._append, self._take_group())
                 self._wake = anyio.Event()
@@ -161,7 +163,7 @@
         """
         retention = self._core.settings.log.retention
         while True:
-            share = self._core.random.uniform(*_CARRY_SHARES)
+            share = self._core.random.uniform(*_RENEWAL_INTERVAL_SHARES)
             await anyio.sleep(retention * share / SECOND)
             self.append_due_renewals(retention)
 
@@ -169,25 +171,25 @@
         """Append the claims whose latest record has half its time behind."""
         table = self._core.claims
         latest = max(table.log_time, self._core.clock.wall())
-        due = table.list_due_renewals(latest - retention / 2, _CARRY_LIMIT)
+        due = table.list_due_renewals(latest - retention / 2, _RENEWAL_LIMIT)
         for start in range(0, len(due), self._settings.batch):
             records = due[start : start + self._settings.batch]
-            self._add(_Pending(records, _ignore, _ignore))
+            self._add(_PendingAppend(records, _ignore, _ignore))
 
-    async def retry(self, pending: _Pending) -> None:
+    async def retry(self, pending: _PendingAppend) -> None:
         """Wait, then append once more."""
         await anyio.sleep(self._core.settings.log.retry / SECOND)
         self._add(pending)
 
-    def _add(self, pending: _Pending) -> None:
+    def _add(self, pending: _PendingAppend) -> None:
         self._pending.append(pending)
         self._wake.set()
 
-    def _take_group(self) -> list[_Pending]:
+    def _take_group(self) -> list[_PendingAppend]:
         size = min(self._settings.batch, len(self._pending))
         return [self._pending.popleft() for _ in range(size)]
 
-    async def _append(self, group: list[_Pending]) -> None:
+    async def _append(self, group: list[_PendingAppend]) -> None:
         records = [record for item in group for record in item.records]
         try:
             offset = await self._client.append(
@@ -208,28 +210,28 @@
             self._active -= 1
             self._wake.set()
 
-    def _make_repeated(
+    def _make_retried(
         self,
         record: ClaimsRecord,
         event: EventName,
-        note_failed: Callable[[_Pending], None],
-    ) -> _Pending:
+        handle_failed: Callable[[_PendingAppend], None],
+    ) -> _PendingAppend:
         def log_appended(offset: int) -> None:
             self._core.log.write(event, offset=offset)
 
-        def try_again(_: Ran) -> None:
-            pending.repeats += 1
-            note_failed(pending)
-            full = len(self._pending) >= _REPEAT_LIMIT
-            if full or pending.repeats > _REPEATS:
-                self._give_up(record)
+        def schedule_retry(_: Ran) -> None:
+            pending.retries += 1
+            handle_failed(pending)
+            full = len(self._pending) >= _QUEUE_LIMIT
+            if full or pending.retries > _RETRY_LIMIT:
+                self._abandon(record)
                 return
             self._core.spawn(self.retry, pending)
 
-        pending = _Pending((record,), log_appended, try_again)
+        pending = _PendingAppend((record,), log_appended, schedule_retry)
         return pending
 
-    def _give_up(self, record: ClaimsRecord) -> None:
+    def _abandon(self, record: ClaimsRecord) -> None:
         """Log an outcome that is lost; a release is asked for again anyway."""
         if isinstance(record, OutcomeRecord):
             self._core.log.write(
@@ -241,22 +243,22 @@
 
         A claim whose append is in doubt counts only once it is the owner.
         """
-        watched = self._watched.get(claim_id)
-        if watched is None:
+        claim = self._pending_claims.get(claim_id)
+        if claim is None:
             return
         table = self._core.claims
-        verdict = table.get_claim_verdict(claim_id, watched.key, watched.digest)
+        verdict = table.get_claim_verdict(claim_id, claim.key, claim.digest)
         read = (
-            watched.offset is not None
+            claim.offset is not None
             and table.caught_up
-            and table.next_offset > watched.offset
+            and table.next_offset > claim.offset
         )
         if not read and not isinstance(verdict, Owned):
             return
-        del self._watched[claim_id]
-        waited = self._core.clock.now() - watched.since
+        del self._pending_claims[claim_id]
+        waited = self._core.clock.now() - claim.since
         self._core.metrics.time(Timing.CLAIM, waited)
-        watched.inbox.put(ClaimSettled(claim_id, verdict))
+        claim.inbox.put(ClaimSettled(claim_id, verdict))
 
 
 def _ignore(_: object) -> None:
--- a/src/oleanderdyke/entry/configuration.py
+++ b/src/oleanderdyke/entry/configuration.py
@@ -21,11 +21,11 @@
 )
 from oleanderdyke.metrics import Gauge
 
-_PUSH_AGAIN: Millis = 2 * SECOND
-_FILL_AGAIN: Millis = 10 * SECOND
+_PUSH_INTERVAL: Millis = 2 * SECOND
+_SNAPSHOT_INTERVAL: Millis = 10 * SECOND
 _SNAPSHOT_CHECK: Millis = 5 * SECOND
-_CHUNKS_AT_ONCE = 16
-_SNAPSHOTS_AT_ONCE = 4
+_CHUNKS_PER_APPEND = 16
+_CONCURRENT_SNAPSHOTS = 4
 
 
 class ConfigurationFeed:
@@ -36,8 +36,8 @@
         self._client = client
         self._pushed: dict[str, tuple[int, Millis]] = {}
         self._links: dict[str, Link] = {}
-        self._filled: dict[Link, Millis] = {}
-        self._snapshots = anyio.Semaphore(_SNAPSHOTS_AT_ONCE)
+        self._snapshots_sent: dict[Link, Millis] = {}
+        self._snapshot_slots = anyio.Semaphore(_CONCURRENT_SNAPSHOTS)
 
     def apply_page(self, page: LogPage) -> None:
         """Take a page of the log."""
@@ -53,7 +53,7 @@
     def drop_link(self, link: Link) -> None:
         """Forget a peer."""
         process = link.peer.process
-        self._filled.pop(link, None)
+        self._snapshots_sent.pop(link, None)
         if self._links.get(process) is link:
             del self._links[process]
             self._pushed.pop(process, None)
@@ -75,12 +75,12 @@
         if self._core.catalog.difference(request.after) is not None:
             messages = tuple(self._core.reader.answer(request))
             self._core.spawn(_send_all, link, messages)
-        elif self._is_filled(link):
-            nothing = ConfigurationDifference(request.after, START_OFFSET)
-            self._core.spawn(_send_all, link, (nothing,))
+        elif self._has_recent_snapshot(link):
+            empty = ConfigurationDifference(request.after, START_OFFSET)
+            self._core.spawn(_send_all, link, (empty,))
         else:
-            self._filled[link] = math.inf
-            self._core.spawn(self._fill, link, request)
+            self._snapshots_sent[link] = math.inf
+            self._core.spawn(self._send_snapshot, link, request)
 
     def apply_difference(
         self, link: Link, message: ConfigurationDifference
@@ -103,7 +103,7 @@
         chunks = core.catalog.iterate_snapshot()
         count = 0
         try:
-            while batch := await _take_some(chunks, _CHUNKS_AT_ONCE):
+            while batch := await _take_chunks(chunks, _CHUNKS_PER_APPEND):
                 await self._client.append(
                     core.settings.log.configuration,
                     batch,
@@ -117,30 +117,32 @@
                 EventName.SNAPSHOT_APPENDED, offset=offset, records=count
             )
 
-    async def _fill(self, link: Link, request: ConfigurationRequest) -> None:
+    async def _send_snapshot(
+        self, link: Link, request: ConfigurationRequest
+    ) -> None:
         """Send a snapshot, a few peers at once, encoding as it goes out."""
         try:
-            async with self._snapshots:
+            async with self._snapshot_slots:
                 view = self._core.fleet.find_view(link.peer.process)
-                has = START_OFFSET if view is None else view.offset
+                known_offset = START_OFFSET if view is None else view.offset
                 # Another entry may have helped while this one was busy.
-                asked = ConfigurationRequest(max(request.after, has))
+                asked = ConfigurationRequest(max(request.after, known_offset))
                 await _send_all(link, self._core.reader.answer(asked))
         finally:
-            self._filled[link] = self._core.clock.now()
+            self._snapshots_sent[link] = self._core.clock.now()
             if link.closed:
-                del self._filled[link]
+                del self._snapshots_sent[link]
 
-    def _is_filled(self, link: Link) -> bool:
+    def _has_recent_snapshot(self, link: Link) -> bool:
         """Return whether a link has a whole snapshot on its way."""
-        at = self._filled.get(link, -math.inf)
-        return self._core.clock.now() - at < _FILL_AGAIN
+        sent_at = self._snapshots_sent.get(link, -math.inf)
+        return self._core.clock.now() - sent_at < _SNAPSHOT_INTERVAL
 
     def _push(self, link: Link, offset: int) -> None:
         core, process = self._core, link.peer.process
-        pushed, at = self._pushed.get(process, (-1, 0.0))
+        pushed, sent_at = self._pushed.get(process, (-1, 0.0))
         now = core.clock.now()
-        if pushed >= core.reader.offset and now - at < _PUSH_AGAIN:
+        if pushed >= core.reader.offset and now - sent_at < _PUSH_INTERVAL:
             return
         # A peer too far behind for the kept records asks for a snapshot.
         if core.catalog.difference(offset) is None:
@@ -174,7 +176,9 @@
         return
 
 
-async def _take_some(chunks: Iterator[bytes], count: int) -> tuple[bytes, ...]:
+async def _take_chunks(
+    chunks: Iterator[bytes], count: int
+) -> tuple[bytes, ...]:
     """Return the next chunks, with a turn of the loop after each."""
     batch: list[bytes] = []
     for chunk in itertools.islice(chunks, count):
--- a/src/oleanderdyke/entry/core.py
+++ b/src/oleanderdyke/entry/core.py
@@ -43,7 +43,7 @@
 _INCARNATION_BYTES = 8
 _NOTHING_PUBLISHED = 'no configuration published yet'
 # Peers are asked only when the log has not brought a change by then.
-_LOG_FIRST = 250.0
+_PEER_REQUEST_DELAY_MS = 250.0
 
 FindLink: TypeAlias = Callable[[str], Link | None]
 Spawn: TypeAlias = Callable[..., object]
@@ -151,7 +151,8 @@
     reader = ConfigurationReader(
         random,
         ReaderSettings(
-            ask_after=_LOG_FIRST, snapshot_age=settings.log.retention / 2
+            ask_after=_PEER_REQUEST_DELAY_MS,
+            snapshot_age=settings.log.retention / 2,
         ),
     )
     catalog = reader.catalog
--- a/src/oleanderdyke/entry/delivery.py
+++ b/src/oleanderdyke/entry/delivery.py
@@ -19,7 +19,7 @@
 from oleanderdyke.metrics import Metrics, Timing
 
 RESUME_HEADER = 'oleander-resume'
-_TWO = 2
+_MIN_CHUNKS_FOR_MEAN = 2
 
 
 class Delivery:
@@ -60,7 +60,7 @@
         return self._answer.ended or self.error is not None
 
     @property
-    def waiting(self) -> int:
+    def unsent_count(self) -> int:
         """Count the chunks that were put but not sent."""
         return len(self._unsent)
 
@@ -79,7 +79,7 @@
         """Return the mean time between chunks, None for fewer than two."""
         if self.first_token is None or self._last_chunk is None:
             return None
-        if self.chunks < _TWO:
+        if self.chunks < _MIN_CHUNKS_FOR_MEAN:
             return None
         streamed = self._last_chunk - self._started - self.first_token
         return streamed / (self.chunks - 1)
@@ -151,7 +151,7 @@
         await self.fail(
             OleanderError(
                 refuse.kind,
-                refuse.detail or _name(refuse.kind),
+                refuse.detail or _describe_kind(refuse.kind),
                 ran=refuse.ran,
                 retry_after=refuse.retry_after,
             )
@@ -208,5 +208,5 @@
     )
 
 
-def _name(kind: ErrorKind) -> str:
+def _describe_kind(kind: ErrorKind) -> str:
     return kind.value.replace('_', ' ')
--- a/src/oleanderdyke/entry/dispatches.py
+++ b/src/oleanderdyke/entry/dispatches.py
@@ -12,7 +12,7 @@
 from oleanderdyke.kernel.demand import Fleet, Plan, Replica
 from oleanderdyke.links.messages import BodyChunk, Dispatch, FetchPlan
 
-_BODY_PART = 64 * 1024
+_BODY_CHUNK_BYTES = 64 * 1024
 
 
 def make_dispatch(
@@ -62,10 +62,10 @@
     request: str, attempt: int, body: bytes, *, whole: bool
 ) -> Iterator[BodyChunk]:
     """Cut a body into chunks; the last one closes a whole body."""
-    starts = range(0, max(len(body), 1), _BODY_PART)
+    starts = range(0, max(len(body), 1), _BODY_CHUNK_BYTES)
     for sequence, start in enumerate(starts):
         last = whole and start == starts[-1]
-        data = body[start : start + _BODY_PART]
+        data = body[start : start + _BODY_CHUNK_BYTES]
         yield BodyChunk(request, attempt, sequence, data, last)
 
 
@@ -104,7 +104,9 @@
     def rank(store: Replica) -> tuple[int, bool, bytes]:
         held = fleet.count_leading(store.agent, hints)
         near = store.data_centre == replica.data_centre
-        draw = hashlib.blake2b(hints[0] + store.agent.encode(), digest_size=8)
-        return held, near, draw.digest()
+        tie_breaker = hashlib.blake2b(
+            hints[0] + store.agent.encode(), digest_size=8
+        )
+        return held, near, tie_breaker.digest()
 
     return max(stores, key=rank)
--- a/src/oleanderdyke/entry/edge.py
+++ b/src/oleanderdyke/entry/edge.py
@@ -34,7 +34,7 @@
     'idempotency-key',
 }
 _NEVER_RETURNED = HOP_BY_HOP | {'content-length', 'date', 'server'}
-_OWN_PREFIX = 'oleander-'
+_INTERNAL_PREFIX = 'oleander-'
 _NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 _VALUE = re.compile(r'[\t\x20-\x7e]*\Z')
 
@@ -137,7 +137,7 @@
         for name, content in headers
         if name not in _NEVER_FORWARDED
         and name not in named
-        and not name.startswith(_OWN_PREFIX)
+        and not name.startswith(_INTERNAL_PREFIX)
     )
 
 
@@ -149,7 +149,7 @@
         for name, content in headers
         if name.lower() not in _NEVER_RETURNED
         and name.lower() not in named
-        and not name.lower().startswith(_OWN_PREFIX)
+        and not name.lower().startswith(_INTERNAL_PREFIX)
         and _NAME.match(name)
         and _VALUE.match(content)
     )
@@ -174,7 +174,7 @@
         self._limit = limit
         self._timeout = timeout
         self._length = head.find('content-length')
-        self._taken = 0
+        self._received = 0
         self.ended = False
         self._check_length()
 
@@ -200,8 +200,8 @@
         if event['type'] != 'http.request':
             raise CallerGone
         part: bytes = event.get('body', b'')
-        self._taken += len(part)
-        if self._taken > self._limit:
+        self._received += len(part)
+        if self._received > self._limit:
             raise self._make_too_large()
         self.ended = not event.get('more_body', False)
         return part
--- a/src/oleanderdyke/entry/effects.py
+++ b/src/oleanderdyke/entry/effects.py
@@ -80,9 +80,9 @@
         self._sender = sender
         self._delivery = delivery
         self._start_upload = start_upload
-        self._put_later = start_timer
+        self._schedule = start_timer
         self._started = resources.core.clock.now()
-        self._gone = False
+        self._caller_gone = False
         self._handlers = self._make_handlers()
 
     async def execute(self, actions: tuple[Action, ...]) -> None:
@@ -102,10 +102,10 @@
 
     async def flush(self) -> None:
         """Send on what has come in so far."""
-        chunks = self._delivery.waiting
+        chunks = self._delivery.unsent_count
         await self._guard(self._delivery.flush())
         if chunks:
-            await self._sender.grant(chunks)
+            await self._sender.grant_credit(chunks)
 
     async def fail(self, error: OleanderError) -> None:
         """Answer with an error that the machine did not decide."""
@@ -126,8 +126,8 @@
 
     def report_caller_gone(self) -> None:
         """Tell the machine once that the caller has gone."""
-        if not self._gone:
-            self._gone = True
+        if not self._caller_gone:
+            self._caller_gone = True
             self._inbox.put(CallerGone())
 
     def log(self, event: EventName, **values: LogValue) -> None:
@@ -152,7 +152,7 @@
             SendDispatch: self._dispatch,
             SendCancel: self._sender.cancel,
             SendResume: self._resume,
-            MarkResumable: self._note_resumable,
+            MarkResumable: self._mark_resumable,
             DeliverHead: self._deliver_head,
             DeliverChunk: self._deliver_chunk,
             DeliverEnd: self._deliver_end,
@@ -195,7 +195,7 @@
         self.log(EventName.STREAM_RESUMED, attempt=action.attempt)
         await self._sender.resume(action)
 
-    async def _note_resumable(self, _: MarkResumable) -> None:
+    async def _mark_resumable(self, _: MarkResumable) -> None:
         self._stopper.mark_resumable(self._call.request)
 
     async def _deliver_head(self, action: DeliverHead) -> None:
@@ -216,12 +216,15 @@
             self._core.router.record_first_token(
                 self._call.request, self._core.clock.now()
             )
-        if self._delivery.waiting >= self._core.settings.requests.credit // 2:
+        if (
+            self._delivery.unsent_count
+            >= self._core.settings.requests.credit // 2
+        ):
             await self.flush()
 
     async def _deliver_end(self, action: DeliverEnd) -> None:
         await self._guard(self._delivery.send_end(action))
-        self._note_end(action)
+        self._record_end(action)
 
     async def _refuse(self, action: Refuse) -> None:
         core, call = self._core, self._call
@@ -236,7 +239,7 @@
         await self._guard(self._delivery.refuse(action))
 
     async def _start_timer(self, action: StartTimer) -> None:
-        self._put_later(TimerFired(action.kind, action.number), action.delay)
+        self._schedule(TimerFired(action.kind, action.number), action.delay)
 
     async def _clear_suspect(self, action: ClearSuspect) -> None:
         self._core.quarantine.clear(action.digest)
@@ -254,7 +257,7 @@
             await self.fail(error)
             self.report_caller_gone()
 
-    def _note_end(self, action: DeliverEnd) -> None:
+    def _record_end(self, action: DeliverEnd) -> None:
         duration = self._core.clock.now() - self._started
         metrics, service = self._core.metrics, self._call.service
         metrics.time(Timing.REQUEST, duration, service)
--- a/src/oleanderdyke/entry/logreader.py
+++ b/src/oleanderdyke/entry/logreader.py
@@ -38,16 +38,16 @@
         self._find_start = find_start
         self._take_page = apply_page
         self._down = False
-        self._reached = False
+        self._at_end = False
 
     async def run(self) -> None:
         """Read until cancelled."""
         while True:
             page = await self._read()
             if page is not None:
-                await self._take(page)
+                await self._apply(page)
 
-    async def _take(self, page: LogPage) -> None:
+    async def _apply(self, page: LogPage) -> None:
         """Take a page in parts, so that all else goes on in between."""
         for part in slice_page(page):
             self._take_page(part)
@@ -60,16 +60,16 @@
                 self._name,
                 start=self._find_start(),
                 limit=settings.page,
-                wait=settings.wait if self._reached else 0.0,
+                wait=settings.wait if self._at_end else 0.0,
                 timeout=settings.timeout,
             )
         except LogUnavailable as error:
-            self._reached = False
+            self._at_end = False
             self._log_change(down=True, detail=error.message)
             await anyio.sleep(settings.retry / SECOND)
             return None
         self._log_change(down=False)
-        self._reached = True
+        self._at_end = True
         return page
 
     def _log_change(self, *, down: bool, detail: str | None = None) -> None:
--- a/src/oleanderdyke/entry/lookup.py
+++ b/src/oleanderdyke/entry/lookup.py
@@ -35,7 +35,7 @@
     if found is not None:
         return found
     for stored in core.catalog.list(ObjectKind.SERVICE):
-        target = _allow(stored, team, ServiceKind.MODEL)
+        target = _match_service(stored, team, ServiceKind.MODEL)
         if target is not None and target.spec.model == name:
             return target
     raise make_not_found()
@@ -69,10 +69,10 @@
     core: Core, team: StoredObject, name: str, kind: ServiceKind
 ) -> Target | None:
     stored = core.catalog.get(ObjectKind.SERVICE, name)
-    return None if stored is None else _allow(stored, team, kind)
+    return None if stored is None else _match_service(stored, team, kind)
 
 
-def _allow(
+def _match_service(
     stored: StoredObject, team: StoredObject, kind: ServiceKind
 ) -> Target | None:
     spec = stored.spec
--- a/src/oleanderdyke/entry/publishing.py
+++ b/src/oleanderdyke/entry/publishing.py
@@ -113,7 +113,7 @@
 
 
 async def wait_until(
-    holds: Callable[[], bool],
+    condition: Callable[[], bool],
     wait: Millis,
     clock: Clock,
     *,
@@ -121,7 +121,7 @@
 ) -> bool:
     """Wait for a condition; tell whether it came to hold."""
     limit = clock.now() + wait
-    while not holds():
+    while not condition():
         if clock.now() >= limit:
             return False
         await anyio.sleep(poll / SECOND)
--- a/src/oleanderdyke/entry/receiver.py
+++ b/src/oleanderdyke/entry/receiver.py
@@ -27,12 +27,12 @@
         self._inbox = inbox
         self._attempt = 0
         self._assembler: AnswerAssembler | None = None
-        self._awaits_rest = False
+        self._awaits_resumed_head = False
 
     def expect(self, attempt: int) -> None:
         """Expect the answer of a new run."""
         self._attempt = attempt
-        self._awaits_rest = False
+        self._awaits_resumed_head = False
         if self._assembler is None:
             self._assembler = AnswerAssembler(self._request, attempt)
         elif not self._assembler.start_over(attempt):
@@ -41,13 +41,13 @@
     def expect_rest(self, attempt: int, start: int) -> None:
         """Expect the rest of a run under another attempt."""
         self._attempt = attempt
-        self._awaits_rest = False
+        self._awaits_resumed_head = False
         if self._assembler is None:
             self._assembler = AnswerAssembler(
                 self._request, attempt, start=start
             )
         elif self._assembler.resume(attempt):
-            self._awaits_rest = True
+            self._awaits_resumed_head = True
         else:
             self._fail('what was passed on is not whole')
 
@@ -68,16 +68,18 @@
                 self._assembler.mark_lost()
                 self._fail('more chunks than granted')
             return
-        self._note_rest(message)
+        self._report_resumed_head(message)
         start = self._assembler.next_sequence
         self._put(self._assembler.accept(message), start)
 
-    def _note_rest(self, message: AnswerHead | AnswerChunk | AnswerEnd) -> None:
+    def _report_resumed_head(
+        self, message: AnswerHead | AnswerChunk | AnswerEnd
+    ) -> None:
         """Tell the machine, but not the caller, of a resumed answer's head."""
-        if not self._awaits_rest or message.attempt != self._attempt:
+        if not self._awaits_resumed_head or message.attempt != self._attempt:
             return
         if isinstance(message, AnswerHead):
-            self._awaits_rest = False
+            self._awaits_resumed_head = False
             self._inbox.put(MessageReceived(message))
 
     def _put(self, delivery: ReadyParts, start: int) -> None:
--- a/src/oleanderdyke/entry/requests.py
+++ b/src/oleanderdyke/entry/requests.py
@@ -168,9 +168,9 @@
         if not self._delivery.can_forward_chunk:
             return False
         actions = self._machine.handle_event(item, self._core.clock.now())
-        for place, action in enumerate(actions):
+        for index, action in enumerate(actions):
             if not isinstance(action, DeliverChunk):
-                self._inbox.put(PendingActions(actions[place:]))
+                self._inbox.put(PendingActions(actions[index:]))
                 break
             self._effects.forward_chunk(action)
         return True
@@ -234,7 +234,7 @@
         if isinstance(item, Released | HandedOver):
             return ()
         if isinstance(item, CreditDue):
-            await self._sender.grant(0)
+            await self._sender.grant_credit(0)
             return ()
         if isinstance(item, PendingActions):
             return item.actions
@@ -301,15 +301,15 @@
             timer.cancel()
         core, request = self._core, self._call.request
         now = core.clock.now()
-        self._resources.claims.forget(self._inbox)
+        self._resources.claims.discard_inbox(self._inbox)
         core.router.record_finished(request, now)
         core.admission.record_finished(request, now)
         self._queue.release()
 
 
 def _make_facts(core: Core, call: Call) -> RequestFacts:
-    standing = core.quarantine.get_status(call.digest, core.clock.now())
-    if standing is QuarantineStatus.QUARANTINED:
+    status = core.quarantine.get_status(call.digest, core.clock.now())
+    if status is QuarantineStatus.QUARANTINED:
         raise OleanderError(
             ErrorKind.QUARANTINED, 'this request crashed backend servers'
         )
@@ -322,7 +322,7 @@
         idempotent=call.idempotent,
         key=call.key,
         horizon=call.spec.horizon,
-        suspect=standing is QuarantineStatus.SUSPECT,
+        suspect=status is QuarantineStatus.SUSPECT,
     )
 
 
--- a/src/oleanderdyke/entry/resume.py
+++ b/src/oleanderdyke/entry/resume.py
@@ -77,8 +77,8 @@
         self._link: Link | None = None
         self._ungranted = 0
         self._credit = resources.core.settings.requests.credit // 2
-        self._parts: Mapping[type[Message], Callable[[Any], Awaitable[None]]]
-        self._parts = {
+        self._handlers: Mapping[type[Message], Callable[[Any], Awaitable[None]]]
+        self._handlers = {
             AnswerHead: self._pass_head,
             AnswerChunk: self._pass_chunk,
             AnswerEnd: self._pass_end,
@@ -153,7 +153,7 @@
                 await self._flush()
             item = await self._inbox.take()
             if isinstance(item, MessageReceived):
-                await self._parts[type(item.message)](item.message)
+                await self._handlers[type(item.message)](item.message)
             else:
                 await self._handle_end(item)
 
@@ -174,12 +174,12 @@
 
     async def _pass_chunk(self, chunk: AnswerChunk) -> None:
         self._delivery.put_chunk(DeliverChunk(chunk.data))
-        if self._delivery.waiting >= self._credit:
+        if self._delivery.unsent_count >= self._credit:
             await self._flush()
 
     async def _flush(self) -> None:
         """Send on what has come in, then let the agent send more."""
-        self._ungranted += self._delivery.waiting
+        self._ungranted += self._delivery.unsent_count
         await self._delivery.flush()
         if self._ungranted < self._credit or self._link is None:
             return
--- a/src/oleanderdyke/entry/sender.py
+++ b/src/oleanderdyke/entry/sender.py
@@ -52,7 +52,7 @@
         self._attempt = 0
         self._sequence = 0
         self._ungranted = 0
-        self._counted = False
+        self._use_recorded = False
 
     @property
     def agent(self) -> str:
@@ -61,7 +61,7 @@
 
     async def dispatch(self, action: SendDispatch) -> bool:
         """Send the request; tell whether any of it was sent."""
-        link = self._find(action.agent, action.incarnation)
+        link = self._find_link(action.agent, action.incarnation)
         if link is None:
             self._inbox.put(DispatchNotSent(action.attempt))
             return False
@@ -100,13 +100,13 @@
 
     async def cancel(self, action: SendCancel) -> None:
         """Cancel an attempt where its agent can be reached."""
-        link = self._find(action.agent, action.incarnation)
+        link = self._find_link(action.agent, action.incarnation)
         if link is not None:
             await self._send(link, Cancel(self._call.request, action.attempt))
 
     async def resume(self, action: SendResume) -> None:
         """Ask for the rest of a stream."""
-        link = self._find(action.agent, action.incarnation)
+        link = self._find_link(action.agent, action.incarnation)
         if link is None:
             self._inbox.put(LinkLost(action.agent, action.incarnation))
             return
@@ -133,7 +133,7 @@
         query = ClaimQuery(self._call.request, self._call.team, action.claim)
         await self._send(link, query)
 
-    async def grant(self, chunks: int) -> None:
+    async def grant_credit(self, chunks: int) -> None:
         """Count chunks that the caller has taken, and grant others."""
         self._ungranted += chunks
         if self._link is None or not self._is_grant_due():
@@ -156,7 +156,7 @@
     def _is_grant_due(self) -> bool:
         return self._ungranted >= self._core.settings.requests.credit // 2
 
-    def _find(self, agent: str, incarnation: str) -> Link | None:
+    def _find_link(self, agent: str, incarnation: str) -> Link | None:
         link = self._core.find_link(agent)
         if link is None or link.peer.incarnation != incarnation:
             return None
@@ -183,9 +183,9 @@
         """Count one use of the prompt, however often it is sent."""
         exports = self._core.exports
         hints = [make_hint(segment) for segment in self._call.segments]
-        if not self._counted:
+        if not self._use_recorded:
             exports.record_use(hints)
-        self._counted = True
+        self._use_recorded = True
         return exports.count_worth_exporting(hints)
 
     def _log(self, event: EventName) -> None:
--- a/src/oleanderdyke/entry/server.py
+++ b/src/oleanderdyke/entry/server.py
@@ -42,7 +42,7 @@
     head_timeout = 10.0
     send_timeout = 30.0
     connection_limit = 0
-    _unread = 0
+    _unread_bytes = 0
     _stall_timer: asyncio.TimerHandle | None = None
     _head_timer: asyncio.TimerHandle | None = None
 
@@ -89,7 +89,7 @@
         """Time the head from its first byte."""
         if self._is_between_requests() and self._head_timer is None:
             self._start_timer()
-        self._bound_unread(len(data))
+        self._limit_unread(len(data))
         super().data_received(data)
         if not self._is_between_requests():
             self._stop_timer()
@@ -120,13 +120,13 @@
             self._write_error(OleanderError(kind, msg.rstrip('.')))
         self.transport.close()
 
-    def _bound_unread(self, length: int) -> None:
+    def _limit_unread(self, length: int) -> None:
         """Drop a caller that sends on a body whose request was refused."""
         if self.conn.our_state is not h11.DONE:
-            self._unread = 0
+            self._unread_bytes = 0
             return
-        self._unread += length
-        if self._unread > _UNREAD_LIMIT:
+        self._unread_bytes += length
+        if self._unread_bytes > _UNREAD_LIMIT:
             self.transport.abort()
 
     def _write_error(self, error: OleanderError) -> None:
--- a/src/oleanderdyke/entry/shell.py
+++ b/src/oleanderdyke/entry/shell.py
@@ -28,11 +28,11 @@
 from oleanderdyke.links.tls import make_client_context
 from oleanderdyke.logs import EventLog
 
-_FLUSH_LIMIT = 3.0
-_CLOSE_LIMIT = 3.0
-_TICK = 0.25
-_SETTLE_LIMIT = 3.0
-_SETTLE_POLL = 0.05
+_FLUSH_TIMEOUT_SECONDS = 3.0
+_CLOSE_TIMEOUT_SECONDS = 3.0
+_TICK_SECONDS = 0.25
+_LINK_TIMEOUT_SECONDS = 3.0
+_LINK_POLL_SECONDS = 0.05
 
 
 class Shell:
@@ -48,7 +48,7 @@
         self._stopper = Stopper(core)
         self._queue = ReleaseQueue(core)
         self._pool = self._make_pool()
-        self._watch = VmWatch(core, self._vms, self._pool)
+        self._vm_watch = VmWatch(core, self._vms, self._pool)
         core.find_link = self._pool.find
         core.links_ready = False
 
@@ -99,8 +99,8 @@
             self._claims.run,
             self._claims.renew_claims,
             self._feed.append_snapshots,
-            self._watch.run,
-            self._settle,
+            self._vm_watch.run,
+            self._wait_until_linked,
             self._pool.run,
             self._queue.run,
             self._tick,
@@ -119,24 +119,24 @@
         while True:
             core.fleet.tick(core.clock.now())
             fault = log_readiness(core, fault)
-            await anyio.sleep(_TICK)
+            await anyio.sleep(_TICK_SECONDS)
 
-    async def _settle(self) -> None:
+    async def _wait_until_linked(self) -> None:
         """Hold back readiness, for a bounded time, until links are up."""
-        with anyio.move_on_after(_SETTLE_LIMIT):
-            while not (self._watch.all_linked and self._claims.is_caught_up):
-                await anyio.sleep(_SETTLE_POLL)
+        with anyio.move_on_after(_LINK_TIMEOUT_SECONDS):
+            while not (self._vm_watch.all_linked and self._claims.is_caught_up):
+                await anyio.sleep(_LINK_POLL_SECONDS)
         self._core.links_ready = True
 
     async def _close(self, server: EdgeServer) -> None:
         """Let the last records and answers go out, within bounds."""
-        with anyio.move_on_after(_FLUSH_LIMIT):
+        with anyio.move_on_after(_FLUSH_TIMEOUT_SECONDS):
             while not self._claims.idle:
-                await anyio.sleep(_TICK)
+                await anyio.sleep(_TICK_SECONDS)
         server.should_exit = True
-        with anyio.move_on_after(_CLOSE_LIMIT):
+        with anyio.move_on_after(_CLOSE_TIMEOUT_SECONDS):
             while not server.closed:
-                await anyio.sleep(_TICK)
+                await anyio.sleep(_TICK_SECONDS)
 
     def _make_pool(self) -> LinkPool:
         core = self._core
--- a/src/oleanderdyke/entry/sse.py
+++ b/src/oleanderdyke/entry/sse.py
@@ -43,10 +43,10 @@
 
     def __init__(self, position: Position) -> None:
         self._chunk = position.chunk
-        self._aligned = position.chunk
+        self._aligned_chunk = position.chunk
         self._skipped = position.events
         self._events = 0
-        self._rest = b''
+        self._partial_event = b''
 
     def take(self, chunk: bytes) -> bytes:
         """Take the next chunk; return the numbered events that it completes.
@@ -54,34 +54,42 @@
         Raise STREAM_BROKEN for an event without an end.
         """
         self._chunk += 1
-        if not self._rest and not self._skipped and _is_one_event(chunk):
-            self._aligned = self._chunk
+        if (
+            not self._partial_event
+            and not self._skipped
+            and _is_one_event(chunk)
+        ):
+            self._aligned_chunk = self._chunk
             self._events = 0
             return b'id: %d\n%b' % (self._chunk, chunk)
-        *events, self._rest = _BOUNDARY.split(self._rest + chunk)
-        if len(self._rest) > _EVENT_LIMIT:
+        *events, self._partial_event = _BOUNDARY.split(
+            self._partial_event + chunk
+        )
+        if len(self._partial_event) > _EVENT_LIMIT:
             raise OleanderError(ErrorKind.STREAM_BROKEN, 'an event is too long')
         parts = [
-            self._number(event, last=not self._rest and event is events[-1])
+            self._number(
+                event, last=not self._partial_event and event is events[-1]
+            )
             for event in events
         ]
         return b''.join(parts)
 
     def finish(self) -> bytes:
         """Return what is left without a number."""
-        rest, self._rest = self._rest, b''
+        rest, self._partial_event = self._partial_event, b''
         return rest
 
     def _number(self, event: bytes, *, last: bool) -> bytes:
         self._events += 1
         seen = self._events <= self._skipped
         if last:
-            self._aligned = self._chunk
+            self._aligned_chunk = self._chunk
             self._events = 0
             self._skipped = 0
         if seen:
             return b''
-        position = Position(self._aligned, self._events)
+        position = Position(self._aligned_chunk, self._events)
         return f'id: {position}\n'.encode() + event + b'\n\n'
 
 
--- a/src/oleanderdyke/entry/stopping.py
+++ b/src/oleanderdyke/entry/stopping.py
@@ -24,7 +24,7 @@
 from oleanderdyke.logs import EventLog
 
 _SIGNALS = (signal.SIGTERM, signal.SIGINT)
-_TICK = 0.05
+_TICK_SECONDS = 0.05
 
 
 class StoppableRequest(Protocol):
@@ -71,14 +71,14 @@
         self._exit = anyio.Event()
         self._signalled = anyio.Event()
 
-    def begin(self, request: str, needs: Millis | None = None) -> None:
+    def begin(self, request: str, duration: Millis | None = None) -> None:
         """Count a request; raise STOPPING when no new one may start.
 
         `needs` is how long the request lasts, where that is known.
         """
         core = self._core
         now = core.clock.now()
-        if not core.drain.start_work(request, now, duration=needs):
+        if not core.drain.start_work(request, now, duration=duration):
             raise OleanderError(
                 ErrorKind.STOPPING, 'this entry stops', ran=Ran.NO
             )
@@ -116,7 +116,7 @@
         while not self._exit.is_set():
             self._execute(core.drain.tick(core.clock.now()))
             self._notify_requests()
-            with anyio.move_on_after(_TICK):
+            with anyio.move_on_after(_TICK_SECONDS):
                 await self._exit.wait()
 
     def _notify_requests(self) -> None:
--- a/src/oleanderdyke/entry/targets.py
+++ b/src/oleanderdyke/entry/targets.py
@@ -28,7 +28,7 @@
         0 if end is None else end.prompt_tokens,
         0 if end is None else end.recomputed_tokens,
     )
-    _judge(core, call, served)
+    _evaluate(core, call, served)
 
 
 def evaluate_refused(
@@ -46,17 +46,19 @@
     core.targets.get(call.service).refusals[kind] += 1
     if delivery is not None and delivery.first_token is not None:
         times = delivery.first_token, delivery.between_tokens
-        _judge(core, call, ServedRequest(call.request, *times))
+        _evaluate(core, call, ServedRequest(call.request, *times))
     elif kind not in CALLER_FAULTS:
-        _judge(core, call, ServedRequest(call.request, duration, refused=kind))
+        _evaluate(
+            core, call, ServedRequest(call.request, duration, refused=kind)
+        )
 
 
-def _judge(core: Core, call: Call, served: ServedRequest) -> None:
+def _evaluate(core: Core, call: Call, served: ServedRequest) -> None:
     if call.background or call.spec.kind is not ServiceKind.MODEL:
         return
-    book = core.targets.get(call.service)
+    monitor = core.targets.get(call.service)
     clock = core.clock
-    missed = book.add(
+    missed = monitor.add(
         served, call.spec.targets, now=clock.now(), wall=clock.wall()
     )
     for item in missed:
--- a/src/oleanderdyke/entry/vmwatch.py
+++ b/src/oleanderdyke/entry/vmwatch.py
@@ -26,13 +26,15 @@
         self._core = core
         self._client = client
         self._pool = pool
-        self._down = False
-        self._known: dict[str, None] = {}
+        self._is_down = False
+        self._addresses: dict[str, None] = {}
 
     @property
     def all_linked(self) -> bool:
         """Return whether every known address has a link."""
-        return bool(self._known) and all(map(self._pool.find, self._known))
+        return bool(self._addresses) and all(
+            map(self._pool.find, self._addresses)
+        )
 
     async def run(self) -> None:
         """Read the list until cancelled."""
@@ -48,25 +50,27 @@
         try:
             vms = await self._client.list(timeout=timeout)
         except OleanderError as error:
-            if not self._down:
+            if not self._is_down:
                 self._core.log.write(
                     EventName.VM_LIST_DOWN, detail=error.message
                 )
-            self._down = True
+            self._is_down = True
             return None
-        self._down = False
+        self._is_down = False
         return vms
 
     def _take(self, vms: Iterable[Vm]) -> None:
         chosen = choose_vms(vms, self._core.settings.data_centre)
-        wanted = dict.fromkeys(vm.address for vm in chosen if self._allows(vm))
-        wanted |= dict.fromkeys(filter(self._pool.find, self._known))
-        if wanted != self._known:
-            self._known = wanted
+        wanted = dict.fromkeys(
+            vm.address for vm in chosen if self._is_allowed(vm)
+        )
+        wanted |= dict.fromkeys(filter(self._pool.find, self._addresses))
+        if wanted != self._addresses:
+            self._addresses = wanted
             self._core.log.write(EventName.VM_LIST_CHANGED, count=len(wanted))
             self._pool.set_addresses({address: address for address in wanted})
 
-    def _allows(self, vm: Vm) -> bool:
+    def _is_allowed(self, vm: Vm) -> bool:
         settings = self._core.settings
         chosen = settings.vms.data_centres
         if chosen and vm.data_centre not in chosen:
@@ -75,7 +79,7 @@
             return True
         if is_loopback(vm.address.rpartition(':')[0].strip('[]')):
             return True
-        if vm.address not in self._known:
+        if vm.address not in self._addresses:
             self._core.log.write(
                 EventName.LINK_REFUSED,
                 address=vm.address,
--- a/tests/matrix/drivers.py
+++ b/tests/matrix/drivers.py
@@ -192,7 +192,7 @@
         if item is None:
             await self._flush()
         elif isinstance(item, MessageReceived):
-            await self._parts[type(item.message)](item.message)
+            await self._handlers[type(item.message)](item.message)
         else:
             await self._handle_end(item)
 
--- a/tests/matrix/entry.py
+++ b/tests/matrix/entry.py
@@ -96,7 +96,10 @@
 
     def flush(self) -> None:
         """Append what is pending, as far as the bound allows."""
-        while self._pending and self._active < entry_claims._APPENDS:
+        while (
+            self._pending
+            and self._active < entry_claims._MAX_CONCURRENT_APPENDS
+        ):
             self._active += 1
             drive(self._append_next(self._take_group()))
 
--- a/tests/matrix/points.py
+++ b/tests/matrix/points.py
@@ -112,7 +112,7 @@
         names = {self._name_record(log, each.data) for each in page.records}
         if log == 'claims' and Point.CLAIM_APPEND in names:
             # Only who waits for its own claim reads it back.
-            return Point.CLAIM_READ if entry.claim_log._watched else None
+            return Point.CLAIM_READ if entry.claim_log._pending_claims else None
         if Point.CONFIGURATION_APPEND in names and entry.name == 'entry-1':
             return Point.CONFIGURATION_READ
         return None
