--- a/src/oleanderdyke/entry/__init__.py
+++ b/src/oleanderdyke/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Serve callers and operators at the edge."""
+"""Serve requests of callers and operators and choose backend servers."""
--- a/src/oleanderdyke/entry/admin.py
+++ b/src/oleanderdyke/entry/admin.py
@@ -1,4 +1,4 @@
-"""Answer operators and the administrators of teams."""
+"""Serve the administration to operators and team administrators."""
 
 from __future__ import annotations
 
@@ -41,7 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Name who asks; the administrator of a team has its name in `team`."""
+    """Identify the caller of an administration request.
+
+    `team` is the name of the administered team, empty for an operator.
+    """
 
     name: str
     team: str = ''
@@ -49,9 +52,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeInput:
-    """Ask for one object to be set, or deleted where the spec is None.
+    """Request to set one object, or to delete it if the spec is None.
 
-    Whoever chooses the record id can ask for the outcome through any entry.
+    A caller that sets `record_id` can query the outcome at any entry.
     """
 
     kind: ObjectKind
@@ -63,7 +66,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchResult:
-    """Hold what changed after an offset; `complete` unless too long ago."""
+    """Hold the outcomes after an offset.
+
+    `complete` is false if older outcomes are no longer kept.
+    """
 
     offset: int
     outcomes: tuple[Outcome, ...]
@@ -71,7 +77,7 @@
 
 
 class Administration:
-    """Check rights, then read and change the configuration."""
+    """Authorize callers, then read and change the configuration."""
 
     def __init__(
         self,
@@ -91,7 +97,7 @@
         self._send_drain = send_drain
 
     def identify(self, token_hash: str) -> Caller:
-        """Return the owner of a token; raise UNAUTHENTICATED."""
+        """Return the owner of a token; raise UNAUTHENTICATED if unknown."""
         found = ''
         for operator in self._operators:
             if hmac.compare_digest(operator.token_hash, token_hash):
@@ -100,7 +106,7 @@
             return Caller(found)
         team = self._catalog.find_administered_team(token_hash)
         if team is None:
-            fault = 'a known bearer token is needed'
+            fault = 'missing or unknown bearer token'
             raise OleanderError(ErrorKind.UNAUTHENTICATED, fault)
         return Caller(f'team/{team.name}', team.name)
 
@@ -113,7 +119,7 @@
         after: str = '',
         limit: int = PAGE_LIMIT,
     ) -> ObjectPage:
-        """Look at a bounded number of objects after a name."""
+        """Return up to `limit` matching objects whose names follow `after`."""
         check_operator(caller)
         limit = max(1, min(limit, PAGE_LIMIT))
         return self._catalog.list_page(kind, selector, after=after, limit=limit)
@@ -121,7 +127,7 @@
     def get_object(
         self, caller: Caller, kind: ObjectKind, name: str
     ) -> StoredObject:
-        """Return an object; raise NOT_FOUND."""
+        """Return an object; raise NOT_FOUND or FORBIDDEN."""
         _check_access(caller, kind, name)
         stored = self._catalog.get(kind, name)
         if stored is None:
@@ -138,9 +144,10 @@
     async def publish(
         self, caller: Caller, inputs: Sequence[ChangeInput]
     ) -> tuple[Outcome, ...]:
-        """Publish changes and return what became of each, in order.
+        """Publish changes and return their outcomes in the same order.
 
-        Each change stands for itself. Raise NOT_READY, LOG_UNAVAILABLE or
+        Each change is applied or rejected independently of the others. Raise
+        BAD_REQUEST, FORBIDDEN, CONFLICT, NOT_READY, LOG_UNAVAILABLE or
         OUTCOME_UNKNOWN.
         """
         self._check_publishable(caller, inputs)
@@ -153,7 +160,7 @@
     async def find_outcome(
         self, caller: Caller, record_id: str, wait: Millis = 0.0
     ) -> Outcome:
-        """Return what became of a record; raise OUTCOME_UNKNOWN."""
+        """Return the outcome of a change; raise OUTCOME_UNKNOWN."""
         wait = min(wait, WAIT_LIMIT)
         (outcome,) = await self._publisher.settle([record_id], wait)
         _check_access(caller, outcome.kind, outcome.name)
@@ -162,7 +169,7 @@
     async def watch(
         self, caller: Caller, after: int, wait: Millis
     ) -> WatchResult:
-        """Wait until something has changed after an offset."""
+        """Return the outcomes after an offset, waiting for the first one."""
         check_operator(caller)
         catalog = self._catalog
         await wait_until(
@@ -180,7 +187,7 @@
         )
 
     async def drain(self, caller: Caller, agent: str) -> None:
-        """Ask an agent to leave; raise NOT_FOUND without a link to it."""
+        """Ask an agent to drain; raise NOT_FOUND without a link to it."""
         check_operator(caller)
         if not await self._send_drain(agent, caller.name):
             fault = f'this entry has no link to an agent {agent!r}'
@@ -193,7 +200,9 @@
         if reason:
             raise OleanderError(ErrorKind.NOT_READY, reason, ran=Ran.NO)
         if not 0 < len(inputs) <= CHANGE_LIMIT:
-            fault = f'found {len(inputs)} changes; allowed: 1 to {CHANGE_LIMIT}'
+            fault = (
+                f'changes: found {len(inputs)}; allowed: 1 to {CHANGE_LIMIT}'
+            )
             raise OleanderError(ErrorKind.BAD_REQUEST, fault)
         for item in inputs:
             if item.record_id and not _RECORD_ID.fullmatch(item.record_id):
@@ -206,10 +215,10 @@
     def _check_tokens_only(self, item: ChangeInput) -> None:
         stored = self._catalog.get(item.kind, item.name)
         if stored is None or stored.generation != item.expected:
-            fault = 'the team has another generation; get it and try again'
+            fault = 'expected: stale generation of the team; read it and retry'
             raise OleanderError(ErrorKind.CONFLICT, fault, ran=Ran.NO)
         if _without_tokens(item.spec) != _without_tokens(stored.spec):
-            fault = 'a team may change its token hashes only'
+            fault = 'spec: a team administrator may change only token hashes'
             raise OleanderError(ErrorKind.FORBIDDEN, fault)
 
     def _make_change(self, caller: Caller, item: ChangeInput) -> Change:
@@ -225,13 +234,13 @@
 
 
 def check_operator(caller: Caller) -> None:
-    """Raise FORBIDDEN for the administrator of a team."""
+    """Raise FORBIDDEN unless the caller is an operator."""
     if caller.team:
         raise OleanderError(ErrorKind.FORBIDDEN, 'this is for operators')
 
 
 def make_conflict(rejected: Sequence[Rejected]) -> OleanderError:
-    """Return the error that tells who won, or why the change is invalid."""
+    """Return the error that names the conflicting or invalid changes."""
     invalid = any(item.reason is RejectionReason.INVALID for item in rejected)
     kind = ErrorKind.BAD_REQUEST if invalid else ErrorKind.CONFLICT
     return OleanderError(
@@ -246,14 +255,15 @@
 
 def _check_access(caller: Caller, kind: ObjectKind, name: str) -> None:
     if caller.team and (kind, name) != (ObjectKind.TEAM, caller.team):
-        # The same answer whether or not there is such an object.
+        # The same error whether or not the object exists, so that a team
+        # administrator cannot probe for names.
         raise OleanderError(ErrorKind.FORBIDDEN, 'this is for operators')
 
 
 def _check_same_change(change: Change, outcome: Outcome) -> None:
     submitted = (change.operator, change.kind, change.name)
     if submitted != (outcome.operator, outcome.kind, outcome.name):
-        fault = 'record_id: it belongs to another change'
+        fault = 'record_id: already used by another change'
         raise OleanderError(ErrorKind.BAD_REQUEST, fault)
 
 
--- a/src/oleanderdyke/entry/admin_documents.py
+++ b/src/oleanderdyke/entry/admin_documents.py
@@ -1,4 +1,4 @@
-"""Turn the administration's JSON into typed messages and back."""
+"""Convert administration requests from JSON and results to JSON."""
 
 from __future__ import annotations
 
@@ -43,17 +43,17 @@
 
 
 class Query:
-    """Read the parameters of a request; raise BAD_REQUEST for bad ones."""
+    """Parse query parameters; raise BAD_REQUEST for malformed ones."""
 
     def __init__(self, text: str) -> None:
         self._values = parse_qs(text)
 
     def read_text(self, name: str) -> str:
-        """Return a parameter, empty where it is missing."""
+        """Return a parameter, or an empty string if it is missing."""
         return self._values.get(name, [''])[0]
 
     def read_number(self, name: str, default: int) -> int:
-        """Return a whole number."""
+        """Return an integer parameter; raise BAD_REQUEST."""
         text = self.read_text(name)
         if not text:
             return default
@@ -62,16 +62,16 @@
         return int(text)
 
     def read_wait(self) -> Millis:
-        """Return how long to wait, in ms."""
+        """Return the `wait` parameter in ms, at least 0."""
         return float(max(0, self.read_number('wait', 0)))
 
     def read_selector(self) -> Labels:
-        """Return a selector such as `region=north,size=large`."""
+        """Return the label selector in the `selector` parameter."""
         return parse_selector(self.read_text('selector'))
 
 
 def parse_selector(text: str) -> Labels:
-    """Read a selector such as `region=north,size=large`."""
+    """Parse a selector such as `region=north,size=large`."""
     pairs = [part.partition('=') for part in text.split(',') if part]
     if not all(name and mark for name, mark, _ in pairs):
         raise make_bad_request('selector: allowed: name=value,name=value')
@@ -79,16 +79,16 @@
 
 
 def parse_kind(text: str) -> ObjectKind:
-    """Return a kind; raise NOT_FOUND for an unknown one."""
+    """Parse an object kind; raise NOT_FOUND for an unknown one."""
     if text in tuple(ObjectKind):
         return ObjectKind(text)
     allowed = ', '.join(ObjectKind)
-    fault = f'no kind of this name; allowed: {allowed}'
+    fault = f'unknown object kind; allowed: {allowed}'
     raise OleanderError(ErrorKind.NOT_FOUND, fault)
 
 
 def parse_changes(body: bytes) -> tuple[ChangeInput, ...]:
-    """Read the body of a publication; raise BAD_REQUEST with all faults."""
+    """Parse the body of a publication; raise BAD_REQUEST with all faults."""
     found = structure_document(parse_document(body), _ChangeList, source=_BODY)
     return tuple(
         _parse_change(raw, ('changes', str(index)))
@@ -115,7 +115,7 @@
 
 
 def describe_object(stored: StoredObject) -> dict[str, Any]:
-    """Return an object as JSON shows it, without its defaults."""
+    """Return the JSON form of an object, omitting default values."""
     return {
         'kind': stored.kind.value,
         'name': stored.name,
@@ -125,24 +125,24 @@
 
 
 def describe_page(page: ObjectPage, offset: int) -> dict[str, Any]:
-    """Return a page of objects as JSON shows it."""
+    """Return the JSON form of a page of objects read at an offset."""
     objects = [describe_object(item) for item in page.objects]
     return {'objects': objects, 'after': page.after, 'offset': offset}
 
 
 def describe_outcome(outcome: Outcome) -> dict[str, Any]:
-    """Return an outcome as JSON shows it."""
+    """Return the JSON form of an outcome."""
     result = 'applied' if isinstance(outcome, Applied) else 'lost'
     return {'result': result, **dataclasses.asdict(outcome)}
 
 
 def describe_outcomes(outcomes: Iterable[Outcome]) -> dict[str, Any]:
-    """Return outcomes as JSON shows them."""
+    """Return the JSON form of a sequence of outcomes."""
     return {'outcomes': [describe_outcome(item) for item in outcomes]}
 
 
 def describe_watch(watched: WatchResult) -> dict[str, Any]:
-    """Return what a watch has seen as JSON shows it."""
+    """Return the JSON form of the result of a watch."""
     return {
         'offset': watched.offset,
         'complete': watched.complete,
@@ -151,7 +151,7 @@
 
 
 def encode(document: object) -> bytes:
-    """Return JSON; data classes and enumerations are allowed."""
+    """Encode JSON, including data classes, enumerations and mappings."""
     return json.dumps(document, default=_convert_value).encode()
 
 
--- a/src/oleanderdyke/entry/admin_edge.py
+++ b/src/oleanderdyke/entry/admin_edge.py
@@ -1,4 +1,4 @@
-"""Mount the administration under `/admin/v1/`."""
+"""Route HTTP requests under `/admin/v1/` to the administration."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminRequest:
-    """Hold what one request asks."""
+    """Hold one authenticated request; `names` are its path parameters."""
 
     caller: Caller
     names: tuple[str, ...]
@@ -58,7 +58,7 @@
 
 
 class AdminEdge:
-    """Answer HTTP requests of operators."""
+    """Serve HTTP requests of operators and team administrators."""
 
     def __init__(self, core: Core, administration: Administration) -> None:
         self._core = core
@@ -96,7 +96,7 @@
         ]
         if not allowed:
             raise make_not_found()
-        fault = f'allowed here: {", ".join(allowed)}'
+        fault = f'method not allowed; allowed: {", ".join(allowed)}'
         raise OleanderError(ErrorKind.METHOD_NOT_ALLOWED, fault)
 
     async def _list(self, request: AdminRequest) -> tuple[int, Any]:
@@ -163,7 +163,7 @@
 
 
 def make_admin_edge(core: Core, appender: Appender) -> AdminEdge:
-    """Build the administration of an entry; `appender` is its log client."""
+    """Build the administration; `appender` writes the configuration log."""
 
     async def send_drain(agent: str, operator: str) -> bool:
         link = core.find_link(agent)
--- a/src/oleanderdyke/entry/admin_status.py
+++ b/src/oleanderdyke/entry/admin_status.py
@@ -1,4 +1,4 @@
-"""Describe an entry, the agents it knows and what its services owe."""
+"""Report the status of an entry, its agents and its services."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentStatus:
-    """Show an agent as this entry last heard of it; ages are in ms."""
+    """Report the state of an agent in its latest heartbeat."""
 
     agent: str
     service: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reach:
-    """Count the processes that have an offset, and name the others."""
+    """Count the processes that applied an offset and name the others."""
 
     offset: int
     have: int
@@ -53,11 +53,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceStatus:
-    """Compare what a service owes with what its requests here got.
+    """Compare the targets of a service with the results at this entry.
 
-    `standings` cover the last hour, all else the life of this entry. The
-    timings are encoded histograms, which those of other entries add to; they
-    and the requests that missed a target come only where asked for.
+    `standings` cover the last hour, all other values the lifetime of this
+    process. `timings` are encoded histograms that can be merged with those
+    of other entries; they and `missed_requests` are filled on request only.
     """
 
     service: str
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryStatus:
-    """Show one entry and all that it knows."""
+    """Report the state of one entry and its view of the agents."""
 
     process: str
     data_centre: str
@@ -94,9 +94,9 @@
 def make_status(
     core: Core, offset: int | None = None, *, missed: int = 0
 ) -> EntryStatus:
-    """Build the status; `reach` is for an offset, else for the present one.
+    """Build the status; `reach` counts `offset`, by default the current one.
 
-    With `missed`, show so many requests that missed each target.
+    `missed` is the number of requests to list for each missed target.
     """
     catalog, fault = core.catalog, core.find_fault()
     views = core.fleet.views()
--- a/src/oleanderdyke/entry/agents.py
+++ b/src/oleanderdyke/entry/agents.py
@@ -1,4 +1,4 @@
-"""Speak with the agents over the links."""
+"""Handle the links to agents and their messages."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class AgentLinks:
-    """Handle what happens on the links to agents."""
+    """Dispatch messages and state changes of the links to agents."""
 
     def __init__(self, core: Core, feed: ConfigurationFeed) -> None:
         self._core = core
@@ -57,7 +57,7 @@
         }
 
     async def on_up(self, link: Link) -> None:
-        """Take a new link; raise OleanderError for a dead incarnation."""
+        """Register a new link, or close that of a superseded incarnation."""
         core, peer = self._core, link.peer
         known = core.fleet.on_hello(peer, link.address, core.clock.now())
         if not known:
@@ -82,11 +82,11 @@
         core.spawn(self._send_beats, link)
 
     async def on_message(self, link: Link, message: Message) -> None:
-        """Take one message that could not be taken at once."""
+        """Handle one message that the link could not hand to `take`."""
         self.take(link, message)
 
     def take(self, link: Link, message: Message) -> None:
-        """Take one message; nothing here waits for anybody."""
+        """Handle one message without blocking."""
         handler = self._handlers.get(type(message))
         if handler is None:
             self._core.log.write(
@@ -98,7 +98,7 @@
         handler(link, message)
 
     async def on_down(self, link: Link) -> None:
-        """Tell everybody who used a link that it is gone."""
+        """Notify the fleet, the feed and running requests of a lost link."""
         core, peer = self._core, link.peer
         counters = link.counters
         core.metrics.add(
@@ -117,7 +117,7 @@
             running.handle_link_down(link)
 
     def _replace_incarnations(self, link: Link) -> None:
-        """End what lived under the same process name or address before."""
+        """End earlier incarnations with the same process name or address."""
         process, incarnation = link.peer.process, link.peer.incarnation
         former = self._processes.get(link.address, process)
         self._processes[link.address] = process
@@ -149,7 +149,7 @@
         self._feed.handle_peer_offset(link, beat.offset)
 
     def _notify_superseded(self, link: Link, beat: Heartbeat) -> None:
-        """Tell an agent that came back that another took its place."""
+        """Notify an agent that a newer incarnation has replaced it."""
         agent = link.peer.process
         latest = self._incarnations.get(agent, beat.incarnation)
         if latest != beat.incarnation:
@@ -188,7 +188,7 @@
         )
 
     async def _send_beats(self, link: Link) -> None:
-        """Send beats, at once when there is news, else now and then."""
+        """Send heartbeats periodically, and at once on quarantine changes."""
         core = self._core
         while not link.closed:
             await _send(link, self._make_beat())
@@ -209,7 +209,7 @@
         )
 
     def _merge_quarantine(self, beat: Heartbeat) -> None:
-        """Take over what is held against requests, and pass on what is new."""
+        """Merge quarantined and suspect requests; announce new ones."""
         if not beat.quarantined and not beat.suspects:
             return
         before = self._list_quarantine()
--- a/src/oleanderdyke/entry/answers.py
+++ b/src/oleanderdyke/entry/answers.py
@@ -14,12 +14,12 @@
 
 REQUEST_HEADER = 'oleander-request'
 JSON_TYPE = 'application/json'
-# Where the server puts its PartWriter into the scope.
+# The ASGI scope extension under which the server offers its PartWriter.
 WRITER_EXTENSION = 'oleander.part_writer'
 
 
 def encode_error(error: OleanderError, request: str) -> bytes:
-    """Return the JSON body of an error."""
+    """Return the JSON body of an error; `request` is the request id."""
     described = {
         'kind': error.kind.value,
         'message': error.message,
@@ -30,7 +30,7 @@
 
 
 def make_error_headers(error: OleanderError) -> Headers:
-    """Return the headers of an error."""
+    """Return the content type and, if set, the retry-after header."""
     headers = [('content-type', JSON_TYPE)]
     if error.retry_after is not None:
         seconds = math.ceil(error.retry_after / SECOND)
@@ -39,19 +39,19 @@
 
 
 class PartWriter(Protocol):
-    """Write parts of a body without a wait; the server offers one."""
+    """Write parts of a response body without blocking."""
 
     def is_ready(self) -> bool:
-        """Return whether a part of the present body can be written now."""
+        """Return whether `write_part` can be called now."""
 
     def write_part(self, part: bytes) -> None:
-        """Write a part that is not empty."""
+        """Write one non-empty part of the body."""
 
 
 class Answer:
-    """Send one answer, waiting while the caller reads slowly.
+    """Send one HTTP response with flow control.
 
-    The server drops a connection whose caller has stopped reading.
+    The server closes the connection of a caller that stops reading.
     """
 
     def __init__(
@@ -65,23 +65,23 @@
 
     @property
     def started(self) -> bool:
-        """Return whether the head has been sent."""
+        """Return whether the response head has been sent."""
         return self.status != 0
 
     @property
     def is_writable(self) -> bool:
-        """Return whether `write` can send a part now."""
+        """Return whether `write` can send a part without blocking."""
         if self.ended or not self.started or self._writer is None:
             return False
         return self._writer.is_ready()
 
     def write(self, part: bytes) -> None:
-        """Send a part of the body at once; only while `is_writable`."""
+        """Send a part of the body without blocking; requires `is_writable`."""
         if self._writer is not None:
             self._writer.write_part(part)
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send the head."""
+        """Send the status and the headers."""
         self.status = status
         await self._send(
             {
@@ -92,7 +92,7 @@
         )
 
     async def send(self, part: bytes) -> None:
-        """Send a part of the body."""
+        """Send a part of the body; wait while the connection is congested."""
         await self._send(
             {'type': 'http.response.body', 'body': part, 'more_body': True}
         )
@@ -105,17 +105,17 @@
     async def send_whole(
         self, status: int, body: bytes, headers: Headers = ()
     ) -> None:
-        """Send an answer of known length."""
+        """Send a complete response with a content-length header."""
         length = ('content-length', str(len(body)))
         await self.start(status, (*headers, length))
         await self.end(body)
 
     async def send_json(self, status: int, body: bytes) -> None:
-        """Send an answer of encoded JSON."""
+        """Send a complete response with an encoded JSON body."""
         await self.send_whole(status, body, (('content-type', JSON_TYPE),))
 
     async def send_error(self, error: OleanderError) -> None:
-        """Send a typed error."""
+        """Send an error as a complete response."""
         body = encode_error(error, self._request)
         await self.send_whole(error.status, body, make_error_headers(error))
 
--- a/src/oleanderdyke/entry/app.py
+++ b/src/oleanderdyke/entry/app.py
@@ -1,4 +1,4 @@
-"""Answer HTTP requests of callers, operators and the balancer."""
+"""Serve HTTP requests of callers, operators and the load balancer."""
 
 from __future__ import annotations
 
@@ -47,12 +47,13 @@
 
 _CLASS_HEADER = 'oleander-class'
 _BACKGROUND = 'background'
-# A body up to this size can be sent again and is read before routing.
+# A body up to this size is read whole before routing, so that it can be
+# sent again to another replica.
 _REPLAYABLE_BYTES = 256 * 1024
 
 
 class App:
-    """Route requests; answer every fault with a typed error."""
+    """Route requests and answer every fault with a typed error."""
 
     def __init__(
         self,
@@ -81,7 +82,7 @@
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Serve one request."""
+        """Serve one ASGI request."""
         if scope['type'] != 'http':
             return
         request = make_request_id()
@@ -215,7 +216,7 @@
         await self._run_counted(head.request, driver.run)
 
     def _find_team(self, head: Head) -> StoredObject:
-        """Return the caller's team; raise NOT_READY without configuration."""
+        """Return the caller's team; raise NOT_READY or UNAUTHENTICATED."""
         core = self._core
         if core.reader.offset < 0:
             fault = core.find_configuration_fault()
@@ -268,7 +269,7 @@
 
 def _make_wrong_method(allowed: str) -> OleanderError:
     return OleanderError(
-        ErrorKind.METHOD_NOT_ALLOWED, f'allowed here: {allowed}'
+        ErrorKind.METHOD_NOT_ALLOWED, f'method not allowed; allowed: {allowed}'
     )
 
 
@@ -279,7 +280,7 @@
 
 
 def _convert_error(fault: BaseException) -> OleanderError | None:
-    """Return the error to answer with, or none where the caller has gone."""
+    """Return the error to answer with, or None if the caller has gone."""
     first = _unwrap_group(fault)
     if isinstance(first, CallerGone):
         return None
--- a/src/oleanderdyke/entry/calls.py
+++ b/src/oleanderdyke/entry/calls.py
@@ -1,4 +1,4 @@
-"""Turn checked requests into calls on a service."""
+"""Build service calls from validated requests."""
 
 from __future__ import annotations
 
@@ -22,9 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """Hold one call on its way to a backend server.
+    """Describe one call to a service.
 
-    `whole` tells that `body` is all of it; else it is the beginning.
+    `body` is the complete body if `whole`, else its beginning. `digest`
+    identifies the content of the call, for quarantine and for idempotency.
     """
 
     request: str
@@ -48,11 +49,11 @@
 
     @property
     def label(self) -> str:
-        """Name the service in metrics; background work is kept apart."""
+        """Return the metric label; background calls have their own."""
         return f'{self.service}:background' if self.background else self.service
 
     def make_demand(self, deadline: Millis, data_centre: str) -> Demand:
-        """Show the call as routing and admission see it."""
+        """Return the resource demand for routing and admission."""
         return Demand(
             request=self.request,
             team=self.team,
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Name the team and the service of a call."""
+    """Identify the team and the service of a call."""
 
     team: str
     service: str
@@ -83,14 +84,15 @@
     weights: ModelVersionSpec,
     idempotency_key: str,
 ) -> Call:
-    """Build a call on a model service, bound to one set of weights."""
+    """Build a call to a model service, bound to one set of weights."""
     spec = target.spec
     namespace = make_namespace(
         target.team, target.service, spec.model, weights.digest, spec.adapter
     )
     prompt = chat.make_prompt()
     body = chat.make_engine_body(spec.model, namespace)
-    # The digest outlives a change of weights, so it leaves the salt out.
+    # The cache salt depends on the weights. The digest excludes it, to stay
+    # the same when the weights change.
     unsalted = chat.make_engine_body(spec.model, b'')
     return Call(
         request=request,
@@ -123,10 +125,10 @@
     idempotency_key: str,
     background: bool,
 ) -> Call:
-    """Build a call on a plain service.
+    """Build a call to a plain service.
 
-    A body that is streamed can't be sent twice, so that its call is not
-    idempotent whatever its method.
+    A streamed body cannot be sent twice, so its call is never treated as
+    idempotent, whatever the method.
     """
     idempotent = head.method in target.spec.idempotent_methods
     return Call(
--- a/src/oleanderdyke/entry/chat.py
+++ b/src/oleanderdyke/entry/chat.py
@@ -1,4 +1,4 @@
-"""Read chat completion requests in the OpenAI form."""
+"""Parse chat completion requests in the OpenAI format."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 from oleanderdyke.kernel.blocks import PromptMessage, encode_prompt
 from oleanderdyke.kernel.routing import BACKGROUND_PRIORITY, SHORT_PRIORITY
 
-# A prompt of another form would not match its segments.
+# These fields change how the engine renders the prompt, which would then
+# not match the segments computed from the messages.
 _UNSUPPORTED_FIELDS = ('tools', 'tool_choice', 'functions', 'function_call')
 _HANDLED_FIELDS = frozenset(
     (
@@ -35,7 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Chat:
-    """Hold one checked chat request; `extra` goes to the engine as it is."""
+    """Hold one validated chat request.
+
+    `extra` holds the fields that are passed to the engine unchanged.
+    """
 
     model: str
     messages: tuple[PromptMessage, ...]
@@ -45,15 +49,15 @@
     extra: dict[str, Any]
 
     def move_to_background(self) -> Chat:
-        """Return the same request in the background class."""
+        """Return a copy of the request in the background class."""
         return replace(self, background=True)
 
     def make_prompt(self) -> bytes:
-        """Return the canonical prompt."""
+        """Return the canonical encoding of the messages."""
         return encode_prompt(self.messages)
 
     def make_engine_body(self, model: str, namespace: bytes) -> bytes:
-        """Return the engine's JSON; the namespace keeps its cache apart."""
+        """Return the JSON for the engine, with the namespace as cache salt."""
         priority = BACKGROUND_PRIORITY if self.background else SHORT_PRIORITY
         document = self.extra | {
             'model': model,
@@ -70,7 +74,7 @@
 
 
 def parse_chat(body: bytes) -> Chat:
-    """Check a chat request; raise BAD_REQUEST naming the field."""
+    """Parse a chat request; raise BAD_REQUEST naming the field."""
     document = parse_document(body)
     for name in _UNSUPPORTED_FIELDS:
         if name in document:
@@ -126,14 +130,14 @@
 
 def _read_message(found: object, place: str) -> PromptMessage:
     if not isinstance(found, dict) or found.keys() != _MESSAGE_FIELDS:
-        raise make_bad_request(f'{place} must have just role and content')
+        raise make_bad_request(f'{place} must have only role and content')
     role = found['role']
     if not isinstance(role, str) or role not in _ROLES:
         allowed = ', '.join(sorted(_ROLES))
         raise make_bad_request(f'{place}.role must be one of {allowed}')
     content = _read_content(found['content'], place)
     if '\0' in content:
-        raise make_bad_request(f'{place}.content holds a NUL')
+        raise make_bad_request(f'{place}.content holds a NUL character')
     _check_text(content)
     return PromptMessage(role, content)
 
@@ -158,5 +162,5 @@
     try:
         json.dumps(found, ensure_ascii=False, allow_nan=False).encode()
     except ValueError as error:
-        fault = 'the JSON holds half a surrogate pair or too large a number'
+        fault = 'the JSON holds a lone surrogate or an out-of-range number'
         raise make_bad_request(fault) from error
--- a/src/oleanderdyke/entry/claims.py
+++ b/src/oleanderdyke/entry/claims.py
@@ -1,4 +1,4 @@
-"""Append to the claims log in groups and settle what was read back."""
+"""Append claim records in batches and settle claims read from the log."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class _PendingAppend:
-    """Hold records that must be in one append, and who waits for it."""
+    """Hold records for one append and the callbacks for its result."""
 
     records: tuple[ClaimsRecord, ...]
     on_appended: Callable[[int], None]
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class _PendingClaim:
-    """Hold a claim that is on its way through the log."""
+    """Hold a claim whose verdict has not been read from the log yet."""
 
     key: str
     digest: str
@@ -60,7 +60,7 @@
 
 
 class ClaimLog:
-    """Write and read the claims log for every request of this entry."""
+    """Append claim records and report claim verdicts to requests."""
 
     def __init__(self, core: Core, client: LogClient) -> None:
         self._core = core
@@ -74,18 +74,18 @@
 
     @property
     def is_caught_up(self) -> bool:
-        """Return whether the log has been read to its end."""
+        """Return whether the claims log has been read to its end."""
         return self._core.claims.caught_up
 
     @property
     def idle(self) -> bool:
-        """Return whether no record waits to be appended."""
+        """Return whether no append is pending or running."""
         return not self._pending and not self._active
 
     def append_claim(
         self, action: AppendClaim, digest: str, inbox: Inbox
     ) -> None:
-        """Append a claim and report its verdict to the inbox."""
+        """Append a claim; put its verdict into the inbox once it is read."""
         record = action.record
         claim = _PendingClaim(
             record.key, digest, inbox, since=self._core.clock.now()
@@ -108,7 +108,7 @@
         )
 
     def append_release(self, action: AppendRelease) -> None:
-        """Append a release or withdrawal, repeating while the log is out."""
+        """Append a release or withdrawal; retry while the log is down."""
         self._add(
             self._make_retried(
                 action.record, EventName.CLAIM_RELEASED, lambda _: None
@@ -116,7 +116,10 @@
         )
 
     def append_outcome(self, action: AppendOutcome, inbox: Inbox) -> None:
-        """Append an outcome, repeating; report the first try to the inbox."""
+        """Append an outcome with retries; report to the inbox.
+
+        OutcomeFailed is reported once, after the first failed attempt.
+        """
 
         def handle_failed(pending: _PendingAppend) -> None:
             if pending.retries == 1:
@@ -135,18 +138,18 @@
         self._add(pending)
 
     def discard_inbox(self, inbox: Inbox) -> None:
-        """Stop reporting to a request that is over."""
+        """Stop reporting to the inbox of a finished request."""
         for claim_id, claim in tuple(self._pending_claims.items()):
             if claim.inbox is inbox:
                 del self._pending_claims[claim_id]
 
     def settle_claims(self) -> None:
-        """Settle the claims that have been read back."""
+        """Report the verdicts of claims that have been read from the log."""
         for claim_id in tuple(self._pending_claims):
             self._settle(claim_id)
 
     async def run(self) -> None:
-        """Append what is pending, in groups, until cancelled."""
+        """Append pending records in batches until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
                 await self._wake.wait()
@@ -157,9 +160,10 @@
                 self._wake = anyio.Event()
 
     async def renew_claims(self) -> None:
-        """Repeat live claims before the log forgets them, until cancelled.
+        """Append live claims again before their records expire.
 
-        Every entry does it; whoever is first spares the others the work.
+        Runs in every entry until cancelled. The interval is random, so that
+        usually one entry renews a claim and the others find it renewed.
         """
         retention = self._core.settings.log.retention
         while True:
@@ -168,7 +172,7 @@
             self.append_due_renewals(retention)
 
     def append_due_renewals(self, retention: Millis) -> None:
-        """Append the claims whose latest record has half its time behind."""
+        """Renew claims whose latest record is older than half the retention."""
         table = self._core.claims
         latest = max(table.log_time, self._core.clock.wall())
         due = table.list_due_renewals(latest - retention / 2, _RENEWAL_LIMIT)
@@ -177,7 +181,7 @@
             self._add(_PendingAppend(records, _ignore, _ignore))
 
     async def retry(self, pending: _PendingAppend) -> None:
-        """Wait, then append once more."""
+        """Queue an append again after the retry delay."""
         await anyio.sleep(self._core.settings.log.retry / SECOND)
         self._add(pending)
 
@@ -232,16 +236,19 @@
         return pending
 
     def _abandon(self, record: ClaimsRecord) -> None:
-        """Log an outcome that is lost; a release is asked for again anyway."""
+        """Log an outcome that could not be recorded.
+
+        A release needs no log line: it is requested again later.
+        """
         if isinstance(record, OutcomeRecord):
             self._core.log.write(
                 EventName.OUTCOME_UNRECORDED, offset=record.offset
             )
 
     def _settle(self, claim_id: str) -> None:
-        """Report a verdict once the log was read through the claim.
+        """Report the verdict once the log has been read past the claim.
 
-        A claim whose append is in doubt counts only once it is the owner.
+        While the result of the append is unknown, only ownership settles it.
         """
         claim = self._pending_claims.get(claim_id)
         if claim is None:
@@ -262,4 +269,4 @@
 
 
 def _ignore(_: object) -> None:
-    """Let the next round carry what was not appended."""
+    """Ignore the result: the next renewal run covers a failed append."""
--- a/src/oleanderdyke/entry/configuration.py
+++ b/src/oleanderdyke/entry/configuration.py
@@ -1,4 +1,4 @@
-"""Bring the configuration from the log and peers to this entry and agents."""
+"""Apply the configuration from the log and peers; forward it to agents."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class ConfigurationFeed:
-    """Feed the reader and pass on what it has applied."""
+    """Feed the configuration reader and push its state to peers."""
 
     def __init__(self, core: Core, client: LogClient) -> None:
         self._core = core
@@ -40,18 +40,18 @@
         self._snapshot_slots = anyio.Semaphore(_CONCURRENT_SNAPSHOTS)
 
     def apply_page(self, page: LogPage) -> None:
-        """Take a page of the log."""
+        """Apply a page of the configuration log."""
         if self._core.reader.on_page(page, self._core.clock.now()):
             self._announce_offset('log')
 
     def add_link(self, link: Link) -> None:
-        """Learn of a peer and of its offset."""
+        """Register a link and compare offsets with its peer."""
         self._links[link.peer.process] = link
         self._pushed.pop(link.peer.process, None)
         self.handle_peer_offset(link, link.peer.offset)
 
     def drop_link(self, link: Link) -> None:
-        """Forget a peer."""
+        """Remove a closed link and the state of its peer."""
         process = link.peer.process
         self._snapshots_sent.pop(link, None)
         if self._links.get(process) is link:
@@ -60,7 +60,7 @@
             self._core.reader.on_peer_disconnected(process)
 
     def handle_peer_offset(self, link: Link, offset: int) -> None:
-        """Compare a peer's offset with ours; ask it or help it."""
+        """Request what this entry lacks, or push what the peer lacks."""
         process = link.peer.process
         core = self._core
         request = core.reader.on_peer_offset(process, offset, core.clock.now())
@@ -71,7 +71,10 @@
             self._push(link, offset)
 
     def answer(self, link: Link, request: ConfigurationRequest) -> None:
-        """Send a peer what it asks for, one snapshot to it at a time."""
+        """Send the requested difference, or a snapshot if it is too old.
+
+        At most one snapshot is sent to a peer at a time.
+        """
         if self._core.catalog.difference(request.after) is not None:
             messages = tuple(self._core.reader.answer(request))
             self._core.spawn(_send_all, link, messages)
@@ -85,20 +88,20 @@
     def apply_difference(
         self, link: Link, message: ConfigurationDifference
     ) -> None:
-        """Take what a peer has sent."""
+        """Apply a difference that a peer has sent."""
         process, now = link.peer.process, self._core.clock.now()
         if self._core.reader.on_difference(process, message, now):
             self._announce_offset(process)
 
     async def append_snapshots(self) -> None:
-        """Append a snapshot whenever one is due, until cancelled."""
+        """Append a snapshot to the log whenever one is due, until cancelled."""
         while True:
             await anyio.sleep(_SNAPSHOT_CHECK / SECOND)
             if self._core.reader.is_snapshot_due(self._core.clock.wall()):
                 await self.append_snapshot()
 
     async def append_snapshot(self) -> None:
-        """Append the present configuration in chunks."""
+        """Append the current configuration to the log in chunks."""
         core, offset = self._core, self._core.reader.offset
         chunks = core.catalog.iterate_snapshot()
         count = 0
@@ -120,12 +123,12 @@
     async def _send_snapshot(
         self, link: Link, request: ConfigurationRequest
     ) -> None:
-        """Send a snapshot, a few peers at once, encoding as it goes out."""
+        """Send a snapshot, encoded while sending; limit concurrent ones."""
         try:
             async with self._snapshot_slots:
                 view = self._core.fleet.find_view(link.peer.process)
                 known_offset = START_OFFSET if view is None else view.offset
-                # Another entry may have helped while this one was busy.
+                # Another entry may have updated the peer while this one waited.
                 asked = ConfigurationRequest(max(request.after, known_offset))
                 await _send_all(link, self._core.reader.answer(asked))
         finally:
@@ -134,7 +137,7 @@
                 del self._snapshots_sent[link]
 
     def _has_recent_snapshot(self, link: Link) -> bool:
-        """Return whether a link has a whole snapshot on its way."""
+        """Return whether a snapshot is being or was recently sent."""
         sent_at = self._snapshots_sent.get(link, -math.inf)
         return self._core.clock.now() - sent_at < _SNAPSHOT_INTERVAL
 
@@ -144,7 +147,7 @@
         now = core.clock.now()
         if pushed >= core.reader.offset and now - sent_at < _PUSH_INTERVAL:
             return
-        # A peer too far behind for the kept records asks for a snapshot.
+        # A peer that is behind the oldest kept record requests a snapshot.
         if core.catalog.difference(offset) is None:
             return
         self._pushed[process] = core.reader.offset, now
@@ -170,7 +173,7 @@
     try:
         for message in messages:
             await link.send(message)
-            # Building the next one takes a while, and a send may not wait.
+            # Encoding takes long and a send may not block: yield to the loop.
             await anyio.sleep(0)
     except OleanderError:
         return
@@ -179,7 +182,7 @@
 async def _take_chunks(
     chunks: Iterator[bytes], count: int
 ) -> tuple[bytes, ...]:
-    """Return the next chunks, with a turn of the loop after each."""
+    """Return the next chunks; yield to the event loop after each."""
     batch: list[bytes] = []
     for chunk in itertools.islice(chunks, count):
         batch.append(chunk)
--- a/src/oleanderdyke/entry/core.py
+++ b/src/oleanderdyke/entry/core.py
@@ -1,4 +1,4 @@
-"""Hold the parts of one entry that its requests and tasks share."""
+"""Build the state that the requests and tasks of an entry share."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 _INCARNATION_BYTES = 8
 _NOTHING_PUBLISHED = 'no configuration published yet'
-# Peers are asked only when the log has not brought a change by then.
+# Time for a change to arrive through the log before peers are asked.
 _PEER_REQUEST_DELAY_MS = 250.0
 
 FindLink: TypeAlias = Callable[[str], Link | None]
@@ -50,28 +50,28 @@
 
 
 class RunningRequest(Protocol):
-    """Take what concerns one running request; nothing here waits."""
+    """Receive events of one running request without blocking."""
 
     def take(self, message: Message) -> None:
-        """Take a message of an agent about this request."""
+        """Handle a message of an agent about this request."""
 
     def handle_link_down(self, link: Link) -> None:
-        """Learn that a link is gone."""
+        """Handle the loss of a link."""
 
     def handle_link_up(self, link: Link) -> None:
-        """Learn of a new link."""
+        """Handle a new link."""
 
     def end_incarnation(self, agent: str, incarnation: str) -> None:
-        """Learn that an incarnation of an agent is over for good."""
+        """Handle the permanent end of an incarnation of an agent."""
 
     def release(self, decision: Admitted | Refusal) -> None:
-        """Learn what the admission decided."""
+        """Handle the admission decision on the queued request."""
 
     def hand_over(self) -> None:
-        """Leave the stream to another entry."""
+        """Direct the caller to resume its stream through another entry."""
 
     def stop(self, *, immediate: bool) -> None:
-        """Learn that the entry stops."""
+        """Handle the stop of the entry; `immediate` cuts the request off."""
 
 
 def _find_no_link(_: str) -> Link | None:
@@ -79,12 +79,12 @@
 
 
 def _spawn_nothing(*_: object) -> None:
-    raise RuntimeError('the shell is not running')
+    raise RuntimeError('spawn called before the entry was started')
 
 
 @dataclass(slots=True)
 class Core:
-    """Hold the kernel objects of one entry."""
+    """Hold the shared state of one entry."""
 
     settings: EntrySettings
     clock: Clock
@@ -105,17 +105,17 @@
     running: dict[str, RunningRequest] = field(default_factory=dict)
     targets: TargetMonitors = field(default_factory=TargetMonitors)
     find_link: FindLink = _find_no_link
-    # Cleared while the links of a new entry are being opened.
+    # False while a new entry opens its first links to agents.
     links_ready: bool = True
     spawn: Spawn = _spawn_nothing
 
     @property
     def catalog(self) -> Catalog:
-        """Return the configuration."""
+        """Return the configuration that has been applied."""
         return self.reader.catalog
 
     def make_hello(self) -> Hello:
-        """Build what this entry says first on a link."""
+        """Build the first message that this entry sends on a link."""
         return Hello(
             PROTOCOL_VERSION,
             Role.ENTRY,
@@ -127,14 +127,14 @@
         )
 
     def find_configuration_fault(self) -> str:
-        """Return why there is no configuration to serve from, or nothing."""
+        """Return why the configuration is not usable, or an empty string."""
         readiness = self.reader.readiness(self.clock.now())
         if not readiness.ready:
             return readiness.reason
         return _NOTHING_PUBLISHED if self.reader.offset < 0 else ''
 
     def find_fault(self) -> str:
-        """Return why this entry is not ready, or nothing."""
+        """Return why this entry is not ready, or an empty string."""
         if self.drain.is_leaving:
             return 'stopping'
         fault = self.find_configuration_fault()
@@ -146,7 +146,7 @@
 def make_core(
     settings: EntrySettings, clock: Clock, log: EventLog | None = None
 ) -> Core:
-    """Build the kernel objects that the settings name."""
+    """Build the shared state of an entry from its settings."""
     random = Random(settings.seed)
     reader = ConfigurationReader(
         random,
@@ -190,7 +190,7 @@
 
 
 def log_readiness(core: Core, before: str) -> str:
-    """Log a change of readiness and return the present fault."""
+    """Log a change of readiness; return the current reason, if not ready."""
     fault = core.find_fault()
     if fault == before:
         return fault
--- a/src/oleanderdyke/entry/delivery.py
+++ b/src/oleanderdyke/entry/delivery.py
@@ -1,4 +1,4 @@
-"""Pass the answer of a request to its caller."""
+"""Deliver the answer of a request to its caller."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Delivery:
-    """Send one answer, numbered where it is a stream of events."""
+    """Send one answer; number its events if it is an event stream."""
 
     def __init__(
         self,
@@ -56,27 +56,27 @@
 
     @property
     def ended(self) -> bool:
-        """Return whether the answer is over, well or not."""
+        """Return whether the answer has ended, successfully or not."""
         return self._answer.ended or self.error is not None
 
     @property
     def unsent_count(self) -> int:
-        """Count the chunks that were put but not sent."""
+        """Return the number of chunks not sent yet."""
         return len(self._unsent)
 
     @property
     def status(self) -> int:
-        """Return the status that was sent."""
+        """Return the HTTP status sent, 0 before the head."""
         return self._answer.status
 
     @property
     def is_stream(self) -> bool:
-        """Return whether the answer is a stream of events."""
+        """Return whether the answer is a server-sent event stream."""
         return self._numberer is not None
 
     @property
     def between_tokens(self) -> Millis | None:
-        """Return the mean time between chunks, None for fewer than two."""
+        """Return the mean time between chunks; None for fewer than two."""
         if self.first_token is None or self._last_chunk is None:
             return None
         if self.chunks < _MIN_CHUNKS_FOR_MEAN:
@@ -86,20 +86,20 @@
 
     @property
     def can_forward_chunk(self) -> bool:
-        """Return whether `pass_chunk` can be used for the next chunk."""
+        """Return whether `forward_chunk` may be called."""
         if self._head is not None or self._unsent or self.error is not None:
             return False
         return self.first_token is not None and self._answer.is_writable
 
     def forward_chunk(self, chunk: DeliverChunk) -> None:
-        """Send a part of an answer at once; only while `is_flowing`."""
+        """Send a chunk without blocking; requires `can_forward_chunk`."""
         self.put_chunk(chunk)
         data = self._take_unsent()
         if data:
             self._answer.write(data)
 
     def put_head(self, head: DeliverHead) -> None:
-        """Open the answer; `head.resume` is already opaque."""
+        """Store the head; `head.resume` is the token for the caller."""
         headers = return_headers(head.headers)
         if _is_event_stream(headers):
             self._numberer = EventNumberer(self._position)
@@ -109,7 +109,7 @@
         self._head = (head.status, headers + self._extra)
 
     def put_chunk(self, chunk: DeliverChunk) -> None:
-        """Add a part of the answer."""
+        """Queue a chunk of the answer for `flush`."""
         self._time_chunk()
         data = chunk.data
         if self._numberer is not None:
@@ -117,10 +117,10 @@
         self._unsent.append(data)
 
     async def flush(self) -> None:
-        """Send what was put, waiting for a slow caller.
+        """Send the queued head and chunks; wait for a slow caller.
 
-        A head goes out with the first part; that of a stream of events goes
-        as soon as it is put, because its resume token is worth having early.
+        The head is sent with the first chunk. That of an event stream is
+        sent at once, to give the caller its resume token early.
         """
         if self._numberer is None and not self._unsent:
             return
@@ -134,7 +134,7 @@
                 await self._answer.send(data)
 
     async def send_end(self, end: DeliverEnd) -> None:
-        """Close the answer."""
+        """Send the rest of the answer and end it."""
         if self._numberer is not None:
             self._unsent.append(self._numberer.finish())
         self.end = end.end
@@ -147,7 +147,7 @@
         await self._answer.send_whole(status, data, headers)
 
     async def refuse(self, refuse: Refuse) -> None:
-        """Answer with an error, or break an answer that has begun."""
+        """Send a refusal, or break off an answer that has started."""
         await self.fail(
             OleanderError(
                 refuse.kind,
@@ -158,7 +158,7 @@
         )
 
     async def fail(self, error: OleanderError) -> None:
-        """Answer with an error, or break an answer that has begun."""
+        """Send an error, or break off an answer that has started."""
         if self.ended:
             return
         self.error = error
@@ -171,7 +171,7 @@
             await self._answer.send(b'event: error\ndata: ' + body + b'\n\n')
 
     async def hand_over(self) -> None:
-        """Tell the caller to go on through another entry, then break off."""
+        """Break off a stream; direct the caller to another entry."""
         if self.ended:
             return
         self.error = OleanderError(
@@ -195,7 +195,7 @@
             timing, since = Timing.FIRST_TOKEN, self._started
         else:
             timing, since = Timing.BETWEEN_TOKENS, self._last_chunk
-        # Where nothing is streamed the first part says nothing of tokens.
+        # Without streaming, the time of the first chunk is not that of a token.
         label = self._label if self.is_stream else f'{self._label}:whole'
         self._metrics.time(timing, now - since, label)
         self._last_chunk = now
--- a/src/oleanderdyke/entry/dispatches.py
+++ b/src/oleanderdyke/entry/dispatches.py
@@ -1,4 +1,4 @@
-"""Build the dispatch of one attempt."""
+"""Build the messages that dispatch an attempt to an agent."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
     deadline: Millis,
     export_count: int,
 ) -> Dispatch:
-    """Build what an agent is told first; the body follows.
+    """Build the dispatch message; body chunks follow separately.
 
-    The first `worthy` segments are worth keeping in a store.
+    The first `export_count` segments are to be exported to a store.
     """
     spec = call.spec
     return Dispatch(
@@ -61,7 +61,7 @@
 def split_body(
     request: str, attempt: int, body: bytes, *, whole: bool
 ) -> Iterator[BodyChunk]:
-    """Cut a body into chunks; the last one closes a whole body."""
+    """Split a body into chunks; mark the last if the body is complete."""
     starts = range(0, max(len(body), 1), _BODY_CHUNK_BYTES)
     for sequence, start in enumerate(starts):
         last = whole and start == starts[-1]
@@ -99,7 +99,7 @@
     hints: Sequence[bytes],
     fleet: Fleet,
 ) -> Replica:
-    """Prefer what holds the prompt, then what is near, then a fixed choice."""
+    """Choose by held segments, then same data centre, then a stable hash."""
 
     def rank(store: Replica) -> tuple[int, bool, bytes]:
         held = fleet.count_leading(store.agent, hints)
--- a/src/oleanderdyke/entry/documents.py
+++ b/src/oleanderdyke/entry/documents.py
@@ -1,4 +1,4 @@
-"""Read JSON documents from callers within bounds."""
+"""Parse JSON documents of callers with limits."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def parse_document(body: bytes) -> dict[str, Any]:
-    """Return a JSON object; raise BAD_REQUEST for anything else."""
+    """Parse a JSON object; raise BAD_REQUEST for anything else."""
     try:
         document = json.loads(body.decode(), parse_constant=_refuse_constant)
     except UnicodeDecodeError as error:
@@ -28,7 +28,7 @@
 
 
 def make_bad_request(message: str) -> OleanderError:
-    """Return the error for a document with a fault."""
+    """Return the error for a malformed or invalid document."""
     return OleanderError(ErrorKind.BAD_REQUEST, message)
 
 
--- a/src/oleanderdyke/entry/edge.py
+++ b/src/oleanderdyke/entry/edge.py
@@ -1,4 +1,4 @@
-"""Read requests of callers and refuse what is malformed."""
+"""Parse HTTP requests of callers and reject malformed ones."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """Hold the head of one request; `target` keeps its percent signs."""
+    """Hold the head of one request; `target` stays percent-encoded."""
 
     request: str
     method: str
@@ -62,12 +62,12 @@
 
 
 def make_request_id() -> str:
-    """Return an id that nobody can guess."""
+    """Return a new unguessable request id."""
     return secrets.token_hex(_REQUEST_ID_BYTES)
 
 
 def parse_head(scope: Scope, request: str) -> Head:
-    """Read the head; raise BAD_REQUEST for text that is not ASCII."""
+    """Parse the request head; raise BAD_REQUEST for non-ASCII text."""
     try:
         headers = tuple(
             (name.decode('ascii').lower(), content.decode('ascii'))
@@ -112,14 +112,14 @@
 
 
 def make_unauthenticated() -> OleanderError:
-    """Return the answer for a missing or unknown token."""
+    """Return the error for a missing or unknown bearer token."""
     return OleanderError(
-        ErrorKind.UNAUTHENTICATED, 'a known bearer token is needed'
+        ErrorKind.UNAUTHENTICATED, 'missing or unknown bearer token'
     )
 
 
 def find_idempotency_key(head: Head) -> str:
-    """Return the idempotency key or nothing; raise BAD_REQUEST."""
+    """Return the idempotency key, empty if absent; raise BAD_REQUEST."""
     key = head.find('idempotency-key')
     if key is None:
         return ''
@@ -130,7 +130,7 @@
 
 
 def forward_headers(headers: Headers) -> Headers:
-    """Drop what belongs to this connection or to this system."""
+    """Drop hop-by-hop, credential and internal request headers."""
     named = _find_connection_names(headers)
     return tuple(
         (name, content)
@@ -142,7 +142,7 @@
 
 
 def return_headers(headers: Headers) -> Headers:
-    """Drop what a backend server may not say to a caller."""
+    """Drop hop-by-hop, internal and malformed response headers."""
     named = _find_connection_names(headers)
     return tuple(
         (name.lower(), content.strip())
@@ -165,7 +165,7 @@
 
 
 class Body:
-    """Read the body of one request within its limit."""
+    """Read the body of one request with a size limit and a timeout."""
 
     def __init__(
         self, receive: Receive, limit: int, timeout: Millis, head: Head
@@ -179,23 +179,23 @@
         self._check_length()
 
     def set_limit(self, limit: int) -> None:
-        """Lower the limit to that of a service; raise BODY_TOO_LARGE."""
+        """Lower the limit to that of the service; raise BODY_TOO_LARGE."""
         self._limit = min(self._limit, limit)
         self._check_length()
 
     async def read(self) -> bytes:
-        """Return the whole body; raise OleanderError or CallerGone."""
+        """Return the complete body; raise OleanderError or CallerGone."""
         return await self.read_up_to(self._limit + 1)
 
     async def read_up_to(self, bound: int) -> bytes:
-        """Return the body, or its beginning once that passes `bound`."""
+        """Read parts until the body ends or at least `bound` bytes are read."""
         parts = bytearray()
         while not self.ended and len(parts) < bound:
             parts += await self.read_part()
         return bytes(parts)
 
     async def read_part(self) -> bytes:
-        """Return the next part; `ended` is set by the last one."""
+        """Return the next part; set `ended` on the last one."""
         event = await self._receive_in_time()
         if event['type'] != 'http.request':
             raise CallerGone
@@ -207,7 +207,7 @@
         return part
 
     async def wait_disconnected(self) -> None:
-        """Return when the caller has closed; call it after the body."""
+        """Wait until the caller disconnects; call it after the body ended."""
         while (await self._receive())['type'] != 'http.disconnect':
             continue
 
--- a/src/oleanderdyke/entry/effects.py
+++ b/src/oleanderdyke/entry/effects.py
@@ -1,4 +1,4 @@
-"""Carry out what the machine of a request decides."""
+"""Execute the actions of the state machine of a request."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryResources:
-    """Hold what every request of an entry uses."""
+    """Hold the services of an entry that every request uses."""
 
     core: Core
     claims: ClaimLog
@@ -57,7 +57,7 @@
 
 
 class Effects:
-    """Do the actions of one request; report back through its inbox."""
+    """Execute the actions of one request; report results to its inbox."""
 
     def __init__(
         self,
@@ -86,12 +86,12 @@
         self._handlers = self._make_handlers()
 
     async def execute(self, actions: tuple[Action, ...]) -> None:
-        """Carry out actions one after the other."""
+        """Execute actions in order."""
         for action in actions:
             await self._handlers[type(action)](action)
 
     def forward_chunk(self, chunk: DeliverChunk) -> None:
-        """Send on a chunk of a flowing answer at once."""
+        """Forward a chunk of a started answer without blocking."""
         try:
             self._delivery.forward_chunk(chunk)
         except OleanderError as error:
@@ -101,21 +101,21 @@
             self._inbox.put(CreditDue())
 
     async def flush(self) -> None:
-        """Send on what has come in so far."""
+        """Send the queued chunks to the caller; grant credit for them."""
         chunks = self._delivery.unsent_count
         await self._guard(self._delivery.flush())
         if chunks:
             await self._sender.grant_credit(chunks)
 
     async def fail(self, error: OleanderError) -> None:
-        """Answer with an error that the machine did not decide."""
+        """Answer with an error that did not come from the state machine."""
         await self._guard(self._delivery.fail(error))
 
     async def hand_over(self, actions: tuple[Action, ...] | None) -> bool:
-        """Tell the caller to go on through another entry, if it can.
+        """Hand the stream over to another entry; return whether it was.
 
-        `actions` open an answer whose head was held back; None: no run that
-        could be resumed is known.
+        `actions` start an answer whose head was held back. They are None if
+        there is no resumable run.
         """
         if actions is None:
             self._stopper.mark_not_resumable(self._call.request)
@@ -125,13 +125,13 @@
         return True
 
     def report_caller_gone(self) -> None:
-        """Tell the machine once that the caller has gone."""
+        """Report the disconnect of the caller to the state machine, once."""
         if not self._caller_gone:
             self._caller_gone = True
             self._inbox.put(CallerGone())
 
     def log(self, event: EventName, **values: LogValue) -> None:
-        """Write an event of this request."""
+        """Write a log event with the fields of this request."""
         self._core.log.write(
             event,
             request=self._call.request,
@@ -245,10 +245,10 @@
         self._core.quarantine.clear(action.digest)
 
     async def _finish(self, _: Done) -> None:
-        """Do nothing: the driver sees that the machine is done."""
+        """Do nothing: the driver checks the state machine for its end."""
 
     async def _guard(self, sending: Awaitable[None]) -> None:
-        """Send to the caller, and note when that can't go on."""
+        """Await a send to the caller; report its failure."""
         try:
             await sending
         except edge.CallerGone:
@@ -281,7 +281,7 @@
 def log_refusal(
     core: Core, request: str, refused: Refuse | OleanderError
 ) -> None:
-    """Log and count a request that was refused."""
+    """Log and count a refused request."""
     core.metrics.add(Count.REFUSALS, label=refused.kind.value)
     detail = refused.detail if isinstance(refused, Refuse) else str(refused)
     core.log.write(
--- a/src/oleanderdyke/entry/http_settings.py
+++ b/src/oleanderdyke/entry/http_settings.py
@@ -1,4 +1,4 @@
-"""Hold the settings of the HTTP that an entry serves."""
+"""Define the settings of the HTTP server of an entry."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpSettings:
-    """Say where callers and operators connect and what they may send.
+    """Configure the listening address and the limits of requests.
 
     `plain_text` allows plain HTTP on an address that is not loopback.
     """
--- a/src/oleanderdyke/entry/inbox.py
+++ b/src/oleanderdyke/entry/inbox.py
@@ -1,4 +1,4 @@
-"""Queue the events of one request."""
+"""Queue the events of one request for its driver."""
 
 from __future__ import annotations
 
@@ -15,40 +15,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Released:
-    """The admission has decided about a queued request."""
+    """The admission has decided on a queued request."""
 
     decision: Admitted | Refusal
 
 
 @dataclass(frozen=True, slots=True)
 class UploadFailed:
-    """The body ended in a fault of the caller."""
+    """Reading or sending the request body failed."""
 
     fault: Exception
 
 
 @dataclass(frozen=True, slots=True)
 class DeliveryFailed:
-    """A part of the answer can't be passed on."""
+    """A chunk of the answer could not be forwarded."""
 
     fault: OleanderError
 
 
 @dataclass(frozen=True, slots=True)
 class PendingActions:
-    """Hold actions that could not be done while bytes were read."""
+    """Hold actions that could not be executed in the direct handler."""
 
     actions: tuple[Action, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class CreditDue:
-    """The agent may be granted more chunks."""
+    """Credit for more chunks is due to the agent."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandedOver:
-    """The stream goes on through another entry."""
+    """The stream is to be resumed through another entry."""
 
 
 Item: TypeAlias = (
@@ -63,10 +63,10 @@
 
 
 class Inbox:
-    """Give the items of one request in order.
+    """Queue the items of one request in order.
 
-    While its reader waits, an item is offered to `shortcut` first, which
-    tells whether it is dealt with.
+    While the reader waits, each item is first offered to `direct_handler`,
+    which returns whether it has handled the item.
     """
 
     def __init__(self) -> None:
@@ -78,7 +78,7 @@
         return len(self._items)
 
     def put(self, item: Item) -> None:
-        """Add an item."""
+        """Queue an item, unless `direct_handler` handles it."""
         waiting = self._waiting
         if waiting is None or waiting.done():
             self._items.append(item)
@@ -90,7 +90,7 @@
             waiting.set_result(None)
 
     async def take(self) -> Item:
-        """Wait for the next item."""
+        """Remove and return the next item; wait for it if there is none."""
         while not self._items:
             self._waiting = asyncio.get_running_loop().create_future()
             try:
--- a/src/oleanderdyke/entry/logreader.py
+++ b/src/oleanderdyke/entry/logreader.py
@@ -1,4 +1,4 @@
-"""Follow one log of the log service, through its outages."""
+"""Follow one log of the log service; retry during outages."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class LogReader:
-    """Read page after page, with long polls once the end is reached."""
+    """Read a log page by page; use long polls once at its end."""
 
     def __init__(
         self,
@@ -41,14 +41,14 @@
         self._at_end = False
 
     async def run(self) -> None:
-        """Read until cancelled."""
+        """Read and apply pages until cancelled."""
         while True:
             page = await self._read()
             if page is not None:
                 await self._apply(page)
 
     async def _apply(self, page: LogPage) -> None:
-        """Take a page in parts, so that all else goes on in between."""
+        """Apply a page in parts, yielding to the event loop in between."""
         for part in slice_page(page):
             self._take_page(part)
             await anyio.sleep(0)
@@ -81,7 +81,7 @@
 
 
 def slice_page(page: LogPage, size: int = _SLICE_BYTES) -> Iterator[LogPage]:
-    """Cut a page into parts that are taken quickly, at least one."""
+    """Split a page into one or more parts of about `size` bytes."""
     part: list[LogRecord] = []
     taken = 0
     for record in page.records:
--- a/src/oleanderdyke/entry/lookup.py
+++ b/src/oleanderdyke/entry/lookup.py
@@ -1,4 +1,4 @@
-"""Find the team and the service of a request in the configuration."""
+"""Look up the team and the service of a request."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def find_team(core: Core, head: Head) -> StoredObject:
-    """Return the team of the bearer token; raise UNAUTHENTICATED."""
+    """Return the team that owns the bearer token; raise UNAUTHENTICATED."""
     found = core.catalog.find_team(hash_token(head))
     if found is None:
         raise make_unauthenticated()
@@ -30,7 +30,7 @@
 
 
 def find_model_service(core: Core, team: StoredObject, name: str) -> Target:
-    """Return a model service by its name or its model; raise NOT_FOUND."""
+    """Return a model service by service or model name; raise NOT_FOUND."""
     found = _find(core, team, name, ServiceKind.MODEL)
     if found is not None:
         return found
@@ -42,7 +42,7 @@
 
 
 def find_plain_service(core: Core, team: StoredObject, name: str) -> Target:
-    """Return a plain service by its name; raise NOT_FOUND."""
+    """Return a plain service by name; raise NOT_FOUND."""
     found = _find(core, team, name, ServiceKind.PLAIN)
     if found is None:
         raise make_not_found()
@@ -50,7 +50,7 @@
 
 
 def find_weights(core: Core, target: Target) -> ModelVersionSpec:
-    """Return the weights of a model service; raise NO_REPLICA."""
+    """Return the model version of a service; raise NO_REPLICA."""
     spec = target.spec
     for stored in core.catalog.list(ObjectKind.MODEL_VERSION):
         weights = stored.spec
--- a/src/oleanderdyke/entry/main.py
+++ b/src/oleanderdyke/entry/main.py
@@ -17,12 +17,12 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the binary; return its exit code."""
+    """Run the entry until it stops; return the exit code."""
     return _ENTRY.run(arguments)
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Build the parser of the command line."""
+    """Build the command-line parser."""
     return daemon.make_parser(_ENTRY.name, _ENTRY.description)
 
 
--- a/src/oleanderdyke/entry/publishing.py
+++ b/src/oleanderdyke/entry/publishing.py
@@ -1,4 +1,4 @@
-"""Publish changes of the configuration and learn what became of them."""
+"""Publish configuration changes and wait for their outcomes."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
     async def append(
         self, log: str, records: Sequence[bytes], *, timeout: Millis = ...
     ) -> int:
-        """Append in one step; raise LogUnavailable."""
+        """Append the records atomically; raise LogUnavailable."""
 
 
 class Publisher:
-    """Append changes and read them back.
+    """Append changes to the log and wait until they are read back.
 
-    A change counts only once its own record was read back from the log, so
-    an append whose answer was lost needs no second one.
+    Only reading a record back decides its outcome, so an append is not
+    repeated when its response was lost.
     """
 
     def __init__(
@@ -54,10 +54,10 @@
         self._settle_wait = settle_wait
 
     async def publish(self, changes: Sequence[Change]) -> tuple[Outcome, ...]:
-        """Return the outcomes in order.
+        """Append changes and return their outcomes in order.
 
-        Raise LOG_UNAVAILABLE where nothing was appended, OUTCOME_UNKNOWN
-        where the records were not read back in time.
+        Raise LOG_UNAVAILABLE if nothing was appended, OUTCOME_UNKNOWN if
+        the records were not read back in time.
         """
         new = [item for item in changes if not self._find(item.record_id)]
         if new:
@@ -72,7 +72,7 @@
     async def settle(
         self, record_ids: Sequence[str], wait: Millis
     ) -> tuple[Outcome, ...]:
-        """Wait for the outcomes of records; raise OUTCOME_UNKNOWN."""
+        """Wait for the outcomes of records, in order; raise OUTCOME_UNKNOWN."""
         await wait_until(
             lambda: all(map(self._find, record_ids)), wait, self._clock
         )
@@ -82,8 +82,8 @@
             return outcomes
         raise OleanderError(
             ErrorKind.OUTCOME_UNKNOWN,
-            'not read back from the log in time; ask again for the outcomes '
-            f'of the records {", ".join(record_ids)}, and do not publish anew',
+            'not read back from the log in time; query the outcomes of the '
+            f'records {", ".join(record_ids)}, and do not publish them again',
             ran=Ran.MAYBE,
         )
 
@@ -97,7 +97,7 @@
         except LogUnavailable as error:
             if error.ran is Ran.NO:
                 raise
-            # It may have taken effect; reading back will tell.
+            # The append may have succeeded; reading the log back decides.
 
     def _log_outcome(self, outcome: Outcome) -> None:
         applied = isinstance(outcome, Applied)
@@ -119,7 +119,7 @@
     *,
     poll: Millis = _POLL,
 ) -> bool:
-    """Wait for a condition; tell whether it came to hold."""
+    """Poll a condition until `wait` is over; return whether it was met."""
     limit = clock.now() + wait
     while not condition():
         if clock.now() >= limit:
--- a/src/oleanderdyke/entry/queue.py
+++ b/src/oleanderdyke/entry/queue.py
@@ -1,4 +1,4 @@
-"""Release queued requests as capacity returns."""
+"""Release queued requests as capacity becomes available."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ReleaseQueue:
-    """Ask the admission again while requests wait."""
+    """Poll the admission while requests are queued."""
 
     def __init__(self, core: Core) -> None:
         self._core = core
@@ -17,16 +17,16 @@
         self._wake = anyio.Event()
 
     def enter(self) -> None:
-        """Count a request that waits."""
+        """Count a request as queued."""
         self._waiting += 1
         self._wake.set()
 
     def leave(self) -> None:
-        """Forget a request that waits no more."""
+        """Stop counting a request as queued."""
         self._waiting -= 1
 
     def release(self) -> None:
-        """Tell the requests that the admission names."""
+        """Pass admission decisions to the requests they concern."""
         core = self._core
         if not self._waiting:
             return
@@ -38,7 +38,7 @@
                 running.release(decision)
 
     async def run(self) -> None:
-        """Release until cancelled; sleep while nobody waits."""
+        """Release requests until cancelled; sleep while none is queued."""
         period = self._core.settings.requests.queue_period / SECOND
         while True:
             await self._wake.wait()
--- a/src/oleanderdyke/entry/receiver.py
+++ b/src/oleanderdyke/entry/receiver.py
@@ -1,4 +1,4 @@
-"""Check the messages of an answer and queue them for the machine."""
+"""Reassemble the messages of an answer for the state machine."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 )
 from oleanderdyke.links.messages.claims import ClaimAnswer
 
-# An agent that ignores its credit is cut off here.
+# Bounds the queue against an agent that exceeds its credit.
 _CHUNK_LIMIT = 512
 
 
 class AnswerReceiver:
-    """Put the messages of one request into its inbox, in order and whole."""
+    """Queue the messages of one request in order and without gaps."""
 
     def __init__(self, request: str, inbox: Inbox) -> None:
         self._request = request
@@ -30,16 +30,18 @@
         self._awaits_resumed_head = False
 
     def expect(self, attempt: int) -> None:
-        """Expect the answer of a new run."""
+        """Expect the answer of a new attempt from its beginning."""
         self._attempt = attempt
         self._awaits_resumed_head = False
         if self._assembler is None:
             self._assembler = AnswerAssembler(self._request, attempt)
         elif not self._assembler.start_over(attempt):
-            self._fail('part of another run was passed on')
+            self._fail(
+                'part of the answer of another run was already forwarded'
+            )
 
     def expect_rest(self, attempt: int, start: int) -> None:
-        """Expect the rest of a run under another attempt."""
+        """Expect a resumed answer, from chunk `start`, under a new attempt."""
         self._attempt = attempt
         self._awaits_resumed_head = False
         if self._assembler is None:
@@ -49,10 +51,10 @@
         elif self._assembler.resume(attempt):
             self._awaits_resumed_head = True
         else:
-            self._fail('what was passed on is not whole')
+            self._fail('the answer cannot be resumed: chunks are missing')
 
     def take(self, message: Message) -> None:
-        """Take any message that names this request."""
+        """Handle any message that names this request."""
         if isinstance(message, AnswerHead | AnswerChunk | AnswerEnd):
             self._take_part(message)
         elif isinstance(message, Failed):
@@ -66,7 +68,7 @@
         if len(self._inbox) > _CHUNK_LIMIT:
             if not self._assembler.is_over:
                 self._assembler.mark_lost()
-                self._fail('more chunks than granted')
+                self._fail('the agent sent more chunks than its credit')
             return
         self._report_resumed_head(message)
         start = self._assembler.next_sequence
@@ -75,7 +77,7 @@
     def _report_resumed_head(
         self, message: AnswerHead | AnswerChunk | AnswerEnd
     ) -> None:
-        """Tell the machine, but not the caller, of a resumed answer's head."""
+        """Report the head of a resumed answer to the state machine only."""
         if not self._awaits_resumed_head or message.attempt != self._attempt:
             return
         if isinstance(message, AnswerHead):
@@ -89,12 +91,12 @@
             chunk = AnswerChunk(self._request, self._attempt, sequence, data)
             self._inbox.put(MessageReceived(chunk))
         if isinstance(delivery.end, Broken):
-            self._fail(f'answer not whole: {delivery.end.reason}')
+            self._fail(f'answer incomplete: {delivery.end.reason}')
         elif delivery.end is not None:
             self._inbox.put(MessageReceived(delivery.end.end))
 
     def _fail(self, detail: str) -> None:
-        """Tell of a failure; the assembler stays and forbids a splice."""
+        """Report a failure; keep the assembler to reject another run."""
         self._inbox.put(
             MessageReceived(
                 Failed(
--- a/src/oleanderdyke/entry/requests.py
+++ b/src/oleanderdyke/entry/requests.py
@@ -1,4 +1,4 @@
-"""Drive the machine of one request with what happens around it."""
+"""Drive the state machine of one request."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 class RequestDriver:
-    """Lead one call to its answer."""
+    """Run one call from admission to the end of its answer."""
 
     def __init__(
         self,
@@ -113,9 +113,9 @@
         self._inbox.direct_handler = self._forward_directly
 
     async def run(self) -> None:
-        """Answer the caller, then finish what the machine still waits for.
+        """Answer the caller; return once the state machine is done.
 
-        Raise OleanderError where nothing was sent and nothing answered.
+        Raise OleanderError if the call ended before an attempt was made.
         """
         request = self._call.request
         self._core.running[request] = self
@@ -131,35 +131,38 @@
             self._clean_up()
 
     def take(self, message: Message) -> None:
-        """Take a message of an agent about this request."""
+        """Handle a message of an agent about this request."""
         self._receiver.take(message)
 
     def handle_link_down(self, link: Link) -> None:
-        """Learn that a link is gone."""
+        """Handle the loss of a link."""
         self._sender.handle_link_down(link)
 
     def handle_link_up(self, link: Link) -> None:
-        """Learn of a new link."""
+        """Queue the event of a new link."""
         self._inbox.put(LinkUp(link.peer.process, link.peer.incarnation))
 
     def end_incarnation(self, agent: str, incarnation: str) -> None:
-        """Learn that an incarnation of an agent is over for good."""
+        """Queue the permanent end of an incarnation of an agent."""
         self._inbox.put(IncarnationEnded(agent, incarnation))
 
     def release(self, decision: Admitted | Refusal) -> None:
-        """Learn what the admission decided."""
+        """Queue the admission decision."""
         self._inbox.put(Released(decision))
 
     def hand_over(self) -> None:
-        """Leave the stream to another entry."""
+        """Queue the handover of the stream to another entry."""
         self._inbox.put(HandedOver())
 
     def stop(self, *, immediate: bool) -> None:
-        """Learn that the entry stops."""
+        """Queue the stop of the entry."""
         self._inbox.put(Stopping(immediate=immediate))
 
     def _forward_directly(self, item: Item) -> bool:
-        """Pass on a chunk of a flowing answer without a turn of the loop."""
+        """Forward a chunk without a wake-up of the driver task.
+
+        Return whether the item was handled.
+        """
         if (
             type(item) is not MessageReceived
             or type(item.message) is not AnswerChunk
@@ -196,7 +199,7 @@
             await self._effects.execute(await self._handle_item(item))
 
     async def _hand_over_stream(self) -> bool:
-        """Leave the stream to another entry, if it can be resumed now."""
+        """Hand the stream over if it can be resumed; return whether it was."""
         return await self._effects.hand_over(self._machine.hand_over())
 
     async def _pass_admission(self) -> None:
@@ -292,7 +295,9 @@
             return None
         if not self._resources.claims.is_caught_up:
             raise OleanderError(
-                ErrorKind.NOT_READY, 'the claims log is being read', ran=Ran.NO
+                ErrorKind.NOT_READY,
+                'the claims log has not been read to its end yet',
+                ran=Ran.NO,
             )
         return self._core.claims.get_verdict(call.key, call.digest)
 
@@ -327,7 +332,7 @@
 
 
 def _check_queued(item: Item) -> None:
-    """Raise where a queued request has to give up."""
+    """Raise if an event ends the wait in the queue."""
     if isinstance(item, CallerGone):
         raise edge.CallerGone
     if isinstance(item, DeadlinePassed):
@@ -336,7 +341,10 @@
         )
     if isinstance(item, Stopping):
         raise OleanderError(
-            ErrorKind.STOPPING, 'this entry stops', ran=Ran.NO, retry_after=0.0
+            ErrorKind.STOPPING,
+            'this entry is stopping',
+            ran=Ran.NO,
+            retry_after=0.0,
         )
 
 
--- a/src/oleanderdyke/entry/resume.py
+++ b/src/oleanderdyke/entry/resume.py
@@ -1,4 +1,4 @@
-"""Continue a stream that began through this or another entry."""
+"""Resume a stream that was started through this or another entry."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumeRequest:
-    """Name the stream a team wants to go on with, and what it has of it."""
+    """Identify a stream to resume and the position of its caller."""
 
     request: str
     team: str
@@ -57,7 +57,7 @@
 
 
 class ResumeDriver:
-    """Pass on the rest of one stream."""
+    """Deliver the rest of one stream to its caller."""
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
         }
 
     async def run(self) -> None:
-        """Answer the caller; raise OleanderError or CallerGone."""
+        """Deliver the stream; raise OleanderError or CallerGone."""
         link = self._core.find_link(self._resume.stream.agent)
         if link is None:
             raise make_stream_gone()
@@ -101,32 +101,32 @@
             del self._core.running[self._resume.request]
 
     def take(self, message: Message) -> None:
-        """Take a message of the agent."""
+        """Handle a message of the agent about this stream."""
         self._receiver.take(message)
 
     def handle_link_down(self, link: Link) -> None:
-        """Learn that a link is gone."""
+        """Queue the loss of the link to the agent."""
         if link is self._link:
             peer = link.peer
             self._inbox.put(LinkLost(peer.process, peer.incarnation))
 
     def handle_link_up(self, link: Link) -> None:
-        """Ignore a new link: a caller whose stream broke asks again."""
+        """Ignore a new link: the caller resumes a broken stream itself."""
 
     def end_incarnation(self, agent: str, incarnation: str) -> None:
-        """Learn that an incarnation of an agent is over for good."""
+        """Queue the permanent end of an incarnation of the agent."""
         if agent == self._resume.stream.agent:
             self._inbox.put(IncarnationEnded(agent, incarnation))
 
     def release(self, decision: Admitted | Refusal) -> None:
-        """Ignore the admission: a resumed stream was admitted before."""
+        """Ignore the admission: the stream was admitted when it started."""
 
     def hand_over(self) -> None:
-        """Leave the stream to another entry."""
+        """Queue the handover of the stream to another entry."""
         self._inbox.put(HandedOver())
 
     def stop(self, *, immediate: bool) -> None:
-        """Learn that the entry stops."""
+        """Queue an immediate stop; otherwise the stream goes on."""
         if immediate:
             self._inbox.put(Stopping(immediate=True))
 
@@ -164,7 +164,7 @@
             await self._delivery.hand_over()
             return
         raise OleanderError(
-            ErrorKind.BACKEND_LOST, 'the link to the agent is lost'
+            ErrorKind.BACKEND_LOST, 'the link to the agent was lost'
         )
 
     async def _pass_head(self, head: AnswerHead) -> None:
@@ -178,7 +178,7 @@
             await self._flush()
 
     async def _flush(self) -> None:
-        """Send on what has come in, then let the agent send more."""
+        """Send the queued chunks, then grant the agent credit for more."""
         self._ungranted += self._delivery.unsent_count
         await self._delivery.flush()
         if self._ungranted < self._credit or self._link is None:
@@ -196,7 +196,7 @@
         await self._delivery.fail(
             OleanderError(
                 failed.kind,
-                'the stream can not go on',
+                'the stream cannot be continued',
                 ran=Ran.MAYBE if failed.ran is Ran.NO else failed.ran,
                 retry_after=failed.retry_after,
             )
--- a/src/oleanderdyke/entry/routes.py
+++ b/src/oleanderdyke/entry/routes.py
@@ -1,4 +1,4 @@
-"""Ask the router of an entry for a replica."""
+"""Choose a replica with the router of the entry."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def choose_route(core: Core, demand: Demand, action: Route) -> Routed | NoRoute:
-    """Choose a replica, an idle one first where the request runs alone."""
+    """Choose a replica; prefer an idle one if the request runs alone."""
     start = core.clock.now()
     plan = _choose(core, demand, action)
     core.metrics.time(Timing.DECISION, core.clock.now() - start, demand.service)
@@ -20,7 +20,7 @@
         return NoRoute(plan)
     replica = core.fleet.find(plan.agent)
     if replica is None:
-        fault = 'the chosen agent has gone'
+        fault = 'the chosen agent is no longer connected'
         return NoRoute(Refusal(ErrorKind.NO_REPLICA, fault, _RETRY_AFTER))
     return Routed(plan, replica)
 
--- a/src/oleanderdyke/entry/sender.py
+++ b/src/oleanderdyke/entry/sender.py
@@ -1,4 +1,4 @@
-"""Send what concerns one request to agents."""
+"""Send the messages of one request to agents."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class AttemptSender:
-    """Send the dispatches of one request and all that follows them."""
+    """Send dispatches, bodies, credit and cancellations of a request."""
 
     def __init__(
         self,
@@ -56,11 +56,11 @@
 
     @property
     def agent(self) -> str:
-        """Return the agent of the latest attempt."""
+        """Return the agent of the latest attempt, empty before the first."""
         return '' if self._link is None else self._link.peer.process
 
     async def dispatch(self, action: SendDispatch) -> bool:
-        """Send the request; tell whether any of it was sent."""
+        """Send the dispatch and body; return False if there is no link."""
         link = self._find_link(action.agent, action.incarnation)
         if link is None:
             self._inbox.put(DispatchNotSent(action.attempt))
@@ -81,7 +81,7 @@
         return True
 
     async def upload(self, body: Body) -> None:
-        """Send the rest of a body as the caller sends it."""
+        """Forward the rest of a streamed body as it arrives."""
         link, attempt = self._link, self._attempt
         try:
             while link is not None and not body.ended:
@@ -99,13 +99,13 @@
             self._inbox.put(UploadFailed(fault))
 
     async def cancel(self, action: SendCancel) -> None:
-        """Cancel an attempt where its agent can be reached."""
+        """Cancel an attempt if there is a link to its agent."""
         link = self._find_link(action.agent, action.incarnation)
         if link is not None:
             await self._send(link, Cancel(self._call.request, action.attempt))
 
     async def resume(self, action: SendResume) -> None:
-        """Ask for the rest of a stream."""
+        """Request the rest of a stream, or report that the link is lost."""
         link = self._find_link(action.agent, action.incarnation)
         if link is None:
             self._inbox.put(LinkLost(action.agent, action.incarnation))
@@ -122,7 +122,7 @@
         await self._send(link, message)
 
     async def query_claim(self, action: QueryClaim) -> None:
-        """Ask an agent what became of a claim."""
+        """Ask an agent for the state of a claim."""
         link = self._core.find_link(action.agent)
         if link is None:
             return
@@ -134,7 +134,7 @@
         await self._send(link, query)
 
     async def grant_credit(self, chunks: int) -> None:
-        """Count chunks that the caller has taken, and grant others."""
+        """Count delivered chunks and send credit for more when due."""
         self._ungranted += chunks
         if self._link is None or not self._is_grant_due():
             return
@@ -143,12 +143,12 @@
         await self._send(self._link, credit)
 
     def count_forwarded_chunk(self) -> bool:
-        """Count a chunk that the caller has taken; tell whether to grant."""
+        """Count a delivered chunk; return whether credit is due."""
         self._ungranted += 1
         return self._is_grant_due()
 
     def handle_link_down(self, link: Link) -> None:
-        """Tell the machine where the link was in use."""
+        """Report the loss of the link of the latest attempt."""
         if link is self._link:
             peer = link.peer
             self._inbox.put(LinkLost(peer.process, peer.incarnation))
@@ -180,7 +180,10 @@
         )
 
     def _count_exportable(self) -> int:
-        """Count one use of the prompt, however often it is sent."""
+        """Return how many segments to export.
+
+        The use of the prompt is recorded once, however often it is sent.
+        """
         exports = self._core.exports
         hints = [make_hint(segment) for segment in self._call.segments]
         if not self._use_recorded:
--- a/src/oleanderdyke/entry/server.py
+++ b/src/oleanderdyke/entry/server.py
@@ -1,4 +1,4 @@
-"""Serve HTTP on our own loop and answer broken requests in JSON."""
+"""Run uvicorn on the event loop of the entry, with typed errors."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class EdgeProtocol(H11Protocol):
-    """Bound the wait for a head, and refuse bad HTTP with a typed error."""
+    """Limit the time for a request head and answer bad HTTP in JSON."""
 
     head_timeout = 10.0
     send_timeout = 30.0
@@ -53,12 +53,12 @@
     async def _serve(
         self, app: Any, scope: Any, receive: Any, send: Any
     ) -> None:
-        """Offer the application to write parts of a body by itself."""
+        """Call the application with this protocol as its PartWriter."""
         scope['extensions'] = {WRITER_EXTENSION: self}
         await app(scope, receive, send)
 
     def is_ready(self) -> bool:
-        """Return whether a part of the present body can be written now."""
+        """Return whether `write_part` can be called now."""
         return (
             self.conn.our_state is h11.SEND_BODY
             and self.conn.their_http_version == _CHUNKED_VERSION
@@ -68,11 +68,11 @@
         )
 
     def write_part(self, part: bytes) -> None:
-        """Write a part of a body without a length, as chunked transfer."""
+        """Write a part of a body as one chunk of a chunked transfer."""
         self.transport.write(b'%x\r\n%b\r\n' % (len(part), part))
 
     def connection_made(self, transport: Any) -> None:
-        """Take a connection, or close it where there are too many."""
+        """Accept a connection, or abort it above the connection limit."""
         super().connection_made(transport)
         if len(self.connections) > self.connection_limit:
             transport.abort()
@@ -80,13 +80,13 @@
         self._start_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection."""
+        """Cancel the timers of the connection."""
         self._stop_timer()
         self._stop_stall_timer()
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Time the head from its first byte."""
+        """Limit the time of a request head, starting with its first byte."""
         if self._is_between_requests() and self._head_timer is None:
             self._start_timer()
         self._limit_unread(len(data))
@@ -95,19 +95,19 @@
             self._stop_timer()
 
     def pause_writing(self) -> None:
-        """Drop a caller that stops reading for too long."""
+        """Abort the connection if the caller does not read in time."""
         super().pause_writing()
         self._stall_timer = self.loop.call_later(
             self.send_timeout, self.transport.abort
         )
 
     def resume_writing(self) -> None:
-        """Go on writing."""
+        """Cancel the timer of a caller that reads again."""
         self._stop_stall_timer()
         super().resume_writing()
 
     def send_400_response(self, msg: str) -> None:
-        """Answer what is not HTTP; `msg` is fixed text of the server."""
+        """Answer malformed HTTP; `msg` is a fixed text of uvicorn."""
         fault = sys.exc_info()[1]
         hint = getattr(fault, 'error_status_hint', 0)
         kind = (
@@ -121,7 +121,7 @@
         self.transport.close()
 
     def _limit_unread(self, length: int) -> None:
-        """Drop a caller that sends on a body whose request was refused."""
+        """Abort a connection that keeps sending the body of a finished call."""
         if self.conn.our_state is not h11.DONE:
             self._unread_bytes = 0
             return
@@ -171,17 +171,17 @@
 
 
 class EdgeServer(uvicorn.Server):
-    """Leave signals to the shell of the entry."""
+    """Run without signal handlers; the entry handles signals itself."""
 
     closed = False
 
     @contextlib.contextmanager
     def capture_signals(self) -> Generator[None, None, None]:
-        """Capture none."""
+        """Override the signal handlers of uvicorn with none."""
         yield
 
     def set_idle_timeout(self, timeout: Millis) -> None:
-        """Keep connections open for so long between requests."""
+        """Set how long idle connections are kept open, also existing ones."""
         seconds = math.ceil(timeout / SECOND)
         if seconds == self.config.timeout_keep_alive:
             return
@@ -190,7 +190,7 @@
             connection.timeout_keep_alive = seconds  # type: ignore[union-attr]
 
     async def serve(self, sockets: list[socket.socket] | None = None) -> None:
-        """Serve until `should_exit`, then set `closed`."""
+        """Serve until `should_exit` is set, then set `closed`."""
         try:
             await super().serve(sockets)
         finally:
@@ -198,7 +198,11 @@
 
 
 def open_listener(host: str, port: int) -> socket.socket:
-    """Listen; the loop sets TCP_NODELAY only where the protocol is named."""
+    """Open a listening socket.
+
+    The protocol is given explicitly because asyncio sets TCP_NODELAY only on
+    sockets created with IPPROTO_TCP.
+    """
     family = socket.AF_INET6 if ':' in host else socket.AF_INET
     bound = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     try:
@@ -212,7 +216,7 @@
 
 
 def make_server(app: Any, settings: HttpSettings) -> EdgeServer:
-    """Build the server of an ASGI application."""
+    """Build the HTTP server of an ASGI application."""
     logging.getLogger(_LOGGER).disabled = True
     limits = {
         'connection_limit': settings.connections,
--- a/src/oleanderdyke/entry/settings.py
+++ b/src/oleanderdyke/entry/settings.py
@@ -1,4 +1,4 @@
-"""Hold the settings of an entry."""
+"""Define and check the settings of an entry."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogSettings:
-    """Say where the log service is and how it is read."""
+    """Configure the address of the log service and how it is read."""
 
     address: str
     configuration: str = CONFIGURATION_LOG
@@ -40,9 +40,9 @@
 
 @dataclass(frozen=True, slots=True)
 class VmSettings:
-    """Say where the list of VMs is and how often it is read.
+    """Configure the address of the VM list and how it is polled.
 
-    Only agents in `data_centres` are linked to, in all where none is named.
+    Links are opened only to agents in `data_centres`, to all if it is empty.
     """
 
     address: str
@@ -53,9 +53,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimSettings:
-    """Bound the group commit of claim records.
+    """Configure the group commit of claim records.
 
-    `wait` bounds the time from an append to reading it back.
+    `wait` limits the time from the append of a record to reading it back.
     """
 
     delay: Millis = 3.0
@@ -65,9 +65,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSettings:
-    """Bound what one request may take; sizes are bytes or chunks.
+    """Configure the limits of one request; `credit` counts chunks.
 
-    `replica_wait` bounds how long one whose run was lost waits for a replica.
+    `replica_wait` limits the wait for another replica after a lost run.
     """
 
     attempts: int = 3
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PluginSettings:
-    """Choose the plug-ins by name."""
+    """Select the plug-ins by name."""
 
     router: str = 'predicted'
     admission: str = 'fair'
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorSettings:
-    """Name an operator and the hex SHA-256 of the token."""
+    """Identify an operator by the hex SHA-256 of the bearer token."""
 
     name: str
     token_hash: str = hide_field()
@@ -95,11 +95,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EntrySettings:
-    """Hold everything an entry is told at its start.
+    """Configure an entry process.
 
-    `beat` is the time between beats to an agent while there is no news.
-    `links_tls` is for the links to agents; without it they are plain text,
-    beyond loopback only with `links_plain_text`.
+    `beat` is the longest time between heartbeats to an agent. `links_tls`
+    secures the links to agents; without it they are plain text, and for
+    addresses other than loopback `links_plain_text` has to allow that.
     """
 
     process: str
@@ -122,7 +122,7 @@
 
 
 def find_faults(settings: EntrySettings) -> tuple[str, ...]:
-    """Return what contradicts itself, each fault naming its keys."""
+    """Return the inconsistencies of the settings, each with its keys."""
     return (
         *_find_http_faults(settings.http),
         *_find_operator_faults(settings.operators),
@@ -165,7 +165,7 @@
         if not operator.name:
             yield f'operators.{place}.name: found nothing; allowed: a name'
         if not _TOKEN_HASH.fullmatch(operator.token_hash):
-            # A token put here by mistake must not be repeated.
+            # The value may be a token entered by mistake, so it is not shown.
             yield (
                 f'operators.{place}.token_hash: found something else; '
                 'allowed: the hex SHA-256 of a token'
--- a/src/oleanderdyke/entry/shell.py
+++ b/src/oleanderdyke/entry/shell.py
@@ -1,4 +1,4 @@
-"""Run the tasks of one entry on one loop."""
+"""Run the tasks of one entry on one event loop."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Shell:
-    """Hold the tasks of one entry."""
+    """Start and stop the tasks of one entry."""
 
     def __init__(self, core: Core) -> None:
         self._core = core
@@ -53,9 +53,10 @@
         core.links_ready = False
 
     async def run(self) -> None:
-        """Serve until a planned stop is over."""
+        """Serve until a graceful stop has finished."""
         settings = self._core.settings
-        # Whoever sees the entry listen may stop it at once.
+        # Signal handlers come before the listener: a supervisor that sees the
+        # port open may send a signal at once.
         with (
             catch_signals() as signals,
             open_listener(settings.http.host, settings.http.port) as bound,
@@ -122,14 +123,17 @@
             await anyio.sleep(_TICK_SECONDS)
 
     async def _wait_until_linked(self) -> None:
-        """Hold back readiness, for a bounded time, until links are up."""
+        """Delay readiness until links are up and the claims log is read.
+
+        The delay is limited to `_LINK_TIMEOUT_SECONDS`.
+        """
         with anyio.move_on_after(_LINK_TIMEOUT_SECONDS):
             while not (self._vm_watch.all_linked and self._claims.is_caught_up):
                 await anyio.sleep(_LINK_POLL_SECONDS)
         self._core.links_ready = True
 
     async def _close(self, server: EdgeServer) -> None:
-        """Let the last records and answers go out, within bounds."""
+        """Flush pending records and answers, each with a timeout."""
         with anyio.move_on_after(_FLUSH_TIMEOUT_SECONDS):
             while not self._claims.idle:
                 await anyio.sleep(_TICK_SECONDS)
@@ -163,7 +167,7 @@
 async def run_entry(
     settings: EntrySettings, log: EventLog | None = None
 ) -> None:
-    """Run an entry until it has been told to stop."""
+    """Run an entry until a signal has stopped it."""
     await Shell(make_core(settings, make_clock(), log)).run()
 
 
--- a/src/oleanderdyke/entry/sse.py
+++ b/src/oleanderdyke/entry/sse.py
@@ -1,4 +1,4 @@
-"""Number the events of a server-sent stream so that it can be resumed."""
+"""Number server-sent events, so that a stream can be resumed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """Tell what a caller has: all chunks up to `chunk`, and then `events`."""
+    """Hold what a caller has received of a stream.
+
+    That is all chunks up to `chunk` and `events` events after it.
+    """
 
     chunk: int = -1
     events: int = 0
@@ -27,18 +30,21 @@
 
 
 def parse_position(text: str) -> Position:
-    """Read the id of an event; raise BAD_REQUEST."""
+    """Parse an event id; raise BAD_REQUEST."""
     match = _POSITION.match(text)
     if match is None:
-        raise make_bad_request('not the id of an event of this stream')
+        raise make_bad_request(
+            'not a valid event id; allowed: those that the stream has sent'
+        )
     return Position(int(match[1]), int(match[2] or 0))
 
 
 class EventNumberer:
-    """Put the position behind each event in front of it.
+    """Prefix each event with the position after it, as its id.
 
-    Chunks need not end where events do. An event that ends its chunk carries
-    the number of the chunk, any other the last such number and a count.
+    Chunk and event boundaries need not coincide. An event that ends with its
+    chunk is numbered by the chunk. Any other is numbered by the latest such
+    chunk and the count of events since.
     """
 
     def __init__(self, position: Position) -> None:
@@ -49,9 +55,9 @@
         self._partial_event = b''
 
     def take(self, chunk: bytes) -> bytes:
-        """Take the next chunk; return the numbered events that it completes.
+        """Add the next chunk; return the numbered events it completes.
 
-        Raise STREAM_BROKEN for an event without an end.
+        Raise STREAM_BROKEN for an event that exceeds the size limit.
         """
         self._chunk += 1
         if (
@@ -66,7 +72,10 @@
             self._partial_event + chunk
         )
         if len(self._partial_event) > _EVENT_LIMIT:
-            raise OleanderError(ErrorKind.STREAM_BROKEN, 'an event is too long')
+            raise OleanderError(
+                ErrorKind.STREAM_BROKEN,
+                f'server-sent event longer than {_EVENT_LIMIT} bytes',
+            )
         parts = [
             self._number(
                 event, last=not self._partial_event and event is events[-1]
@@ -76,7 +85,7 @@
         return b''.join(parts)
 
     def finish(self) -> bytes:
-        """Return what is left without a number."""
+        """Return the bytes after the last complete event, unnumbered."""
         rest, self._partial_event = self._partial_event, b''
         return rest
 
@@ -94,6 +103,6 @@
 
 
 def _is_one_event(chunk: bytes) -> bool:
-    """Return whether a chunk is one event in the usual form."""
+    """Return whether a chunk is exactly one event with LF line ends."""
     boundary = chunk.find(b'\n\n')
     return 0 <= boundary == len(chunk) - 2 and b'\r' not in chunk
--- a/src/oleanderdyke/entry/standalone.py
+++ b/src/oleanderdyke/entry/standalone.py
@@ -1,4 +1,4 @@
-"""Run an entry in our own mode, with the settings of a YAML file."""
+"""Run an entry in standalone mode, with settings from a YAML file."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def make_mode() -> Mode[EntrySettings]:
-    """Build the mode."""
+    """Return the standalone mode for the entry daemon."""
     return Mode(load=_load, make_log=_make_log, serve=run_entry)
 
 
--- a/src/oleanderdyke/entry/stopping.py
+++ b/src/oleanderdyke/entry/stopping.py
@@ -1,4 +1,4 @@
-"""Stop an entry without cutting off a request."""
+"""Stop an entry gracefully."""
 
 from __future__ import annotations
 
@@ -28,42 +28,42 @@
 
 
 class StoppableRequest(Protocol):
-    """Lead one request that a stop has to wait for."""
+    """Control one running request during a stop."""
 
     def hand_over(self) -> None:
-        """Leave the answer to another entry."""
+        """Direct the caller to resume its stream through another entry."""
 
     def stop(self, *, immediate: bool) -> None:
-        """Learn that the entry stops."""
+        """Handle the stop; `immediate` cuts the request off."""
 
 
 class Stoppable(Protocol):
-    """Hold what a stop needs to know of a process."""
+    """Provide the state of a process that a stop needs."""
 
     @property
     def clock(self) -> Clock:
-        """Return the clock."""
+        """Return the clock of the process."""
 
     @property
     def log(self) -> EventLog:
-        """Return the log."""
+        """Return the event log of the process."""
 
     @property
     def drain(self) -> Drain:
-        """Return the state of the stop."""
+        """Return the state machine of the stop."""
 
     @property
     def running(self) -> Mapping[str, StoppableRequest]:
-        """Return the requests that run."""
+        """Return the running requests by id."""
 
 
 def catch_signals() -> AbstractContextManager[AsyncIterator[signal.Signals]]:
-    """Keep the signals to stop from ending the process at once."""
+    """Receive SIGTERM and SIGINT instead of ending the process."""
     return anyio.open_signal_receiver(*_SIGNALS)
 
 
 class Stopper:
-    """Turn signals and the end of requests into the steps of a stop."""
+    """Run a graceful stop, driven by signals and finished requests."""
 
     def __init__(self, core: Stoppable) -> None:
         self._core = core
@@ -72,45 +72,45 @@
         self._signalled = anyio.Event()
 
     def begin(self, request: str, duration: Millis | None = None) -> None:
-        """Count a request; raise STOPPING when no new one may start.
+        """Register a request; raise STOPPING if no new one may start.
 
-        `needs` is how long the request lasts, where that is known.
+        `duration` is the expected duration of the request, if known.
         """
         core = self._core
         now = core.clock.now()
         if not core.drain.start_work(request, now, duration=duration):
             raise OleanderError(
-                ErrorKind.STOPPING, 'this entry stops', ran=Ran.NO
+                ErrorKind.STOPPING, 'this entry is stopping', ran=Ran.NO
             )
 
     def end(self, request: str) -> None:
-        """Forget a request."""
+        """Unregister a finished request."""
         core = self._core
         self._execute(core.drain.end_work(request, core.clock.now()))
 
     def mark_resumable(self, request: str) -> None:
-        """Note that a request can be resumed through another entry."""
+        """Mark a request as resumable through another entry."""
         core = self._core
         self._execute(core.drain.mark_resumable(request, core.clock.now()))
 
     def mark_not_resumable(self, request: str) -> None:
-        """Note that a request can't be resumed through another entry yet."""
+        """Mark a request as not resumable through another entry."""
         self._core.drain.mark_not_resumable(request)
 
     def handle_signal(self, name: str) -> None:
-        """Begin to stop, or hurry."""
+        """Start the stop; a further signal makes it immediate."""
         core = self._core
         core.log.write(EventName.PROCESS_STOPPING, signal=name)
         self._execute(core.drain.signal(core.clock.now()))
         self._signalled.set()
 
     async def watch(self, signals: AsyncIterator[signal.Signals]) -> None:
-        """Take signals until cancelled."""
+        """Handle signals until cancelled."""
         async for number in signals:
             self.handle_signal(signal.Signals(number).name)
 
     async def run(self) -> None:
-        """Return when the process should exit."""
+        """Wait for a signal, run the stop and return when it is finished."""
         await self._signalled.wait()
         core = self._core
         while not self._exit.is_set():
@@ -120,7 +120,7 @@
                 await self._exit.wait()
 
     def _notify_requests(self) -> None:
-        """Tell every request once that no new work is taken any more."""
+        """Notify every request once that the entry no longer accepts work."""
         accepting = (DrainPhase.SERVING, DrainPhase.ANNOUNCED)
         if self._requests_notified or self._core.drain.phase in accepting:
             return
--- a/src/oleanderdyke/entry/targets.py
+++ b/src/oleanderdyke/entry/targets.py
@@ -1,4 +1,4 @@
-"""Judge the requests of an entry by the targets of their services."""
+"""Evaluate requests against the targets of their services."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def evaluate_answered(
     core: Core, call: Call, delivery: Delivery, end: AnswerEnd | None
 ) -> None:
-    """Judge a whole answer; only streams show when their tokens came."""
+    """Evaluate a complete answer; token times are known for streams only."""
     streamed = delivery.is_stream
     served = ServedRequest(
         call.request,
@@ -39,9 +39,9 @@
     duration: Millis,
     delivery: Delivery | None = None,
 ) -> None:
-    """Count a refusal; without an own fault the caller is owed an answer.
+    """Count a refusal; it misses the targets unless the caller caused it.
 
-    An answer that broke off after its first token is judged by its times.
+    An answer that broke off after its first token is evaluated by its times.
     """
     core.targets.get(call.service).refusals[kind] += 1
     if delivery is not None and delivery.first_token is not None:
--- a/src/oleanderdyke/entry/tokens.py
+++ b/src/oleanderdyke/entry/tokens.py
@@ -1,4 +1,4 @@
-"""Make resume tokens that any entry can follow to their agent."""
+"""Encode resume tokens, which name the agent that holds a stream."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamToken:
-    """Name a stream and the agent that holds it."""
+    """Identify a stream and the agent that holds it."""
 
     agent: str
     token: str
 
 
 def encode_token(stream: StreamToken) -> str:
-    """Return the form that callers get."""
+    """Return the token in the form sent to callers."""
     text = json.dumps([stream.agent, stream.token], separators=(',', ':'))
     return base64.urlsafe_b64encode(text.encode()).rstrip(b'=').decode()
 
 
 def decode_token(text: str) -> StreamToken:
-    """Read a caller's token; raise STREAM_GONE for anything else."""
+    """Decode a resume token; raise STREAM_GONE if it is malformed."""
     try:
         return _decode(text)
     except (ValueError, binascii.Error, RecursionError) as error:
@@ -35,7 +35,7 @@
 
 
 def make_stream_gone() -> OleanderError:
-    """Return the one answer for a stream that is not there."""
+    """Return the error for a malformed token or a missing stream."""
     return OleanderError(ErrorKind.STREAM_GONE, 'no such stream')
 
 
--- a/src/oleanderdyke/entry/vmwatch.py
+++ b/src/oleanderdyke/entry/vmwatch.py
@@ -1,4 +1,4 @@
-"""Follow the list of VMs as a hint where to connect."""
+"""Poll the VM list for the addresses of agents."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 
 class VmWatch:
-    """Tell the pool which addresses to dial.
+    """Set the addresses that the link pool connects to.
 
-    The list lags and may be wrong, so an address whose link is up stays.
+    The VM list may be stale or wrong, so an address is kept while its link is
+    up, even if the list no longer has it.
     """
 
     def __init__(self, core: Core, client: VmClient, pool: LinkPool) -> None:
@@ -31,13 +32,13 @@
 
     @property
     def all_linked(self) -> bool:
-        """Return whether every known address has a link."""
+        """Return whether there are addresses and all have a link."""
         return bool(self._addresses) and all(
             map(self._pool.find, self._addresses)
         )
 
     async def run(self) -> None:
-        """Read the list until cancelled."""
+        """Poll the VM list until cancelled."""
         settings = self._core.settings.vms
         while True:
             vms = await self._read()
@@ -83,6 +84,6 @@
             self._core.log.write(
                 EventName.LINK_REFUSED,
                 address=vm.address,
-                reason='plain text beyond loopback',
+                reason='plain-text link to a non-loopback address',
             )
         return False
