--- a/tests/edges.py
+++ b/tests/edges.py
@@ -1,4 +1,4 @@
-"""Run the application of an entry without sockets, links or a log."""
+"""Run the application of an entry with fake sockets, links and log."""
 
 from __future__ import annotations
 
@@ -93,7 +93,7 @@
     async def append(
         self, _log: str, records: Sequence[bytes], *, timeout: float = 0.0
     ) -> int:
-        """Append, or fail before or after the effect."""
+        """Append, or fail before or after storing the records."""
         self.appends += 1
         fault = self.faults.pop(0) if self.faults else None
         await anyio.sleep(0)
@@ -104,7 +104,7 @@
         return len(self.batches) - 1
 
     def read_back(self, core: Core, claims: ClaimLog) -> None:
-        """Apply what the entry has not read."""
+        """Apply the records that the entry has not read."""
         table = core.claims
         for offset in range(table.next_offset, len(self.batches)):
             table.apply(offset, 1_000.0, self.batches[offset])
@@ -114,7 +114,7 @@
 
 @dataclass
 class FakeLink:
-    """Record what is sent to an agent; `react` may answer it."""
+    """Record messages sent to an agent; `react` may answer them."""
 
     peer: Hello
     address: str = '127.0.0.1:1'
@@ -134,7 +134,7 @@
 
 @dataclass
 class Reply:
-    """Collect what the application sends to the caller."""
+    """Collect the response that the application sends."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -142,7 +142,7 @@
     ended: bool = False
 
     async def send(self, event: Mapping[str, Any]) -> None:
-        """Take an event of the application."""
+        """Handle an ASGI event of the application."""
         if event['type'] == 'http.response.start':
             self.status = event['status']
             self.headers = {
@@ -155,7 +155,7 @@
 
 
 class Writer:
-    """Stand for the server's writer of parts while it is `ready`."""
+    """Simulate the PartWriter of the server; usable while `ready`."""
 
     def __init__(self, reply: Reply) -> None:
         self._reply = reply
@@ -163,24 +163,24 @@
         self.parts: list[bytes] = []
 
     def is_ready(self) -> bool:
-        """Tell whether the test lets parts through."""
+        """Return whether the test allows writes."""
         return self.ready
 
     def write_part(self, part: bytes) -> None:
-        """Take a part for the caller."""
+        """Add a part to the response."""
         self.parts.append(part)
         self._reply.body += part
 
 
 class Caller:
-    """Play a caller that sends a body in parts and stays until told."""
+    """Simulate a caller that sends a body and stays until `gone` is set."""
 
     def __init__(self, parts: Iterable[bytes] = (b'',)) -> None:
         self._parts = list(parts)
         self.gone = anyio.Event()
 
     async def receive(self) -> Mapping[str, Any]:
-        """Give the next event of the caller."""
+        """Return the next ASGI event of the caller."""
         if self._parts:
             part = self._parts.pop(0)
             return {
@@ -193,7 +193,7 @@
 
 
 class Edge:
-    """Hold an entry's application, its kernel and one agent's link."""
+    """Hold the application of an entry, its state and links to agents."""
 
     def __init__(
         self,
@@ -218,12 +218,12 @@
         self.stopper = Stopper(self.core)
         self.queue = ReleaseQueue(self.core)
         resources = EntryResources(self.core, self.claims, self.stopper)
-        self.app = App(resources, self.queue, _serve_nothing)
+        self.app = App(resources, self.queue, _serve_not_found)
         if configured:
             self.configure()
 
     def configure(self) -> None:
-        """Apply the objects of the tests as if read from the log."""
+        """Apply the test configuration as if read from the log."""
         records = tuple(
             LogRecord(
                 offset,
@@ -243,7 +243,7 @@
         name: str = '',
         link: FakeLink | None = None,
     ) -> FakeLink:
-        """Let an agent say hello and beat once; agents may share a link."""
+        """Register an agent with one heartbeat; agents may share a link."""
         name = name or f'agent-{service}'
         hello = Hello(
             PROTOCOL_VERSION, Role.AGENT, name, 'i1', 'here', 0, kind, service
@@ -279,7 +279,7 @@
         reply: Reply | None = None,
         writer: Writer | None = None,
     ) -> Reply:
-        """Make one request and return its answer."""
+        """Send one request and return its response."""
         reply = reply or Reply()
         target, _, query = path.partition('?')
         scope = {
@@ -298,11 +298,11 @@
         return reply
 
     def start(self, tasks: TaskGroup) -> None:
-        """Run the tasks behind the application."""
+        """Start the background tasks of the application."""
         self.core.spawn = tasks.start_soon
         tasks.start_soon(self.claims.run)
         tasks.start_soon(self.queue.run)
 
 
-async def _serve_nothing(_: Head, __: Body, ___: Any) -> None:
+async def _serve_not_found(_: Head, __: Body, ___: Any) -> None:
     raise make_not_found()
--- a/tests/entry_scene.py
+++ b/tests/entry_scene.py
@@ -1,4 +1,4 @@
-"""Run an entry of our own mode against agents that a test plays."""
+"""Run an entry in standalone mode against simulated agents."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 @asynccontextmanager
 async def bounded() -> AsyncIterator[TaskGroup]:
-    """Give a task group that is cancelled at the end, or after 20 s."""
+    """Provide a task group; cancel it at the end, or fail after 20 s."""
     with anyio.fail_after(20):
         async with anyio.create_task_group() as tasks:
             yield tasks
@@ -66,7 +66,7 @@
 async def serving(
     service: str = 'taquilla', *, claims: bool = False
 ) -> AsyncIterator[tuple[Edge, FakeLink]]:
-    """Run an entry with an agent; `claims` waits until the log is read."""
+    """Run an entry with an agent; with `claims`, follow the claims log."""
     async with bounded() as tasks:
         edge = Edge()
         link = edge.add_agent(service, KINDS[service])
@@ -97,7 +97,7 @@
     first: int = 0,
     whole: list[bytes] | None = None,
 ) -> None:
-    """Play the agent's part of an answer."""
+    """Send the head, chunks and end of an answer as an agent would."""
     request, attempt = started.request, started.attempt
     running = edge.core.running[request]
     running.take(AnswerHead(request, attempt, 200, headers, 'stream-1'))
@@ -123,20 +123,20 @@
 
 
 class Agent:
-    """Answer each dispatch once its body is there."""
+    """Answer each dispatch once its body is complete."""
 
     def __init__(self, edge: Edge, link: FakeLink, parts: list[bytes]) -> None:
         self._edge = edge
         self._link = link
         self._parts = parts
-        self.breaks = False
+        self.fails_calls = False
         link.react = self.react
 
     def react(self, message: Message) -> None:
         if not is_last(message):
             return
         dispatch = self._link.find(Dispatch)[-1]
-        if not self.breaks:
+        if not self.fails_calls:
             send_answer(self._edge, dispatch, self._parts)
             return
         detail = 'the backend server failed'
@@ -163,7 +163,7 @@
 async def start_chat(
     edge: Edge, link: FakeLink, **options: Any
 ) -> tuple[list[Reply], Dispatch]:
-    """Start a chat; its reply is in the list once the call has ended."""
+    """Start a chat; the reply is added to the list when the call ends."""
     replies: list[Reply] = []
 
     async def call() -> None:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -47,11 +47,11 @@
 
 @dataclass
 class FakeLog:
-    """Feed a catalog; `fault` says what the next appends answer."""
+    """Append to a catalog; `fault` is the error of the next appends."""
 
     catalog: Catalog
     fault: Ran | None = None
-    loses: bool = False
+    loses_appends: bool = False
     appends: int = 0
     waiting: list[bytes] = field(default_factory=list)
 
@@ -60,7 +60,7 @@
     ) -> int:
         assert log == 'configuration'
         self.appends += 1
-        if self.fault is not Ran.NO and not self.loses:
+        if self.fault is not Ran.NO and not self.loses_appends:
             self.waiting += records
             self.read_back()
         if self.fault is not None:
@@ -84,7 +84,7 @@
 
 
 @dataclass
-class Bench:
+class Scene:
     admin: Administration
     log: FakeLog
     catalog: Catalog
@@ -96,14 +96,14 @@
         return anyio.run(self.admin.publish, caller, inputs)
 
 
-def make_bench() -> Bench:
+def make_scene() -> Scene:
     catalog = Catalog()
     log, events = FakeLog(catalog), FakeEvents()
     clock = make_clock()
     publisher = Publisher(catalog, log, clock, events, settle_wait=30)
 
     async def send_drain(agent: str, operator: str) -> bool:
-        bench.drained.append(f'{operator}:{agent}')
+        scene.drained.append(f'{operator}:{agent}')
         return agent != 'nobody'
 
     admin = Administration(
@@ -111,13 +111,13 @@
         publisher,
         clock,
         operators=[OperatorSettings('ana', make_hash('ana-token'))],
-        check_ready=lambda: bench.not_ready,
+        check_ready=lambda: scene.not_ready,
         send_drain=send_drain,
     )
-    bench = Bench(admin, log, catalog, events)
-    bench.publish(OPERATOR, ChangeInput(TEAM, 'owls', 0, TEAM_SPEC))
-    bench.publish(OPERATOR, ChangeInput(TEAM, 'bats', 0, TeamSpec()))
-    return bench
+    scene = Scene(admin, log, catalog, events)
+    scene.publish(OPERATOR, ChangeInput(TEAM, 'owls', 0, TEAM_SPEC))
+    scene.publish(OPERATOR, ChangeInput(TEAM, 'bats', 0, TeamSpec()))
+    return scene
 
 
 def change_store(
@@ -127,92 +127,92 @@
     return ChangeInput(ObjectKind.STORE, 's', expected, spec, record_id)
 
 
-def fail(call) -> OleanderError:
+def catch_error(call) -> OleanderError:
     with pytest.raises(OleanderError) as caught:
         call()
     return caught.value
 
 
-def test_change_is_accepted_once_read_back_and_the_loser_learns_who_won():
-    bench = make_bench()
-    (first,) = bench.publish(OPERATOR, change_store())
-    (second,) = bench.publish(Caller('bo'), change_store(capacity=2))
+def test_change_counts_once_read_back_and_a_conflict_names_the_winner():
+    scene = make_scene()
+    (first,) = scene.publish(OPERATOR, change_store())
+    (second,) = scene.publish(Caller('bo'), change_store(capacity=2))
     assert isinstance(first, Applied)
     assert isinstance(second, Rejected)
     error = make_conflict([second])
     assert error.kind is ErrorKind.CONFLICT
     assert error.ran is Ran.NO
     assert 'last changed by ana' in error.message
-    assert bench.events.events[-1][1]['detail'] == 'lost'
+    assert scene.events.events[-1][1]['detail'] == 'lost'
 
 
 def test_lost_append_answer_is_settled_by_reading_back():
-    bench = make_bench()
-    bench.log.fault = Ran.MAYBE
-    (outcome,) = bench.publish(OPERATOR, change_store())
+    scene = make_scene()
+    scene.log.fault = Ran.MAYBE
+    (outcome,) = scene.publish(OPERATOR, change_store())
     assert isinstance(outcome, Applied)
-    assert bench.log.appends == 3
+    assert scene.log.appends == 3
 
 
 @pytest.mark.parametrize('fault', [Ran.MAYBE, None])
 def test_record_not_read_back_in_time_is_unknown_and_found_later(fault):
-    bench = make_bench()
-    bench.log.fault, bench.log.loses = fault, True
+    scene = make_scene()
+    scene.log.fault, scene.log.loses_appends = fault, True
     change = change_store(record_id=RECORD_ID)
-    error = fail(lambda: bench.publish(OPERATOR, change))
+    error = catch_error(lambda: scene.publish(OPERATOR, change))
     assert error.kind is ErrorKind.OUTCOME_UNKNOWN
     assert error.ran is Ran.MAYBE
     assert RECORD_ID in error.message
-    bench.log.fault, bench.log.loses = None, False
-    bench.publish(OPERATOR, change)
-    found = anyio.run(bench.admin.find_outcome, OPERATOR, RECORD_ID)
+    scene.log.fault, scene.log.loses_appends = None, False
+    scene.publish(OPERATOR, change)
+    found = anyio.run(scene.admin.find_outcome, OPERATOR, RECORD_ID)
     assert isinstance(found, Applied)
 
 
-def test_log_out_changes_nothing_and_says_so():
-    bench = make_bench()
-    bench.log.fault = Ran.NO
-    error = fail(lambda: bench.publish(OPERATOR, change_store()))
+def test_unavailable_log_changes_nothing_and_is_reported():
+    scene = make_scene()
+    scene.log.fault = Ran.NO
+    error = catch_error(lambda: scene.publish(OPERATOR, change_store()))
     assert (error.kind, error.ran) == (ErrorKind.LOG_UNAVAILABLE, Ran.NO)
-    assert bench.catalog.get(ObjectKind.STORE, 's') is None
+    assert scene.catalog.get(ObjectKind.STORE, 's') is None
 
 
 def test_publishing_the_same_record_again_appends_nothing():
-    bench = make_bench()
+    scene = make_scene()
     change = change_store(record_id=RECORD_ID)
-    first = bench.publish(OPERATOR, change)
-    appends = bench.log.appends
-    assert bench.publish(OPERATOR, change) == first
-    assert bench.log.appends == appends
+    first = scene.publish(OPERATOR, change)
+    appends = scene.log.appends
+    assert scene.publish(OPERATOR, change) == first
+    assert scene.log.appends == appends
     other = replace(change, name='other')
-    error = fail(lambda: bench.publish(OPERATOR, other))
+    error = catch_error(lambda: scene.publish(OPERATOR, other))
     assert error.kind is ErrorKind.BAD_REQUEST
 
 
 def test_entry_without_configuration_publishes_nothing():
-    bench = make_bench()
-    bench.not_ready = 'no configuration yet'
-    error = fail(lambda: bench.publish(OPERATOR, change_store()))
+    scene = make_scene()
+    scene.not_ready = 'no configuration yet'
+    error = catch_error(lambda: scene.publish(OPERATOR, change_store()))
     assert (error.kind, error.ran) == (ErrorKind.NOT_READY, Ran.NO)
 
 
-def test_tokens_tell_operators_from_administrators_of_teams():
-    bench = make_bench()
-    identify = bench.admin.identify
+def test_tokens_distinguish_operators_and_team_administrators():
+    scene = make_scene()
+    identify = scene.admin.identify
     assert identify(make_hash('ana-token')) == OPERATOR
     assert identify(make_hash('owl-admin')) == OWLS
     for token in ('owl', 'nobody', ''):
-        error = fail(lambda token=token: identify(make_hash(token)))
+        error = catch_error(lambda token=token: identify(make_hash(token)))
         assert error.kind is ErrorKind.UNAUTHENTICATED
 
 
-def test_administrator_of_a_team_changes_its_tokens():
-    bench = make_bench()
+def test_team_administrator_changes_its_tokens():
+    scene = make_scene()
     spec = replace(TEAM_SPEC, token_hashes=(make_hash('new'),))
-    (outcome,) = bench.publish(OWLS, ChangeInput(TEAM, 'owls', 1, spec))
+    (outcome,) = scene.publish(OWLS, ChangeInput(TEAM, 'owls', 1, spec))
     assert isinstance(outcome, Applied)
     assert outcome.operator == 'team/owls'
-    assert bench.catalog.find_team(make_hash('new')).name == 'owls'
+    assert scene.catalog.find_team(make_hash('new')).name == 'owls'
 
 
 @pytest.mark.parametrize(
@@ -226,19 +226,19 @@
         (change_store(), 'forbidden'),
     ],
 )
-def test_administrator_of_a_team_changes_nothing_else(change, kind):
-    bench = make_bench()
-    appends = bench.log.appends
-    error = fail(lambda: bench.publish(OWLS, change))
+def test_team_administrator_changes_nothing_else(change, kind):
+    scene = make_scene()
+    appends = scene.log.appends
+    error = catch_error(lambda: scene.publish(OWLS, change))
     assert error.kind == kind
-    assert bench.log.appends == appends
+    assert scene.log.appends == appends
 
 
-def test_administrator_of_a_team_learns_nothing_of_others():
-    bench = make_bench()
-    admin = bench.admin
+def test_team_administrator_cannot_read_other_objects():
+    scene = make_scene()
+    admin = scene.admin
     answers = {
-        fail(call).message
+        catch_error(call).message
         for call in (
             lambda: admin.get_object(OWLS, TEAM, 'bats'),
             lambda: admin.get_object(OWLS, TEAM, 'none'),
@@ -252,28 +252,30 @@
     assert admin.get_object(OWLS, TEAM, 'owls').generation == 1
     taken = replace(TEAM_SPEC, token_hashes=(make_hash('bat'),))
     bats = TeamSpec(token_hashes=(make_hash('bat'),))
-    bench.publish(OPERATOR, ChangeInput(TEAM, 'bats', 1, bats))
-    (lost,) = bench.publish(OWLS, ChangeInput(TEAM, 'owls', 1, taken))
+    scene.publish(OPERATOR, ChangeInput(TEAM, 'bats', 1, bats))
+    (lost,) = scene.publish(OWLS, ChangeInput(TEAM, 'owls', 1, taken))
     assert lost.reason is RejectionReason.TOKEN_TAKEN
     assert 'bats' not in str(lost)
 
 
-def test_watch_returns_what_changed_and_says_what_is_too_old():
-    bench = make_bench()
-    seen = anyio.run(bench.admin.watch, OPERATOR, 0, 1_000)
+def test_watch_returns_changes_and_reports_an_expired_offset():
+    scene = make_scene()
+    seen = anyio.run(scene.admin.watch, OPERATOR, 0, 1_000)
     assert [item.name for item in seen.outcomes] == ['bats']
     assert seen.complete
-    assert not anyio.run(bench.admin.watch, OPERATOR, 1, 20).outcomes
+    assert not anyio.run(scene.admin.watch, OPERATOR, 1, 20).outcomes
     other = Catalog()
-    other.restore(bench.catalog.snapshot())
+    other.restore(scene.catalog.snapshot())
     assert other.difference(0) is None
 
 
 def test_drain_needs_a_link_to_the_agent():
-    bench = make_bench()
-    anyio.run(bench.admin.drain, OPERATOR, 'a')
-    assert bench.drained == ['ana:a']
-    error = fail(lambda: anyio.run(bench.admin.drain, OPERATOR, 'nobody'))
+    scene = make_scene()
+    anyio.run(scene.admin.drain, OPERATOR, 'a')
+    assert scene.drained == ['ana:a']
+    error = catch_error(
+        lambda: anyio.run(scene.admin.drain, OPERATOR, 'nobody')
+    )
     assert error.kind is ErrorKind.NOT_FOUND
 
 
@@ -293,12 +295,14 @@
         ),
     ],
 )
-def test_malformed_change_is_refused_with_its_place(body, fault):
-    error = fail(lambda: parse_changes(body))
+def test_malformed_change_is_refused_naming_its_field(body, fault):
+    error = catch_error(lambda: parse_changes(body))
     assert error.kind is ErrorKind.BAD_REQUEST
     assert fault in error.message
 
 
-def test_selector_text():
+def test_parses_a_selector():
     assert parse_selector('a=b,c=') == {'a': 'b', 'c': ''}
-    assert fail(lambda: parse_selector('a')).kind is ErrorKind.BAD_REQUEST
+    assert (
+        catch_error(lambda: parse_selector('a')).kind is ErrorKind.BAD_REQUEST
+    )
--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -30,7 +30,7 @@
     return json.dumps({'model': 'm', 'messages': [USER]} | changes).encode()
 
 
-def find_kinds(act: Callable[[], object]) -> set[ErrorKind]:
+def catch_kinds(act: Callable[[], object]) -> set[ErrorKind]:
     try:
         act()
     except OleanderError as error:
@@ -38,7 +38,7 @@
     return set()
 
 
-def test_gives_the_engine_its_salt_and_class():
+def test_sends_the_engine_a_cache_salt_and_a_priority():
     chat = parse_chat(encode(temperature=0.5, background=True, stream=True))
     body = json.loads(chat.make_engine_body('lector', b'\x01\x02'))
     assert body == {
@@ -52,7 +52,7 @@
     }
 
 
-def test_caller_can_not_choose_salt_or_priority():
+def test_caller_cannot_choose_salt_or_priority():
     chat = parse_chat(encode(cache_salt='ffff', priority=-5))
     body = json.loads(chat.make_engine_body('lector', b'\x01'))
     assert (body['cache_salt'], body['priority']) == ('01', 0)
@@ -94,7 +94,7 @@
         (b'{"model": "m", "x": 1e999, "messages": []}', 'number'),
     ],
 )
-def test_names_what_is_wrong(body: bytes, word: str):
+def test_error_names_the_faulty_field(body: bytes, word: str):
     with pytest.raises(OleanderError) as caught:
         parse_chat(body)
     assert caught.value.kind is ErrorKind.BAD_REQUEST
@@ -117,7 +117,7 @@
 @FIXED
 @given(st.dictionaries(st.sampled_from(tuple(parse_document(encode()))), JSON))
 def test_any_document_is_a_chat_or_a_typed_error(document: dict[str, Any]):
-    kinds = find_kinds(lambda: parse_chat(json.dumps(document).encode()))
+    kinds = catch_kinds(lambda: parse_chat(json.dumps(document).encode()))
     assert kinds <= {ErrorKind.BAD_REQUEST}
 
 
@@ -132,8 +132,8 @@
 )
 
 
-def cut(data: bytes, places: list[int]) -> list[bytes]:
-    ends = sorted(place % (len(data) + 1) for place in places)
+def split(data: bytes, boundaries: list[int]) -> list[bytes]:
+    ends = sorted(place % (len(data) + 1) for place in boundaries)
     starts = [0, *ends]
     return [data[a:b] for a, b in zip(starts, [*ends, len(data)], strict=True)]
 
@@ -152,10 +152,10 @@
     st.lists(st.integers(0, 200), max_size=10),
     st.integers(0, 20),
 )
-def test_resume_after_any_event_gives_just_the_rest(
-    events: list[bytes], places: list[int], seen: int
+def test_resume_after_any_event_returns_only_the_rest(
+    events: list[bytes], boundaries: list[int], seen: int
 ):
-    chunks = cut(b''.join(event + b'\n\n' for event in events), places)
+    chunks = split(b''.join(event + b'\n\n' for event in events), boundaries)
     numberer = EventNumberer(Position())
     whole = read_events(b''.join(numberer.take(chunk) for chunk in chunks))
     assert [event for _, event in whole] == events
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize('text', ['', 'x', '-2', '1.', '1.-1', '٣', '1' * 20])
-def test_refuses_what_is_no_position(text: str):
+def test_refuses_an_invalid_position(text: str):
     with pytest.raises(OleanderError):
         parse_position(text)
 
@@ -190,5 +190,5 @@
 
 @FIXED
 @given(st.text(max_size=40) | st.binary(max_size=40).map(bytes.hex))
-def test_any_other_token_is_a_stream_that_is_gone(text: str):
-    assert find_kinds(lambda: decode_token(text)) <= {ErrorKind.STREAM_GONE}
+def test_invalid_token_gives_stream_gone(text: str):
+    assert catch_kinds(lambda: decode_token(text)) <= {ErrorKind.STREAM_GONE}
--- a/tests/test_dispatches.py
+++ b/tests/test_dispatches.py
@@ -1,4 +1,4 @@
-"""Check what an agent is told to keep of a prompt."""
+"""Test which prompt segments an agent is asked to export to a store."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 class FakeReceiver:
     def expect(self, attempt: int) -> None:
-        """Wait for nothing."""
+        """Ignore the expected attempt."""
 
 
 def make_edge() -> Edge:
-    """Build an entry that exports what has come back, with one store."""
+    """Build an entry with one store that exports reused segments."""
     edge = Edge()
     core = edge.core
     core.exports = ExportPolicy(COUNCIL)
@@ -44,7 +44,7 @@
 async def send(
     edge: Edge, segments: tuple[bytes, ...], attempts: int = 1
 ) -> tuple[bytes, ...] | None:
-    """Send a prompt some times and return what is to be kept at last."""
+    """Send a prompt `attempts` times; return the last segments to keep."""
     call = Call(
         'r',
         'owls',
@@ -71,15 +71,15 @@
     return None if keep is None else tuple(keep.segments)
 
 
-async def test_only_what_has_come_back_is_kept() -> None:
+async def test_only_reused_segments_are_exported() -> None:
     edge = make_edge()
-    # A second attempt is no second use.
+    # Retries of one request count as one use of its prompt.
     assert await send(edge, SEGMENTS[:2], attempts=3) is None
     assert await send(edge, SEGMENTS) == SEGMENTS[:2]
     assert await send(edge, SEGMENTS) == SEGMENTS
 
 
-async def test_what_the_store_holds_is_not_kept_again() -> None:
+async def test_segments_in_the_store_are_not_exported_again() -> None:
     edge = make_edge()
     held = SegmentEvents(0, tuple(make_hint(each) for each in SEGMENTS[:3]))
     now = edge.core.clock.now()
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -101,7 +101,7 @@
     assert error['ran'] == ('maybe' if kind == 'stream_gone' else 'no')
 
 
-def test_unknown_and_forbidden_services_look_alike():
+def test_unknown_and_forbidden_services_give_the_same_error():
     edge = Edge()
     paths = ('/v1/services/taquilla/x', '/v1/services/nothing/x')
     forbidden, unknown = (
@@ -115,7 +115,7 @@
     assert others == [first, first]
 
 
-def test_says_not_ready_without_configuration_and_why():
+def test_reports_why_it_is_not_ready_without_configuration():
     edge = Edge(configured=False)
     ready = ask(edge, 'GET', '/ready')
     error = read_error(ready)
@@ -172,7 +172,7 @@
     st.lists(st.binary(max_size=40), min_size=1, max_size=3),
     st.sampled_from((TOKEN, OTHER_TOKEN, 'guess')),
 )
-def test_no_input_is_an_internal_error(
+def test_no_input_causes_an_internal_error(
     method: str,
     path: str,
     headers: list[tuple[bytes, bytes]],
@@ -218,7 +218,7 @@
 def exchange(
     data: Iterable[bytes], tls: ssl.SSLContext | None = None, **limits: Any
 ) -> bytes:
-    """Send raw bytes to a server and return all it answers."""
+    """Send raw bytes to a server and return its whole response."""
 
     async def run() -> bytes:
         http = HttpSettings(**limits)
@@ -307,7 +307,7 @@
     assert answer.startswith(b'HTTP/1.1 200 ')
 
 
-def test_drops_a_caller_that_sends_on_after_a_refusal():
+def test_drops_a_caller_that_keeps_sending_after_a_refusal():
     head = (
         b'POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n'
         b'content-length: 99999999\r\n\r\n'
@@ -328,7 +328,7 @@
     assert exchange([b'GET / HTT'], body_timeout=50.0) == b''
 
 
-def test_refuses_a_body_that_does_not_come():
+def test_refuses_a_body_that_does_not_arrive_in_time():
     data = (
         b'POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n'
         b'connection: close\r\ncontent-length: 5\r\nauthorization: Bearer '
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -57,7 +57,7 @@
 SECRETS = (TOKEN, 'prompt-text', 'answer-text', 'token-text', 'key-text')
 
 
-async def test_passes_a_plain_call_both_ways():
+async def test_forwards_a_plain_call_and_its_answer():
     async with serving() as (edge, link):
         Agent(edge, link, [b'{"a":', b'1}'])
         reply = await edge.call(
@@ -99,10 +99,10 @@
 
 
 @pytest.mark.parametrize(
-    ('ran', 'attempts', 'said'), [(Ran.NO, 2, 200), (Ran.MAYBE, 1, 502)]
+    ('ran', 'attempts', 'status'), [(Ran.NO, 2, 200), (Ran.MAYBE, 1, 502)]
 )
-async def test_sends_a_call_without_a_key_again_only_if_it_did_not_run(
-    ran: Ran, attempts: int, said: int
+async def test_retries_a_call_without_a_key_only_if_it_did_not_run(
+    ran: Ran, attempts: int, status: int
 ):
     async with bounded() as tasks:
         edge, link = make_plain()
@@ -126,11 +126,11 @@
 
         link.react = react
         reply = await edge.call('POST', BOOKINGS, body=[b'{}'])
-        assert reply.status == said
+        assert reply.status == status
         assert len(link.find(Dispatch)) == attempts
 
 
-async def test_lost_link_of_a_call_that_may_have_run_is_told():
+async def test_lost_link_of_a_call_that_may_have_run_is_reported():
     async with serving() as (edge, link):
 
         def react(message: Message) -> None:
@@ -150,27 +150,27 @@
 
 @dataclass
 class FakeAdmission:
-    """Queue every request and release what the test names."""
+    """Queue every request; release all once `decision` is set."""
 
     decision: Admitted | Refusal | None = None
     queued: list[str] = field(default_factory=list)
     finished: list[str] = field(default_factory=list)
 
     def admit(self, demand: Demand, _fleet: Fleet, _now: float) -> Queued:
-        """Queue."""
+        """Queue the request."""
         self.queued.append(demand.request)
         return Queued()
 
     def release(
         self, _fleet: Fleet, _now: float
     ) -> list[tuple[str, Admitted | Refusal]]:
-        """Release everything once there is a decision."""
+        """Release all queued requests once there is a decision."""
         if self.decision is None:
             return []
         return [(request, self.decision) for request in self.queued]
 
     def record_finished(self, request: str, _now: float) -> None:
-        """Record."""
+        """Record the finished request."""
         self.finished.append(request)
 
 
@@ -182,7 +182,7 @@
         (None, 503),
     ],
 )
-async def test_queued_request_goes_on_when_it_is_released(
+async def test_queued_request_continues_once_released(
     decision: Admitted | Refusal | None, status: int
 ):
     async with bounded() as tasks:
@@ -213,9 +213,6 @@
             assert not link.sent
 
 
-# --- claims -----------------------------------------------------------------
-
-
 # --- configuration -----------------------------------------------------------
 
 
@@ -264,7 +261,7 @@
             assert other.core.catalog.list(kind) == held
 
 
-# --- a planned stop ---------------------------------------------------------
+# --- graceful stop ----------------------------------------------------------
 
 
 @pytest.mark.parametrize('begun', [True, False])
@@ -295,7 +292,7 @@
         assert not link.find(Cancel)
 
 
-async def test_stream_without_a_token_is_not_handed_over_but_ends_here():
+async def test_stream_without_a_token_is_finished_instead_of_handed_over():
     async with serving('asistente') as (edge, link):
         replies, dispatch = await start_chat(edge, link)
         running = edge.core.running[dispatch.request]
@@ -317,11 +314,11 @@
     )
 
 
-# --- settings ---------------------------------------------------------------
+# --- secrets ----------------------------------------------------------------
 
 
 def list_secret_calls() -> list[tuple[str, dict[str, Any]]]:
-    """List calls that end well and badly, with secrets in every part."""
+    """Return successful and failing calls with secrets in every part."""
     chat = ASK | {'messages': [{'role': 'user', 'content': 'prompt-text'}]}
     key = [(b'idempotency-key', b'key-text')]
     wrong = [
@@ -364,18 +361,18 @@
         for service, kind in KINDS.items():
             link = edge.add_agent(service, kind)
             agent = Agent(edge, link, [b'answer-text'])
-            agent.breaks = fails
+            agent.fails_calls = fails
         for path, options in list_secret_calls():
             method = 'GET' if 'streams' in path else 'POST'
             replies.append(await edge.call(method, path, **options))
     logged = capsys.readouterr()
     assert 'event=request_accepted' in logged.err
-    # Whoever guesses a prompt could confirm it by a digest.
+    # A digest would allow a guessed prompt to be confirmed.
     assert 'digest=' not in logged.err
     statuses = [reply.status for reply in replies]
     assert {400, 401, 404, 410, 413, 422} <= set(statuses)
     assert statuses.count(200) == (0 if fails else 4)
-    told = [str(x.body) + str(x.headers) for x in replies if x.status != 200]
+    errors = [str(x.body) + str(x.headers) for x in replies if x.status != 200]
     for secret in SECRETS:
         assert secret not in logged.err + logged.out
-        assert not any(secret in text for text in told)
+        assert not any(secret in text for text in errors)
--- a/tests/test_entry_claims.py
+++ b/tests/test_entry_claims.py
@@ -94,7 +94,7 @@
             assert json.loads(reply.body)['error']['ran'] == 'no'
 
 
-async def test_outcome_is_appended_again_until_it_is_in_the_log():
+async def test_outcome_append_is_retried_until_it_succeeds():
     async with bounded() as tasks:
         edge, link = make_plain()
         edge.core.settings = replace(
@@ -115,13 +115,13 @@
         await wait(lambda: len(edge.log.batches) == 2)
 
 
-async def test_live_claims_are_carried_before_the_log_forgets_them():
+async def test_live_claims_are_renewed_before_their_records_expire():
     async with serving(claims=True) as (edge, link):
         Agent(edge, link, [b'ok'])
         await edge.call('POST', BOOKINGS, headers=KEY)
         await wait(lambda: edge.core.claims.next_offset == 2)
         edge.claims.append_due_renewals(1_000.0)
         await wait(lambda: len(edge.log.batches) == 3)
-        (carried,) = decode_batch(edge.log.batches[2])
-        assert isinstance(carried, RenewalRecord)
-        assert carried.outcome is not None
+        (renewed,) = decode_batch(edge.log.batches[2])
+        assert isinstance(renewed, RenewalRecord)
+        assert renewed.outcome is not None
--- a/tests/test_entry_settings.py
+++ b/tests/test_entry_settings.py
@@ -48,7 +48,7 @@
     assert main(['--settings', str(path), '--check']) == 0
 
 
-def test_plain_text_beyond_loopback_has_to_be_asked_for():
+def test_plain_text_beyond_loopback_must_be_enabled():
     settings = Edge().core.settings
     assert isinstance(settings, EntrySettings)
     wide = replace(settings.http, host='10.0.0.1')
--- a/tests/test_entry_streams.py
+++ b/tests/test_entry_streams.py
@@ -65,7 +65,7 @@
         ('', 0, [b'a', b'b', b'c']),
     ],
 )
-async def test_resumes_after_what_the_caller_has(
+async def test_resumes_after_the_position_of_the_caller(
     first: str, asked: int, rest: list[bytes]
 ):
     chunks = [b'data: a\n\ndata: b\n\n', b'data: c\n\n']
@@ -96,7 +96,7 @@
         assert events == rest
 
 
-async def test_stream_goes_on_over_a_new_link():
+async def test_stream_continues_over_a_new_link():
     async with bounded() as tasks:
         edge, link = make_model()
         edge.core.attempt_settings = replace(
@@ -113,7 +113,7 @@
         (resume,) = link.find(Resume)
         assert (resume.sequence, resume.token) == (1, 'stream-1')
         running.take(AnswerHead(request, 2, 200, SSE, 'stream-1'))
-        # The wait for the resumed head must not end the stream that goes on.
+        # The timeout for the resumed head must not end the resumed stream.
         await anyio.sleep(0.1)
         running.take(AnswerChunk(request, 2, 1, b'data: b\n\n'))
         whole = make_digest([b'data: a\n\n', b'data: b\n\n'])
@@ -124,10 +124,10 @@
         assert len(link.find(Resume)) == 1
 
 
-async def test_stream_waits_for_a_link_and_no_longer():
+async def test_stream_resumes_as_soon_as_a_link_is_up():
     async with bounded() as tasks:
         reply = Reply()
-        edge, link, dispatch = await begin_flow(tasks, reply, Writer(reply))
+        edge, link, dispatch = await start_stream(tasks, reply, Writer(reply))
         running = edge.core.running[dispatch.request]
         edge.core.find_link = lambda _: None
         running.handle_link_down(link)  # type: ignore[arg-type]
@@ -140,7 +140,7 @@
         assert resume.sequence == 1
 
 
-async def test_caller_that_leaves_cancels_its_run():
+async def test_caller_that_disconnects_cancels_its_run():
     async with serving('asistente') as (edge, link):
         caller = Caller([json.dumps(ASK).encode()])
         await start_chat(edge, link, caller=caller)
@@ -150,22 +150,22 @@
 
 
 class SlowReply(Reply):
-    """Stop reading until told, as the server's flow control does."""
+    """Block sends until `go` is set, as the flow control of the server."""
 
     def __init__(self) -> None:
         super().__init__()
         self.go = anyio.Event()
 
     async def send(self, event: Any) -> None:
-        """Take an event once reading goes on."""
+        """Take an event once `go` is set."""
         await self.go.wait()
         await super().send(event)
 
 
-async def begin_flow(
+async def start_stream(
     tasks: TaskGroup, reply: Reply, writer: Writer
 ) -> tuple[Edge, FakeLink, Dispatch]:
-    """Start a stream whose head and first chunk have reached the caller."""
+    """Start a stream and deliver its head and first chunk."""
     edge, link = make_model()
     edge.start(tasks)
     _, dispatch = await start_chat(edge, link, reply=reply, writer=writer)
@@ -177,11 +177,11 @@
     return edge, link, dispatch
 
 
-async def test_flowing_stream_is_passed_on_as_it_arrives():
+async def test_started_stream_is_forwarded_as_it_arrives():
     async with bounded() as tasks:
         reply = Reply()
         writer = Writer(reply)
-        edge, link, dispatch = await begin_flow(tasks, reply, writer)
+        edge, link, dispatch = await start_stream(tasks, reply, writer)
         request, running = dispatch.request, edge.core.running[dispatch.request]
 
         def send(start: int, stop: int) -> None:
@@ -209,12 +209,12 @@
         assert granted >= 50 - edge.core.settings.requests.credit // 2
 
 
-async def test_flowing_stream_that_can_not_be_numbered_is_broken_off(
+async def test_started_stream_with_an_oversized_event_is_broken_off(
     monkeypatch: pytest.MonkeyPatch,
 ):
     async with bounded() as tasks:
         reply = Reply()
-        edge, link, dispatch = await begin_flow(tasks, reply, Writer(reply))
+        edge, link, dispatch = await start_stream(tasks, reply, Writer(reply))
         monkeypatch.setattr('oleanderdyke.entry.sse._EVENT_LIMIT', 10)
         running = edge.core.running[dispatch.request]
         running.take(AnswerChunk(dispatch.request, 1, 1, b'x' * 11))
--- a/tests/test_shell.py
+++ b/tests/test_shell.py
@@ -23,10 +23,10 @@
 from tests.processes import wait_until
 
 TLS = Path(__file__).parent / 'tls'
-NOWHERE = '127.0.0.1:1'
+UNREACHABLE = '127.0.0.1:1'
 
 
-def test_signal_right_after_listening_is_a_planned_stop(
+def test_signal_right_after_listening_causes_a_graceful_stop(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ):
     bind = shell.open_listener
@@ -42,8 +42,8 @@
                 EntrySettings(
                     process='entry-1',
                     data_centre='here',
-                    log=LogSettings(NOWHERE),
-                    vms=VmSettings(NOWHERE),
+                    log=LogSettings(UNREACHABLE),
+                    vms=VmSettings(UNREACHABLE),
                     http=HttpSettings(port=0),
                     drain=DrainSettings(accept=0.0, announce=0.0),
                 )
@@ -60,8 +60,8 @@
     assert 'event=process_stopped' in written
 
 
-def test_entry_and_agent_prove_themselves_to_each_other(tmp_path: Path):
-    """Watch a first publication over TLS links, from an empty log on."""
+def test_entry_and_agent_authenticate_each_other(tmp_path: Path):
+    """Publish the first configuration over TLS links, with an empty log."""
     paths = {
         name: str(TLS / f'node.{ending}')
         for name, ending in (('certificate', 'pem'), ('key', 'key'))
@@ -82,7 +82,7 @@
                 b'no configuration published yet'
                 in call(entry.address, 'GET', '/ready').body
             ),
-            'the entry says why it is not ready',
+            'the entry reports why it is not ready',
         )
         publish(deployment)
         deployment.wait_ready()
--- a/tests/test_superseded.py
+++ b/tests/test_superseded.py
@@ -1,4 +1,4 @@
-"""Hold that an entry tells an agent whose place another one took."""
+"""Test that an entry notifies an agent that a newer one has replaced."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 
 
 @dataclass
-class Line(FakeLink):
-    """Note that it was closed."""
+class ClosableLink(FakeLink):
+    """Record whether it was closed."""
 
     async def close(self) -> None:
         self.closed = True
 
 
 def connect(*links: Any, beats: Sequence[tuple[Any, str]] = ()) -> None:
-    """Let agents come up in order, then take heartbeats."""
+    """Bring up the links in order, then handle the heartbeats."""
 
     async def act() -> None:
         async with anyio.create_task_group() as tasks:
@@ -59,7 +59,7 @@
 
 
 def test_hello_of_a_former_incarnation_is_answered_and_refused():
-    first, new, again = Line(OLD), Line(NEW), Line(OLD)
+    first, new, again = ClosableLink(OLD), ClosableLink(NEW), ClosableLink(OLD)
     connect(first, new, again)
     assert again.find(Superseded) == [Superseded('a', 'i1')]
     assert again.closed
@@ -67,7 +67,7 @@
 
 
 def test_heartbeat_of_a_former_incarnation_is_answered():
-    old, new = Line(OLD), Line(NEW)
+    old, new = ClosableLink(OLD), ClosableLink(NEW)
     connect(old, new, beats=[(old, 'i1'), (new, 'i2'), (new, 'i2')])
     assert old.find(Superseded) == [Superseded('a', 'i1')]
     assert not new.find(Superseded)
--- a/tests/test_unread_log.py
+++ b/tests/test_unread_log.py
@@ -24,14 +24,14 @@
 
 pytestmark = pytest.mark.anyio
 
-# Four lines of 160 bytes each: more than a pipe holds.
-CALLS = 200
-PIPE = 64 * 1024
+# A call logs four lines of 160 bytes each; all together exceed the pipe.
+CALL_COUNT = 200
+PIPE_BYTES = 64 * 1024
 
 
 @contextlib.asynccontextmanager
 async def running(directory, output):
-    """Run an entry as a process that writes its log to a descriptor."""
+    """Run an entry process whose log goes to a file descriptor."""
     path = directory / 'boot.conf'
     store = RecordStore()
     store.put(OPERATOR, 'config', CONFIGURATION)
@@ -77,16 +77,16 @@
     return len(data), [parse_line(line).get('event') for line in lines]
 
 
-async def test_an_entry_whose_log_nobody_reads_serves_all_calls(tmp_path):
+async def test_entry_serves_all_calls_while_its_log_is_not_read(tmp_path):
     reader, writer = os.pipe()
     try:
         async with running(tmp_path, writer) as address:
-            for _ in range(CALLS):
+            for _ in range(CALL_COUNT):
                 found = await call(address, '/once/1')
                 assert found.status == 200
             size, events = read_events(reader)
-            assert size <= PIPE
-            assert events.count('request_finished') < CALLS
+            assert size <= PIPE_BYTES
+            assert events.count('request_finished') < CALL_COUNT
             await anyio.sleep(1.1)
             assert (await call(address, '/once/1')).status == 200
             _, events = read_events(reader)
