--- a/src/oleanderdyke/entry/admin.py
+++ b/src/oleanderdyke/entry/admin.py
@@ -33,7 +33,7 @@
 PAGE_LIMIT = 500
 WAIT_LIMIT: Millis = 30 * SECOND
 _WATCH_POLL: Millis = 50.0
-_RECORD_ID = re.compile(r'[0-9a-f]{32}')
+_RECORD_ID_PATTERN = re.compile(r'[0-9a-f]{32}')
 _RECORD_ID_BYTES = 16
 
 SendDrain: TypeAlias = Callable[[str, str], Awaitable[bool]]
@@ -205,7 +205,9 @@
             )
             raise OleanderError(ErrorKind.BAD_REQUEST, fault)
         for item in inputs:
-            if item.record_id and not _RECORD_ID.fullmatch(item.record_id):
+            if item.record_id and not _RECORD_ID_PATTERN.fullmatch(
+                item.record_id
+            ):
                 fault = 'record_id: allowed: 32 lower-case hex characters'
                 raise OleanderError(ErrorKind.BAD_REQUEST, fault)
             _check_access(caller, item.kind, item.name)
--- a/src/oleanderdyke/entry/app.py
+++ b/src/oleanderdyke/entry/app.py
@@ -152,7 +152,7 @@
         await answer.send_whole(200, core.metrics.render(), headers)
 
     async def _serve_chat(self, head: Head, body: Body, answer: Answer) -> None:
-        team = self._find_team(head)
+        team = self._authenticate_team(head)
         chat = parse_chat(await body.read())
         target = find_model_service(self._core, team, chat.model)
         if _is_background(head):
@@ -169,15 +169,15 @@
     async def _serve_plain(
         self, head: Head, body: Body, answer: Answer
     ) -> None:
-        team = self._find_team(head)
+        team = self._authenticate_team(head)
         _, _, service, *rest = split_path(head.target, 3)
         target = find_plain_service(self._core, team, service)
         if head.method not in target.spec.methods:
             raise _make_wrong_method(', '.join(target.spec.methods))
         body.set_limit(target.spec.body_limit)
         key = find_idempotency_key(head)
-        bound = target.spec.body_limit if key else _REPLAYABLE_BYTES
-        data = await body.read_up_to(bound + 1)
+        read_limit = target.spec.body_limit if key else _REPLAYABLE_BYTES
+        data = await body.read_up_to(read_limit + 1)
         path = '/' + '/'.join(rest)
         call = make_plain_call(
             head,
@@ -195,7 +195,7 @@
     ) -> None:
         if head.method != 'GET':
             raise _make_wrong_method('GET')
-        team = self._find_team(head)
+        team = self._authenticate_team(head)
         _, _, token = split_path(head.target, 3)
         await body.read()
         resume = ResumeRequest(
@@ -215,7 +215,7 @@
         )
         await self._run_counted(head.request, driver.run)
 
-    def _find_team(self, head: Head) -> StoredObject:
+    def _authenticate_team(self, head: Head) -> StoredObject:
         """Return the caller's team; raise NOT_READY or UNAUTHENTICATED."""
         core = self._core
         if core.reader.offset < 0:
--- a/src/oleanderdyke/entry/chat.py
+++ b/src/oleanderdyke/entry/chat.py
@@ -128,34 +128,36 @@
         yield _read_message(message, f'messages[{position}]')
 
 
-def _read_message(found: object, place: str) -> PromptMessage:
+def _read_message(found: object, location: str) -> PromptMessage:
     if not isinstance(found, dict) or found.keys() != _MESSAGE_FIELDS:
-        raise make_bad_request(f'{place} must have only role and content')
+        raise make_bad_request(f'{location} must have only role and content')
     role = found['role']
     if not isinstance(role, str) or role not in _ROLES:
         allowed = ', '.join(sorted(_ROLES))
-        raise make_bad_request(f'{place}.role must be one of {allowed}')
-    content = _read_content(found['content'], place)
+        raise make_bad_request(f'{location}.role must be one of {allowed}')
+    content = _read_content(found['content'], location)
     if '\0' in content:
-        raise make_bad_request(f'{place}.content holds a NUL character')
+        raise make_bad_request(f'{location}.content holds a NUL character')
     _check_text(content)
     return PromptMessage(role, content)
 
 
-def _read_content(found: object, place: str) -> str:
+def _read_content(found: object, location: str) -> str:
     if isinstance(found, str):
         return found
     if isinstance(found, list):
-        return ''.join(_read_part(part, place) for part in found)
-    raise make_bad_request(f'{place}.content must be text')
+        return ''.join(_read_part(part, location) for part in found)
+    raise make_bad_request(f'{location}.content must be text')
 
 
-def _read_part(part: object, place: str) -> str:
+def _read_part(part: object, location: str) -> str:
     if isinstance(part, dict) and part.get('type') == 'text':
         found = part.get('text')
         if isinstance(found, str):
             return found
-    raise make_bad_request(f'{place}.content may hold parts of type text only')
+    raise make_bad_request(
+        f'{location}.content may hold parts of type text only'
+    )
 
 
 def _check_text(found: object) -> None:
--- a/src/oleanderdyke/entry/claims.py
+++ b/src/oleanderdyke/entry/claims.py
@@ -55,7 +55,7 @@
     key: str
     digest: str
     inbox: Inbox
-    since: float
+    queued_at: float
     offset: int | None = None
 
 
@@ -88,7 +88,7 @@
         """Append a claim; put its verdict into the inbox once it is read."""
         record = action.record
         claim = _PendingClaim(
-            record.key, digest, inbox, since=self._core.clock.now()
+            record.key, digest, inbox, queued_at=self._core.clock.now()
         )
         self._pending_claims[record.claim_id] = claim
 
@@ -263,7 +263,7 @@
         if not read and not isinstance(verdict, Owned):
             return
         del self._pending_claims[claim_id]
-        waited = self._core.clock.now() - claim.since
+        waited = self._core.clock.now() - claim.queued_at
         self._core.metrics.time(Timing.CLAIM, waited)
         claim.inbox.put(ClaimSettled(claim_id, verdict))
 
--- a/src/oleanderdyke/entry/delivery.py
+++ b/src/oleanderdyke/entry/delivery.py
@@ -192,12 +192,12 @@
         self.chunks += 1
         if self._last_chunk is None:
             self.first_token = now - self._started
-            timing, since = Timing.FIRST_TOKEN, self._started
+            timing, previous = Timing.FIRST_TOKEN, self._started
         else:
-            timing, since = Timing.BETWEEN_TOKENS, self._last_chunk
+            timing, previous = Timing.BETWEEN_TOKENS, self._last_chunk
         # Without streaming, the time of the first chunk is not that of a token.
         label = self._label if self.is_stream else f'{self._label}:whole'
-        self._metrics.time(timing, now - since, label)
+        self._metrics.time(timing, now - previous, label)
         self._last_chunk = now
 
 
--- a/src/oleanderdyke/entry/edge.py
+++ b/src/oleanderdyke/entry/edge.py
@@ -23,8 +23,8 @@
 Send: TypeAlias = Callable[[Event], Awaitable[None]]
 
 _REQUEST_ID_BYTES = 16
-_TOKEN_LIMIT = 512
-_KEY_LIMIT = 200
+_TOKEN_MAX_CHARS = 512
+_KEY_MAX_CHARS = 200
 _NEVER_FORWARDED = HOP_BY_HOP | {
     'authorization',
     'content-length',
@@ -106,7 +106,7 @@
     found = head.find('authorization') or ''
     scheme, _, token = found.partition(' ')
     token = token.strip()
-    if scheme.lower() != 'bearer' or not 0 < len(token) <= _TOKEN_LIMIT:
+    if scheme.lower() != 'bearer' or not 0 < len(token) <= _TOKEN_MAX_CHARS:
         raise make_unauthenticated()
     return hashlib.sha256(token.encode('ascii')).hexdigest()
 
@@ -123,8 +123,8 @@
     key = head.find('idempotency-key')
     if key is None:
         return ''
-    if not key or len(key) > _KEY_LIMIT:
-        fault = f'Idempotency-Key must have 1 to {_KEY_LIMIT} characters'
+    if not key or len(key) > _KEY_MAX_CHARS:
+        fault = f'Idempotency-Key must have 1 to {_KEY_MAX_CHARS} characters'
         raise OleanderError(ErrorKind.BAD_REQUEST, fault)
     return key
 
--- a/src/oleanderdyke/entry/publishing.py
+++ b/src/oleanderdyke/entry/publishing.py
@@ -120,9 +120,9 @@
     poll: Millis = _POLL,
 ) -> bool:
     """Poll a condition until `wait` is over; return whether it was met."""
-    limit = clock.now() + wait
+    deadline = clock.now() + wait
     while not condition():
-        if clock.now() >= limit:
+        if clock.now() >= deadline:
             return False
         await anyio.sleep(poll / SECOND)
     return True
--- a/src/oleanderdyke/entry/routes.py
+++ b/src/oleanderdyke/entry/routes.py
@@ -8,7 +8,7 @@
 from oleanderdyke.kernel.demand import Demand, Plan, Refusal
 from oleanderdyke.metrics import Timing
 
-_RETRY_AFTER = 1_000.0
+_RETRY_AFTER_MS = 1_000.0
 
 
 def choose_route(core: Core, demand: Demand, action: Route) -> Routed | NoRoute:
@@ -21,7 +21,7 @@
     replica = core.fleet.find(plan.agent)
     if replica is None:
         fault = 'the chosen agent is no longer connected'
-        return NoRoute(Refusal(ErrorKind.NO_REPLICA, fault, _RETRY_AFTER))
+        return NoRoute(Refusal(ErrorKind.NO_REPLICA, fault, _RETRY_AFTER_MS))
     return Routed(plan, replica)
 
 
--- a/src/oleanderdyke/entry/server.py
+++ b/src/oleanderdyke/entry/server.py
@@ -27,9 +27,9 @@
 from oleanderdyke.entry.http_settings import HttpSettings
 from oleanderdyke.errors import ErrorKind, OleanderError
 
-_HEADERS_TOO_LARGE = 431
+_HEADERS_TOO_LARGE_STATUS = 431
 _REASONS = {400: b'Bad Request', 431: b'Request Header Fields Too Large'}
-_UNREAD_LIMIT = 1024 * 1024
+_UNREAD_LIMIT_BYTES = 1024 * 1024
 _OPEN_STATES = (h11.IDLE, h11.SEND_RESPONSE)
 _LOGGER = 'uvicorn.error'
 _CHUNKED_VERSION = b'1.1'
@@ -112,7 +112,7 @@
         hint = getattr(fault, 'error_status_hint', 0)
         kind = (
             ErrorKind.HEADERS_TOO_LARGE
-            if hint == _HEADERS_TOO_LARGE
+            if hint == _HEADERS_TOO_LARGE_STATUS
             else ErrorKind.BAD_REQUEST
         )
         self._abandon_request()
@@ -126,7 +126,7 @@
             self._unread_bytes = 0
             return
         self._unread_bytes += length
-        if self._unread_bytes > _UNREAD_LIMIT:
+        if self._unread_bytes > _UNREAD_LIMIT_BYTES:
             self.transport.abort()
 
     def _write_error(self, error: OleanderError) -> None:
@@ -204,15 +204,15 @@
     sockets created with IPPROTO_TCP.
     """
     family = socket.AF_INET6 if ':' in host else socket.AF_INET
-    bound = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
+    listener = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     try:
-        bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        bound.bind((host, port))
-        bound.listen(_BACKLOG)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind((host, port))
+        listener.listen(_BACKLOG)
     except OSError:
-        bound.close()
+        listener.close()
         raise
-    return bound
+    return listener
 
 
 def make_server(app: Any, settings: HttpSettings) -> EdgeServer:
--- a/src/oleanderdyke/entry/settings.py
+++ b/src/oleanderdyke/entry/settings.py
@@ -161,12 +161,12 @@
 def _find_operator_faults(
     operators: tuple[OperatorSettings, ...],
 ) -> Iterator[str]:
-    for place, operator in enumerate(operators):
+    for index, operator in enumerate(operators):
         if not operator.name:
-            yield f'operators.{place}.name: found nothing; allowed: a name'
+            yield f'operators.{index}.name: found nothing; allowed: a name'
         if not _TOKEN_HASH.fullmatch(operator.token_hash):
             # The value may be a token entered by mistake, so it is not shown.
             yield (
-                f'operators.{place}.token_hash: found something else; '
+                f'operators.{index}.token_hash: found something else; '
                 'allowed: the hex SHA-256 of a token'
             )
--- a/src/oleanderdyke/entry/shell.py
+++ b/src/oleanderdyke/entry/shell.py
@@ -59,15 +59,15 @@
         # port open may send a signal at once.
         with (
             catch_signals() as signals,
-            open_listener(settings.http.host, settings.http.port) as bound,
+            open_listener(settings.http.host, settings.http.port) as listener,
         ):
             server = self._make_server()
             async with anyio.create_task_group() as tasks:
                 self._core.spawn = tasks.start_soon
-                tasks.start_soon(server.serve, [bound])
+                tasks.start_soon(server.serve, [listener])
                 self._start_tasks(tasks)
                 tasks.start_soon(self._stopper.watch, signals)
-                host, port = bound.getsockname()[:2]
+                host, port = listener.getsockname()[:2]
                 self._core.log.write(
                     EventName.PROCESS_STARTED,
                     address=f'{host}:{port}',
--- a/src/oleanderdyke/entry/sse.py
+++ b/src/oleanderdyke/entry/sse.py
@@ -12,7 +12,7 @@
 
 _BOUNDARY = re.compile(rb'\r?\n\r?\n')
 _POSITION = re.compile(r'(-1|\d{1,12})(?:\.(\d{1,12}))?\Z', re.ASCII)
-_EVENT_LIMIT = 1024 * 1024
+_EVENT_LIMIT_BYTES = 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,10 +71,10 @@
         *events, self._partial_event = _BOUNDARY.split(
             self._partial_event + chunk
         )
-        if len(self._partial_event) > _EVENT_LIMIT:
+        if len(self._partial_event) > _EVENT_LIMIT_BYTES:
             raise OleanderError(
                 ErrorKind.STREAM_BROKEN,
-                f'server-sent event longer than {_EVENT_LIMIT} bytes',
+                f'server-sent event longer than {_EVENT_LIMIT_BYTES} bytes',
             )
         parts = [
             self._number(
--- a/src/oleanderdyke/entry/tokens.py
+++ b/src/oleanderdyke/entry/tokens.py
@@ -9,7 +9,7 @@
 
 from oleanderdyke.errors import ErrorKind, OleanderError
 
-_TOKEN_LIMIT = 1024
+_TOKEN_MAX_CHARS = 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
 
 
 def _decode(text: str) -> StreamToken:
-    if len(text) > _TOKEN_LIMIT:
+    if len(text) > _TOKEN_MAX_CHARS:
         raise ValueError
     padding = '=' * (-len(text) % 4)
     match json.loads(base64.urlsafe_b64decode(text + padding)):
