--- a/src/oleanderdyke/entry/claims.py
+++ b/src/oleanderdyke/entry/claims.py
@@ -35,6 +35,7 @@
 _RETRY_LIMIT = 40
 _QUEUE_LIMIT = 2_000
 _RENEWAL_LIMIT = 1_000
+# Range of the random renewal interval, as shares of the log retention.
 _RENEWAL_INTERVAL_SHARES = (0.02, 0.06)
 
 
--- a/src/oleanderdyke/entry/edge.py
+++ b/src/oleanderdyke/entry/edge.py
@@ -40,7 +40,7 @@
 
 
 class CallerGone(Exception):
-    """The caller closed its connection."""
+    """Raised when the caller has closed its connection."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,9 +82,9 @@
 
 
 def split_path(target: str, count: int) -> tuple[str, ...]:
-    """Split off `count` decoded parts; the rest stays as it was sent.
+    """Decode the first `count` path segments; leave the rest encoded.
 
-    Raise NOT_FOUND for a part that is not UTF-8.
+    Raise NOT_FOUND for a segment that is not UTF-8.
     """
     parts = target.split('/', count + 1)[1:]
     try:
@@ -97,7 +97,7 @@
 
 
 def make_not_found() -> OleanderError:
-    """Return the one answer for all that is unknown or not allowed."""
+    """Return the error for unknown and for forbidden resources alike."""
     return OleanderError(ErrorKind.NOT_FOUND, 'nothing here for this token')
 
 
--- a/src/oleanderdyke/entry/main.py
+++ b/src/oleanderdyke/entry/main.py
@@ -1,4 +1,4 @@
-"""Start an entry from the command line."""
+"""Run an entry process from the command line."""
 
 from __future__ import annotations
 
--- a/src/oleanderdyke/entry/publishing.py
+++ b/src/oleanderdyke/entry/publishing.py
@@ -21,7 +21,7 @@
 
 
 class Appender(Protocol):
-    """Append records to a log."""
+    """Client that appends records to a log."""
 
     async def append(
         self, log: str, records: Sequence[bytes], *, timeout: Millis = ...
