--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -32,7 +32,7 @@
 FIXED = settings(derandomize=True, max_examples=200, deadline=None)
 
 
-def ask(edge: Edge, method: str, path: str, **options: Any) -> Reply:
+def send_request(edge: Edge, method: str, path: str, **options: Any) -> Reply:
     async def run() -> Reply:
         with anyio.fail_after(10):
             return await edge.call(method, path, **options)
@@ -95,7 +95,7 @@
 def test_answers_bad_input_with_a_typed_error(
     method: str, path: str, options: dict[str, Any], status: int, kind: str
 ):
-    reply = ask(Edge(), method, path, **options)
+    reply = send_request(Edge(), method, path, **options)
     error = read_error(reply)
     assert (reply.status, error['kind']) == (status, kind)
     assert error['ran'] == ('maybe' if kind == 'stream_gone' else 'no')
@@ -105,9 +105,9 @@
     edge = Edge()
     paths = ('/v1/services/taquilla/x', '/v1/services/nothing/x')
     forbidden, unknown = (
-        ask(edge, 'GET', path, token=OTHER_TOKEN) for path in paths
+        send_request(edge, 'GET', path, token=OTHER_TOKEN) for path in paths
     )
-    model = ask(edge, 'GET', '/v1/services/asistente/x')
+    model = send_request(edge, 'GET', '/v1/services/asistente/x')
     first, *others = (
         (reply.status, reply.headers.keys(), read_error(reply)['message'])
         for reply in (forbidden, unknown, model)
@@ -117,27 +117,27 @@
 
 def test_reports_why_it_is_not_ready_without_configuration():
     edge = Edge(configured=False)
-    ready = ask(edge, 'GET', '/ready')
+    ready = send_request(edge, 'GET', '/ready')
     error = read_error(ready)
     assert (ready.status, error['kind']) == (503, 'not_ready')
     assert 'no configuration yet' in error['message']
     assert ready.headers['retry-after'] == '1'
-    assert ask(edge, 'POST', CHAT).status == 503
-    assert ask(edge, 'GET', '/live').status == 200
+    assert send_request(edge, 'POST', CHAT).status == 503
+    assert send_request(edge, 'GET', '/live').status == 200
     edge.core.reader.on_page(LogPage((), 0, 0), edge.core.clock.now())
     for method, path in (('GET', '/ready'), ('POST', CHAT)):
-        reply = ask(edge, method, path)
+        reply = send_request(edge, method, path)
         assert reply.status == 503
         assert 'no configuration published' in read_error(reply)['message']
     edge.configure()
-    assert ask(edge, 'GET', '/ready').status == 200
-    assert b'oleander_ready' in ask(edge, 'GET', '/metrics').body
+    assert send_request(edge, 'GET', '/ready').status == 200
+    assert b'oleander_ready' in send_request(edge, 'GET', '/metrics').body
 
 
 def test_is_not_ready_from_the_first_signal_on():
     edge = Edge()
     edge.stopper.handle_signal('SIGTERM')
-    ready = ask(edge, 'GET', '/ready')
+    ready = send_request(edge, 'GET', '/ready')
     assert (ready.status, read_error(ready)['kind']) == (503, 'stopping')
 
 
@@ -179,7 +179,9 @@
     body: list[bytes],
     token: str,
 ):
-    reply = ask(Edge(), method, path, headers=headers, body=body, token=token)
+    reply = send_request(
+        Edge(), method, path, headers=headers, body=body, token=token
+    )
     assert reply.ended
     assert reply.status != 500
     if reply.status >= 400:
@@ -223,11 +225,11 @@
     async def run() -> bytes:
         http = HttpSettings(**limits)
         server = make_server(Edge(http=http).app, http)
-        bound = socket.create_server(('127.0.0.1', 0))
+        listener = socket.create_server(('127.0.0.1', 0))
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(server.serve, [bound])
-            stream = await _connect(bound, tls)
-            answer = await _talk(stream, data)
+            tasks.start_soon(server.serve, [listener])
+            stream = await _connect(listener, tls)
+            answer = await _send_and_read(stream, data)
             server.should_exit = True
         return answer
 
@@ -235,9 +237,9 @@
 
 
 async def _connect(
-    bound: socket.socket, tls: ssl.SSLContext | None
+    listener: socket.socket, tls: ssl.SSLContext | None
 ) -> anyio.abc.ByteStream:
-    host, port = bound.getsockname()
+    host, port = listener.getsockname()
     if tls is None:
         return await anyio.connect_tcp(host, port)
     return await anyio.connect_tcp(
@@ -245,7 +247,9 @@
     )
 
 
-async def _talk(stream: anyio.abc.ByteStream, data: Iterable[bytes]) -> bytes:
+async def _send_and_read(
+    stream: anyio.abc.ByteStream, data: Iterable[bytes]
+) -> bytes:
     answer = b''
     with anyio.fail_after(20):
         async with stream:
@@ -348,14 +352,14 @@
         edge = Edge(http=http)
         link = edge.add_agent('taquilla', BackendKind.PLAIN)
         server = make_server(edge.app, http)
-        bound = socket.create_server(('127.0.0.1', 0))
+        listener = socket.create_server(('127.0.0.1', 0))
         call = f'GET {BOOKINGS} HTTP/1.1\r\nhost: x\r\n'
         call += f'authorization: Bearer {TOKEN}\r\n\r\n'
         with anyio.fail_after(20):
             async with anyio.create_task_group() as tasks:
                 edge.start(tasks)
-                tasks.start_soon(server.serve, [bound])
-                stream = await _connect(bound, None)
+                tasks.start_soon(server.serve, [listener])
+                stream = await _connect(listener, None)
                 await stream.send(call.encode())
                 while not link.find(BodyChunk):
                     await anyio.sleep(0.001)
--- a/tests/test_shell.py
+++ b/tests/test_shell.py
@@ -29,12 +29,12 @@
 def test_signal_right_after_listening_causes_a_graceful_stop(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ):
-    bind = shell.open_listener
+    open_listener = shell.open_listener
 
-    def bind_and_stop(host: str, port: int) -> socket.socket:
-        bound = bind(host, port)
+    def open_and_stop(host: str, port: int) -> socket.socket:
+        listener = open_listener(host, port)
         signal.raise_signal(signal.SIGTERM)
-        return bound
+        return listener
 
     async def run() -> None:
         with anyio.fail_after(20):
@@ -49,7 +49,7 @@
                 )
             )
 
-    monkeypatch.setattr(shell, 'open_listener', bind_and_stop)
+    monkeypatch.setattr(shell, 'open_listener', open_and_stop)
     before = signal.signal(signal.SIGTERM, signal.SIG_IGN)
     try:
         anyio.run(run)
