--- a/src/oleanderdyke/entry/admin_status.py
+++ b/src/oleanderdyke/entry/admin_status.py
@@ -1,4 +1,4 @@
-"""Describe an entry, the agents it knows and what its services owe."""
+"""Report the status of an entry, its agents and its services."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentStatus:
-    """Show an agent as this entry last heard of it; ages are in ms."""
+    """Report the state of an agent in its latest heartbeat."""
 
     agent: str
     service: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reach:
-    """Count the processes that have an offset, and name the others."""
+    """Count the processes that applied an offset and name the others."""
 
     offset: int
     have: int
@@ -53,11 +53,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceStatus:
-    """Compare what a service owes with what its requests here got.
+    """Compare the targets of a service with the results at this entry.
 
-    `standings` cover the last hour, all else the life of this entry. The
-    timings are encoded histograms, which those of other entries add to; they
-    and the requests that missed a target come only where asked for.
+    `standings` cover the last hour, all other values the lifetime of this
+    process. `timings` are encoded histograms that can be merged with those
+    of other entries; they and `missed_requests` are filled on request only.
     """
 
     service: str
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryStatus:
-    """Show one entry and all that it knows."""
+    """Report the state of one entry and its view of the agents."""
 
     process: str
     data_centre: str
@@ -94,9 +94,9 @@
 def make_status(
     core: Core, offset: int | None = None, *, missed: int = 0
 ) -> EntryStatus:
-    """Build the status; `reach` is for an offset, else for the present one.
+    """Build the status; `reach` counts `offset`, by default the current one.
 
-    With `missed`, show so many requests that missed each target.
+    `missed` is the number of requests to list for each missed target.
     """
     catalog, fault = core.catalog, core.find_fault()
     views = core.fleet.views()
@@ -123,7 +123,7 @@
     for view in views:
         if view.condition is not Condition.DROPPED:
             offsets[view.replica.agent] = view.offset
-    missing = sorted(name for name, has in offsets.items() if has < offset)
+    missing = sorted(name for name, known in offsets.items() if known < offset)
     have = len(offsets) - len(missing)
     return Reach(offset, have, len(offsets), tuple(missing))
 
@@ -158,9 +158,9 @@
 def _measure_service(
     core: Core, name: str, spec: ServiceSpec, missed: int
 ) -> ServiceStatus:
-    metrics, book = core.metrics, core.targets.get(name)
+    metrics, monitor = core.metrics, core.targets.get(name)
     model = spec.kind is ServiceKind.MODEL
-    refusals = sorted((kind.value, n) for kind, n in book.refusals.items())
+    refusals = sorted((kind.value, n) for kind, n in monitor.refusals.items())
     timings = (
         (timing.value, metrics.encode_timing(timing, name))
         for timing in _TIMINGS
@@ -170,7 +170,7 @@
         kind=spec.kind.value,
         requests=int(metrics.read_count(Count.REQUESTS, name)),
         targets=spec.targets,
-        standings=book.evaluate(spec.targets, core.clock.now())
+        standings=monitor.evaluate(spec.targets, core.clock.now())
         if model
         else (),
         prompt_tokens=int(metrics.read_count(Count.PROMPT_TOKENS, name)),
@@ -180,6 +180,6 @@
         link_bytes=int(metrics.read_count(Count.LINK_BYTES, name)),
         refusals=dict(refusals),
         missed=int(metrics.read_count(Count.MISSED_TARGETS, name)),
-        missed_requests=book.list_missed(missed) if missed else (),
+        missed_requests=monitor.list_missed(missed) if missed else (),
         timings=dict(timings) if missed else {},
     )
--- a/src/oleanderdyke/entry/logreader.py
+++ b/src/oleanderdyke/entry/logreader.py
@@ -1,4 +1,4 @@
-"""Follow one log of the log service, through its outages."""
+"""Follow one log of the log service; retry during outages."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class LogReader:
-    """Read page after page, with long polls once the end is reached."""
+    """Read a log page by page; use long polls once at its end."""
 
     def __init__(
         self,
@@ -30,25 +30,25 @@
         name: str,
         *,
         find_start: Callable[[], int],
-        take_page: Callable[[LogPage], None],
+        apply_page: Callable[[LogPage], None],
     ) -> None:
         self._core = core
         self._client = client
         self._name = name
         self._find_start = find_start
-        self._take_page = take_page
+        self._take_page = apply_page
         self._down = False
-        self._reached = False
+        self._at_end = False
 
     async def run(self) -> None:
-        """Read until cancelled."""
+        """Read and apply pages until cancelled."""
         while True:
             page = await self._read()
             if page is not None:
-                await self._take(page)
+                await self._apply(page)
 
-    async def _take(self, page: LogPage) -> None:
-        """Take a page in parts, so that all else goes on in between."""
+    async def _apply(self, page: LogPage) -> None:
+        """Apply a page in parts, yielding to the event loop in between."""
         for part in slice_page(page):
             self._take_page(part)
             await anyio.sleep(0)
@@ -60,16 +60,16 @@
                 self._name,
                 start=self._find_start(),
                 limit=settings.page,
-                wait=settings.wait if self._reached else 0.0,
+                wait=settings.wait if self._at_end else 0.0,
                 timeout=settings.timeout,
             )
         except LogUnavailable as error:
-            self._reached = False
+            self._at_end = False
             self._log_change(down=True, detail=error.message)
             await anyio.sleep(settings.retry / SECOND)
             return None
         self._log_change(down=False)
-        self._reached = True
+        self._at_end = True
         return page
 
     def _log_change(self, *, down: bool, detail: str | None = None) -> None:
@@ -81,7 +81,7 @@
 
 
 def slice_page(page: LogPage, size: int = _SLICE_BYTES) -> Iterator[LogPage]:
-    """Cut a page into parts that are taken quickly, at least one."""
+    """Split a page into one or more parts of about `size` bytes."""
     part: list[LogRecord] = []
     taken = 0
     for record in page.records:
--- a/src/oleanderdyke/entry/shell.py
+++ b/src/oleanderdyke/entry/shell.py
@@ -1,4 +1,4 @@
-"""Run the tasks of one entry on one loop."""
+"""Run the tasks of one entry on one event loop."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from oleanderdyke.entry.claims import ClaimLog
 from oleanderdyke.entry.configuration import ConfigurationFeed
 from oleanderdyke.entry.core import Core, log_readiness, make_core
-from oleanderdyke.entry.effects import Tools
+from oleanderdyke.entry.effects import EntryResources
 from oleanderdyke.entry.logreader import LogReader
 from oleanderdyke.entry.queue import ReleaseQueue
 from oleanderdyke.entry.server import EdgeServer, make_server, open_listener
@@ -28,15 +28,15 @@
 from oleanderdyke.links.tls import make_client_context
 from oleanderdyke.logs import EventLog
 
-_FLUSH_LIMIT = 3.0
-_CLOSE_LIMIT = 3.0
-_TICK = 0.25
-_SETTLE_LIMIT = 3.0
-_SETTLE_POLL = 0.05
+_FLUSH_TIMEOUT_SECONDS = 3.0
+_CLOSE_TIMEOUT_SECONDS = 3.0
+_TICK_SECONDS = 0.25
+_LINK_TIMEOUT_SECONDS = 3.0
+_LINK_POLL_SECONDS = 0.05
 
 
 class Shell:
-    """Hold the tasks of one entry."""
+    """Start and stop the tasks of one entry."""
 
     def __init__(self, core: Core) -> None:
         self._core = core
@@ -48,25 +48,26 @@
         self._stopper = Stopper(core)
         self._queue = ReleaseQueue(core)
         self._pool = self._make_pool()
-        self._watch = VmWatch(core, self._vms, self._pool)
+        self._vm_watch = VmWatch(core, self._vms, self._pool)
         core.find_link = self._pool.find
-        core.settled = False
+        core.links_ready = False
 
     async def run(self) -> None:
-        """Serve until a planned stop is over."""
+        """Serve until a graceful stop has finished."""
         settings = self._core.settings
-        # Whoever sees the entry listen may stop it at once.
+        # Signal handlers come before the listener: a supervisor that sees the
+        # port open may send a signal at once.
         with (
             catch_signals() as signals,
-            open_listener(settings.http.host, settings.http.port) as bound,
+            open_listener(settings.http.host, settings.http.port) as listener,
         ):
             server = self._make_server()
             async with anyio.create_task_group() as tasks:
                 self._core.spawn = tasks.start_soon
-                tasks.start_soon(server.serve, [bound])
+                tasks.start_soon(server.serve, [listener])
                 self._start_tasks(tasks)
                 tasks.start_soon(self._stopper.watch, signals)
-                host, port = bound.getsockname()[:2]
+                host, port = listener.getsockname()[:2]
                 self._core.log.write(
                     EventName.PROCESS_STARTED,
                     address=f'{host}:{port}',
@@ -84,23 +85,23 @@
             self._client,
             log.configuration,
             find_start=lambda: self._core.reader.log_position,
-            take_page=self._feed.take_page,
+            apply_page=self._feed.apply_page,
         )
         claims = LogReader(
             self._core,
             self._client,
             log.claims,
             find_start=lambda: self._core.claims.next_offset,
-            take_page=self._take_claims,
+            apply_page=self._take_claims,
         )
         for run in (
             configuration.run,
             claims.run,
             self._claims.run,
-            self._claims.carry,
+            self._claims.renew_claims,
             self._feed.append_snapshots,
-            self._watch.run,
-            self._settle,
+            self._vm_watch.run,
+            self._wait_until_linked,
             self._pool.run,
             self._queue.run,
             self._tick,
@@ -112,31 +113,34 @@
         for record in page.records:
             table.apply(record.offset, record.at, record.data)
         table.set_catch_up_target(page.end)
-        self._claims.settle_read()
+        self._claims.settle_claims()
 
     async def _tick(self) -> None:
         core, fault = self._core, ''
         while True:
             core.fleet.tick(core.clock.now())
             fault = log_readiness(core, fault)
-            await anyio.sleep(_TICK)
+            await anyio.sleep(_TICK_SECONDS)
 
-    async def _settle(self) -> None:
-        """Hold back readiness, for a bounded time, until links are up."""
-        with anyio.move_on_after(_SETTLE_LIMIT):
-            while not (self._watch.settled and self._claims.synced):
-                await anyio.sleep(_SETTLE_POLL)
-        self._core.settled = True
+    async def _wait_until_linked(self) -> None:
+        """Delay readiness until links are up and the claims log is read.
+
+        The delay is limited to `_LINK_TIMEOUT_SECONDS`.
+        """
+        with anyio.move_on_after(_LINK_TIMEOUT_SECONDS):
+            while not (self._vm_watch.all_linked and self._claims.is_caught_up):
+                await anyio.sleep(_LINK_POLL_SECONDS)
+        self._core.links_ready = True
 
     async def _close(self, server: EdgeServer) -> None:
-        """Let the last records and answers go out, within bounds."""
-        with anyio.move_on_after(_FLUSH_LIMIT):
+        """Flush pending records and answers, each with a timeout."""
+        with anyio.move_on_after(_FLUSH_TIMEOUT_SECONDS):
             while not self._claims.idle:
-                await anyio.sleep(_TICK)
+                await anyio.sleep(_TICK_SECONDS)
         server.should_exit = True
-        with anyio.move_on_after(_CLOSE_LIMIT):
+        with anyio.move_on_after(_CLOSE_TIMEOUT_SECONDS):
             while not server.closed:
-                await anyio.sleep(_TICK)
+                await anyio.sleep(_TICK_SECONDS)
 
     def _make_pool(self) -> LinkPool:
         core = self._core
@@ -154,16 +158,16 @@
         )
 
     def _make_server(self) -> EdgeServer:
-        tools = Tools(self._core, self._claims, self._stopper)
+        resources = EntryResources(self._core, self._claims, self._stopper)
         admin = make_admin_edge(self._core, self._client)
-        app = App(tools, self._queue, admin.serve)
+        app = App(resources, self._queue, admin.serve)
         return make_server(app, self._core.settings.http)
 
 
 async def run_entry(
     settings: EntrySettings, log: EventLog | None = None
 ) -> None:
-    """Run an entry until it has been told to stop."""
+    """Run an entry until a signal has stopped it."""
     await Shell(make_core(settings, make_clock(), log)).run()
 
 
