--- a/bench/agent_chunks.py
+++ b/bench/agent_chunks.py
@@ -19,9 +19,9 @@
 from tests.agents import (
     FakeEntry,
     Outcome,
-    dialing,
+    connect_entry,
     make_settings,
-    running,
+    run_agent,
 )
 
 CHUNKS = 10_000
@@ -65,7 +65,7 @@
     settings = make_settings(BackendKind.PLAIN, f'127.0.0.1:{port}', 'x')
     async with anyio.create_task_group() as group:
         group.start_soon(listener.serve, _answer)
-        async with running(settings) as shell, dialing(shell) as entry:
+        async with run_agent(settings) as shell, connect_entry(shell) as entry:
             await entry.wait_serving()
             dispatch = entry.make_dispatch('r', deadline=600_000.0)
             start = time.process_time()
--- a/bench/fetch.py
+++ b/bench/fetch.py
@@ -36,7 +36,7 @@
 from oleanderdyke.links.dialer import dial
 from oleanderdyke.links.link import LinkSettings
 from oleanderdyke.links.messages import FetchPlan, Hello, Role
-from tests.agents import CLOCK, TEAM, FakeEntry, make_world, wait_until
+from tests.agents import CLOCK, TEAM, FakeEntry, make_source, wait_until
 from tests.processes import LOOPBACK, ROOT, Child, Ports, accepts
 from tests.processes import wait_until as wait_for
 from tests.standins import cache, weights
@@ -217,7 +217,7 @@
     agent, agent_at = stand.start_agent(
         f'{name}-engine', 'engine', _SERVICE, engine, tree
     )
-    world = make_world(_DIGEST)
+    world = make_source(_DIGEST)
     async with anyio.create_task_group() as tasks:
         keeping = await _dial(keeper_at, world)
         tasks.start_soon(keeping.read)
@@ -225,7 +225,7 @@
         entry = await _dial(agent_at, world)
         tasks.start_soon(entry.read)
         await wait_until(lambda: entry.beat is not None)
-        await entry.tell_offset()
+        await entry.send_offset()
         await entry.wait_weights(_DIGEST)
         agents = {'engine agent': agent, 'store agent': keeper}
         yield Side(name, store, engine, keeper_at, agents, entry)
--- a/src/oleanderdyke/agent/configuration.py
+++ b/src/oleanderdyke/agent/configuration.py
@@ -53,7 +53,7 @@
         self._asked: dict[str, deque[_Asked]] = {}
         self._confirmed = anyio.Event()
         self._entries: dict[str, Outbox] = {}
-        self.highest = -1
+        self.highest_offset = -1
         self.confirmed_at: Millis = -math.inf
 
     @property
@@ -69,9 +69,9 @@
         """Note an entry that can confirm the offset."""
         self._entries[outbox.name] = outbox
 
-    def hear(self, outbox: Outbox, offset: int) -> None:
+    def on_peer_offset(self, outbox: Outbox, offset: int) -> None:
         """Learn a peer's offset and ask it for what is missing."""
-        self.highest = max(self.highest, offset)
+        self.highest_offset = max(self.highest_offset, offset)
         now = self._clock.now()
         request = self._reader.on_peer_offset(outbox.name, offset, now)
         if request is not None:
@@ -89,10 +89,12 @@
                 return True
         return False
 
-    def take(self, outbox: Outbox, message: ConfigurationDifference) -> None:
+    def on_difference(
+        self, outbox: Outbox, message: ConfigurationDifference
+    ) -> None:
         """Apply what a peer sent."""
         now = self._clock.now()
-        self.highest = max(self.highest, message.through)
+        self.highest_offset = max(self.highest_offset, message.through)
         moved = self._reader.on_difference(outbox.name, message, now)
         if message.last:
             self._note_answered(outbox)
--- a/src/oleanderdyke/agent/departure.py
+++ b/src/oleanderdyke/agent/drain_runner.py
@@ -19,7 +19,7 @@
 from oleanderdyke.logs import EventLog
 
 
-class Departure:
+class DrainRunner:
     """Carry out what the drain decides.
 
     An agent's streams end where it ends, so it hands none over.
@@ -48,13 +48,13 @@
         """Return whether a stop has been announced."""
         return self._drain.is_leaving
 
-    def start(self, work: str) -> None:
+    def start_work(self, work_id: str) -> None:
         """Count a piece of work."""
-        self._drain.start_work(work, self._clock.now())
+        self._drain.start_work(work_id, self._clock.now())
 
-    def end(self, work: str) -> None:
+    def end_work(self, work_id: str) -> None:
         """Forget a piece of work."""
-        self._act(self._drain.end_work(work, self._clock.now()))
+        self._act(self._drain.end_work(work_id, self._clock.now()))
 
     def signal(self) -> None:
         """Start to leave; a second call hurries."""
--- a/src/oleanderdyke/agent/engine.py
+++ b/src/oleanderdyke/agent/engine.py
@@ -40,7 +40,7 @@
         self._cached: dict[SegmentHint, None] = {}
         self.segments = SegmentLog()
         self.observed: ObservedState | None = None
-        self.held = False
+        self.admission_suspended = False
         self._seen = LoadedWeights()
         self.loaded = LoadedWeights()
         self.load = Load()
@@ -55,14 +55,14 @@
         self._seen = LoadedWeights()
         self._show_loaded()
 
-    def hold(self) -> None:
+    def suspend_admission(self) -> None:
         """Admit no new runs until the weights are as they should be."""
-        self.held = True
+        self.admission_suspended = True
         self._show_loaded()
 
-    def release(self) -> None:
+    def resume_admission(self) -> None:
         """Admit new runs with the weights that are loaded."""
-        self.held = False
+        self.admission_suspended = False
         self._show_loaded()
 
     async def read_state(self) -> ObservedState:
@@ -95,7 +95,7 @@
         return segments * SEGMENT_TOKENS * SECOND / rate
 
     def _show_loaded(self) -> None:
-        loaded = LoadedWeights() if self.held else self._seen
+        loaded = LoadedWeights() if self.admission_suspended else self._seen
         if loaded == self.loaded:
             return
         self.loaded = loaded
--- a/src/oleanderdyke/agent/fetch.py
+++ b/src/oleanderdyke/agent/fetch.py
@@ -12,7 +12,7 @@
 
 from oleanderdyke.agent.backend import Backend
 from oleanderdyke.agent.peers import Inbox, StorePeer, StorePeers
-from oleanderdyke.agent.segment_copy import SegmentCopy
+from oleanderdyke.agent.segment_assembler import SegmentAssembler
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.errors import OleanderError
 from oleanderdyke.events import EventName
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fetched:
+class FetchResult:
     """Count the leading segments that are in the engine now.
 
     `length` counts the link bytes that this fetch itself caused.
@@ -115,7 +115,7 @@
         *,
         step: Millis,
         request: str = '',
-    ) -> Fetched:
+    ) -> FetchResult:
         """Import a plan's segments in order.
 
         Give up when they come more slowly than one in each `step`, the time
@@ -133,7 +133,7 @@
                 _leave(reading)
         length = sum(each.length for _, each, own in started if own)
         self._log(plan, request, count, length)
-        return Fetched(count, length)
+        return FetchResult(count, length)
 
     async def _count_imported(
         self, flights: Sequence[_Flight], step: Millis
@@ -228,14 +228,14 @@
     async def _copy(
         self, inbox: Inbox, segment: SegmentId, flight: _Flight
     ) -> bytes | None:
-        copy: SegmentCopy | None = None
+        copy: SegmentAssembler | None = None
         async for answer in inbox:
             if isinstance(answer, SegmentMissing):
                 return None
             if not isinstance(answer, SegmentPart):
                 continue
             flight.length += len(answer.data)
-            copy = copy or SegmentCopy(answer, self._segment_limit)
+            copy = copy or SegmentAssembler(answer, self._segment_limit)
             if answer.segment != segment or not copy.add(answer):
                 return None
             if answer.last:
--- a/src/oleanderdyke/agent/beats.py
+++ b/src/oleanderdyke/agent/heartbeats.py
@@ -19,7 +19,7 @@
 _NO_LOAD = Load()
 
 
-class Beats:
+class HeartbeatSender:
     """Send heartbeats and the changes of the segments."""
 
     def __init__(
@@ -59,14 +59,14 @@
             if outbox.peer.role is PeerRole.ENTRY:
                 _put_all(outbox, events)
 
-    def greet(self, outbox: Outbox) -> None:
+    def send_initial_state(self, outbox: Outbox) -> None:
         """Tell a new peer everything."""
         self._put_beat(outbox, self._make_beat())
         if outbox.peer.role is PeerRole.ENTRY:
             # A peer that lacks events asks for them.
             outbox.put(SegmentEvents(self._role.segments.next_number))
 
-    def list_segments(self, outbox: Outbox, after: int = -1) -> None:
+    def send_segments(self, outbox: Outbox, after: int = -1) -> None:
         """Send the segment events from a number on, or the whole set."""
         _put_all(outbox, self._role.segments.list_after(after))
 
@@ -76,7 +76,7 @@
         if before is None or not outbox.peer.takes_short_beats:
             outbox.put(beat)
             return
-        outbox.put(shorten(beat, before))
+        outbox.put(omit_unchanged(beat, before))
 
     def _make_beat(self) -> Heartbeat:
         self._sequence += 1
@@ -98,7 +98,7 @@
         )
 
 
-def shorten(beat: Heartbeat, before: Heartbeat) -> Heartbeat:
+def omit_unchanged(beat: Heartbeat, before: Heartbeat) -> Heartbeat:
     """Leave out the load and the weights where a peer knows them."""
     if beat.load == before.load:
         beat = replace(beat, load=_NO_LOAD, same_load=True)
--- a/src/oleanderdyke/agent/leave_orders.py
+++ b/src/oleanderdyke/agent/leave_orders.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from oleanderdyke.agent.departure import Departure
+from oleanderdyke.agent.drain_runner import DrainRunner
 from oleanderdyke.agent.outbox import Outbox
 from oleanderdyke.events import EventName
 from oleanderdyke.links.messages import DrainRequest, Role, Superseded
@@ -16,13 +16,13 @@
         self,
         process: str,
         incarnation: str,
-        departure: Departure,
+        drain_runner: DrainRunner,
         *,
         events: EventLog,
     ) -> None:
         self._process = process
         self._incarnation = incarnation
-        self._departure = departure
+        self._drain_runner = drain_runner
         self._events = events
         self._superseded = False
 
@@ -32,10 +32,10 @@
 
     def drain(self, _outbox: Outbox, message: DrainRequest) -> None:
         """Leave because an operator asked for it."""
-        if self._departure.is_leaving:
+        if self._drain_runner.is_leaving:
             return
         self._events.write(EventName.DRAIN_STARTED, operator=message.operator)
-        self._departure.signal()
+        self._drain_runner.signal()
 
     def supersede(self, outbox: Outbox, message: Superseded) -> None:
         """Leave for good; a newer incarnation guards the server now."""
@@ -45,11 +45,11 @@
         if outbox.peer.role is not Role.ENTRY:
             return
         self._superseded = True
-        if self._departure.is_leaving:
+        if self._drain_runner.is_leaving:
             return
         self._events.write(
             EventName.DRAIN_STARTED,
             peer=outbox.peer.process,
             reason='superseded',
         )
-        self._departure.signal()
+        self._drain_runner.signal()
--- a/src/oleanderdyke/agent/order_loop.py
+++ b/src/oleanderdyke/agent/order_loop.py
@@ -95,7 +95,7 @@
             return 0.0
         if isinstance(step, ConfirmValidity):
             return await self._confirm()
-        self._engine.release()
+        self._engine.resume_admission()
         if isinstance(step, StopOrdering):
             self._log_refused(step.reason.value)
             return RECHECK_INTERVAL
@@ -118,7 +118,7 @@
             Fence(self._configuration.offset, self._incarnation),
             Validity(
                 incarnation=self._incarnation,
-                offset=self._configuration.highest,
+                offset=self._configuration.highest_offset,
                 ended=self._is_superseded(),
                 read_at=self._configuration.confirmed_at,
             ),
@@ -133,9 +133,9 @@
         return RECHECK_INTERVAL
 
     async def _order(self, order: Order) -> None:
-        if not self._engine.held:
+        if not self._engine.admission_suspended:
             # Nobody may start with the old weights while they are replaced.
-            self._engine.hold()
+            self._engine.suspend_admission()
             with anyio.move_on_after(_START_WAIT / SECOND):
                 await self._wait_started()
             return
--- a/src/oleanderdyke/agent/routing.py
+++ b/src/oleanderdyke/agent/routing.py
@@ -7,8 +7,8 @@
 
 from anyio.abc import TaskGroup
 
-from oleanderdyke.agent.beats import Beats
 from oleanderdyke.agent.configuration import Configuration
+from oleanderdyke.agent.heartbeats import HeartbeatSender
 from oleanderdyke.agent.leave_orders import LeaveOrders
 from oleanderdyke.agent.outbox import Outbox
 from oleanderdyke.agent.readers import Readers
@@ -55,7 +55,7 @@
         runs: Runs,
         readers: Readers,
         role: Role,
-        beats: Beats,
+        beats: HeartbeatSender,
         gate: Gate,
         configuration: Configuration,
         quarantine: Quarantine,
@@ -76,7 +76,7 @@
         self._handlers: dict[type[Any], _Handler] = {
             EntryBeat: self._on_beat,
             ConfigurationRequest: self._on_configuration_request,
-            ConfigurationDifference: configuration.take,
+            ConfigurationDifference: configuration.on_difference,
             SegmentListRequest: self._on_list_request,
             Dispatch: runs.dispatch,
             BodyChunk: runs.add_body,
@@ -107,7 +107,7 @@
         outbox.put(Refused(ErrorKind.PROTOCOL, 'not for an agent'))
 
     def _on_beat(self, outbox: Outbox, message: EntryBeat) -> None:
-        self._configuration.hear(outbox, message.offset)
+        self._configuration.on_peer_offset(outbox, message.offset)
         self._quarantine.merge(
             message.quarantined, message.suspects, self._clock.now()
         )
@@ -128,7 +128,7 @@
     def _on_list_request(
         self, outbox: Outbox, message: SegmentListRequest
     ) -> None:
-        self._beats.list_segments(outbox, message.after)
+        self._beats.send_segments(outbox, message.after)
 
     def _on_cancel(self, outbox: Outbox, message: Cancel) -> None:
         self._role.stop_read(outbox, message.request)
--- a/src/oleanderdyke/agent/run.py
+++ b/src/oleanderdyke/agent/run.py
@@ -59,7 +59,7 @@
         return (self.dispatch.request, self.dispatch.attempt)
 
     @property
-    def work(self) -> str:
+    def work_id(self) -> str:
         """Return the name by which a planned stop knows the run."""
         return f'{self.dispatch.request}/{self.dispatch.attempt}'
 
--- a/src/oleanderdyke/agent/runs.py
+++ b/src/oleanderdyke/agent/runs.py
@@ -40,13 +40,13 @@
 from oleanderdyke.logs import EventLog
 
 
-class WorkLedger(Protocol):
+class WorkTracker(Protocol):
     """Count the work that a planned stop waits for."""
 
-    def start(self, work: str) -> None:
+    def start_work(self, work_id: str) -> None:
         """Count a piece of work."""
 
-    def end(self, work: str) -> None:
+    def end_work(self, work_id: str) -> None:
         """Forget a piece of work."""
 
 
@@ -63,10 +63,10 @@
         clock: Clock,
         tasks: TaskGroup,
         events: EventLog,
-        ledger: WorkLedger,
-        judge_loss: Callable[[], Awaitable[Ending]],
+        work_tracker: WorkTracker,
+        diagnose_loss: Callable[[], Awaitable[Ending]],
         has_ended: Callable[[], bool],
-        tell_suspects: Callable[[], None],
+        report_suspects: Callable[[], None],
     ) -> None:
         self._gate = gate
         self._readers = readers
@@ -75,10 +75,10 @@
         self._clock = clock
         self._tasks = tasks
         self._events = events
-        self._ledger = ledger
-        self._judge_loss = judge_loss
+        self._work_tracker = work_tracker
+        self._diagnose_loss = diagnose_loss
         self._has_ended = has_ended
-        self._tell_suspects = tell_suspects
+        self._report_suspects = report_suspects
         self._forwarder: Forwarder | None = None
         self._runs: dict[RunKey, Run] = {}
         self._body_bytes = 0
@@ -112,7 +112,7 @@
             record_limit=self._settings.record_bytes,
         )
         self._runs[run.key] = run
-        self._ledger.start(run.work)
+        self._work_tracker.start_work(run.work_id)
         self._tasks.start_soon(self._execute, run)
 
     def add_body(self, outbox: Outbox, chunk: BodyChunk) -> None:
@@ -158,7 +158,7 @@
         for run in self._readers.expire():
             self._abandon(run, cancel=run.is_droppable)
 
-    def crash(self) -> tuple[tuple[Reader, Failed], ...]:
+    def end_lost_runs(self) -> tuple[tuple[Reader, Failed], ...]:
         """End what ran on the lost backend server; return what to tell whom."""
         told = []
         for failed in self._gate.finish_crashed(self._clock.now()):
@@ -170,11 +170,11 @@
             self._end_unanswered(run, failed.kind)
         return tuple(told)
 
-    def cut(self, works: Iterable[str]) -> None:
+    def cut(self, work_ids: Iterable[str]) -> None:
         """Cut off what a planned stop can't wait for."""
-        wanted = set(works)
+        wanted = set(work_ids)
         for run in tuple(self._runs.values()):
-            if run.work in wanted:
+            if run.work_id in wanted:
                 self._events.write(
                     EventName.REQUEST_CUT,
                     request=run.dispatch.request,
@@ -250,7 +250,7 @@
             self._stop(run, error)
             return
         # A crash ends the run with the others, as a suspect.
-        ending = await self._judge_loss()
+        ending = await self._diagnose_loss()
         if not may_have_run(run, error):
             self._stop(run, error)
             return
@@ -264,7 +264,7 @@
         self._gate.finish_disconnected(*run.key, self._clock.now())
         self._log_suspect(run)
         # Whoever learns of the lost run must know its suspect before.
-        self._tell_suspects()
+        self._report_suspects()
 
     def _log_suspect(self, run: Run) -> None:
         dispatch = run.dispatch
@@ -315,7 +315,7 @@
         self._runs.pop(run.key, None)
         self._body_bytes -= run.body.received
         self._readers.forget(run)
-        self._ledger.end(run.work)
+        self._work_tracker.end_work(run.work_id)
         self.note_progress()
 
     def _check_body_bytes(self) -> None:
--- a/src/oleanderdyke/agent/segment_copy.py
+++ b/src/oleanderdyke/agent/segment_assembler.py
@@ -6,7 +6,7 @@
 from oleanderdyke.links.messages.segments import SegmentPart
 
 
-class SegmentCopy:
+class SegmentAssembler:
     """Assemble one segment from parts of one generation."""
 
     def __init__(self, first: SegmentPart, limit: int) -> None:
--- a/src/oleanderdyke/agent/shell.py
+++ b/src/oleanderdyke/agent/shell.py
@@ -12,11 +12,11 @@
 from anyio.abc import TaskGroup
 
 from oleanderdyke.agent.backend import Backend
-from oleanderdyke.agent.beats import Beats
 from oleanderdyke.agent.configuration import Configuration
-from oleanderdyke.agent.departure import Departure
+from oleanderdyke.agent.drain_runner import DrainRunner
 from oleanderdyke.agent.forward import Forwarder
 from oleanderdyke.agent.health import Health
+from oleanderdyke.agent.heartbeats import HeartbeatSender
 from oleanderdyke.agent.leave_orders import LeaveOrders
 from oleanderdyke.agent.outbox import Outbox
 from oleanderdyke.agent.readers import Readers
@@ -89,16 +89,19 @@
         self._readers = Readers(
             self._streams, self._outboxes, clock=clock, events=events
         )
-        self._departure = Departure(
+        self._drain_runner = DrainRunner(
             make_agent_drain(settings.drain),
             clock=clock,
             events=events,
             tasks=tasks,
             announce=self._announce,
-            cut=self._cut,
+            cut=self._cut_off,
         )
         self._leave_orders = LeaveOrders(
-            settings.process, self.incarnation, self._departure, events=events
+            settings.process,
+            self.incarnation,
+            self._drain_runner,
+            events=events,
         )
         self._runs = Runs(
             self._gate,
@@ -108,10 +111,10 @@
             clock=clock,
             tasks=tasks,
             events=events,
-            ledger=self._departure,
-            judge_loss=self._judge_loss,
+            work_tracker=self._drain_runner,
+            diagnose_loss=self._diagnose_loss,
             has_ended=self._watch.has_ended,
-            tell_suspects=lambda: self._beats.send(),  # noqa: PLW0108 - made later
+            report_suspects=lambda: self._beats.send(),  # noqa: PLW0108 - made later
         )
         self._role = self._make_role(random, client_tls)
         self._runs.set_forwarder(
@@ -131,7 +134,7 @@
             on_up=self._on_up,
             on_lost=self._on_lost,
         )
-        self._beats = Beats(
+        self._beats = HeartbeatSender(
             self.incarnation,
             self._outboxes,
             gate=self._gate,
@@ -182,14 +185,14 @@
             )
             if started is not None:
                 started()
-            await self._departure.wait()
+            await self._drain_runner.wait()
             await self._say_farewell()
         await self._backend.close()
 
     def stop(self, signal: str) -> None:
         """Take a stop signal; the second one hurries."""
         self._events.write(EventName.PROCESS_STOPPING, signal=signal)
-        self._departure.signal()
+        self._drain_runner.signal()
 
     def _make_hello(self) -> Hello:
         return Hello(
@@ -230,8 +233,8 @@
         self._note_link(outbox, EventName.LINK_UP)
         if link.peer.role is Role.ENTRY:
             self._configuration.add_entry(outbox)
-        self._configuration.hear(outbox, link.peer.offset)
-        self._beats.greet(outbox)
+        self._configuration.on_peer_offset(outbox, link.peer.offset)
+        self._beats.send_initial_state(outbox)
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(outbox.run)
@@ -261,7 +264,7 @@
             event, peer=peer.process, incarnation=peer.incarnation
         )
 
-    async def _judge_loss(self) -> Ending:
+    async def _diagnose_loss(self) -> Ending:
         ending = await self._watch.judge()
         if ending is Ending.ENDED:
             await self._health.lose()
@@ -277,7 +280,7 @@
     async def _on_lost(self) -> None:
         self._events.write(EventName.BACKEND_LOST)
         self._beats.set_phase(AgentPhase.STARTING)
-        told = self._runs.crash()
+        told = self._runs.end_lost_runs()
         self._watch.renew()
         self._role.close()
         # Whoever learns of a lost run must know its suspects before.
@@ -299,8 +302,8 @@
         self._beats.set_phase(AgentPhase.LEAVING)
         self._beats.send()
 
-    def _cut(self, works: Sequence[str]) -> None:
-        self._runs.cut(works)
+    def _cut_off(self, work_ids: Sequence[str]) -> None:
+        self._runs.cut(work_ids)
 
     async def _say_farewell(self) -> None:
         with anyio.move_on_after(_EXPIRY / SECOND):
--- a/tests/agents.py
+++ b/tests/agents.py
@@ -69,7 +69,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running(
+async def run_agent(
     settings: AgentSettings, stream: TextIO | None = None
 ) -> AsyncGenerator[AgentShell, None]:
     events = make_event_log(settings.process, stream=stream or io.StringIO())
@@ -88,7 +88,7 @@
         tasks.cancel_scope.cancel()
 
 
-class World:
+class ConfigurationSource:
     """Hold the configuration that entries serve."""
 
     def __init__(self, *specs: tuple[ObjectKind, str, Spec]) -> None:
@@ -108,8 +108,8 @@
         self.reader.on_page(page, CLOCK.now())
 
 
-def make_world(digest: str, service: str = 'asistente') -> World:
-    return World(
+def make_source(digest: str, service: str = 'asistente') -> ConfigurationSource:
+    return ConfigurationSource(
         (ObjectKind.TEAM, TEAM, TeamSpec()),
         (
             ObjectKind.MODEL_VERSION,
@@ -143,7 +143,7 @@
 class FakeEntry:
     """Send dispatches and collect what comes back."""
 
-    def __init__(self, link: Link, world: World) -> None:
+    def __init__(self, link: Link, world: ConfigurationSource) -> None:
         self.link = link
         self.world = world
         self.beat: Heartbeat | None = None
@@ -181,7 +181,7 @@
         else:
             outcome.failed = message
 
-    async def tell_offset(self) -> None:
+    async def send_offset(self) -> None:
         offset = self.world.reader.offset
         await self.link.send(EntryBeat('e', 1, offset))
 
@@ -263,10 +263,12 @@
 
 
 @contextlib.asynccontextmanager
-async def dialing(
-    shell: AgentShell, world: World | None = None, name: str = 'e1'
+async def connect_entry(
+    shell: AgentShell,
+    world: ConfigurationSource | None = None,
+    name: str = 'e1',
 ) -> AsyncGenerator[FakeEntry, None]:
-    world = world or World()
+    world = world or ConfigurationSource()
     hello = Hello(1, Role.ENTRY, name, f'{name}-i', 'dc', world.reader.offset)
     link = await dial(
         f'127.0.0.1:{shell.port}', hello, settings=LinkSettings(), clock=CLOCK
--- a/tests/matrix/agent.py
+++ b/tests/matrix/agent.py
@@ -7,10 +7,10 @@
 from types import SimpleNamespace
 from typing import TYPE_CHECKING, Any
 
-from oleanderdyke.agent.beats import Beats
 from oleanderdyke.agent.configuration import Configuration
-from oleanderdyke.agent.departure import Departure
+from oleanderdyke.agent.drain_runner import DrainRunner
 from oleanderdyke.agent.forward import Forwarder, _make_record
+from oleanderdyke.agent.heartbeats import HeartbeatSender
 from oleanderdyke.agent.readers import Readers
 from oleanderdyke.agent.run import Run
 from oleanderdyke.agent.settings import RunSettings
@@ -102,7 +102,7 @@
         )
         streams = world.variants.streams(StreamLimits())
         tasks: Any = SimpleNamespace(start_soon=self._start)
-        self.departure = Departure(
+        self.departure = DrainRunner(
             world.variants.drain(AGENT_DRAIN),
             clock=clock,
             events=_NULL,
@@ -121,10 +121,10 @@
             clock=clock,
             tasks=tasks,
             events=_NULL,
-            ledger=self.departure,
-            judge_loss=_NULL,
+            work_tracker=self.departure,
+            diagnose_loss=_NULL,
             has_ended=_NULL,
-            tell_suspects=self._tell_suspects,
+            report_suspects=self._tell_suspects,
         )
         self.runs.model = self
         self.forwarder = Forwarder(
@@ -142,7 +142,7 @@
             loaded=LoadedWeights(),
             measure=lambda: Load(running=self.gate.running, slots=8),
         )
-        self.beats = Beats(
+        self.beats = HeartbeatSender(
             incarnation,
             self.outboxes,
             gate=self.gate,
@@ -184,8 +184,8 @@
         self.outboxes[outbox.name] = outbox
         if end.peer.role is Role.ENTRY:
             self.configuration.add_entry(outbox)
-        self.configuration.hear(outbox, end.peer.offset)
-        self.beats.greet(outbox)
+        self.configuration.on_peer_offset(outbox, end.peer.offset)
+        self.beats.send_initial_state(outbox)
 
     def receive(self, end: End, message: Message) -> None:
         """Take a message over a link."""
@@ -211,7 +211,7 @@
     def lose_backend(self) -> None:
         """Do as the shell does when the backend server is lost."""
         self.beats.set_phase(AgentPhase.STARTING)
-        told = self.runs.crash()
+        told = self.runs.end_lost_runs()
         if self.orders is not None:
             self.orders.engine.reset()
         self.beats.send()
@@ -325,7 +325,7 @@
             EntryBeat: self._on_beat,
             ConfigurationRequest: self._on_request,
             ConfigurationDifference: self._on_difference,
-            SegmentListRequest: lambda outbox, _: self.beats.list_segments(
+            SegmentListRequest: lambda outbox, _: self.beats.send_segments(
                 outbox
             ),
             Dispatch: self.runs.dispatch,
@@ -340,14 +340,14 @@
         }
 
     def _on_beat(self, outbox: Any, beat: EntryBeat) -> None:
-        self.configuration.hear(outbox, beat.offset)
+        self.configuration.on_peer_offset(outbox, beat.offset)
         self.quarantine.merge(beat.quarantined, beat.suspects, self.now)
 
     def _on_difference(
         self, outbox: Any, message: ConfigurationDifference
     ) -> None:
         before = self.configuration.offset
-        self.configuration.take(outbox, message)
+        self.configuration.on_difference(outbox, message)
         if self.orders is not None and self.configuration.offset > before:
             self.orders.wake()
 
--- a/tests/matrix/kv.py
+++ b/tests/matrix/kv.py
@@ -9,7 +9,7 @@
 from itertools import count
 from typing import TYPE_CHECKING
 
-from oleanderdyke.agent.segment_copy import SegmentCopy
+from oleanderdyke.agent.segment_assembler import SegmentAssembler
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.kernel.blocks import (
     digest_segment,
@@ -192,7 +192,7 @@
             self._ask(namespace, segment)
 
     def _ask(self, namespace: bytes, segment: bytes) -> None:
-        agent, copies = self.agent, list[SegmentCopy]()
+        agent, copies = self.agent, list[SegmentAssembler]()
 
         def take(part: SegmentPart) -> None:
             if not copies:
--- a/tests/matrix/orders.py
+++ b/tests/matrix/orders.py
@@ -142,8 +142,8 @@
 
     async def _order(self, order: Order) -> None:
         agent = self._agent
-        if not self.engine.held:
-            self.engine.hold()
+        if not self.engine.admission_suspended:
+            self.engine.suspend_admission()
             await self._wait_runs()
             return
         agent.world.points.strike(Point.ORDER, agent)
--- a/tests/matrix/unsafe.py
+++ b/tests/matrix/unsafe.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from oleanderdyke.agent.segment_copy import SegmentCopy
+from oleanderdyke.agent.segment_assembler import SegmentAssembler
 from oleanderdyke.kernel.catalog import Catalog
 from oleanderdyke.kernel.gate import Gate
 from oleanderdyke.kernel.membership import FleetState
@@ -60,7 +60,7 @@
         return () if after >= 0 else super().difference(after)
 
 
-class TrustingCopy(SegmentCopy):
+class TrustingCopy(SegmentAssembler):
     """Take what came for the segment that was asked for."""
 
     def finish(self):
--- a/tests/matrix/world.py
+++ b/tests/matrix/world.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from oleanderdyke.agent.segment_copy import SegmentCopy
+from oleanderdyke.agent.segment_assembler import SegmentAssembler
 from oleanderdyke.clock import HOUR, SECOND, Millis
 from oleanderdyke.kernel.attempts import RequestStateMachine
 from oleanderdyke.kernel.blocks import verify_segment
@@ -66,7 +66,7 @@
     fleet: type[FleetState] = FleetState
     quarantine: type[Quarantine] = Quarantine
     store: type[StoreIndex] = StoreIndex
-    copy: type[SegmentCopy] = SegmentCopy
+    copy: type[SegmentAssembler] = SegmentAssembler
     is_whole: Callable[[bytes, int, bytes], bool] = verify_segment
 
 
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -17,12 +17,12 @@
 
 from agents import (
     TEAM,
+    ConfigurationSource,
     FakeEntry,
-    World,
-    dialing,
+    connect_entry,
     make_settings,
-    make_world,
-    running,
+    make_source,
+    run_agent,
     wait_until,
 )
 from oleanderdyke.agent import main as agent_main
@@ -75,7 +75,7 @@
     app = plain.make_app(die=lambda: None)
     async with server.serving(app) as (address,):
         settings = make_settings(BackendKind.PLAIN, address, SERVICE, **more)
-        async with running(settings) as shell, dialing(shell) as entry:
+        async with run_agent(settings) as shell, connect_entry(shell) as entry:
             await entry.wait_serving()
             yield app, shell, entry
 
@@ -141,7 +141,7 @@
 
     async with server.serving(app) as (address,):
         settings = make_settings(BackendKind.PLAIN, address, SERVICE)
-        async with running(settings) as shell, dialing(shell) as entry:
+        async with run_agent(settings) as shell, connect_entry(shell) as entry:
             await entry.wait_serving()
             headers = (
                 ('authorization', 'Bearer x'),
@@ -189,7 +189,7 @@
 async def test_claimed_run_goes_on_without_its_caller() -> None:
     async with plain_agent() as (app, shell, entry):
         set_faults(app, slow=200.0)
-        async with dialing(shell, name='e2') as other:
+        async with connect_entry(shell, name='e2') as other:
             claim = other.make_claim('k')
             await other.send(other.make_dispatch('r', claim=claim), b'x')
             await other.send(other.make_dispatch('r3', claim=None), b'y')
@@ -213,7 +213,7 @@
 
     async with server.serving(app) as (address,):
         settings = make_settings(BackendKind.PLAIN, address, SERVICE)
-        async with running(settings) as shell, dialing(shell) as entry:
+        async with run_agent(settings) as shell, connect_entry(shell) as entry:
             await entry.wait_serving()
             await entry.send(entry.make_dispatch('r'), b'x')
             await came.wait()
@@ -229,7 +229,7 @@
 async def test_unwanted_run_ends_with_the_link_of_its_entry() -> None:
     async with plain_agent() as (app, shell, entry):
         set_faults(app, silent=True)
-        async with dialing(shell, name='e2') as other:
+        async with connect_entry(shell, name='e2') as other:
             dispatch = other.make_dispatch('r', method='GET', idempotent=True)
             await other.send(dispatch, b'')
             await wait_until(lambda: shell._gate.running == 1)
@@ -255,7 +255,7 @@
 @pytest.mark.parametrize('key', ['k', ''])
 async def test_body_that_is_cut_off_reaches_no_service(key: str) -> None:
     async with plain_agent() as (app, shell, entry):
-        async with dialing(shell, name='e2') as other:
+        async with connect_entry(shell, name='e2') as other:
             claim = other.make_claim(key) if key else None
             dispatch = other.make_dispatch('r', claim=claim)
             await other.link.send(dispatch)
@@ -282,7 +282,7 @@
     limits = StreamLimits(credit=4)
     async with plain_agent(streams=limits) as (app, shell, entry):
         set_faults(app, big=BIG)
-        async with dialing(shell, name='e2') as other:
+        async with connect_entry(shell, name='e2') as other:
             dispatch = other.make_dispatch('r', method='GET', idempotent=True)
             first = await other.send(dispatch, b'')
             await wait_until(lambda: len(first.chunks) == 4)
@@ -361,7 +361,10 @@
         group.start_soon(check, settings)
 
     async def check(settings: Any) -> None:
-        async with running(settings, logged) as shell, dialing(shell) as entry:
+        async with (
+            run_agent(settings, logged) as shell,
+            connect_entry(shell) as entry,
+        ):
             await entry.wait_serving()
             claim = entry.make_claim('k')
             one = await entry.send(entry.make_dispatch('r1', claim=claim), b'x')
@@ -408,7 +411,7 @@
     service = await asyncio.start_server(answer, '127.0.0.1', 0)
     port = service.sockets[0].getsockname()[1]
     settings = make_settings(BackendKind.PLAIN, f'127.0.0.1:{port}', SERVICE)
-    async with running(settings) as shell, dialing(shell) as entry:
+    async with run_agent(settings) as shell, connect_entry(shell) as entry:
         await entry.wait_serving()
         claim = entry.make_claim('k')
         await entry.send(entry.make_dispatch('r', claim=claim), b'x')
@@ -428,7 +431,7 @@
     drain = DrainSettings(announce=100.0)
     async with plain_agent(drain=drain) as (app, shell, entry):
         set_faults(app, slow=600.0)
-        async with dialing(shell, name='e2') as other:
+        async with connect_entry(shell, name='e2') as other:
             running_one = await entry.send(entry.make_dispatch('r'), b'x')
             await wait_until(lambda: shell._gate.running == 1)
             await entry.link.send(DrainRequest('op'))
@@ -463,10 +466,10 @@
 
 
 async def test_configuration_passes_from_entry_to_entry() -> None:
-    world = World((ObjectKind.TEAM, TEAM, TeamSpec()))
+    world = ConfigurationSource((ObjectKind.TEAM, TEAM, TeamSpec()))
     async with plain_agent() as (_, shell, behind):
-        async with dialing(shell, world, name='e2') as ahead:
-            await ahead.tell_offset()
+        async with connect_entry(shell, world, name='e2') as ahead:
+            await ahead.send_offset()
             await wait_until(
                 lambda: behind.beat is not None and behind.beat.offset == 0
             )
@@ -503,15 +506,15 @@
     asked = []
     for _ in range(unanswered):
         # It is behind, and asks for what it lacks every two seconds.
-        configuration.hear(entry, 1)
+        configuration.on_peer_offset(entry, 1)
         asked.append(clock.now())
         clock.advance(3_000.0)
     for at in asked:
-        configuration.take(entry, ConfigurationDifference(-1, -1))
+        configuration.on_difference(entry, ConfigurationDifference(-1, -1))
         assert configuration.confirmed_at <= at
     clock.advance(3_000.0)
-    configuration.hear(entry, 1)
-    configuration.take(entry, ConfigurationDifference(-1, -1))
+    configuration.on_peer_offset(entry, 1)
+    configuration.on_difference(entry, ConfigurationDifference(-1, -1))
     assert configuration.confirmed_at == clock.now()
 
 
@@ -526,7 +529,7 @@
 @contextlib.asynccontextmanager
 async def engine_agent(
     **more: Any,
-) -> AsyncGenerator[tuple[engine.Engine, World, FakeEntry], None]:
+) -> AsyncGenerator[tuple[engine.Engine, ConfigurationSource, FakeEntry], None]:
     store = weights.make_app()
     async with server.serving(store) as (weight_address,):
         app = engine.make_app(
@@ -534,12 +537,12 @@
         )
         async with server.serving(app) as (address,):
             settings = make_settings(BackendKind.ENGINE, address, 'asistente')
-            world = make_world(find_digest('1'))
+            world = make_source(find_digest('1'))
             async with (
-                running(settings) as shell,
-                dialing(shell, world) as entry,
+                run_agent(settings) as shell,
+                connect_entry(shell, world) as entry,
             ):
-                await entry.tell_offset()
+                await entry.send_offset()
                 await entry.wait_weights(find_digest('1'))
                 yield app, world, entry
 
@@ -553,7 +556,7 @@
     return json.dumps({'messages': messages} | more).encode()
 
 
-def publish_second(world: World) -> None:
+def publish_second(world: ConfigurationSource) -> None:
     world.publish(
         ObjectKind.MODEL_VERSION,
         'v2',
@@ -592,7 +595,7 @@
     async with engine_agent() as (app, world, entry):
         old = entry.make_chat('old')
         publish_second(world)
-        await entry.tell_offset()
+        await entry.send_offset()
         await entry.wait_weights(find_digest('2'))
         refused = await entry.call(old, make_chat())
         assert refused.failed is not None
@@ -623,7 +626,7 @@
         )
         taken = app.stats.orders_taken
         publish_second(world)
-        await entry.tell_offset()
+        await entry.send_offset()
         offset = world.reader.offset
         await wait_until(
             lambda: entry.beat is not None and entry.beat.offset == offset
@@ -642,7 +645,7 @@
             ServiceKind.MODEL, model='modelo', version='1', adapter='a'
         )
         world.publish(ObjectKind.SERVICE, 'asistente', service, expected=1)
-        await entry.tell_offset()
+        await entry.send_offset()
         await wait_until(lambda: app.loaded.adapter == 'a')
         assert app.stats.finished == 1
         await wait_until(lambda: running_one.over)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,7 +10,7 @@
 
 from bench.memory import make_team
 from bench.slopes import make_beat
-from oleanderdyke.agent.beats import shorten
+from oleanderdyke.agent.heartbeats import omit_unchanged
 from oleanderdyke.clients.log import LogPage
 from oleanderdyke.clients.vms import Vm, VmClient
 from oleanderdyke.clock import make_clock
@@ -245,7 +245,7 @@
 def test_heartbeat_carries_only_what_changed(make_following, limit):
     before = replace(make_beat(), sequence=1)
     beat = replace(before, sequence=2, **make_following(before))
-    data = encode(shorten(beat, before))
+    data = encode(omit_unchanged(beat, before))
     assert len(data) <= limit < len(encode(before))
     fleet = make_fleet(before)
     assert fleet.on_heartbeat('agent', before, 1.0)
@@ -261,7 +261,7 @@
     before = replace(make_beat(), sequence=1)
     beat = replace(before, sequence=2)
     fleet = make_fleet(before)
-    assert not fleet.on_heartbeat('agent', shorten(beat, before), 1.0)
+    assert not fleet.on_heartbeat('agent', omit_unchanged(beat, before), 1.0)
     assert fleet.on_heartbeat('agent', before, 1.0)
     assert fleet.find('agent').weight_digest == before.weight_digest
 
--- a/tests/test_fetch.py
+++ b/tests/test_fetch.py
@@ -13,10 +13,10 @@
 
 from agents import (
     FakeEntry,
-    dialing,
+    connect_entry,
     make_settings,
-    make_world,
-    running,
+    make_source,
+    run_agent,
     wait_until,
 )
 from oleanderdyke.agent.settings import CacheSettings
@@ -106,9 +106,9 @@
         engines = [engine.make_app(settings) for _ in range(2)]
         addresses = await enter(server.serving(*engines))
         keeper = await enter(
-            running(make_settings(BackendKind.STORE, place, 'memoria'))
+            run_agent(make_settings(BackendKind.STORE, place, 'memoria'))
         )
-        watcher = await enter(dialing(keeper))
+        watcher = await enter(connect_entry(keeper))
         found = Site(kept, engines, [], [], keeper, watcher)
         await watcher.wait_serving()
         for address in addresses:
@@ -118,9 +118,9 @@
                 'asistente',
                 cache=CacheSettings(patience=patience, **more),
             )
-            shell = await enter(running(agent))
-            entry = await enter(dialing(shell, make_world(DIGEST)))
-            await entry.tell_offset()
+            shell = await enter(run_agent(agent))
+            entry = await enter(connect_entry(shell, make_source(DIGEST)))
+            await entry.send_offset()
             await entry.wait_weights(DIGEST)
             found.shells.append(shell)
             found.entries.append(entry)
--- a/tests/test_prepare.py
+++ b/tests/test_prepare.py
@@ -10,7 +10,7 @@
 
 from agents import wait_until
 from oleanderdyke.agent.body import RequestBody
-from oleanderdyke.agent.fetch import Fetched
+from oleanderdyke.agent.fetch import FetchResult
 from oleanderdyke.agent.prepare import EnginePreparer
 from oleanderdyke.agent.run import Run
 from oleanderdyke.kernel.blocks import make_namespace
@@ -41,8 +41,8 @@
     def __init__(self, whole: int) -> None:
         self._whole = whole
 
-    async def fetch(self, *_: Any, **__: Any) -> Fetched:
-        return Fetched(self._whole, 0)
+    async def fetch(self, *_: Any, **__: Any) -> FetchResult:
+        return FetchResult(self._whole, 0)
 
 
 async def prepare(dispatch: Dispatch, whole: int) -> int:
--- a/tests/test_store_agent.py
+++ b/tests/test_store_agent.py
@@ -10,7 +10,13 @@
 import anyio
 import pytest
 
-from agents import FakeEntry, dialing, make_settings, running, wait_until
+from agents import (
+    FakeEntry,
+    connect_entry,
+    make_settings,
+    run_agent,
+    wait_until,
+)
 from oleanderdyke.agent.settings import CacheSettings
 from oleanderdyke.agent.turns import LinkTurns
 from oleanderdyke.clock import ManualClock
@@ -45,7 +51,7 @@
             'memoria',
             cache=CacheSettings(part_size=16 * 1024, **more),
         )
-        async with running(settings) as shell, dialing(shell) as entry:
+        async with run_agent(settings) as shell, connect_entry(shell) as entry:
             await entry.wait_serving()
             yield shell, entry
 
@@ -194,7 +200,7 @@
 async def test_write_cut_off_by_its_link_leaves_nothing() -> None:
     app = store.make_app()
     async with store_agent(app) as (shell, entry):
-        async with dialing(shell, name='e2') as other:
+        async with connect_entry(shell, name='e2') as other:
             write = make_write('w')
             await other.link.send(write)
             await wait_until(lambda: bool(find(other, SegmentWanted, 'w')))
