--- a/src/oleanderdyke/agent/backend.py
+++ b/src/oleanderdyke/agent/backend.py
@@ -24,13 +24,16 @@
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 from oleanderdyke.links.messages import Headers
 
-Json: TypeAlias = Mapping[str, Any]
+JsonObject: TypeAlias = Mapping[str, Any]
 
-_JSON_LIMIT = 16 * 1024 * 1024
+_JSON_LIMIT_BYTES = 16 * 1024 * 1024
 _OK = 200
 _REDIRECT = 300
-_NOT_RETURNED = HOP_BY_HOP | {'host'}
-_NOT_FORWARDED = _NOT_RETURNED | {'authorization', 'expect'}
+_RESPONSE_EXCLUDED_HEADERS = HOP_BY_HOP | {'host'}
+_REQUEST_EXCLUDED_HEADERS = _RESPONSE_EXCLUDED_HEADERS | {
+    'authorization',
+    'expect',
+}
 
 
 class Backend:
@@ -44,7 +47,7 @@
             settings.address,
             settings=HttpSettings(connect=settings.connect_timeout, read=None),
         )
-        self.kept = KeptHttp(
+        self.keep_alive = KeptHttp(
             settings.address, KeptSettings(connect=settings.connect_timeout)
         )
 
@@ -58,9 +61,9 @@
         ) as answer:
             yield answer
 
-    async def get_json(self, path: str) -> Json:
+    async def get_json(self, path: str) -> JsonObject:
         """Return a JSON object; raise OleanderError."""
-        data = await self.get_bytes(path, _JSON_LIMIT)
+        data = await self.get_bytes(path, _JSON_LIMIT_BYTES)
         return _parse_object(data)
 
     async def get_bytes(
@@ -80,7 +83,7 @@
         *,
         body: Body = None,
         headers: Headers = (),
-        limit: int = _JSON_LIMIT,
+        limit: int = _JSON_LIMIT_BYTES,
         timeout: Millis | None = None,
     ) -> tuple[int, bytes]:
         """Return status and whole body within a time; raise HttpError."""
@@ -105,30 +108,32 @@
     async def close(self) -> None:
         """Close every connection."""
         await self._http.close()
-        await self.kept.close()
+        await self.keep_alive.close()
 
 
-def clean_headers(headers: Headers) -> Headers:
+def filter_request_headers(headers: Headers) -> Headers:
     """Drop what belongs to one hop or to the caller's credentials."""
-    named = _find_connection_names(headers)
+    named = _list_connection_headers(headers)
     return tuple(
         (name, value)
         for name, value in headers
-        if name.lower() not in _NOT_FORWARDED and name.lower() not in named
+        if name.lower() not in _REQUEST_EXCLUDED_HEADERS
+        and name.lower() not in named
     )
 
 
-def clean_answer_headers(headers: Headers) -> Headers:
+def filter_response_headers(headers: Headers) -> Headers:
     """Drop what belongs to the hop between agent and backend server."""
-    named = _find_connection_names(headers)
+    named = _list_connection_headers(headers)
     return tuple(
         (name, value)
         for name, value in headers
-        if name.lower() not in _NOT_RETURNED and name.lower() not in named
+        if name.lower() not in _RESPONSE_EXCLUDED_HEADERS
+        and name.lower() not in named
     )
 
 
-def _find_connection_names(headers: Headers) -> frozenset[str]:
+def _list_connection_headers(headers: Headers) -> frozenset[str]:
     return frozenset(
         part.strip().lower()
         for name, value in headers
@@ -137,7 +142,7 @@
     )
 
 
-def _parse_object(data: bytes) -> Json:
+def _parse_object(data: bytes) -> JsonObject:
     try:
         found = json.loads(data)
     except ValueError as error:
--- a/src/oleanderdyke/agent/body.py
+++ b/src/oleanderdyke/agent/body.py
@@ -18,7 +18,7 @@
         self._limit = limit
         self._chunks: deque[bytes] = deque()
         self._received = 0
-        self._next = 0
+        self._next_sequence = 0
         self._ended = False
         self._failed = False
         self._changed = anyio.Event()
@@ -35,7 +35,7 @@
 
     def put(self, chunk: BodyChunk) -> None:
         """Take the next chunk; raise OleanderError for a gap or an excess."""
-        if self._ended or chunk.sequence != self._next:
+        if self._ended or chunk.sequence != self._next_sequence:
             raise OleanderError(
                 ErrorKind.PROTOCOL, 'body chunk out of order', ran=Ran.NO
             )
@@ -45,7 +45,7 @@
                 ErrorKind.BODY_TOO_LARGE,
                 f'body passes {self._limit} bytes',
             )
-        self._next += 1
+        self._next_sequence += 1
         self._ended = chunk.last
         if chunk.data:
             self._chunks.append(chunk.data)
@@ -69,9 +69,9 @@
                 return
             await self._changed.wait()
 
-    async def wait_first(self) -> None:
+    async def wait_first_chunk(self) -> None:
         """Return once the first chunk has come, or won't."""
-        while not (self._next or self._failed):
+        while not (self._next_sequence or self._failed):
             await self._changed.wait()
 
     async def collect(self) -> bytes:
--- a/src/oleanderdyke/agent/configuration.py
+++ b/src/oleanderdyke/agent/configuration.py
@@ -26,17 +26,17 @@
 )
 from oleanderdyke.logs import EventLog
 
-_CONFIRM_WAIT: Millis = 200.0
+_CONFIRM_TIMEOUT: Millis = 200.0
 # Questions to one peer that are remembered one by one. One that doesn't answer
 # is asked about once a second until its link ends.
-_QUESTIONS = 16
+_MAX_TRACKED_REQUESTS = 16
 
 
 @dataclass(slots=True)
-class _Asked:
+class _PendingRequests:
     """Count questions that were asked at a moment, or later."""
 
-    at: Millis
+    sent_at: Millis
     count: int = 1
 
 
@@ -50,7 +50,7 @@
         self._events = events
         self._reader = ConfigurationReader(random)
         self._changed = anyio.Event()
-        self._asked: dict[str, deque[_Asked]] = {}
+        self._pending_requests: dict[str, deque[_PendingRequests]] = {}
         self._confirmed = anyio.Event()
         self._entries: dict[str, Outbox] = {}
         self.highest_offset = -1
@@ -75,7 +75,7 @@
         now = self._clock.now()
         request = self._reader.on_peer_offset(outbox.name, offset, now)
         if request is not None:
-            self._ask(outbox, request)
+            self._send_request(outbox, request)
 
     async def confirm(self) -> bool:
         """Ask an entry whether this copy is the newest; False if none says.
@@ -83,8 +83,8 @@
         `confirmed_at` then holds the time of the question.
         """
         for outbox in tuple(self._entries.values()):
-            self._ask(outbox, ConfigurationRequest(self.offset))
-            with anyio.move_on_after(_CONFIRM_WAIT / SECOND):
+            self._send_request(outbox, ConfigurationRequest(self.offset))
+            with anyio.move_on_after(_CONFIRM_TIMEOUT / SECOND):
                 await self._confirmed.wait()
                 return True
         return False
@@ -95,10 +95,10 @@
         """Apply what a peer sent."""
         now = self._clock.now()
         self.highest_offset = max(self.highest_offset, message.through)
-        moved = self._reader.on_difference(outbox.name, message, now)
+        advanced = self._reader.on_difference(outbox.name, message, now)
         if message.last:
-            self._note_answered(outbox)
-        if not moved:
+            self._record_answer(outbox)
+        if not advanced:
             return
         self._events.write(
             EventName.CONFIGURATION_APPLIED,
@@ -120,7 +120,7 @@
     def drop_link(self, link: str) -> None:
         """Forget a peer."""
         self._reader.on_peer_disconnected(link)
-        self._asked.pop(link, None)
+        self._pending_requests.pop(link, None)
         self._entries.pop(link, None)
 
     def find_service(self, name: str) -> ServiceSpec | None:
@@ -149,23 +149,25 @@
             return False
         return matches_selector(spec.teams, found.spec.labels)
 
-    def _ask(self, outbox: Outbox, request: ConfigurationRequest) -> None:
-        asked = self._asked.setdefault(outbox.name, deque())
-        if len(asked) < _QUESTIONS:
-            asked.append(_Asked(self._clock.now()))
+    def _send_request(
+        self, outbox: Outbox, request: ConfigurationRequest
+    ) -> None:
+        pending = self._pending_requests.setdefault(outbox.name, deque())
+        if len(pending) < _MAX_TRACKED_REQUESTS:
+            pending.append(_PendingRequests(self._clock.now()))
         else:
             # Were one left out, the answers after it would confirm later
             # questions than their own.
-            asked[-1].count += 1
+            pending[-1].count += 1
         outbox.put(request)
 
-    def _note_answered(self, outbox: Outbox) -> None:
-        asked = self._asked.get(outbox.name)
-        if not asked or outbox.name not in self._entries:
+    def _record_answer(self, outbox: Outbox) -> None:
+        pending = self._pending_requests.get(outbox.name)
+        if not pending or outbox.name not in self._entries:
             return
-        self.confirmed_at = max(self.confirmed_at, asked[0].at)
-        asked[0].count -= 1
-        if not asked[0].count:
-            asked.popleft()
+        self.confirmed_at = max(self.confirmed_at, pending[0].sent_at)
+        pending[0].count -= 1
+        if not pending[0].count:
+            pending.popleft()
         self._confirmed.set()
         self._confirmed = anyio.Event()
--- a/src/oleanderdyke/agent/drain_runner.py
+++ b/src/oleanderdyke/agent/drain_runner.py
@@ -54,13 +54,13 @@
 
     def end_work(self, work_id: str) -> None:
         """Forget a piece of work."""
-        self._act(self._drain.end_work(work_id, self._clock.now()))
+        self._apply(self._drain.end_work(work_id, self._clock.now()))
 
     def signal(self) -> None:
         """Start to leave; a second call hurries."""
         if not self.is_leaving:
             self._tasks.start_soon(self._run)
-        self._act(self._drain.signal(self._clock.now()))
+        self._apply(self._drain.signal(self._clock.now()))
 
     async def wait(self) -> None:
         """Return once nothing is left to do."""
@@ -72,10 +72,10 @@
             wait = due - self._clock.now()
             with anyio.move_on_after(max(wait, 0.0) / SECOND):
                 await self._done.wait()
-            self._act(self._drain.tick(self._clock.now()))
+            self._apply(self._drain.tick(self._clock.now()))
             due = self._drain.next_time()
 
-    def _act(self, actions: Iterable[DrainAction]) -> None:
+    def _apply(self, actions: Iterable[DrainAction]) -> None:
         for action in actions:
             if isinstance(action, Announce):
                 self._announce()
--- a/src/oleanderdyke/agent/engine.py
+++ b/src/oleanderdyke/agent/engine.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from oleanderdyke.agent.backend import Backend, Json
+from oleanderdyke.agent.backend import Backend, JsonObject
 from oleanderdyke.clock import SECOND, Clock, Millis
 from oleanderdyke.errors import ErrorKind, OleanderError
 from oleanderdyke.events import EventName
@@ -17,7 +17,7 @@
 from oleanderdyke.links.messages import Load
 from oleanderdyke.logs import EventLog
 
-_STORED = 'stored'
+_STORED_EVENT = 'stored'
 
 
 class EngineView:
@@ -35,51 +35,53 @@
         self._clock = clock
         self._events = events
         self._on_loaded = on_loaded
-        self._after = 0
+        self._last_event = 0
         # In order of last use, since an engine evicts what is longest unused.
         self._cached: dict[SegmentHint, None] = {}
         self.segments = SegmentLog()
         self.observed: ObservedState | None = None
         self.admission_suspended = False
-        self._seen = LoadedWeights()
+        self._reported = LoadedWeights()
         self.loaded = LoadedWeights()
         self.load = Load()
 
     def reset(self) -> None:
         """Forget everything, since the engine was lost."""
-        self._after = 0
+        self._last_event = 0
         self._cached.clear()
         self.segments.replace(())
         self.observed = None
         self.load = Load()
-        self._seen = LoadedWeights()
-        self._show_loaded()
+        self._reported = LoadedWeights()
+        self._publish_loaded()
 
     def suspend_admission(self) -> None:
         """Admit no new runs until the weights are as they should be."""
         self.admission_suspended = True
-        self._show_loaded()
+        self._publish_loaded()
 
     def resume_admission(self) -> None:
         """Admit new runs with the weights that are loaded."""
         self.admission_suspended = False
-        self._show_loaded()
+        self._publish_loaded()
 
     async def read_state(self) -> ObservedState:
         """Read the engine's state; raise OleanderError."""
         asked_at = self._clock.now()
         state = await self._backend.get_json('/state')
-        observed = _read_observed(state, asked_at, self._clock.now())
+        observed = _parse_state(state, asked_at, self._clock.now())
         self.observed = observed
-        self._seen = _find_loaded(observed)
-        self._show_loaded()
+        self._reported = _get_loaded_weights(observed)
+        self._publish_loaded()
         return observed
 
     async def poll(self) -> None:
         """Read load and cache events; raise OleanderError."""
-        self.load = _read_load(await self._backend.get_json('/load'))
-        self._take_events(
-            await self._backend.get_json(f'/cache/events?after={self._after}')
+        self.load = _parse_load(await self._backend.get_json('/load'))
+        self._apply_events(
+            await self._backend.get_json(
+                f'/cache/events?after={self._last_event}'
+            )
         )
 
     def record_use(self, segments: Sequence[SegmentId]) -> None:
@@ -94,37 +96,37 @@
             return None
         return segments * SEGMENT_TOKENS * SECOND / rate
 
-    def _show_loaded(self) -> None:
-        loaded = LoadedWeights() if self.admission_suspended else self._seen
+    def _publish_loaded(self) -> None:
+        loaded = LoadedWeights() if self.admission_suspended else self._reported
         if loaded == self.loaded:
             return
         self.loaded = loaded
         self._on_loaded(loaded)
 
-    def _take_events(self, page: Json) -> None:
+    def _apply_events(self, page: JsonObject) -> None:
         try:
             events = [
-                (int(number), kind == _STORED, bytes.fromhex(segment))
+                (int(number), kind == _STORED_EVENT, bytes.fromhex(segment))
                 for number, kind, segment in page['events']
             ]
             last = int(page['next']) - 1
         except (KeyError, TypeError, ValueError) as error:
-            raise _make_fault('/cache/events') from error
-        if last < self._after and last > 0:
-            self._restart()
+            raise _make_answer_error('/cache/events') from error
+        if last < self._last_event and last > 0:
+            self._reset_cache()
             return
         for number, stored, segment in events:
-            self._note_gap(number - self._after - 1)
-            self._after = number
-            self._note_event(make_hint(segment), stored=stored)
+            self._handle_lost_events(number - self._last_event - 1)
+            self._last_event = number
+            self._apply_event(make_hint(segment), stored=stored)
 
-    def _restart(self) -> None:
+    def _reset_cache(self) -> None:
         # Numbers went back: another engine with an empty cache answers.
-        self._after = 0
+        self._last_event = 0
         self._cached.clear()
         self.segments.replace(())
 
-    def _note_gap(self, lost: int) -> None:
+    def _handle_lost_events(self, lost: int) -> None:
         if lost <= 0:
             return
         # Each lost event may be the removal of what was longest unused.
@@ -132,7 +134,7 @@
             self._remove(segment)
         self._events.write(EventName.SEGMENT_EVENTS_LOST, count=lost)
 
-    def _note_event(self, segment: SegmentHint, *, stored: bool) -> None:
+    def _apply_event(self, segment: SegmentHint, *, stored: bool) -> None:
         if stored:
             self._add(segment)
         else:
@@ -149,7 +151,9 @@
             self.segments.remove(segment)
 
 
-def _read_observed(state: Json, asked_at: Millis, now: Millis) -> ObservedState:
+def _parse_state(
+    state: JsonObject, asked_at: Millis, now: Millis
+) -> ObservedState:
     try:
         return ObservedState(
             model=str(state['model'] or ''),
@@ -157,15 +161,15 @@
             digest=str(state['digest'] or ''),
             adapter=str(state.get('adapter') or ''),
             role=str(state.get('role') or ''),
-            fence=_read_fence(state.get('fence')),
+            fence=_parse_fence(state.get('fence')),
             read_at=asked_at,
             took=now - asked_at,
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise _make_fault('/state') from error
+        raise _make_answer_error('/state') from error
 
 
-def _find_loaded(observed: ObservedState) -> LoadedWeights:
+def _get_loaded_weights(observed: ObservedState) -> LoadedWeights:
     if not observed.digest:
         return LoadedWeights()
     return LoadedWeights(
@@ -173,14 +177,14 @@
     )
 
 
-def _read_fence(found: Any) -> Fence | None:
+def _parse_fence(found: Any) -> Fence | None:
     if not found:
         return None
     offset, incarnation = found
     return Fence(int(offset), str(incarnation))
 
 
-def _read_load(found: Json) -> Load:
+def _parse_load(found: JsonObject) -> Load:
     try:
         return Load(
             running=int(found['running']),
@@ -190,10 +194,10 @@
             slots=int(found['slots']),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise _make_fault('/load') from error
+        raise _make_answer_error('/load') from error
 
 
-def _make_fault(path: str) -> OleanderError:
+def _make_answer_error(path: str) -> OleanderError:
     return OleanderError(
         ErrorKind.BACKEND_FAILED, f'the engine answered {path} wrongly'
     )
--- a/src/oleanderdyke/agent/export.py
+++ b/src/oleanderdyke/agent/export.py
@@ -9,7 +9,7 @@
 import anyio
 
 from oleanderdyke.agent.backend import Backend
-from oleanderdyke.agent.fetch import Busy
+from oleanderdyke.agent.fetch import FetchActivity
 from oleanderdyke.agent.peers import Inbox, StorePeer, StorePeers
 from oleanderdyke.agent.settings import CacheSettings
 from oleanderdyke.clock import SECOND, Clock, Millis
@@ -26,8 +26,8 @@
 from oleanderdyke.logs import EventLog
 
 # An entry's knowledge of a store may be this old.
-_KNOWLEDGE_AGE: Millis = 10 * SECOND
-_REMEMBERED = 8_192
+_REOFFER_INTERVAL: Millis = 10 * SECOND
+_MAX_REMEMBERED_OFFERS = 8_192
 _GENERATION = 0
 
 
@@ -47,7 +47,7 @@
         self,
         peers: StorePeers,
         backend: Backend,
-        busy: Busy,
+        fetch_activity: FetchActivity,
         *,
         settings: CacheSettings,
         clock: Clock,
@@ -55,13 +55,13 @@
     ) -> None:
         self._peers = peers
         self._backend = backend
-        self._busy = busy
+        self._fetch_activity = fetch_activity
         self._settings = settings
         self._clock = clock
         self._events = events
         self._queue: deque[_Export] = deque()
         self._offered: dict[tuple[str, SegmentId], Millis] = {}
-        self._more = anyio.Event()
+        self._queued = anyio.Event()
         self.dropped = 0
 
     def offer(
@@ -71,19 +71,19 @@
 
         The first of them is at a `depth` in its prompt.
         """
-        for place, segment in enumerate(plan.segments, start=depth):
-            if self._was_offered(plan.store, segment):
+        for position, segment in enumerate(plan.segments, start=depth):
+            if self._was_recently_offered(plan.store, segment):
                 continue
             if len(self._queue) >= self._settings.export_queue:
                 self.dropped += 1
                 continue
-            self._remember(plan.store, segment)
+            self._record_offer(plan.store, segment)
             self._queue.append(
-                _Export(plan.store, plan.address, namespace, segment, place)
+                _Export(plan.store, plan.address, namespace, segment, position)
             )
-        self._more.set()
+        self._queued.set()
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Drop the queue, since the engine has lost its cache."""
         self._queue.clear()
         self._offered.clear()
@@ -91,10 +91,10 @@
     async def run(self) -> None:
         """Export until cancelled."""
         while True:
-            await self._more.wait()
-            self._more = anyio.Event()
+            await self._queued.wait()
+            self._queued = anyio.Event()
             while self._queue:
-                await self._busy.wait_idle()
+                await self._fetch_activity.wait_idle()
                 await self._export_next()
 
     async def _export_next(self) -> None:
@@ -112,7 +112,7 @@
             f'/kv/{export.segment.hex()}', self._settings.segment_limit
         )
         peer = await self._peers.find(export.address)
-        request = peer.make_request()
+        request = peer.make_request_id()
         async with peer.listen(request) as inbox:
             written = await self._write(peer, inbox, request, export, data)
         if written is None:
@@ -142,11 +142,11 @@
             if isinstance(answer, SegmentWritten):
                 return answer
             if isinstance(answer, SegmentWanted):
-                for part in self._split(request, export, data, digest):
+                for part in self._split_parts(request, export, data, digest):
                     await peer.send(part)
         return None
 
-    def _split(
+    def _split_parts(
         self, request: str, export: _Export, data: bytes, digest: bytes
     ) -> Iterator[SegmentPart]:
         size = self._settings.part_size
@@ -162,14 +162,14 @@
                 last=start + size >= len(data),
             )
 
-    def _was_offered(self, store: str, segment: SegmentId) -> bool:
+    def _was_recently_offered(self, store: str, segment: SegmentId) -> bool:
         at = self._offered.get((store, segment))
-        return at is not None and self._clock.now() - at < _KNOWLEDGE_AGE
+        return at is not None and self._clock.now() - at < _REOFFER_INTERVAL
 
-    def _remember(self, store: str, segment: SegmentId) -> None:
+    def _record_offer(self, store: str, segment: SegmentId) -> None:
         self._offered.pop((store, segment), None)
         self._offered[store, segment] = self._clock.now()
-        if len(self._offered) > _REMEMBERED:
+        if len(self._offered) > _MAX_REMEMBERED_OFFERS:
             del self._offered[next(iter(self._offered))]
 
     def _log(self, export: _Export, length: int, detail: str) -> None:
--- a/src/oleanderdyke/agent/fetch.py
+++ b/src/oleanderdyke/agent/fetch.py
@@ -31,9 +31,9 @@
 _REDIRECT = 300
 _ANSWER_LIMIT = 64 * 1024
 # So many segments are imported at once, which bounds what is held of them.
-_IMPORTS = 4
+_MAX_PARALLEL_IMPORTS = 4
 
-_FlightKey: TypeAlias = tuple[str, Namespace, SegmentId]
+_SegmentKey: TypeAlias = tuple[str, Namespace, SegmentId]
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,10 +44,10 @@
     """
 
     segments: int
-    length: int
+    link_bytes: int
 
 
-class Busy(Protocol):
+class FetchActivity(Protocol):
     """Tell background work when to yield."""
 
     async def wait_idle(self) -> None:
@@ -55,29 +55,29 @@
 
 
 @dataclass(slots=True)
-class _Flight:
+class _PendingSegment:
     done: anyio.Event = field(default_factory=anyio.Event)
     imported: bool = False
-    length: int = 0
+    link_bytes: int = 0
 
-    def settle(self, *, imported: bool) -> None:
+    def complete(self, *, imported: bool) -> None:
         self.imported = imported
         self.done.set()
 
 
 @dataclass(slots=True)
-class _Reading:
+class _StoreRead:
     address: str
     namespace: Namespace
-    flights: dict[SegmentId, _Flight]
+    pending_segments: dict[SegmentId, _PendingSegment]
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
     waiters: int = 0
-    broken: bool = False
+    aborted: bool = False
 
-    def break_off(self, flight: _Flight) -> None:
+    def abort(self, pending: _PendingSegment) -> None:
         """End a chain at a segment, since nothing after a gap is of use."""
-        self.broken = True
-        flight.settle(imported=False)
+        self.aborted = True
+        pending.complete(imported=False)
 
 
 class Fetcher:
@@ -99,8 +99,10 @@
         self._events = events
         self._timeout = timeout
         self._segment_limit = segment_limit
-        self._flights: dict[_FlightKey, tuple[_Reading, _Flight]] = {}
-        self._readings = 0
+        self._pending_segments: dict[
+            _SegmentKey, tuple[_StoreRead, _PendingSegment]
+        ] = {}
+        self._active_reads = 0
         self._idle = anyio.Event()
         self._idle.set()
 
@@ -121,146 +123,158 @@
         Give up when they come more slowly than one in each `step`, the time
         that computing one may take; what came until then is of use.
         """
-        started = self._join(plan, namespace)
-        readings = {id(reading): reading for reading, _, _ in started}
-        for reading in readings.values():
-            reading.waiters += 1
-        flights = [flight for _, flight, _ in started]
+        joined_segments = self._join_reads(plan, namespace)
+        store_reads = {
+            id(store_read): store_read for store_read, _, _ in joined_segments
+        }
+        for store_read in store_reads.values():
+            store_read.waiters += 1
+        pending_segments = [pending for _, pending, _ in joined_segments]
         try:
-            count = await self._count_imported(flights, step)
+            count = await self._count_imported(pending_segments, step)
         finally:
-            for reading in readings.values():
-                _leave(reading)
-        length = sum(each.length for _, each, own in started if own)
-        self._log(plan, request, count, length)
-        return FetchResult(count, length)
+            for store_read in store_reads.values():
+                _release_read(store_read)
+        link_bytes = sum(
+            each.link_bytes for _, each, is_own in joined_segments if is_own
+        )
+        self._log(plan, request, count, link_bytes)
+        return FetchResult(count, link_bytes)
 
     async def _count_imported(
-        self, flights: Sequence[_Flight], step: Millis
+        self, pending_segments: Sequence[_PendingSegment], step: Millis
     ) -> int:
-        pace = FetchPace(len(flights), step, self._timeout, now=_read_clock())
-        for count, flight in enumerate(flights):
+        pace = FetchPace(len(pending_segments), step, self._timeout, now=_now())
+        for count, pending in enumerate(pending_segments):
             deadline = pace.find_deadline(
-                count, _read_clock(), sharing=self._readings
+                count, _now(), sharing=self._active_reads
             )
             with anyio.CancelScope(deadline=deadline / SECOND):
-                await flight.done.wait()
-            if not flight.imported:
+                await pending.done.wait()
+            if not pending.imported:
                 return count
-        return len(flights)
+        return len(pending_segments)
 
-    def _join(
+    def _join_reads(
         self, plan: FetchPlan, namespace: Namespace
-    ) -> list[tuple[_Reading, _Flight, bool]]:
-        reading = _Reading(plan.address, namespace, {})
+    ) -> list[tuple[_StoreRead, _PendingSegment, bool]]:
+        store_read = _StoreRead(plan.address, namespace, {})
         joined = []
         for segment in plan.segments:
             key = (plan.address, namespace, segment)
-            found = self._flights.get(key)
+            found = self._pending_segments.get(key)
             if found is None:
-                flight = reading.flights.setdefault(segment, _Flight())
-                self._flights[key] = (reading, flight)
-                joined.append((reading, flight, True))
+                pending = store_read.pending_segments.setdefault(
+                    segment, _PendingSegment()
+                )
+                self._pending_segments[key] = (store_read, pending)
+                joined.append((store_read, pending, True))
                 continue
             joined.append((*found, False))
-        if reading.flights:
-            self._note_busy()
-            self._readings += 1
-            self._tasks.start_soon(self._read, reading)
+        if store_read.pending_segments:
+            self._mark_busy()
+            self._active_reads += 1
+            self._tasks.start_soon(self._run_read, store_read)
         return joined
 
-    def _note_busy(self) -> None:
+    def _mark_busy(self) -> None:
         if self._idle.is_set():
             self._idle = anyio.Event()
 
-    async def _read(self, reading: _Reading) -> None:
+    async def _run_read(self, store_read: _StoreRead) -> None:
         try:
-            with reading.scope:
-                await self._exchange(reading)
+            with store_read.scope:
+                await self._exchange(store_read)
         except OleanderError as error:
             self._events.write(
                 EventName.SEGMENTS_REJECTED,
-                address=reading.address,
+                address=store_read.address,
                 reason=error.kind.value,
             )
         finally:
-            self._forget(reading)
-
-    def _forget(self, reading: _Reading) -> None:
-        self._readings -= 1
-        for segment, flight in reading.flights.items():
-            key = (reading.address, reading.namespace, segment)
-            self._flights.pop(key, None)
-            if not flight.done.is_set():
-                flight.settle(imported=False)
-        if not self._flights:
+            self._remove(store_read)
+
+    def _remove(self, store_read: _StoreRead) -> None:
+        self._active_reads -= 1
+        for segment, pending in store_read.pending_segments.items():
+            key = (store_read.address, store_read.namespace, segment)
+            self._pending_segments.pop(key, None)
+            if not pending.done.is_set():
+                pending.complete(imported=False)
+        if not self._pending_segments:
             self._idle.set()
 
-    async def _exchange(self, reading: _Reading) -> None:
-        peer = await self._peers.find(reading.address)
-        request = peer.make_request()
+    async def _exchange(self, store_read: _StoreRead) -> None:
+        peer = await self._peers.find(store_read.address)
+        request = peer.make_request_id()
         async with peer.listen(request) as inbox:
-            segments = tuple(reading.flights)
-            await peer.send(SegmentRead(request, reading.namespace, segments))
+            segments = tuple(store_read.pending_segments)
+            await peer.send(
+                SegmentRead(request, store_read.namespace, segments)
+            )
             try:
-                whole = await self._receive(inbox, reading)
+                is_complete = await self._receive(inbox, store_read)
             except BaseException:
                 await _stop_reading(peer, request)
                 raise
-            if not whole:
+            if not is_complete:
                 await _stop_reading(peer, request)
 
-    async def _receive(self, inbox: Inbox, reading: _Reading) -> bool:
+    async def _receive(self, inbox: Inbox, store_read: _StoreRead) -> bool:
         """Import each segment while the next ones still arrive."""
-        places = anyio.Semaphore(_IMPORTS)
+        slots = anyio.Semaphore(_MAX_PARALLEL_IMPORTS)
         async with anyio.create_task_group() as imports:
-            for segment, flight in reading.flights.items():
-                await places.acquire()
-                data = await self._copy(inbox, segment, flight)
-                if data is None or reading.broken:
-                    reading.break_off(flight)
+            for segment, pending in store_read.pending_segments.items():
+                await slots.acquire()
+                data = await self._receive_segment(inbox, segment, pending)
+                if data is None or store_read.aborted:
+                    store_read.abort(pending)
                     break
-                imports.start_soon(self._import, reading, segment, data, places)
-        if reading.broken:
-            self._reject(reading)
-        return not reading.broken
-
-    async def _copy(
-        self, inbox: Inbox, segment: SegmentId, flight: _Flight
+                imports.start_soon(
+                    self._import_segment, store_read, segment, data, slots
+                )
+        if store_read.aborted:
+            self._log_incomplete(store_read)
+        return not store_read.aborted
+
+    async def _receive_segment(
+        self, inbox: Inbox, segment: SegmentId, pending: _PendingSegment
     ) -> bytes | None:
-        copy: SegmentAssembler | None = None
+        assembler: SegmentAssembler | None = None
         async for answer in inbox:
             if isinstance(answer, SegmentMissing):
                 return None
             if not isinstance(answer, SegmentPart):
                 continue
-            flight.length += len(answer.data)
-            copy = copy or SegmentAssembler(answer, self._segment_limit)
-            if answer.segment != segment or not copy.add(answer):
+            pending.link_bytes += len(answer.data)
+            assembler = assembler or SegmentAssembler(
+                answer, self._segment_limit
+            )
+            if answer.segment != segment or not assembler.add(answer):
                 return None
             if answer.last:
-                return copy.finish()
+                return assembler.finish()
         return None
 
-    async def _import(
+    async def _import_segment(
         self,
-        reading: _Reading,
+        store_read: _StoreRead,
         segment: SegmentId,
         data: bytes,
-        places: anyio.Semaphore,
+        slots: anyio.Semaphore,
     ) -> None:
-        flight = reading.flights[segment]
-        if await self._put(segment, data):
-            flight.settle(imported=True)
+        pending = store_read.pending_segments[segment]
+        if await self._upload(segment, data):
+            pending.complete(imported=True)
         else:
-            reading.break_off(flight)
-        places.release()
+            store_read.abort(pending)
+        slots.release()
 
-    async def _put(self, segment: SegmentId, data: bytes) -> bool:
+    async def _upload(self, segment: SegmentId, data: bytes) -> bool:
         path = f'/kv/{segment.hex()}'
         try:
             with anyio.fail_after(self._timeout / SECOND):
-                async with self._backend.kept.request(
+                async with self._backend.keep_alive.request(
                     'PUT', path, body=data
                 ) as answer:
                     await answer.read(_ANSWER_LIMIT)
@@ -268,15 +282,15 @@
         except (OleanderError, TimeoutError):
             return False
 
-    def _reject(self, reading: _Reading) -> None:
+    def _log_incomplete(self, store_read: _StoreRead) -> None:
         self._events.write(
             EventName.SEGMENTS_REJECTED,
-            address=reading.address,
+            address=store_read.address,
             reason='not_whole',
         )
 
     def _log(
-        self, plan: FetchPlan, request: str, count: int, length: int
+        self, plan: FetchPlan, request: str, count: int, link_bytes: int
     ) -> None:
         self._events.write(
             EventName.SEGMENTS_FETCHED,
@@ -284,18 +298,18 @@
             store=plan.store,
             segments=count,
             count=len(plan.segments),
-            length=length,
+            length=link_bytes,
         )
 
 
-def _read_clock() -> Millis:
+def _now() -> Millis:
     return anyio.current_time() * SECOND
 
 
-def _leave(reading: _Reading) -> None:
-    reading.waiters -= 1
-    if reading.waiters == 0:
-        reading.scope.cancel()
+def _release_read(store_read: _StoreRead) -> None:
+    store_read.waiters -= 1
+    if store_read.waiters == 0:
+        store_read.scope.cancel()
 
 
 async def _stop_reading(peer: StorePeer, request: str) -> None:
--- a/src/oleanderdyke/agent/forward.py
+++ b/src/oleanderdyke/agent/forward.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Iterator, Sequence
 from typing import Protocol
 
-from oleanderdyke.agent.backend import Backend, clean_answer_headers
+from oleanderdyke.agent.backend import Backend, filter_response_headers
 from oleanderdyke.agent.prepare import Preparer
 from oleanderdyke.agent.run import Run
 from oleanderdyke.clients.http import HttpAnswer
@@ -19,16 +19,16 @@
 from oleanderdyke.links.messages import AnswerHead, Message
 from oleanderdyke.logs import EventLog
 
-_TOKEN_BYTES = 16
+_RESUME_TOKEN_BYTES = 16
 
 
 class Delivery(Protocol):
     """Hand messages to whoever reads a stream."""
 
-    def check(self, status: int) -> None:
+    def check_status(self, status: int) -> None:
         """Raise HttpError where the server that answers isn't the one asked."""
 
-    def note_progress(self) -> None:
+    def notify_progress(self) -> None:
         """Note that a run has begun to answer, whether it is read or not."""
 
     def attach(self, run: Run, buffer: StreamBuffer) -> None:
@@ -77,17 +77,17 @@
             prepared.headers,
             prepared.body,
         ) as answer:
-            self._delivery.check(answer.status)
+            self._delivery.check_status(answer.status)
             self._open(run, answer)
             async for data in answer.body:
                 for piece in self._split(data):
-                    await self._pass_on(run, piece)
-        self._preparer.note_whole(run)
+                    await self._forward_chunk(run, piece)
+        self._preparer.on_complete(run)
         return _make_record(run)
 
     def finish(self, run: Run) -> None:
         """Close the stream of a run whose answer came whole."""
-        totals = run.sum_up()
+        totals = run.make_totals()
         if run.buffer is not None:
             messages = run.buffer.finish(totals, self._clock.now())
             self._delivery.send(run.reader, messages)
@@ -105,12 +105,12 @@
 
     def _open(self, run: Run, answer: HttpAnswer) -> None:
         run.status = answer.status
-        run.headers = clean_answer_headers(answer.headers)
+        run.headers = filter_response_headers(answer.headers)
         if run.dispatch.claim is not None:
             run.record = bytearray()
         run.started = True
         run.notify()
-        self._delivery.note_progress()
+        self._delivery.notify_progress()
         self._events.write(
             EventName.ANSWER_STARTED,
             request=run.dispatch.request,
@@ -124,7 +124,7 @@
             *run.key,
             status=answer.status,
             headers=run.headers,
-            resume=secrets.token_hex(_TOKEN_BYTES),
+            resume=secrets.token_hex(_RESUME_TOKEN_BYTES),
         )
         reader = Reader(run.outbox.name, *run.key)
         run.buffer = self._streams.open(
@@ -133,8 +133,8 @@
         self._delivery.attach(run, run.buffer)
         self._delivery.send(reader, (head,))
 
-    async def _pass_on(self, run: Run, data: bytes) -> None:
-        run.take(data)
+    async def _forward_chunk(self, run: Run, data: bytes) -> None:
+        run.add_data(data)
         while run.buffer is not None and _must_wait(run.buffer, data):
             await run.wait_changed()
         if run.buffer is None:
--- a/src/oleanderdyke/agent/health.py
+++ b/src/oleanderdyke/agent/health.py
@@ -12,7 +12,7 @@
 from oleanderdyke.errors import OleanderError, Ran
 
 Probe: TypeAlias = Callable[[], Awaitable[object]]
-Notify: TypeAlias = Callable[[], Awaitable[None]]
+Callback: TypeAlias = Callable[[], Awaitable[None]]
 
 
 class Health:
@@ -27,14 +27,14 @@
         probe: Probe,
         settings: BackendSettings,
         *,
-        on_up: Notify,
-        on_lost: Notify,
+        on_up: Callback,
+        on_lost: Callback,
     ) -> None:
         self._probe = probe
         self._settings = settings
         self._on_up = on_up
         self._on_lost = on_lost
-        self._missed = 0
+        self._failures = 0
         self._lock = anyio.Lock()
         self.alive = False
 
@@ -50,20 +50,20 @@
             try:
                 await self._probe()
             except OleanderError as error:
-                await self._note_missed(refused=error.ran is Ran.NO)
+                await self._record_failure(refused=error.ran is Ran.NO)
                 return self.alive
-            await self._note_answered()
+            await self._record_success()
             return self.alive
 
-    async def lose(self) -> None:
+    async def mark_lost(self) -> None:
         """Take a server as lost that may answer again already."""
         async with self._lock:
             if self.alive:
                 self.alive = False
                 await self._on_lost()
 
-    async def _note_answered(self) -> None:
-        self._missed = 0
+    async def _record_success(self) -> None:
+        self._failures = 0
         if self.alive:
             return
         try:
@@ -73,9 +73,9 @@
             return
         self.alive = True
 
-    async def _note_missed(self, *, refused: bool) -> None:
-        self._missed += 1
-        over = refused or self._missed >= self._settings.missed_probes
-        if over and self.alive:
+    async def _record_failure(self, *, refused: bool) -> None:
+        self._failures += 1
+        is_lost = refused or self._failures >= self._settings.missed_probes
+        if is_lost and self.alive:
             self.alive = False
             await self._on_lost()
--- a/src/oleanderdyke/agent/heartbeats.py
+++ b/src/oleanderdyke/agent/heartbeats.py
@@ -41,7 +41,9 @@
         self._role = role
         self._clock = clock
         self._sequence = 0
-        self._told: WeakKeyDictionary[Outbox, Heartbeat] = WeakKeyDictionary()
+        self._last_sent: WeakKeyDictionary[Outbox, Heartbeat] = (
+            WeakKeyDictionary()
+        )
         self.phase = AgentPhase.STARTING
 
     def set_phase(self, phase: AgentPhase) -> None:
@@ -52,16 +54,16 @@
 
     def send(self) -> None:
         """Send a heartbeat and the new segment events on every link."""
-        beat = self._make_beat()
+        heartbeat = self._make_heartbeat()
         events = self._role.segments.drain()
         for outbox in self._outboxes.values():
-            self._put_beat(outbox, beat)
+            self._put_heartbeat(outbox, heartbeat)
             if outbox.peer.role is PeerRole.ENTRY:
                 _put_all(outbox, events)
 
     def send_initial_state(self, outbox: Outbox) -> None:
         """Tell a new peer everything."""
-        self._put_beat(outbox, self._make_beat())
+        self._put_heartbeat(outbox, self._make_heartbeat())
         if outbox.peer.role is PeerRole.ENTRY:
             # A peer that lacks events asks for them.
             outbox.put(SegmentEvents(self._role.segments.next_number))
@@ -70,15 +72,18 @@
         """Send the segment events from a number on, or the whole set."""
         _put_all(outbox, self._role.segments.list_after(after))
 
-    def _put_beat(self, outbox: Outbox, beat: Heartbeat) -> None:
+    def _put_heartbeat(self, outbox: Outbox, heartbeat: Heartbeat) -> None:
         """Send a whole heartbeat, or what differs from the one before."""
-        before, self._told[outbox] = self._told.get(outbox), beat
-        if before is None or not outbox.peer.takes_short_beats:
-            outbox.put(beat)
+        previous, self._last_sent[outbox] = (
+            self._last_sent.get(outbox),
+            heartbeat,
+        )
+        if previous is None or not outbox.peer.takes_short_beats:
+            outbox.put(heartbeat)
             return
-        outbox.put(omit_unchanged(beat, before))
+        outbox.put(omit_unchanged(heartbeat, previous))
 
-    def _make_beat(self) -> Heartbeat:
+    def _make_heartbeat(self) -> Heartbeat:
         self._sequence += 1
         self._gate.record_heartbeat(self._sequence)
         now = self._clock.now()
@@ -98,14 +103,14 @@
         )
 
 
-def omit_unchanged(beat: Heartbeat, before: Heartbeat) -> Heartbeat:
+def omit_unchanged(heartbeat: Heartbeat, previous: Heartbeat) -> Heartbeat:
     """Leave out the load and the weights where a peer knows them."""
-    if beat.load == before.load:
-        beat = replace(beat, load=_NO_LOAD, same_load=True)
-    if _list_weights(beat) != _list_weights(before):
-        return beat
+    if heartbeat.load == previous.load:
+        heartbeat = replace(heartbeat, load=_NO_LOAD, same_load=True)
+    if _get_weights(heartbeat) != _get_weights(previous):
+        return heartbeat
     return replace(
-        beat,
+        heartbeat,
         model='',
         weight_version='',
         weight_digest='',
@@ -114,8 +119,13 @@
     )
 
 
-def _list_weights(beat: Heartbeat) -> tuple[str, ...]:
-    return beat.model, beat.weight_version, beat.weight_digest, beat.adapter
+def _get_weights(heartbeat: Heartbeat) -> tuple[str, ...]:
+    return (
+        heartbeat.model,
+        heartbeat.weight_version,
+        heartbeat.weight_digest,
+        heartbeat.adapter,
+    )
 
 
 def _put_all(outbox: Outbox, events: Iterable[SegmentEvents]) -> None:
--- a/src/oleanderdyke/agent/hosted/engine_loads.py
+++ b/src/oleanderdyke/agent/hosted/engine_loads.py
@@ -34,16 +34,16 @@
 from oleanderdyke.platform.settings import HostSettings
 from oleanderdyke.platform.store import StoreClient
 
-_READ_BACK: Millis = 20.0
+_READ_BACK_INTERVAL: Millis = 20.0
 # A long read answers within some milliseconds of an append.
-_READ_BACK_LIMIT: Millis = 2 * SECOND
+_READ_BACK_TIMEOUT: Millis = 2 * SECOND
 # With these an engine has seen the fence of an order, or never will: one that
 # refuses an order for weights that it holds would refuse it again.
-_SEEN = frozenset(
+_FENCE_REACHED = frozenset(
     {OrderOutcome.HOLDS, OrderOutcome.ACCEPTED, OrderOutcome.REFUSED}
 )
 # The list names a new start of an engine a second or two after it began.
-_LIST_PERIOD: Millis = 300.0
+_LIST_INTERVAL: Millis = 300.0
 
 
 class EngineLoads:
@@ -64,7 +64,7 @@
         self._rollout = Rollout(settings.version_limit)
         self.weights = self._rollout.weights
         # Whether the first notice of this process was read back.
-        self.has_begun = False
+        self.has_started = False
         self._settings = settings
         self._log = log
         self._clock = clock
@@ -73,34 +73,34 @@
         self._engine = EngineClient(settings.server)
         self._engine_clock = EngineClock()
         self._queue = self._rollout.queue
-        self._done: dict[str, int] = {}
+        self._loaded_versions: dict[str, int] = {}
         self._fence: int | None = None
-        self._own: ServerStart | None = None
-        self._ended: set[ServerStart] = set()
+        self._own_start: ServerStart | None = None
+        self._ended_starts: set[ServerStart] = set()
         # What the present start of the engine told last.
         self._state: EngineState | None = None
-        self._listed_at = -math.inf
-        self._told_loading = ''
+        self._last_listed_at = -math.inf
+        self._logged_loading = ''
         # The name of the engine that an order without an answer went to.
         self._unanswered = ''
         self._needs_fence = False
 
-    def take(self, notice: LoadNotice) -> None:
+    def apply(self, notice: LoadNotice) -> None:
         """Apply the next notice of the log."""
         own = notice.agent == self._settings.process
         if own and notice.step is LoadStep.STARTED:
-            self.has_begun = True
+            self.has_started = True
         self._rollout.apply(
             notice,
             now=self._clock.now(),
             clock_offset=self._engine_clock.max_offset,
         )
 
-    def forget_notices(self) -> None:
+    def clear_queue(self) -> None:
         """Drop what void notices told; the next step asks for a place anew."""
         self._queue.clear()
 
-    async def begin(self) -> None:
+    async def announce_start(self) -> None:
         """Give up the place of a process that was here before.
 
         The topic comes to be with that, and once it is read back all that was
@@ -116,41 +116,41 @@
         """
         if self._needs_fence or self._queue.is_queued(self._settings.process):
             return False
-        return self._done == self.weights.list_newest()
+        return self._loaded_versions == self.weights.list_newest()
 
     async def step(self) -> None:
         """Look at the engine; raise StoreUnavailable or EngineUnavailable."""
-        if not self.has_begun:
+        if not self.has_started:
             return
         try:
             state = await self._read_state()
         except EngineUnavailable:
-            await self._lose()
+            await self._on_engine_lost()
             raise
-        if self._is_late(state):
+        if self._is_outdated(state):
             return
-        await self._note_start(state)
+        await self._check_restart(state)
         if not state.is_busy:
-            await self._bring(state)
+            await self._update_weights(state)
 
-    async def _bring(self, state: EngineState) -> None:
+    async def _update_weights(self, state: EngineState) -> None:
         """Take the next step of an idle engine to what is named."""
-        self._note_weights(state)
+        self._record_weights(state)
         if self._needs_fence:
             await self._raise_fence(state)
         newest = self.weights.list_newest()
         targets = [Target(*each) for each in newest.items()]
         target = find_target(state, targets)
         if target is None:
-            await self._settle(state, newest)
+            await self._finish_rollout(state, newest)
         else:
             await self._load(state, target)
 
-    def _note_weights(self, state: EngineState) -> None:
+    def _record_weights(self, state: EngineState) -> None:
         for model, version in state.versions.items():
-            self._times.note_held(model, version)
+            self._times.record_held(model, version)
         for model, version in self.weights.list_newest().items():
-            self._times.note_named(model, version)
+            self._times.record_named(model, version)
 
     async def _read_state(self) -> EngineState:
         asked_at = self._clock.now()
@@ -160,23 +160,23 @@
         )
         return state
 
-    def _is_late(self, state: EngineState) -> bool:
+    def _is_outdated(self, state: EngineState) -> bool:
         """Return whether a report is of a start that another has followed."""
         return self._state is not None and state.is_from_earlier_start(
             self._state
         )
 
-    async def _note_start(self, state: EngineState) -> None:
+    async def _check_restart(self, state: EngineState) -> None:
         """Know nothing of the start before once the engine is another one.
 
         Its name may be the same. What is settled has to be looked at again; the
         place in the queue is asked for anew, as the engine may hold others.
         """
         if self._state is not None and state.has_restarted_since(self._state):
-            await self._lose()
-            self._times.note_lost()
-            self._done.clear()
-            self._told_loading = ''
+            await self._on_engine_lost()
+            self._times.record_lost()
+            self._loaded_versions.clear()
+            self._logged_loading = ''
             if self._unanswered:
                 self._needs_fence, self._fence = True, None
         self._state = state
@@ -189,7 +189,7 @@
         another one back. An order for what it holds changes nothing, but where
         fences are checked it brings one above all that went to earlier starts.
         """
-        own = await self._find_own(state)
+        own = await self._find_own_start(state)
         if own is None:
             return
         if own.server != self._unanswered:
@@ -198,41 +198,43 @@
             return
         model, held = next(iter(state.versions.items()))
         outcome = await self._order(own, Target(model, held), state)
-        self._needs_fence = outcome not in _SEEN
+        self._needs_fence = outcome not in _FENCE_REACHED
 
-    async def _lose(self) -> None:
+    async def _on_engine_lost(self) -> None:
         """Hold up nobody while the engine is away; it may start anew.
 
         Where the store can't be told now, it is told at the next step.
         """
         process = self._settings.process
         if self._queue.is_queued(process) and not self._queue.is_lost(process):
-            await self._tell(self._make_own_notice(LoadStep.LOST))
-        self._own = None
+            await self._append_confirmed(self._make_own_notice(LoadStep.LOST))
+        self._own_start = None
 
-    async def _settle(self, state: EngineState, newest: dict[str, int]) -> None:
+    async def _finish_rollout(
+        self, state: EngineState, newest: dict[str, int]
+    ) -> None:
         """Let the next engine go once this one has what is named."""
         if self._queue.is_queued(self._settings.process):
-            await self._tell(self._make_ended(state))
+            await self._append_confirmed(self._make_ended_notice(state))
         # Until the next weights are named it may start anew between two looks.
-        self._own = None
-        self._times.note_settled()
+        self._own_start = None
+        self._times.record_settled()
         for model, version in newest.items():
-            if self._done.get(model) != version:
-                self._done[model] = version
+            if self._loaded_versions.get(model) != version:
+                self._loaded_versions[model] = version
                 self._log.write(
                     EventName.ORDER_DONE, model=model, version=version
                 )
 
     async def _load(self, state: EngineState, target: Target) -> None:
-        self._times.note_due(target.model)
-        own = await self._find_own(state)
+        self._times.record_due(target.model)
+        own = await self._find_own_start(state)
         if own is None:
             return
         held = state.versions[target.model]
         request = self._make_request(own.server, target.model, held)
         if not self._queue.is_pending(request):
-            await self._tell(request)
+            await self._append_confirmed(request)
             return
         if not self._may_load(own.server, target, held):
             return
@@ -264,9 +266,9 @@
     def _log_queued(self, own: str, target: Target, now: Millis) -> None:
         """Say whom this engine waits for, each time that changes."""
         loading = ','.join(self._queue.list_loading(now))
-        if self._told_loading == loading:
+        if self._logged_loading == loading:
             return
-        self._told_loading = loading
+        self._logged_loading = loading
         self._log.write(
             EventName.LOAD_QUEUED,
             peer=own,
@@ -288,7 +290,7 @@
         )
         given_at = self._clock.now()
         outcome = await self._engine.give_order(order)
-        self._times.note_order(order.model, outcome, given_at)
+        self._times.record_order(order.model, outcome, given_at)
         self._log.write(
             EventName.ORDER_SENT,
             peer=order.server,
@@ -302,8 +304,8 @@
         if outcome is OrderOutcome.OLD_FENCE:
             self._fence = None
         if outcome is OrderOutcome.OTHER_SERVER:
-            self._ended.add(own)
-            self._own = None
+            self._ended_starts.add(own)
+            self._own_start = None
         return outcome
 
     def _make_request(self, own: str, model: str, held: int) -> LoadNotice:
@@ -323,7 +325,7 @@
             newest_at=newest_at,
         )
 
-    def _make_ended(self, state: EngineState) -> LoadNotice:
+    def _make_ended_notice(self, state: EngineState) -> LoadNotice:
         """Tell entries what the engine holds, so that they use it at once."""
         model = self._queue.find_model(self._settings.process)
         return replace(
@@ -333,20 +335,22 @@
         )
 
     def _make_own_notice(self, step: LoadStep) -> LoadNotice:
-        return self._make_notice(step, self._own.server if self._own else '')
+        return self._make_notice(
+            step, self._own_start.server if self._own_start else ''
+        )
 
     def _make_notice(self, step: LoadStep, server: str = '') -> LoadNotice:
         return LoadNotice(server, step, agent=self._settings.process)
 
-    async def _tell(self, notice: LoadNotice) -> None:
+    async def _append_confirmed(self, notice: LoadNotice) -> None:
         """Append a notice, which counts once it is read back.
 
         One whose history was dropped meanwhile is told again at the next step.
         """
         await append_notice(self._store, notice)
-        with anyio.move_on_after(_READ_BACK_LIMIT / SECOND):
+        with anyio.move_on_after(_READ_BACK_TIMEOUT / SECOND):
             while not self._is_applied(notice):
-                await anyio.sleep(_READ_BACK / SECOND)
+                await anyio.sleep(_READ_BACK_INTERVAL / SECOND)
 
     def _is_applied(self, notice: LoadNotice) -> bool:
         process = self._settings.process
@@ -356,7 +360,7 @@
             return self._queue.is_lost(process)
         return not self._queue.is_queued(process)
 
-    async def _find_own(self, state: EngineState) -> ServerStart | None:
+    async def _find_own_start(self, state: EngineState) -> ServerStart | None:
         """Return the start that told a state, None if not listed.
 
         The start before it may still be listed for some seconds. Where the
@@ -364,17 +368,17 @@
         present one, unless an order to it has shown that it has ended.
         """
         now = self._clock.now()
-        if self._own or now - self._listed_at < _LIST_PERIOD:
-            return self._own
-        self._listed_at = now
-        for record in await list_servers(self._store, self._refuse):
+        if self._own_start or now - self._last_listed_at < _LIST_INTERVAL:
+            return self._own_start
+        self._last_listed_at = now
+        for record in await list_servers(self._store, self._log_refused_record):
             is_own = record.address == self._settings.server
             is_present = state.born in {None, record.born}
-            if is_own and is_present and record.start not in self._ended:
-                self._own = record.start
-        return self._own
+            if is_own and is_present and record.start not in self._ended_starts:
+                self._own_start = record.start
+        return self._own_start
 
-    def _refuse(self, name: str, error: MalformedRecord) -> None:
+    def _log_refused_record(self, name: str, error: MalformedRecord) -> None:
         self._log.write(
             EventName.RECORD_REFUSED, name=name, detail=error.message
         )
--- a/src/oleanderdyke/agent/hosted/load_times.py
+++ b/src/oleanderdyke/agent/hosted/load_times.py
@@ -16,19 +16,19 @@
         self._waiting: dict[str, Millis] = {}
         self._loading: dict[str, Millis] = {}
 
-    def note_named(self, model: str, version: int) -> None:
+    def record_named(self, model: str, version: int) -> None:
         """Learn which weights are the newest."""
         self._metrics.set_gauge(Gauge.WEIGHTS_NAMED, version, model)
 
-    def note_held(self, model: str, version: int) -> None:
+    def record_held(self, model: str, version: int) -> None:
         """Learn which weights the engine holds."""
         self._metrics.set_gauge(Gauge.WEIGHTS_HELD, version, model)
 
-    def note_due(self, model: str) -> None:
+    def record_due(self, model: str) -> None:
         """Learn that an engine has to take newer weights."""
         self._waiting.setdefault(model, self._clock.now())
 
-    def note_order(
+    def record_order(
         self, model: str, outcome: OrderOutcome, given_at: Millis
     ) -> None:
         """Learn what became of an order."""
@@ -42,7 +42,7 @@
             metrics.time(Timing.QUEUE_WAIT, given_at - waited_since, model)
         self._loading.setdefault(model, given_at)
 
-    def note_settled(self) -> None:
+    def record_settled(self) -> None:
         """Learn that the engine holds all that is named."""
         now = self._clock.now()
         for model, since in self._loading.items():
@@ -50,6 +50,6 @@
         self._loading.clear()
         self._waiting.clear()
 
-    def note_lost(self) -> None:
+    def record_lost(self) -> None:
         """Forget the load that an engine lost with its start."""
         self._loading.clear()
--- a/src/oleanderdyke/agent/hosted/news.py
+++ b/src/oleanderdyke/agent/hosted/news.py
@@ -24,10 +24,10 @@
 
 # Entries tell of themselves every 20 s at most. Those that start together have
 # done so soon after an agent that starts with them has read their notices.
-_PERIOD: Millis = 10 * SECOND
-_FIRST_PERIOD: Millis = 2 * SECOND
+_READ_INTERVAL: Millis = 10 * SECOND
+_FIRST_READ_INTERVAL: Millis = 2 * SECOND
 # What carries links takes long to load on a small share of a core.
-_LOAD_AFTER: Millis = 1 * SECOND
+_IMPORT_DELAY: Millis = 1 * SECOND
 # Who reads for others does so every ten seconds.
 _ENTRIES_WAIT: Millis = 1 * SECOND
 _ENTRIES_LIMIT: Millis = 20 * SECOND
@@ -55,7 +55,7 @@
         )
         sharing = self.share(wait=_ENTRIES_WAIT, limit=_ENTRIES_LIMIT)
         client = StoreClient(settings.store, sharing=sharing)
-        self._entries = EntryFeed(client, self._refuse)
+        self._entries = EntryFeed(client, self._log_refused_record)
         self._incarnation = secrets.token_hex(8)
 
     def share(self, *, wait: Millis, limit: Millis) -> TopicSharing:
@@ -68,7 +68,7 @@
         """Keep links to entries that read, until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._read_entries)
-            await anyio.sleep(_LOAD_AFTER / SECOND)
+            await anyio.sleep(_IMPORT_DELAY / SECOND)
             links = import_module('oleanderdyke.links.news_links')
             await links.keep_links(
                 self._reader, self._make_hello, clock=self._clock, random=random
@@ -76,19 +76,19 @@
 
     async def _read_entries(self) -> None:
         """Read which entries are alive; without the store, later."""
-        pause = _FIRST_PERIOD
+        pause = _FIRST_READ_INTERVAL
         while True:
             try:
-                told = await self._entries.read()
+                entries = await self._entries.read()
             except StoreUnavailable:
                 # The agent's other reads tell that the store is out.
-                told = None
-            for entry in told or ():
+                entries = None
+            for entry in entries or ():
                 self._neighbours.record_alive(entry, self._clock.now())
             await anyio.sleep(pause / SECOND)
-            pause = _PERIOD
+            pause = _READ_INTERVAL
 
-    def _refuse(self, name: str, error: MalformedRecord) -> None:
+    def _log_refused_record(self, name: str, error: MalformedRecord) -> None:
         self._log.write(
             EventName.RECORD_REFUSED, name=name, detail=error.message
         )
--- a/src/oleanderdyke/agent/hosted/shell.py
+++ b/src/oleanderdyke/agent/hosted/shell.py
@@ -29,7 +29,7 @@
 # at once for it. Each agent waits for another part of it: those that start
 # together would all know equally old news, and the best of them counts for all.
 _OPERATOR_WAIT: Millis = 2 * SECOND
-_LEAST_WAIT_SHARE = 0.5
+_MIN_WAIT_FRACTION = 0.5
 # Notices of loads come only when weights are named.
 _LOADS_WAIT: Millis = 5 * SECOND
 # An entry that reads the same answers with the first news, or after this.
@@ -38,21 +38,21 @@
 _CONFIGURATION_LIMIT: Millis = 1.25 * SECOND
 _LOADS_LIMIT: Millis = 11 * SECOND
 # Notices come several together: those of so long are read in one call.
-_LOADS_HOLD: Millis = 40.0
+_BATCH_WAIT: Millis = 40.0
 _RETRY_PAUSE: Millis = 250.0
 # How often the engine on this machine is looked at while weights are due,
 # which costs nothing but a little processor time.
-_ROLLOUT_PERIOD: Millis = 100.0
+_ROLLOUT_INTERVAL: Millis = 100.0
 # All agents together ask a store that refuses far less often than it allows.
-_LONGEST_PAUSE: Millis = 1 * SECOND
+_MAX_RETRY_PAUSE: Millis = 1 * SECOND
 # An engine may come back on older weights than it held. Entries send it nothing
 # then, so that this bounds for how long it is missed; a look is one call within
 # the machine.
-_SETTLED_PERIOD: Millis = 5 * SECOND
+_SETTLED_INTERVAL: Millis = 5 * SECOND
 # An agent that wakes up so much later than it meant to was suspended, or its
 # machine is too busy to look after an engine.
-_STALL: Millis = 1 * SECOND
-_STOPPING = (signal.SIGTERM, signal.SIGINT)
+_STALL_THRESHOLD: Millis = 1 * SECOND
+_STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 class HostedAgent:
@@ -70,8 +70,8 @@
         self._clock = clock
         self._metrics = Metrics()
         self._metrics_port = metrics_port
-        self._engine = EngineLoads(settings, log, clock, self._metrics)
-        self._beside = Dependency(
+        self._engine_loads = EngineLoads(settings, log, clock, self._metrics)
+        self._engine_dependency = Dependency(
             log,
             self._metrics,
             clock,
@@ -80,14 +80,14 @@
             label='engine',
             address=settings.server,
         )
-        self._queue = self._make_store_dependency('queue')
+        self._queue_dependency = self._make_store_dependency('queue')
         self._news = AgentNews(settings, log, clock, self._metrics)
         self._loads_client = StoreClient(
             settings.store,
             _LOADS_WAIT,
             self._news.share(wait=_SHARED_LOADS_WAIT, limit=_LOADS_LIMIT),
         )
-        self._loads = LoadFeed(self._loads_client, self._refuse)
+        self._loads = LoadFeed(self._loads_client, self._log_refused_record)
         self._operator = OperatorFeed(
             StoreClient(
                 settings.store,
@@ -96,7 +96,7 @@
                     wait=_OPERATOR_WAIT, limit=_CONFIGURATION_LIMIT
                 ),
             ),
-            self._refuse,
+            self._log_refused_record,
         )
 
     async def run(self) -> None:
@@ -104,12 +104,14 @@
         self._log.write(
             EventName.PROCESS_STARTED, address=self._settings.server
         )
-        with anyio.open_signal_receiver(*_STOPPING, signal.SIGHUP) as signals:
+        with anyio.open_signal_receiver(
+            *_STOP_SIGNALS, signal.SIGHUP
+        ) as signals:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._news.run, Random())
                 tasks.start_soon(self._follow_operator)
                 tasks.start_soon(self._follow_loads)
-                tasks.start_soon(self._roll_out)
+                tasks.start_soon(self._run_rollout)
                 tasks.start_soon(self._serve_metrics)
                 await self._wait_stop(signals)
                 tasks.cancel_scope.cancel()
@@ -118,7 +120,7 @@
     async def _wait_stop(self, signals: AsyncIterator[signal.Signals]) -> None:
         async for number in signals:
             name = signal.Signals(number).name
-            if number in _STOPPING:
+            if number in _STOP_SIGNALS:
                 self._log.write(EventName.PROCESS_STOPPING, signal=name)
                 return
             # Nothing that an agent is told can change while it runs.
@@ -137,7 +139,9 @@
             )
 
     def _refresh(self) -> None:
-        self._metrics.set_gauge(Gauge.READY, float(self._engine.has_begun))
+        self._metrics.set_gauge(
+            Gauge.READY, float(self._engine_loads.has_started)
+        )
         self._metrics.set_count(Count.LINES_DROPPED, self._log.count_dropped())
 
     async def _follow_operator(self) -> None:
@@ -177,12 +181,12 @@
         if news is None:
             return
         for named in news.list_versions():
-            self._name(named)
+            self._add_named_version(named)
         if news.is_complete:
-            self._engine.weights.record_read(asked_at + news.waited)
+            self._engine_loads.weights.record_read(asked_at + news.waited)
 
-    def _name(self, named: NamedVersion) -> None:
-        if self._engine.weights.add(named.model, named.version):
+    def _add_named_version(self, named: NamedVersion) -> None:
+        if self._engine_loads.weights.add(named.model, named.version):
             self._log.write(
                 EventName.VERSION_NAMED,
                 model=named.model,
@@ -190,50 +194,50 @@
             )
 
     async def _read_loads(self) -> None:
-        if not self._engine.has_begun:
-            await self._engine.begin()
+        if not self._engine_loads.has_started:
+            await self._engine_loads.announce_start()
         notices = await self._loads.read()
         if notices is None:
-            self._engine.forget_notices()
+            self._engine_loads.clear_queue()
             return
         for notice in notices:
-            self._engine.take(notice)
+            self._engine_loads.apply(notice)
         if notices and not self._loads_client.was_shared:
-            await anyio.sleep(_LOADS_HOLD / SECOND)
+            await anyio.sleep(_BATCH_WAIT / SECOND)
 
-    async def _roll_out(self) -> None:
+    async def _run_rollout(self) -> None:
         """Look at the engine, rarely while no weights are due."""
-        pause, looked_at = _ROLLOUT_PERIOD, -math.inf
+        pause, checked_at = _ROLLOUT_INTERVAL, -math.inf
         while True:
             now = self._clock.now()
-            is_due = now - looked_at > _SETTLED_PERIOD
-            if is_due or not self._engine.is_settled():
-                looked_at = now
+            is_due = now - checked_at > _SETTLED_INTERVAL
+            if is_due or not self._engine_loads.is_settled():
+                checked_at = now
                 pause = await self._step(pause)
-            await self._sleep(pause)
+            await self._sleep_checked(pause)
 
-    async def _sleep(self, pause: Millis) -> None:
+    async def _sleep_checked(self, pause: Millis) -> None:
         due = self._clock.now() + pause
         await anyio.sleep(pause / SECOND)
         late = self._clock.now() - due
-        if late > _STALL:
+        if late > _STALL_THRESHOLD:
             self._log.write(EventName.PROCESS_STALLED, duration=round(late))
 
     async def _step(self, pause: Millis) -> Millis:
         """Take a step; return the pause after it, longer without a store."""
         try:
-            await self._engine.step()
+            await self._engine_loads.step()
         except StoreUnavailable as error:
-            self._queue.note_failed(error.message)
-            return min(max(2 * pause, _RETRY_PAUSE), _LONGEST_PAUSE)
+            self._queue_dependency.note_failed(error.message)
+            return min(max(2 * pause, _RETRY_PAUSE), _MAX_RETRY_PAUSE)
         except EngineUnavailable as error:
-            self._beside.note_failed(error.message)
+            self._engine_dependency.note_failed(error.message)
         else:
-            self._queue.note_good()
-            self._beside.note_good()
-        return _ROLLOUT_PERIOD
+            self._queue_dependency.note_good()
+            self._engine_dependency.note_good()
+        return _ROLLOUT_INTERVAL
 
-    def _refuse(self, name: str, error: MalformedRecord) -> None:
+    def _log_refused_record(self, name: str, error: MalformedRecord) -> None:
         """Keep the last good state where a record can't be read."""
         self._log.write(
             EventName.RECORD_REFUSED, name=name, detail=error.message
@@ -242,7 +246,7 @@
 
 def _draw_wait(process: str) -> Millis:
     """Return how long an agent's reads of the operators' records wait."""
-    return _OPERATOR_WAIT * Random(process).uniform(_LEAST_WAIT_SHARE, 1.0)
+    return _OPERATOR_WAIT * Random(process).uniform(_MIN_WAIT_FRACTION, 1.0)
 
 
 async def run_hosted_agent(settings: HostSettings, log: EventLog) -> None:
--- a/src/oleanderdyke/agent/turns.py
+++ b/src/oleanderdyke/agent/link_scheduler.py
@@ -9,7 +9,7 @@
 from oleanderdyke.clock import SECOND, Clock, Millis
 
 
-class LinkTurns:
+class LinkScheduler:
     """Grant bytes of a link at its rate; reads go before writes.
 
     Each reader has at most one turn waiting, so turns in order of arrival
@@ -24,21 +24,21 @@
         self._writes: deque[anyio.Event] = deque()
         self._busy = False
 
-    async def take_read(self, size: int) -> None:
+    async def wait_read(self, size: int) -> None:
         """Wait for the turn to send bytes to a reader."""
-        await self._take(self._reads, size)
+        await self._wait(self._reads, size)
 
-    async def take_write(self, size: int) -> None:
+    async def wait_write(self, size: int) -> None:
         """Wait for the turn to keep bytes; yields to every reader."""
-        await self._take(self._writes, size)
+        await self._wait(self._writes, size)
 
-    async def _take(self, queue: deque[anyio.Event], size: int) -> None:
+    async def _wait(self, queue: deque[anyio.Event], size: int) -> None:
         await self._wait_turn(queue)
         try:
             await self._wait_rate(size)
         finally:
             self._busy = False
-            self._wake()
+            self._wake_next()
 
     async def _wait_turn(self, queue: deque[anyio.Event]) -> None:
         if not self._busy and not self._reads and not self._writes:
@@ -49,7 +49,7 @@
         try:
             await turn.wait()
         except BaseException:
-            self._leave(queue, turn)
+            self._give_up_turn(queue, turn)
             raise
 
     async def _wait_rate(self, size: int) -> None:
@@ -60,16 +60,18 @@
         if start > now:
             await anyio.sleep((start - now) / SECOND)
 
-    def _wake(self) -> None:
+    def _wake_next(self) -> None:
         queue = self._reads or self._writes
         if not queue:
             return
         self._busy = True
         queue.popleft().set()
 
-    def _leave(self, queue: deque[anyio.Event], turn: anyio.Event) -> None:
+    def _give_up_turn(
+        self, queue: deque[anyio.Event], turn: anyio.Event
+    ) -> None:
         if turn in queue:
             queue.remove(turn)
             return
         self._busy = False
-        self._wake()
+        self._wake_next()
--- a/src/oleanderdyke/agent/order_loop.py
+++ b/src/oleanderdyke/agent/order_loop.py
@@ -29,10 +29,10 @@
 )
 from oleanderdyke.logs import EventLog
 
-_JSON = (('content-type', 'application/json'),)
+_JSON_HEADERS = (('content-type', 'application/json'),)
 _CONFLICT = 409
 _REDIRECT = 300
-_START_WAIT: Millis = 10 * SECOND
+_START_TIMEOUT: Millis = 10 * SECOND
 
 
 class OrderLoop:
@@ -62,8 +62,8 @@
         self._service = service
         self._checks_fencing = checks_fencing
         self._desired: DesiredState | None = None
-        self._changed_at = 0
-        self._refused = ''
+        self._changed_at_offset = 0
+        self._last_refusal = ''
         self._incarnation = incarnation
         self._clock = clock
         self._events = events
@@ -108,7 +108,7 @@
         desired = find_desired(service, self._configuration.list_versions())
         if desired != self._desired:
             self._desired = desired
-            self._changed_at = self._configuration.offset
+            self._changed_at_offset = self._configuration.offset
         return desired
 
     def _reconcile(self, desired: DesiredState) -> Step:
@@ -124,7 +124,7 @@
             ),
             self._clock.now(),
             checks_fencing=self._checks_fencing,
-            changed_at=self._changed_at,
+            changed_at=self._changed_at_offset,
         )
 
     async def _confirm(self) -> Millis:
@@ -136,7 +136,7 @@
         if not self._engine.admission_suspended:
             # Nobody may start with the old weights while they are replaced.
             self._engine.suspend_admission()
-            with anyio.move_on_after(_START_WAIT / SECOND):
+            with anyio.move_on_after(_START_TIMEOUT / SECOND):
                 await self._wait_started()
             return
         if self._is_superseded():
@@ -146,9 +146,9 @@
         self._engine.observed = None
 
     def _log_refused(self, reason: str) -> None:
-        if reason != self._refused:
+        if reason != self._last_refusal:
             self._events.write(EventName.ORDER_REFUSED, reason=reason)
-        self._refused = reason
+        self._last_refusal = reason
 
     async def _send(self, order: Order) -> None:
         desired = order.desired
@@ -160,11 +160,11 @@
             'POST',
             '/orders',
             body=_encode(order),
-            headers=_JSON,
+            headers=_JSON_HEADERS,
             timeout=ORDER_TIMEOUT,
         )
         if status < _REDIRECT:
-            self._refused = ''
+            self._last_refusal = ''
             self._events.write(EventName.ORDER_DONE, **keys)
             return
         reason = 'fence' if status == _CONFLICT else 'failed'
--- a/src/oleanderdyke/agent/outbox.py
+++ b/src/oleanderdyke/agent/outbox.py
@@ -23,7 +23,7 @@
         self.peer: Hello = link.peer
         self._link = link
         self._queue: deque[Message] = deque()
-        self._more = anyio.Event()
+        self._queued = anyio.Event()
         self._flushing = False
 
     def put(self, message: Message) -> None:
@@ -31,7 +31,7 @@
         if self._link.closed:
             return
         self._queue.append(message)
-        self._more.set()
+        self._queued.set()
 
     async def push(self, messages: Iterable[Message]) -> None:
         """Queue messages and send them here, which spares a task switch."""
@@ -39,7 +39,7 @@
             return
         self._queue.extend(messages)
         if not self._flushing:
-            self._write()
+            self._write_available()
         if self._queue:
             await self.flush()
 
@@ -50,8 +50,8 @@
     async def run(self) -> None:
         """Send what is put until cancelled."""
         while True:
-            await self._more.wait()
-            self._more = anyio.Event()
+            await self._queued.wait()
+            self._queued = anyio.Event()
             await self.flush()
 
     async def flush(self) -> None:
@@ -69,7 +69,7 @@
         finally:
             self._flushing = False
 
-    def _write(self) -> None:
+    def _write_available(self) -> None:
         """Send what the link takes without a wait."""
         while self._queue:
             message = self._queue.popleft()
--- a/src/oleanderdyke/agent/peers.py
+++ b/src/oleanderdyke/agent/peers.py
@@ -32,7 +32,7 @@
 )
 Inbox: TypeAlias = MemoryObjectReceiveStream[StoreAnswer]
 
-_INBOX = 16
+_INBOX_SIZE = 16
 
 
 class StorePeer:
@@ -41,16 +41,16 @@
     def __init__(self, link: Link) -> None:
         self._link = link
         self._inboxes: dict[str, MemoryObjectSendStream[StoreAnswer]] = {}
-        self._numbers = count()
+        self._request_ids = count()
 
     @property
     def closed(self) -> bool:
         """Return whether the link is gone."""
         return self._link.closed
 
-    def make_request(self) -> str:
+    def make_request_id(self) -> str:
         """Return a request id that is new on this link."""
-        return f'{next(self._numbers)}'
+        return f'{next(self._request_ids)}'
 
     async def send(self, message: Message) -> None:
         """Send; raise LinkClosed."""
@@ -60,7 +60,7 @@
     async def listen(self, request: str) -> AsyncIterator[Inbox]:
         """Give the answers to one request; they end when the link does."""
         sender, receiver = anyio.create_memory_object_stream[StoreAnswer](
-            _INBOX
+            _INBOX_SIZE
         )
         self._inboxes[request] = sender
         try:
@@ -74,7 +74,7 @@
         """Read until the link closes."""
         try:
             while True:
-                await self._take(await self._link.receive())
+                await self._deliver(await self._link.receive())
         except LinkClosed:
             return
         finally:
@@ -83,7 +83,7 @@
             with anyio.CancelScope(shield=True):
                 await self._link.close()
 
-    async def _take(self, message: Message) -> None:
+    async def _deliver(self, message: Message) -> None:
         if not isinstance(message, StoreAnswer):
             return
         sender = self._inboxes.get(message.request)
--- a/src/oleanderdyke/agent/prepare.py
+++ b/src/oleanderdyke/agent/prepare.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from oleanderdyke.agent.backend import clean_headers
+from oleanderdyke.agent.backend import filter_request_headers
 from oleanderdyke.agent.engine import EngineView
 from oleanderdyke.agent.export import Exporter
 from oleanderdyke.agent.fetch import Fetcher
@@ -21,13 +21,13 @@
 from oleanderdyke.kernel.routing import BACKGROUND_PRIORITY, lower_priority
 from oleanderdyke.links.messages import Dispatch, FetchPlan, Headers
 
-_REQUEST_ID = 'x-request-id'
-_LENGTH = 'content-length'
-_JSON = ('content-type', 'application/json')
+_REQUEST_ID_HEADER = 'x-request-id'
+_CONTENT_LENGTH = 'content-length'
+_JSON_CONTENT_TYPE = ('content-type', 'application/json')
 
 
 @dataclass(frozen=True, slots=True)
-class Prepared:
+class PreparedRequest:
     """Hold what is sent to the backend server."""
 
     headers: Headers
@@ -37,26 +37,28 @@
 class Preparer(Protocol):
     """Prepare runs for one kind of backend server."""
 
-    async def prepare(self, run: Run) -> Prepared:
+    async def prepare(self, run: Run) -> PreparedRequest:
         """Return the request to send; raise OleanderError."""
 
-    def note_whole(self, run: Run) -> None:
+    def on_complete(self, run: Run) -> None:
         """Learn that the answer of a run came whole."""
 
 
 class PlainPreparer:
     """Pass requests of plain services on unchanged."""
 
-    async def prepare(self, run: Run) -> Prepared:
+    async def prepare(self, run: Run) -> PreparedRequest:
         """Stream a body that is still coming, unless a key claimed it."""
-        await run.body.wait_first()
+        await run.body.wait_first_chunk()
         headers = _make_headers(run.dispatch)
         if run.dispatch.claim is None and not run.body.ended:
-            return Prepared(headers, run.body.stream())
+            return PreparedRequest(headers, run.body.stream())
         body = await run.body.collect()
-        return Prepared(_drop(headers, _LENGTH), body or None)
+        return PreparedRequest(
+            _remove_headers(headers, _CONTENT_LENGTH), body or None
+        )
 
-    def note_whole(self, run: Run) -> None:
+    def on_complete(self, run: Run) -> None:
         """Learn nothing."""
 
 
@@ -80,7 +82,7 @@
         self._fetch_timeout = fetch_timeout
         self._short_tokens = short_tokens
 
-    async def prepare(self, run: Run) -> Prepared:
+    async def prepare(self, run: Run) -> PreparedRequest:
         """Fetch first, then check the weights again."""
         dispatch = run.dispatch
         body = await run.body.collect()
@@ -92,12 +94,15 @@
         if dispatch.background:
             priority = BACKGROUND_PRIORITY
         self._check_weights(dispatch)
-        headers = _drop(_make_headers(dispatch), _LENGTH, _JSON[0])
-        return Prepared(
-            (*headers, _JSON), _name_namespace(body, namespace, priority)
+        headers = _remove_headers(
+            _make_headers(dispatch), _CONTENT_LENGTH, _JSON_CONTENT_TYPE[0]
+        )
+        return PreparedRequest(
+            (*headers, _JSON_CONTENT_TYPE),
+            _set_cache_options(body, namespace, priority),
         )
 
-    def note_whole(self, run: Run) -> None:
+    def on_complete(self, run: Run) -> None:
         """Offer the complete segments to the store that should keep them."""
         dispatch = run.dispatch
         if self._engine.loaded.digest != dispatch.weight_digest:
@@ -118,7 +123,7 @@
         fetched = await self._fetcher.fetch(
             plan, namespace, step=step, request=run.dispatch.request
         )
-        run.link_bytes += fetched.length
+        run.link_bytes += fetched.link_bytes
         return fetched.segments
 
     def _find_priority(
@@ -133,13 +138,13 @@
         )
 
     def _check_weights(self, dispatch: Dispatch) -> None:
-        wanted = LoadedWeights(
+        expected = LoadedWeights(
             dispatch.model,
             dispatch.weight_version,
             dispatch.weight_digest,
             dispatch.adapter,
         )
-        if self._engine.loaded != wanted:
+        if self._engine.loaded != expected:
             raise OleanderError(
                 ErrorKind.WRONG_VERSION, 'the weights changed', ran=Ran.NO
             )
@@ -178,8 +183,10 @@
     return namespace
 
 
-def _name_namespace(body: bytes, namespace: Namespace, priority: int) -> bytes:
-    payload = _parse(body)
+def _set_cache_options(
+    body: bytes, namespace: Namespace, priority: int
+) -> bytes:
+    payload = _parse_body(body)
     payload['cache_salt'] = namespace.hex()
     payload['priority'] = priority
     if payload.get('stream'):
@@ -189,7 +196,7 @@
     return json.dumps(payload).encode()
 
 
-def _parse(body: bytes) -> dict[str, Any]:
+def _parse_body(body: bytes) -> dict[str, Any]:
     try:
         payload = json.loads(body)
     except ValueError as error:
@@ -206,11 +213,11 @@
 def _make_headers(dispatch: Dispatch) -> Headers:
     kept = (
         pair
-        for pair in clean_headers(dispatch.headers)
-        if pair[0].lower() != _REQUEST_ID
+        for pair in filter_request_headers(dispatch.headers)
+        if pair[0].lower() != _REQUEST_ID_HEADER
     )
-    return (*kept, (_REQUEST_ID, dispatch.request))
+    return (*kept, (_REQUEST_ID_HEADER, dispatch.request))
 
 
-def _drop(headers: Headers, *names: str) -> Headers:
+def _remove_headers(headers: Headers, *names: str) -> Headers:
     return tuple(pair for pair in headers if pair[0].lower() not in names)
--- a/src/oleanderdyke/agent/watch.py
+++ b/src/oleanderdyke/agent/process_watch.py
@@ -12,15 +12,15 @@
 from oleanderdyke.clock import SECOND, Clock, Millis
 from oleanderdyke.links.messages import BackendKind
 
-_SETTLE: Millis = 250.0
+_END_WINDOW: Millis = 250.0
 _READ_BYTES = 1024
 
 
-class Ending(enum.StrEnum):
+class ProcessStatus(enum.StrEnum):
     """Say what became of a process that broke off a connection."""
 
     ENDED = 'ended'
-    LIVES = 'lives'
+    ALIVE = 'lives'
     UNKNOWN = 'unknown'
 
 
@@ -35,7 +35,7 @@
     def __init__(self, settings: BackendSettings, *, clock: Clock) -> None:
         self._settings = settings
         self._clock = clock
-        self._held: anyio.CancelScope | None = None
+        self._held_scope: anyio.CancelScope | None = None
         self._ended_at: Millis | None = None
         self._changed = anyio.Event()
 
@@ -44,39 +44,43 @@
         if self._settings.kind is BackendKind.PLAIN:
             return
         while True:
-            await self._hold()
+            await self._hold_connection()
             await anyio.sleep(self._settings.probe_interval / SECOND)
 
     def has_ended(self) -> bool:
         """Return whether the process ended just now."""
         ended_at = self._ended_at
         return ended_at is not None and (
-            self._clock.now() - ended_at <= _SETTLE
+            self._clock.now() - ended_at <= _END_WINDOW
         )
 
-    async def judge(self) -> Ending:
+    async def diagnose(self) -> ProcessStatus:
         """Tell, once a run's connection broke, whether the process ended."""
-        if self._held is not None and not self.has_ended():
-            with anyio.move_on_after(_SETTLE / SECOND):
+        if self._held_scope is not None and not self.has_ended():
+            with anyio.move_on_after(_END_WINDOW / SECOND):
                 await self._changed.wait()
         if self.has_ended():
-            return Ending.ENDED
-        return Ending.UNKNOWN if self._held is None else Ending.LIVES
+            return ProcessStatus.ENDED
+        return (
+            ProcessStatus.UNKNOWN
+            if self._held_scope is None
+            else ProcessStatus.ALIVE
+        )
 
-    def renew(self) -> None:
+    def reset(self) -> None:
         """Forget what was held or ended; a server was lost."""
         self._ended_at = None
-        if self._held is not None:
-            self._held.cancel()
+        if self._held_scope is not None:
+            self._held_scope.cancel()
 
-    async def _hold(self) -> None:
+    async def _hold_connection(self) -> None:
         stream = await self._connect()
         if stream is None:
             return
-        with anyio.CancelScope() as self._held:
+        with anyio.CancelScope() as self._held_scope:
             await _wait_end(stream)
             self._ended_at = self._clock.now()
-        self._held = None
+        self._held_scope = None
         self._changed.set()
         self._changed = anyio.Event()
         await anyio.aclose_forcefully(stream)
--- a/src/oleanderdyke/agent/readers.py
+++ b/src/oleanderdyke/agent/readers.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Mapping, Sequence
 
-from oleanderdyke.agent.failures import make_gone
+from oleanderdyke.agent.failures import make_unread_failure
 from oleanderdyke.agent.outbox import Outbox
 from oleanderdyke.agent.run import Run
 from oleanderdyke.clock import Clock
@@ -53,7 +53,7 @@
         if buffer is None:
             return
         self.send(reader, buffer.grant(credit, self._clock.now()))
-        self._note_progress(buffer)
+        self._update_progress(buffer)
 
     def resume(self, outbox: Outbox, message: Resume) -> None:
         """Give a stream to a new reader."""
@@ -75,7 +75,7 @@
             attempt=message.attempt,
             peer=outbox.peer.process,
         )
-        self._note_progress(resumed.stream)
+        self._update_progress(resumed.stream)
 
     def drop_link(self, link: str) -> None:
         """Keep the streams of a lost link for a while."""
@@ -90,12 +90,12 @@
             run = self._runs.pop(buffer, None)
             if reader is not None:
                 self._buffers.pop(reader, None)
-                self.send(reader, (make_gone(reader),))
+                self.send(reader, (make_unread_failure(reader),))
             if run is not None:
                 run.buffer = None
                 yield run
 
-    def drop_stream(self, run: Run) -> None:
+    def close_stream(self, run: Run) -> None:
         """End the stream of a run and wake what waits for it."""
         buffer = run.buffer
         run.buffer = None
@@ -106,7 +106,7 @@
                 self._buffers.pop(buffer.reader, None)
         run.notify()
 
-    def forget(self, run: Run) -> None:
+    def remove(self, run: Run) -> None:
         """Let go of a run; its stream is sent or stays for a new reader."""
         if run.buffer is not None:
             self._runs.pop(run.buffer, None)
@@ -125,7 +125,7 @@
         if outbox is not None:
             await outbox.push(messages)
 
-    def _note_progress(self, buffer: StreamBuffer) -> None:
+    def _update_progress(self, buffer: StreamBuffer) -> None:
         if buffer.is_sent and buffer.reader is not None:
             self._buffers.pop(buffer.reader, None)
         run = self._runs.get(buffer)
--- a/src/oleanderdyke/agent/roles.py
+++ b/src/oleanderdyke/agent/roles.py
@@ -37,11 +37,11 @@
 from oleanderdyke.policies import keeping  # noqa: F401 - registers itself
 from oleanderdyke.policies.registries import KEEPERS
 
-Loop: TypeAlias = Callable[[], Coroutine[Any, Any, None]]
+BackgroundLoop: TypeAlias = Callable[[], Coroutine[Any, Any, None]]
 
 
 @dataclass(frozen=True, slots=True)
-class RoleParts:
+class RoleDependencies:
     """Hold what every role may use."""
 
     backend: Backend
@@ -63,7 +63,7 @@
 
     preparer: Preparer
     segments: SegmentLog
-    loops: Sequence[Loop]
+    background_loops: Sequence[BackgroundLoop]
 
     @property
     def loaded(self) -> LoadedWeights:
@@ -100,12 +100,14 @@
 class PlainRole:
     """Guard a plain service."""
 
-    def __init__(self, settings: AgentSettings, parts: RoleParts) -> None:
+    def __init__(
+        self, settings: AgentSettings, dependencies: RoleDependencies
+    ) -> None:
         self.preparer: Preparer = PlainPreparer()
         self.segments = SegmentLog()
-        self.loops: Sequence[Loop] = ()
-        self._backend = parts.backend
-        self._gate = parts.gate
+        self.background_loops: Sequence[BackgroundLoop] = ()
+        self._backend = dependencies.backend
+        self._gate = dependencies.gate
         self._slots = settings.backend.slots
 
     @property
@@ -161,37 +163,39 @@
 class EngineRole(PlainRole):
     """Guard a model engine."""
 
-    def __init__(self, settings: AgentSettings, parts: RoleParts) -> None:
-        super().__init__(settings, parts)
+    def __init__(
+        self, settings: AgentSettings, dependencies: RoleDependencies
+    ) -> None:
+        super().__init__(settings, dependencies)
         cache = settings.cache
         self._engine = EngineView(
-            parts.backend,
-            clock=parts.clock,
-            events=parts.events,
+            dependencies.backend,
+            clock=dependencies.clock,
+            events=dependencies.events,
             on_loaded=self._on_loaded,
         )
         peers = StorePeers(
-            parts.make_hello,
+            dependencies.make_hello,
             settings=settings.links,
-            clock=parts.clock,
-            tasks=parts.tasks,
-            tls=parts.client_tls,
+            clock=dependencies.clock,
+            tasks=dependencies.tasks,
+            tls=dependencies.client_tls,
         )
         fetcher = Fetcher(
             peers,
-            parts.backend,
-            tasks=parts.tasks,
-            events=parts.events,
+            dependencies.backend,
+            tasks=dependencies.tasks,
+            events=dependencies.events,
             timeout=cache.fetch_timeout,
             segment_limit=cache.segment_limit,
         )
         self._exporter = Exporter(
             peers,
-            parts.backend,
+            dependencies.backend,
             fetcher,
             settings=cache,
-            clock=parts.clock,
-            events=parts.events,
+            clock=dependencies.clock,
+            events=dependencies.events,
         )
         self.preparer = EnginePreparer(
             self._engine,
@@ -202,19 +206,19 @@
             short_tokens=settings.policies.short_tokens,
         )
         orders = OrderLoop(
-            parts.backend,
+            dependencies.backend,
             self._engine,
-            parts.configuration,
+            dependencies.configuration,
             service=settings.backend.service,
             checks_fencing=settings.backend.checks_fencing,
-            incarnation=parts.incarnation,
-            clock=parts.clock,
-            events=parts.events,
-            wait_started=parts.runs.wait_started,
-            is_superseded=parts.is_superseded,
+            incarnation=dependencies.incarnation,
+            clock=dependencies.clock,
+            events=dependencies.events,
+            wait_started=dependencies.runs.wait_started,
+            is_superseded=dependencies.is_superseded,
         )
         self.segments = self._engine.segments
-        self.loops = (orders.run, self._exporter.run)
+        self.background_loops = (orders.run, self._exporter.run)
 
     @property
     def loaded(self) -> LoadedWeights:
@@ -233,31 +237,35 @@
     def close(self) -> None:
         """Forget what the lost engine held."""
         self._engine.reset()
-        self._exporter.forget()
+        self._exporter.clear()
 
     def _on_loaded(self, loaded: LoadedWeights) -> None:
         self._gate.set_loaded(loaded)
-        self._exporter.forget()
+        self._exporter.clear()
 
 
 class StoreRole(PlainRole):
     """Guard a store VM."""
 
-    def __init__(self, settings: AgentSettings, parts: RoleParts) -> None:
-        super().__init__(settings, parts)
-        make_keeper = KEEPERS.find(settings.keeper)
+    def __init__(
+        self, settings: AgentSettings, dependencies: RoleDependencies
+    ) -> None:
+        super().__init__(settings, dependencies)
+        make_retention_policy = KEEPERS.find(settings.keeper)
         self._store = StoreShell(
-            parts.backend,
+            dependencies.backend,
             settings=settings.cache,
-            make_keeper=lambda: make_keeper(settings.policies),
-            incarnation=parts.incarnation,
-            clock=parts.clock,
-            random=parts.random,
-            tasks=parts.tasks,
-            events=parts.events,
+            make_retention_policy=lambda: make_retention_policy(
+                settings.policies
+            ),
+            incarnation=dependencies.incarnation,
+            clock=dependencies.clock,
+            random=dependencies.random,
+            tasks=dependencies.tasks,
+            events=dependencies.events,
         )
         self.segments = self._store.segments
-        self.loops = (self._store.run,)
+        self.background_loops = (self._store.run,)
 
     def measure(self) -> Load:
         """Report readers and the link."""
@@ -296,11 +304,11 @@
         self._store.drop_link(link)
 
 
-def make_role(settings: AgentSettings, parts: RoleParts) -> Role:
+def make_role(settings: AgentSettings, dependencies: RoleDependencies) -> Role:
     """Build the role for the kind of backend server."""
     kind = settings.backend.kind
     if kind is BackendKind.ENGINE:
-        return EngineRole(settings, parts)
+        return EngineRole(settings, dependencies)
     if kind is BackendKind.STORE:
-        return StoreRole(settings, parts)
-    return PlainRole(settings, parts)
+        return StoreRole(settings, dependencies)
+    return PlainRole(settings, dependencies)
--- a/src/oleanderdyke/agent/routing.py
+++ b/src/oleanderdyke/agent/routing.py
@@ -9,11 +9,11 @@
 
 from oleanderdyke.agent.configuration import Configuration
 from oleanderdyke.agent.heartbeats import HeartbeatSender
-from oleanderdyke.agent.leave_orders import LeaveOrders
 from oleanderdyke.agent.outbox import Outbox
 from oleanderdyke.agent.readers import Readers
 from oleanderdyke.agent.roles import Role
 from oleanderdyke.agent.runs import Runs
+from oleanderdyke.agent.stop_requests import StopRequests
 from oleanderdyke.clock import Clock
 from oleanderdyke.errors import ErrorKind
 from oleanderdyke.events import EventName
@@ -55,18 +55,18 @@
         runs: Runs,
         readers: Readers,
         role: Role,
-        beats: HeartbeatSender,
+        heartbeats: HeartbeatSender,
         gate: Gate,
         configuration: Configuration,
         quarantine: Quarantine,
-        leave_orders: LeaveOrders,
+        stop_requests: StopRequests,
         clock: Clock,
         events: EventLog,
         tasks: TaskGroup,
     ) -> None:
         self._runs = runs
         self._role = role
-        self._beats = beats
+        self._heartbeats = heartbeats
         self._gate = gate
         self._configuration = configuration
         self._quarantine = quarantine
@@ -74,7 +74,7 @@
         self._events = events
         self._tasks = tasks
         self._handlers: dict[type[Any], _Handler] = {
-            EntryBeat: self._on_beat,
+            EntryBeat: self._on_entry_beat,
             ConfigurationRequest: self._on_configuration_request,
             ConfigurationDifference: configuration.on_difference,
             SegmentListRequest: self._on_list_request,
@@ -87,8 +87,8 @@
             SegmentRead: role.on_read,
             SegmentWrite: role.on_write,
             SegmentPart: role.on_part,
-            DrainRequest: leave_orders.drain,
-            Superseded: leave_orders.supersede,
+            DrainRequest: stop_requests.on_drain_request,
+            Superseded: stop_requests.on_superseded,
         }
 
     def route(self, outbox: Outbox, message: Message) -> None:
@@ -106,7 +106,7 @@
         )
         outbox.put(Refused(ErrorKind.PROTOCOL, 'not for an agent'))
 
-    def _on_beat(self, outbox: Outbox, message: EntryBeat) -> None:
+    def _on_entry_beat(self, outbox: Outbox, message: EntryBeat) -> None:
         self._configuration.on_peer_offset(outbox, message.offset)
         self._quarantine.merge(
             message.quarantined, message.suspects, self._clock.now()
@@ -128,7 +128,7 @@
     def _on_list_request(
         self, outbox: Outbox, message: SegmentListRequest
     ) -> None:
-        self._beats.send_segments(outbox, message.after)
+        self._heartbeats.send_segments(outbox, message.after)
 
     def _on_cancel(self, outbox: Outbox, message: Cancel) -> None:
         self._role.stop_read(outbox, message.request)
--- a/src/oleanderdyke/agent/run.py
+++ b/src/oleanderdyke/agent/run.py
@@ -20,9 +20,9 @@
 
 RunKey: TypeAlias = tuple[str, int]
 
-_TAIL = 4 * 1024
-_PROMPT = re.compile(rb'"prompt_tokens"\s*:\s*(\d+)')
-_CACHED = re.compile(rb'"cached_tokens"\s*:\s*(\d+)')
+_TAIL_BYTES = 4 * 1024
+_PROMPT_TOKENS = re.compile(rb'"prompt_tokens"\s*:\s*(\d+)')
+_CACHED_TOKENS = re.compile(rb'"cached_tokens"\s*:\s*(\d+)')
 
 
 @dataclass(slots=True)
@@ -64,7 +64,7 @@
         return f'{self.dispatch.request}/{self.dispatch.attempt}'
 
     @property
-    def is_droppable(self) -> bool:
+    def is_cancellable(self) -> bool:
         """Return whether a run that nobody waits for may be cancelled."""
         return self.dispatch.idempotent and self.dispatch.claim is None
 
@@ -75,21 +75,21 @@
             return self.buffer.reader
         return Reader(self.outbox.name, *self.key)
 
-    def take(self, data: bytes) -> None:
+    def add_data(self, data: bytes) -> None:
         """Count answer data, and record it for the key that claimed it."""
         self.length += len(data)
         self.chunks += 1
-        self.tail = (self.tail + data)[-_TAIL:]
+        self.tail = (self.tail + data)[-_TAIL_BYTES:]
         if self.record is None:
             return
         self.record += data
         if len(self.record) > self.record_limit:
             self.record = None
 
-    def sum_up(self) -> AnswerTotals:
+    def make_totals(self) -> AnswerTotals:
         """Read the token counts from the end of an engine's answer."""
-        prompt = _find_last(_PROMPT, self.tail)
-        cached = _find_last(_CACHED, self.tail)
+        prompt = _find_last_number(_PROMPT_TOKENS, self.tail)
+        cached = _find_last_number(_CACHED_TOKENS, self.tail)
         return AnswerTotals(
             recomputed_tokens=max(0, prompt - cached),
             prompt_tokens=prompt,
@@ -106,6 +106,6 @@
         await self.changed.wait()
 
 
-def _find_last(pattern: re.Pattern[bytes], data: bytes) -> int:
+def _find_last_number(pattern: re.Pattern[bytes], data: bytes) -> int:
     found = pattern.findall(data)
     return int(found[-1]) if found else 0
--- a/src/oleanderdyke/agent/runs.py
+++ b/src/oleanderdyke/agent/runs.py
@@ -10,19 +10,19 @@
 
 from oleanderdyke.agent.body import RequestBody
 from oleanderdyke.agent.failures import (
-    address,
-    check_replaced,
-    find_ran,
-    make_broken,
-    make_late,
+    address_to_reader,
+    check_not_replaced,
+    classify_ran,
+    make_broken_answer_error,
+    make_deadline_error,
     may_have_run,
 )
 from oleanderdyke.agent.forward import Forwarder
 from oleanderdyke.agent.outbox import Outbox
+from oleanderdyke.agent.process_watch import ProcessStatus
 from oleanderdyke.agent.readers import Readers
 from oleanderdyke.agent.run import Run, RunKey
 from oleanderdyke.agent.settings import RunSettings
-from oleanderdyke.agent.watch import Ending
 from oleanderdyke.clients.http import HttpError
 from oleanderdyke.clock import SECOND, Clock
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
@@ -64,7 +64,7 @@
         tasks: TaskGroup,
         events: EventLog,
         work_tracker: WorkTracker,
-        diagnose_loss: Callable[[], Awaitable[Ending]],
+        diagnose_loss: Callable[[], Awaitable[ProcessStatus]],
         has_ended: Callable[[], bool],
         report_suspects: Callable[[], None],
     ) -> None:
@@ -150,25 +150,25 @@
             if run.outbox.name != link:
                 continue
             run.body.fail()
-            if run.buffer is None and run.is_droppable:
+            if run.buffer is None and run.is_cancellable:
                 self._abandon(run, cancel=True)
 
     def expire(self) -> None:
         """End the streams that nobody has come back for."""
         for run in self._readers.expire():
-            self._abandon(run, cancel=run.is_droppable)
+            self._abandon(run, cancel=run.is_cancellable)
 
     def end_lost_runs(self) -> tuple[tuple[Reader, Failed], ...]:
         """End what ran on the lost backend server; return what to tell whom."""
-        told = []
+        failures = []
         for failed in self._gate.finish_crashed(self._clock.now()):
             run = self._runs.get((failed.request, failed.attempt))
             if run is None:
                 continue
-            told.append((run.reader, address(failed, run.reader)))
+            failures.append((run.reader, address_to_reader(failed, run.reader)))
             self._log_suspect(run)
-            self._end_unanswered(run, failed.kind)
-        return tuple(told)
+            self._break_stream(run, failed.kind)
+        return tuple(failures)
 
     def cut(self, work_ids: Iterable[str]) -> None:
         """Cut off what a planned stop can't wait for."""
@@ -188,11 +188,11 @@
         while any(not run.started for run in self._runs.values()):
             await self._progress.wait()
 
-    def check(self, status: int) -> None:
+    def check_status(self, status: int) -> None:
         """Raise HttpError for the refusal of a server that was replaced."""
-        check_replaced(status, ended=self._has_ended())
+        check_not_replaced(status, ended=self._has_ended())
 
-    def note_progress(self) -> None:
+    def notify_progress(self) -> None:
         """Note that a run has begun to answer or has ended."""
         self._progress.set()
         self._progress = anyio.Event()
@@ -214,7 +214,7 @@
             await self._run(run)
             await self._deliver(run)
         finally:
-            self._forget(run)
+            self._remove(run)
 
     async def _run(self, run: Run) -> None:
         try:
@@ -226,10 +226,10 @@
                 self._finish(run, answer)
                 return
         except OleanderError as error:
-            await self._fail(run, error)
+            await self._handle_error(run, error)
             return
         if not run.stopped:
-            self._stop(run, make_late(run))
+            self._stop(run, make_deadline_error(run))
 
     def _find_deadline(self, run: Run) -> float:
         bound = self._settings.limit
@@ -245,7 +245,7 @@
         while run.buffer is not None and not run.buffer.is_sent:
             await run.wait_changed()
 
-    async def _fail(self, run: Run, error: OleanderError) -> None:
+    async def _handle_error(self, run: Run, error: OleanderError) -> None:
         if not isinstance(error, HttpError) or run.stopped:
             self._stop(run, error)
             return
@@ -254,13 +254,13 @@
         if not may_have_run(run, error):
             self._stop(run, error)
             return
-        if ending is Ending.LIVES:
-            self._stop(run, make_broken())
+        if ending is ProcessStatus.ALIVE:
+            self._stop(run, make_broken_answer_error())
             return
-        self._suspect(run)
+        self._mark_suspect(run)
         self._stop(run, error)
 
-    def _suspect(self, run: Run) -> None:
+    def _mark_suspect(self, run: Run) -> None:
         self._gate.finish_disconnected(*run.key, self._clock.now())
         self._log_suspect(run)
         # Whoever learns of the lost run must know its suspect before.
@@ -284,17 +284,17 @@
         if run.stopped:
             return
         reader = run.reader
-        ran = find_ran(run, error)
+        ran = classify_ran(run, error)
         if ran is Ran.NO:
             self._gate.finish_unsent(*run.key)
         self._gate.finish(*run.key, None, served=False)
-        self._end_unanswered(run, error.kind)
+        self._break_stream(run, error.kind)
         failed = Failed(*run.key, error.kind, ran, error.message)
-        self.send(reader, (address(failed, reader),))
+        self.send(reader, (address_to_reader(failed, reader),))
 
-    def _end_unanswered(self, run: Run, kind: ErrorKind) -> None:
+    def _break_stream(self, run: Run, kind: ErrorKind) -> None:
         run.stopped = True
-        self._readers.drop_stream(run)
+        self._readers.close_stream(run)
         run.scope.cancel()
         self._events.write(
             EventName.ANSWER_BROKEN,
@@ -305,18 +305,18 @@
 
     def _abandon(self, run: Run, *, cancel: bool) -> None:
         run.discarded = True
-        self._readers.drop_stream(run)
+        self._readers.close_stream(run)
         if cancel and not run.stopped:
             run.stopped = True
             self._gate.finish(*run.key, None, served=False)
             run.scope.cancel()
 
-    def _forget(self, run: Run) -> None:
+    def _remove(self, run: Run) -> None:
         self._runs.pop(run.key, None)
         self._body_bytes -= run.body.received
-        self._readers.forget(run)
+        self._readers.remove(run)
         self._work_tracker.end_work(run.work_id)
-        self.note_progress()
+        self.notify_progress()
 
     def _check_body_bytes(self) -> None:
         if self._body_bytes > self._settings.body_bytes:
--- a/src/oleanderdyke/agent/shell.py
+++ b/src/oleanderdyke/agent/shell.py
@@ -17,15 +17,15 @@
 from oleanderdyke.agent.forward import Forwarder
 from oleanderdyke.agent.health import Health
 from oleanderdyke.agent.heartbeats import HeartbeatSender
-from oleanderdyke.agent.leave_orders import LeaveOrders
 from oleanderdyke.agent.outbox import Outbox
+from oleanderdyke.agent.process_watch import ProcessStatus, ProcessWatch
 from oleanderdyke.agent.readers import Readers
-from oleanderdyke.agent.roles import Loop, RoleParts, make_role
+from oleanderdyke.agent.roles import BackgroundLoop, RoleDependencies, make_role
 from oleanderdyke.agent.roles import Role as AgentRole
 from oleanderdyke.agent.routing import Router
 from oleanderdyke.agent.runs import Runs
 from oleanderdyke.agent.settings import AgentSettings
-from oleanderdyke.agent.watch import Ending, ProcessWatch
+from oleanderdyke.agent.stop_requests import StopRequests
 from oleanderdyke.clock import SECOND, Clock, Millis
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.drain import make_agent_drain
@@ -46,7 +46,7 @@
 from oleanderdyke.logs import EventLog
 
 _INCARNATION_BYTES = 8
-_EXPIRY: Millis = SECOND
+_EXPIRY_INTERVAL: Millis = SECOND
 
 
 class AgentShell:
@@ -72,7 +72,7 @@
         self._outboxes: dict[str, Outbox] = {}
         self._link_numbers = count(1)
         self._backend = Backend(settings.backend)
-        self._watch = ProcessWatch(settings.backend, clock=clock)
+        self._process_watch = ProcessWatch(settings.backend, clock=clock)
         self._quarantine = make_quarantine(QuarantineSettings())
         self._configuration = Configuration(
             clock=clock, random=random, events=events
@@ -97,7 +97,7 @@
             announce=self._announce,
             cut=self._cut_off,
         )
-        self._leave_orders = LeaveOrders(
+        self._stop_requests = StopRequests(
             settings.process,
             self.incarnation,
             self._drain_runner,
@@ -113,8 +113,8 @@
             events=events,
             work_tracker=self._drain_runner,
             diagnose_loss=self._diagnose_loss,
-            has_ended=self._watch.has_ended,
-            report_suspects=lambda: self._beats.send(),  # noqa: PLW0108 - made later
+            has_ended=self._process_watch.has_ended,
+            report_suspects=lambda: self._heartbeats.send(),  # noqa: PLW0108 - made later
         )
         self._role = self._make_role(random, client_tls)
         self._runs.set_forwarder(
@@ -134,7 +134,7 @@
             on_up=self._on_up,
             on_lost=self._on_lost,
         )
-        self._beats = HeartbeatSender(
+        self._heartbeats = HeartbeatSender(
             self.incarnation,
             self._outboxes,
             gate=self._gate,
@@ -147,11 +147,11 @@
             runs=self._runs,
             readers=self._readers,
             role=self._role,
-            beats=self._beats,
+            heartbeats=self._heartbeats,
             gate=self._gate,
             configuration=self._configuration,
             quarantine=self._quarantine,
-            leave_orders=self._leave_orders,
+            stop_requests=self._stop_requests,
             clock=clock,
             events=events,
             tasks=tasks,
@@ -160,14 +160,14 @@
 
     async def run(self, *, started: Callable[[], None] | None = None) -> None:
         """Serve until the drain is over."""
-        loops: Sequence[Loop] = (
+        background_loops: Sequence[BackgroundLoop] = (
             self._health.run,
-            self._watch.run,
-            self._run_beats,
+            self._process_watch.run,
+            self._run_heartbeats,
             self._run_expiry,
-            *self._role.loops,
+            *self._role.background_loops,
         )
-        for loop in loops:
+        for loop in background_loops:
             self._tasks.start_soon(loop)
         async with serve_links(
             self._settings.listen.host,
@@ -186,7 +186,7 @@
             if started is not None:
                 started()
             await self._drain_runner.wait()
-            await self._say_farewell()
+            await self._flush_outboxes()
         await self._backend.close()
 
     def stop(self, signal: str) -> None:
@@ -211,7 +211,7 @@
     ) -> AgentRole:
         return make_role(
             self._settings,
-            RoleParts(
+            RoleDependencies(
                 backend=self._backend,
                 configuration=self._configuration,
                 gate=self._gate,
@@ -222,7 +222,7 @@
                 tasks=self._tasks,
                 incarnation=self.incarnation,
                 make_hello=self._make_hello,
-                is_superseded=self._leave_orders.is_superseded,
+                is_superseded=self._stop_requests.is_superseded,
                 client_tls=client_tls,
             ),
         )
@@ -230,11 +230,11 @@
     async def _handle(self, link: Link) -> None:
         outbox = Outbox(f'{next(self._link_numbers)}', link)
         self._outboxes[outbox.name] = outbox
-        self._note_link(outbox, EventName.LINK_UP)
+        self._log_link(outbox, EventName.LINK_UP)
         if link.peer.role is Role.ENTRY:
             self._configuration.add_entry(outbox)
         self._configuration.on_peer_offset(outbox, link.peer.offset)
-        self._beats.send_initial_state(outbox)
+        self._heartbeats.send_initial_state(outbox)
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(outbox.run)
@@ -256,57 +256,57 @@
         self._runs.drop_link(outbox.name)
         self._role.drop_link(outbox.name)
         self._configuration.drop_link(outbox.name)
-        self._note_link(outbox, EventName.LINK_DOWN)
+        self._log_link(outbox, EventName.LINK_DOWN)
 
-    def _note_link(self, outbox: Outbox, event: EventName) -> None:
+    def _log_link(self, outbox: Outbox, event: EventName) -> None:
         peer = outbox.peer
         self._events.write(
             event, peer=peer.process, incarnation=peer.incarnation
         )
 
-    async def _diagnose_loss(self) -> Ending:
-        ending = await self._watch.judge()
-        if ending is Ending.ENDED:
-            await self._health.lose()
+    async def _diagnose_loss(self) -> ProcessStatus:
+        ending = await self._process_watch.diagnose()
+        if ending is ProcessStatus.ENDED:
+            await self._health.mark_lost()
         await self._health.check()
         return ending
 
     async def _on_up(self) -> None:
         await self._role.open()
-        self._beats.set_phase(AgentPhase.SERVING)
+        self._heartbeats.set_phase(AgentPhase.SERVING)
         self._events.write(EventName.BACKEND_UP)
-        self._beats.send()
+        self._heartbeats.send()
 
     async def _on_lost(self) -> None:
         self._events.write(EventName.BACKEND_LOST)
-        self._beats.set_phase(AgentPhase.STARTING)
-        told = self._runs.end_lost_runs()
-        self._watch.renew()
+        self._heartbeats.set_phase(AgentPhase.STARTING)
+        failures = self._runs.end_lost_runs()
+        self._process_watch.reset()
         self._role.close()
         # Whoever learns of a lost run must know its suspects before.
-        self._beats.send()
-        for reader, failed in told:
+        self._heartbeats.send()
+        for reader, failed in failures:
             self._runs.send(reader, (failed,))
 
-    async def _run_beats(self) -> None:
+    async def _run_heartbeats(self) -> None:
         while True:
             await anyio.sleep(self._settings.beat / SECOND)
-            self._beats.send()
+            self._heartbeats.send()
 
     async def _run_expiry(self) -> None:
         while True:
-            await anyio.sleep(_EXPIRY / SECOND)
+            await anyio.sleep(_EXPIRY_INTERVAL / SECOND)
             self._runs.expire()
 
     def _announce(self) -> None:
-        self._beats.set_phase(AgentPhase.LEAVING)
-        self._beats.send()
+        self._heartbeats.set_phase(AgentPhase.LEAVING)
+        self._heartbeats.send()
 
     def _cut_off(self, work_ids: Sequence[str]) -> None:
         self._runs.cut(work_ids)
 
-    async def _say_farewell(self) -> None:
-        with anyio.move_on_after(_EXPIRY / SECOND):
+    async def _flush_outboxes(self) -> None:
+        with anyio.move_on_after(_EXPIRY_INTERVAL / SECOND):
             for outbox in tuple(self._outboxes.values()):
                 await outbox.flush()
         self._events.write(EventName.PROCESS_STOPPED)
--- a/src/oleanderdyke/agent/leave_orders.py
+++ b/src/oleanderdyke/agent/stop_requests.py
@@ -9,7 +9,7 @@
 from oleanderdyke.logs import EventLog
 
 
-class LeaveOrders:
+class StopRequests:
     """Start the departure of one incarnation at another's word."""
 
     def __init__(
@@ -30,14 +30,14 @@
         """Return whether a newer incarnation guards the server now."""
         return self._superseded
 
-    def drain(self, _outbox: Outbox, message: DrainRequest) -> None:
+    def on_drain_request(self, _outbox: Outbox, message: DrainRequest) -> None:
         """Leave because an operator asked for it."""
         if self._drain_runner.is_leaving:
             return
         self._events.write(EventName.DRAIN_STARTED, operator=message.operator)
         self._drain_runner.signal()
 
-    def supersede(self, outbox: Outbox, message: Superseded) -> None:
+    def on_superseded(self, outbox: Outbox, message: Superseded) -> None:
         """Leave for good; a newer incarnation guards the server now."""
         own = (self._process, self._incarnation)
         if (message.process, message.incarnation) != own:
--- a/src/oleanderdyke/agent/store.py
+++ b/src/oleanderdyke/agent/store.py
@@ -11,10 +11,10 @@
 from anyio.abc import TaskGroup
 
 from oleanderdyke.agent.backend import Backend
+from oleanderdyke.agent.link_scheduler import LinkScheduler
 from oleanderdyke.agent.outbox import Outbox
 from oleanderdyke.agent.settings import CacheSettings
 from oleanderdyke.agent.store_reads import StoreReads
-from oleanderdyke.agent.turns import LinkTurns
 from oleanderdyke.clock import SECOND, Clock
 from oleanderdyke.errors import OleanderError
 from oleanderdyke.events import EventName
@@ -43,10 +43,10 @@
 )
 from oleanderdyke.logs import EventLog
 
-_META_LIMIT = 64 * 1024
-_FULL = 507
+_META_LIMIT_BYTES = 64 * 1024
+_INSUFFICIENT_STORAGE = 507
 _REDIRECT = 300
-_SWEEP = 1 * SECOND
+_SWEEP_INTERVAL = 1 * SECOND
 
 
 class StoreShell:
@@ -60,7 +60,7 @@
         backend: Backend,
         *,
         settings: CacheSettings,
-        make_keeper: Callable[[], RetentionPolicy],
+        make_retention_policy: Callable[[], RetentionPolicy],
         incarnation: str,
         clock: Clock,
         random: Random,
@@ -69,24 +69,24 @@
     ) -> None:
         self._backend = backend
         self._settings = settings
-        self._make_keeper = make_keeper
+        self._make_retention_policy = make_retention_policy
         self._incarnation = incarnation
         self._clock = clock
         self._random = random
         self._tasks = tasks
         self._events = events
         self._index: StoreIndex | None = None
-        self._writing: dict[str, bytearray] = {}
-        self._names: dict[str, str] = {}
-        self._waiting: dict[str, tuple[Outbox, SegmentWrite]] = {}
+        self._write_buffers: dict[str, bytearray] = {}
+        self._object_names: dict[str, str] = {}
+        self._pending_writes: dict[str, tuple[Outbox, SegmentWrite]] = {}
         self._deleting = anyio.Lock()
-        self._doomed: deque[str] = deque()
+        self._pending_deletions: deque[str] = deque()
         self._rebuilds = 0
-        self._turns = LinkTurns(clock)
+        self._scheduler = LinkScheduler(clock)
         self._meter = LinkMeter(0.0)
         self._reads = StoreReads(
             backend,
-            turns=self._turns,
+            scheduler=self._scheduler,
             meter=self._meter,
             settings=settings,
             clock=clock,
@@ -97,20 +97,20 @@
     async def open(self) -> None:
         """Show what the store has kept whole; raise OleanderError."""
         space = await self._backend.get_json('/space')
-        self._note_rate(float(space['link_bytes_per_second']))
+        self._set_rate(float(space['link_bytes_per_second']))
         self._rebuilds += 1
         index = StoreIndex(
             StoreLimits(
                 capacity_bytes=int(space['capacity']),
                 writes=self._settings.writes,
             ),
-            self._make_keeper(),
+            self._make_retention_policy(),
             f'{self._incarnation}-{self._rebuilds}',
             self._random,
         )
         self.segments.replace(())
         index.log = self.segments
-        await self._readmit(index)
+        await self._restore_objects(index)
         self._index = index
         self._reads.set_index(index)
         await self._delete()
@@ -120,10 +120,12 @@
         self._index = None
         self._reads.set_index(None)
         self.segments.replace(())
-        self._writing.clear()
-        self._names.clear()
-        for request in tuple(self._waiting):
-            self._answer(request, sealed=False, detail=WriteRefusal.STOPPED)
+        self._write_buffers.clear()
+        self._object_names.clear()
+        for request in tuple(self._pending_writes):
+            self._send_result(
+                request, sealed=False, detail=WriteRefusal.STOPPED
+            )
 
     def measure(self) -> Load:
         """Return the load to report."""
@@ -148,33 +150,35 @@
     def offer(self, outbox: Outbox, message: SegmentWrite) -> None:
         """Answer an offered segment."""
         request = f'{outbox.name}/{message.request}'
-        self._waiting[request] = (outbox, message)
+        self._pending_writes[request] = (outbox, message)
         index = self._index
         if index is None:
-            self._answer(request, sealed=False, detail=WriteRefusal.STOPPED)
+            self._send_result(
+                request, sealed=False, detail=WriteRefusal.STOPPED
+            )
             return
         now = self._clock.now()
         match index.begin(replace(message, request=request), now):
             case WriteBegun(object_name=name):
-                self._writing[request] = bytearray()
-                self._names[request] = name
-                self._tasks.start_soon(self._invite, request, message)
+                self._write_buffers[request] = bytearray()
+                self._object_names[request] = name
+                self._tasks.start_soon(self._request_data, request, message)
             case WriteJoined():
                 return
             case WritePresent():
-                self._answer(request, sealed=True, detail='present')
+                self._send_result(request, sealed=True, detail='present')
             case WriteFailed(reason=reason):
-                self._answer(request, sealed=False, detail=reason)
+                self._send_result(request, sealed=False, detail=reason)
 
     def add_part(self, link: str, part: SegmentPart) -> None:
         """Take a part of a segment that was invited."""
         request = f'{link}/{part.request}'
         index = self._index
-        data = self._writing.get(request)
+        data = self._write_buffers.get(request)
         if index is None or data is None:
             return
-        moved = replace(part, request=request)
-        match index.add_part(moved, self._clock.now()):
+        local_part = replace(part, request=request)
+        match index.add_part(local_part, self._clock.now()):
             case PartAccepted():
                 data += part.data
             case WriteVerified() as verified:
@@ -189,10 +193,12 @@
         """End the reads and the writes of a lost link."""
         self._reads.drop_link(link)
         prefix = f'{link}/'
-        lost = [each for each in self._waiting if each.startswith(prefix)]
+        lost = [
+            each for each in self._pending_writes if each.startswith(prefix)
+        ]
         for request in lost:
-            _, message = self._waiting.pop(request)
-            if self._index is not None and request in self._writing:
+            _, message = self._pending_writes.pop(request)
+            if self._index is not None and request in self._write_buffers:
                 self._finish(
                     self._index.abort(
                         request, message.segment, WriteRefusal.STOPPED
@@ -202,7 +208,7 @@
     async def run(self) -> None:
         """Sweep until cancelled."""
         while True:
-            await anyio.sleep(_SWEEP / SECOND)
+            await anyio.sleep(_SWEEP_INTERVAL / SECOND)
             await self._sweep()
 
     async def _sweep(self) -> None:
@@ -213,25 +219,25 @@
             self._finish(failed)
         try:
             space = await self._backend.get_json('/space')
-            self._note_rate(float(space['link_bytes_per_second']))
+            self._set_rate(float(space['link_bytes_per_second']))
             await self._delete()
         except OleanderError:
             # The health probe finds a store that doesn't answer.
             return
 
-    def _note_rate(self, rate: float) -> None:
-        if rate == self._turns.rate:
+    def _set_rate(self, rate: float) -> None:
+        if rate == self._scheduler.rate:
             return
-        self._turns.rate = rate
+        self._scheduler.rate = rate
         self._meter = LinkMeter(rate)
         self._reads.set_meter(self._meter)
 
-    async def _readmit(self, index: StoreIndex) -> None:
+    async def _restore_objects(self, index: StoreIndex) -> None:
         sizes = await self._backend.get_json('/objects')
         metas = [name for name in sizes if name.endswith(META_SUFFIX)]
         for name in metas:
             meta = await self._backend.get_bytes(
-                f'/objects/{name}', _META_LIMIT
+                f'/objects/{name}', _META_LIMIT_BYTES
             )
             stored = sizes.get(name.removesuffix(META_SUFFIX))
             index.restore(name, meta, stored, self._clock.now())
@@ -241,12 +247,12 @@
             if not name.endswith(META_SUFFIX)
             and name + META_SUFFIX not in sizes
         ]
-        self._doomed = deque(orphans)
+        self._pending_deletions = deque(orphans)
 
-    async def _invite(self, request: str, message: SegmentWrite) -> None:
-        await self._turns.take_write(message.length)
-        waiting = self._waiting.get(request)
-        if waiting is None or request not in self._writing:
+    async def _request_data(self, request: str, message: SegmentWrite) -> None:
+        await self._scheduler.wait_write(message.length)
+        waiting = self._pending_writes.get(request)
+        if waiting is None or request not in self._write_buffers:
             return
         waiting[0].put(SegmentWanted(message.request, message.segment))
 
@@ -257,8 +263,8 @@
         segment: bytes,
         verified: WriteVerified,
     ) -> None:
-        data = bytes(self._writing.pop(request, b''))
-        name = self._names.pop(request, '')
+        data = bytes(self._write_buffers.pop(request, b''))
+        name = self._object_names.pop(request, '')
         refusal = await self._put(name, data, verified)
         if index is not self._index:
             return
@@ -269,7 +275,7 @@
         self._finish(outcome)
         if isinstance(outcome, WriteFailed):
             # Its deletion may have gone before the objects came.
-            self._doomed += [verified.meta_name, name]
+            self._pending_deletions += [verified.meta_name, name]
 
     async def _put(
         self, name: str, data: bytes, verified: WriteVerified
@@ -290,7 +296,7 @@
             body=data,
             timeout=self._settings.fetch_timeout,
         )
-        if status == _FULL:
+        if status == _INSUFFICIENT_STORAGE:
             return WriteRefusal.STORE_FULL
         return None if status < _REDIRECT else WriteRefusal.STORE_FAILED
 
@@ -298,24 +304,24 @@
         index = self._index
         if index is None:
             return
-        self._doomed += index.drain_deletions()
+        self._pending_deletions += index.drain_deletions()
         async with self._deleting:
-            while self._doomed:
+            while self._pending_deletions:
                 await self._backend.call(
-                    'DELETE', f'/objects/{self._doomed[0]}'
+                    'DELETE', f'/objects/{self._pending_deletions[0]}'
                 )
-                self._doomed.popleft()
+                self._pending_deletions.popleft()
 
     def _finish(self, outcome: WriteSealed | WriteFailed) -> None:
         sealed = isinstance(outcome, WriteSealed)
         detail = '' if isinstance(outcome, WriteSealed) else outcome.reason
         for request in outcome.requests:
-            self._writing.pop(request, None)
-            self._names.pop(request, None)
-            self._answer(request, sealed=sealed, detail=detail)
+            self._write_buffers.pop(request, None)
+            self._object_names.pop(request, None)
+            self._send_result(request, sealed=sealed, detail=detail)
 
-    def _answer(self, request: str, *, sealed: bool, detail: str) -> None:
-        waiting = self._waiting.pop(request, None)
+    def _send_result(self, request: str, *, sealed: bool, detail: str) -> None:
+        waiting = self._pending_writes.pop(request, None)
         if waiting is None:
             return
         outbox, message = waiting
--- a/src/oleanderdyke/agent/store_reads.py
+++ b/src/oleanderdyke/agent/store_reads.py
@@ -12,9 +12,9 @@
 from anyio.abc import TaskGroup
 
 from oleanderdyke.agent.backend import Backend
+from oleanderdyke.agent.link_scheduler import LinkScheduler
 from oleanderdyke.agent.outbox import Outbox
 from oleanderdyke.agent.settings import CacheSettings
-from oleanderdyke.agent.turns import LinkTurns
 from oleanderdyke.clock import SECOND, Clock, Millis
 from oleanderdyke.errors import ErrorKind, OleanderError
 from oleanderdyke.kernel.blocks import ID_BYTES
@@ -32,14 +32,14 @@
 _NOT_FOUND = 404
 # So many segments of one reader, and of all, are read at once; each reader
 # may always read one, so that many readers wait for one segment of each.
-_AHEAD = 4
-_READING = 8
+_MAX_TRANSFERS_PER_READER = 4
+_MAX_TRANSFERS = 8
 # On a slow link a read ahead gains little, and is lost when a fetch is cut.
-_AHEAD_TIME: Millis = 25.0
-_PARTS_AHEAD = 2
+_READ_AHEAD_TIME: Millis = 25.0
+_BUFFERED_PARTS = 2
 
 
-class _Copy:
+class _Transfer:
     """Hold one segment on its way from the store to a reader."""
 
     def __init__(
@@ -48,10 +48,10 @@
         self.index = index
         self.pinned = pinned
         self.meter = meter
-        self.uncarried = length
+        self.unsent = length
         self.ended = False
         self.sender, self.receiver = anyio.create_memory_object_stream[bytes](
-            _PARTS_AHEAD
+            _BUFFERED_PARTS
         )
 
 
@@ -60,7 +60,7 @@
     outbox: Outbox
     message: SegmentRead
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
-    ahead: deque[_Copy] = field(default_factory=deque)
+    transfers: deque[_Transfer] = field(default_factory=deque)
     gap: bool = False
 
     @property
@@ -78,27 +78,27 @@
         self,
         backend: Backend,
         *,
-        turns: LinkTurns,
+        scheduler: LinkScheduler,
         meter: LinkMeter,
         settings: CacheSettings,
         clock: Clock,
         tasks: TaskGroup,
     ) -> None:
         self._backend = backend
-        self._turns = turns
+        self._scheduler = scheduler
         self._meter = meter
         self._settings = settings
         self._clock = clock
         self._tasks = tasks
-        self._places = anyio.Semaphore(settings.readers)
+        self._slots = anyio.Semaphore(settings.readers)
         self._readers: dict[tuple[str, str], _Reader] = {}
         self._index: StoreIndex | None = None
-        self._reading = 0
+        self._active_transfers = 0
 
     @property
     def running(self) -> int:
         """Count the readers that are served."""
-        return self._settings.readers - self._places.value
+        return self._settings.readers - self._slots.value
 
     @property
     def waiting(self) -> int:
@@ -134,7 +134,7 @@
     async def _serve(self, reader: _Reader) -> None:
         try:
             with reader.scope:
-                async with self._places:
+                async with self._slots:
                     await self._send_segments(reader)
         finally:
             self._readers.pop(reader.key, None)
@@ -143,43 +143,48 @@
         try:
             async with anyio.create_task_group() as tasks:
                 with suppress(LinkClosed):
-                    await self._relay(reader, tasks)
+                    await self._send_in_order(reader, tasks)
                 tasks.cancel_scope.cancel()
         finally:
-            self._drop(reader)
+            self._end_all(reader)
 
-    async def _relay(self, reader: _Reader, tasks: TaskGroup) -> None:
+    async def _send_in_order(self, reader: _Reader, tasks: TaskGroup) -> None:
         # A chain is of use up to its first gap only.
         rest = iter(reader.message.segments)
         for segment in reader.message.segments:
             self._read_ahead(reader, rest, tasks)
-            copy = reader.ahead[0] if reader.ahead else None
-            if copy is None or not await self._send_copy(reader, copy):
+            transfer = reader.transfers[0] if reader.transfers else None
+            if transfer is None or not await self._send_segment(
+                reader, transfer
+            ):
                 missing = SegmentMissing(reader.message.request, segment)
                 await reader.outbox.send(missing)
                 return
-            self._end(reader.ahead.popleft())
+            self._end_transfer(reader.transfers.popleft())
 
     def _read_ahead(
         self, reader: _Reader, rest: Iterator[bytes], tasks: TaskGroup
     ) -> None:
-        while self._may_read(reader):
-            copy = self._pin(reader, next(rest, None))
-            if copy is None:
+        while self._may_read_ahead(reader):
+            transfer = self._pin(reader, next(rest, None))
+            if transfer is None:
                 return
-            reader.ahead.append(copy)
-            tasks.start_soon(self._fill, copy)
+            reader.transfers.append(transfer)
+            tasks.start_soon(self._fill, transfer)
 
-    def _may_read(self, reader: _Reader) -> bool:
-        if not reader.ahead:
+    def _may_read_ahead(self, reader: _Reader) -> bool:
+        if not reader.transfers:
             return True
-        if len(reader.ahead) >= _AHEAD or self._reading >= _READING:
+        if (
+            len(reader.transfers) >= _MAX_TRANSFERS_PER_READER
+            or self._active_transfers >= _MAX_TRANSFERS
+        ):
             return False
-        rate = self._turns.rate
-        left = sum(copy.uncarried for copy in reader.ahead)
-        return not rate or left * SECOND / rate < _AHEAD_TIME
+        rate = self._scheduler.rate
+        left = sum(transfer.unsent for transfer in reader.transfers)
+        return not rate or left * SECOND / rate < _READ_AHEAD_TIME
 
-    def _pin(self, reader: _Reader, segment: bytes | None) -> _Copy | None:
+    def _pin(self, reader: _Reader, segment: bytes | None) -> _Transfer | None:
         index = self._index
         if index is None or segment is None or reader.gap:
             return None
@@ -189,76 +194,79 @@
             reader.gap = True
             return None
         self._meter.record_requested(pinned.length, now)
-        return _Copy(index, pinned, self._meter, pinned.length)
+        return _Transfer(index, pinned, self._meter, pinned.length)
 
-    def _drop(self, reader: _Reader) -> None:
-        while reader.ahead:
-            self._end(reader.ahead.popleft())
+    def _end_all(self, reader: _Reader) -> None:
+        while reader.transfers:
+            self._end_transfer(reader.transfers.popleft())
 
-    def _end(self, copy: _Copy) -> None:
-        copy.receiver.close()
-        copy.sender.close()
-        copy.meter.record_cancelled(copy.uncarried, self._clock.now())
-        copy.index.unpin(copy.pinned)
+    def _end_transfer(self, transfer: _Transfer) -> None:
+        transfer.receiver.close()
+        transfer.sender.close()
+        transfer.meter.record_cancelled(transfer.unsent, self._clock.now())
+        transfer.index.unpin(transfer.pinned)
 
-    async def _send_copy(self, reader: _Reader, copy: _Copy) -> bool:
+    async def _send_segment(self, reader: _Reader, transfer: _Transfer) -> bool:
         digest = hashlib.blake2b(digest_size=ID_BYTES)
         position = 0
-        async for data in copy.receiver:
+        async for data in transfer.receiver:
             digest.update(data)
             end = position + len(data)
-            last = end >= copy.pinned.length
-            if last and not self._is_whole(copy, end, digest.digest()):
+            last = end >= transfer.pinned.length
+            if last and not self._is_whole(transfer, end, digest.digest()):
                 return False
-            await self._turns.take_read(len(data))
+            await self._scheduler.wait_read(len(data))
             await reader.outbox.send(
-                _make_part(reader, copy.pinned, position, data, last=last)
+                _make_part(reader, transfer.pinned, position, data, last=last)
             )
             position = end
-            copy.uncarried -= len(data)
-            copy.meter.record_sent(len(data), self._clock.now())
-        if copy.ended and copy.uncarried:
-            copy.index.free_corrupt(copy.pinned)
-        return copy.uncarried == 0
-
-    def _is_whole(self, copy: _Copy, length: int, digest: bytes) -> bool:
-        pinned = copy.pinned
+            transfer.unsent -= len(data)
+            transfer.meter.record_sent(len(data), self._clock.now())
+        if transfer.ended and transfer.unsent:
+            transfer.index.free_corrupt(transfer.pinned)
+        return transfer.unsent == 0
+
+    def _is_whole(
+        self, transfer: _Transfer, length: int, digest: bytes
+    ) -> bool:
+        pinned = transfer.pinned
         if length == pinned.length and digest == pinned.digest:
-            return self._index is copy.index and copy.index.is_pin_valid(
-                pinned, self._clock.now()
+            return (
+                self._index is transfer.index
+                and transfer.index.is_pin_valid(pinned, self._clock.now())
             )
-        copy.index.free_corrupt(pinned)
+        transfer.index.free_corrupt(pinned)
         return False
 
-    async def _fill(self, copy: _Copy) -> None:
-        self._reading += 1
+    async def _fill(self, transfer: _Transfer) -> None:
+        self._active_transfers += 1
         try:
-            with copy.sender, suppress(anyio.BrokenResourceError):
-                await self._read_object(copy)
-                copy.ended = True
+            with transfer.sender, suppress(anyio.BrokenResourceError):
+                await self._read_object(transfer)
+                transfer.ended = True
         except OleanderError:
             # The reader computes what didn't come.
             return
         finally:
-            self._reading -= 1
+            self._active_transfers -= 1
 
-    async def _read_object(self, copy: _Copy) -> None:
-        path = f'/objects/{copy.pinned.object_name}'
+    async def _read_object(self, transfer: _Transfer) -> None:
+        path = f'/objects/{transfer.pinned.object_name}'
         size = self._settings.part_size
-        held = bytearray()
-        async with self._backend.kept.request('GET', path) as answer:
-            if not _is_there(answer.status):
+        buffered = bytearray()
+        async with self._backend.keep_alive.request('GET', path) as answer:
+            if not _check_found(answer.status):
                 return
             async for data in answer.body:
-                held += data
-                while len(held) >= size:
-                    await copy.sender.send(bytes(held[:size]))
-                    del held[:size]
-        if held:
-            await copy.sender.send(bytes(held))
+                buffered += data
+                while len(buffered) >= size:
+                    await transfer.sender.send(bytes(buffered[:size]))
+                    del buffered[:size]
+        if buffered:
+            await transfer.sender.send(bytes(buffered))
 
 
-def _is_there(status: int) -> bool:
+def _check_found(status: int) -> bool:
     if status < _REDIRECT:
         return True
     if status == _NOT_FOUND:
--- a/tests/matrix/agent.py
+++ b/tests/matrix/agent.py
@@ -258,14 +258,14 @@
             self.runs._finish(run, _make_record(run))
             self._watch(run)
         else:
-            drive(self.forwarder._pass_on(run, piece))
+            drive(self.forwarder._forward_chunk(run, piece))
 
     def _watch(self, run: Run) -> None:
         """Forget a run once its answer is sent or nobody wants it."""
         if run.key not in self.runs._runs:
             return
         if run.stopped or run.buffer is None or run.buffer.is_sent:
-            self.runs._forget(run)
+            self.runs._remove(run)
             return
         self.after(_TICK, lambda: self._watch(run))
 
@@ -298,7 +298,7 @@
         if run.key not in self.runs._runs:
             return
         if run.stopped:
-            self.runs._forget(run)
+            self.runs._remove(run)
             return
         self.after(_TICK, lambda: self._wait_stopped(run))
 
@@ -311,7 +311,7 @@
         self.runs.expire()
         if self.departure.is_leaving:
             self.world.tick_drain(
-                self, self.departure._drain, self.departure._act
+                self, self.departure._drain, self.departure._apply
             )
 
     def _find(self, end: End) -> Any:
--- a/tests/matrix/orders.py
+++ b/tests/matrix/orders.py
@@ -136,7 +136,7 @@
         before = configuration.confirmed_at
         for outbox in tuple(configuration._entries.values()):
             request = ConfigurationRequest(configuration.offset)
-            configuration._ask(outbox, request)
+            configuration._send_request(outbox, request)
         await _sleep(agent, _CONFIRM)
         return 0.0 if configuration.confirmed_at > before else RECHECK_INTERVAL
 
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -26,7 +26,7 @@
     wait_until,
 )
 from oleanderdyke.agent import main as agent_main
-from oleanderdyke.agent.backend import Backend, Json
+from oleanderdyke.agent.backend import Backend, JsonObject
 from oleanderdyke.agent.configuration import Configuration
 from oleanderdyke.agent.engine import EngineView
 from oleanderdyke.agent.settings import BackendSettings, RunSettings
@@ -672,12 +672,12 @@
         return sorted(seg[0] for each in listed for seg in each.added)
 
     stored = [(n, 'stored', n) for n in range(1, 6)]
-    view._take_events(make_page(*stored))
+    view._apply_events(make_page(*stored))
     assert list_known() == [1, 2, 3, 4, 5]
     view.record_use([bytes([1] * 32)])
-    view._take_events(make_page((8, 'removed', 4)))
+    view._apply_events(make_page((8, 'removed', 4)))
     assert list_known() == [1, 5]
-    view._take_events(make_page((1, 'stored', 9)))
+    view._apply_events(make_page((1, 'stored', 9)))
     assert list_known() == []
 
 
@@ -685,7 +685,7 @@
     clock = ManualClock()
 
     class SlowEngine(Backend):
-        async def get_json(self, path: str) -> Json:
+        async def get_json(self, path: str) -> JsonObject:
             clock.advance(900.0)
             return {'model': 'm', 'version': '1', 'digest': 'd'}
 
--- a/tests/test_store_agent.py
+++ b/tests/test_store_agent.py
@@ -17,8 +17,8 @@
     run_agent,
     wait_until,
 )
+from oleanderdyke.agent.link_scheduler import LinkScheduler
 from oleanderdyke.agent.settings import CacheSettings
-from oleanderdyke.agent.turns import LinkTurns
 from oleanderdyke.clock import ManualClock
 from oleanderdyke.kernel.blocks import digest_segment
 from oleanderdyke.links.messages import AgentPhase, BackendKind, Cancel
@@ -255,23 +255,23 @@
             await keep(entry, write, split(write))
         # Held until the store has sent everything to both, so that only their
         # turns decide who is next, not whose bytes come first.
-        turns = shell._role._store._turns
-        await wait_until(lambda: not turns._busy)
-        turns._busy = True
+        scheduler = shell._role._store._scheduler
+        await wait_until(lambda: not scheduler._busy)
+        scheduler._busy = True
         async with anyio.create_task_group() as group:
             for number in range(2):
                 segment = bytes([number]) * 32
                 group.start_soon(read, entry, f'r{number}', segment)
             await wait_until(
                 lambda: (
-                    len(turns._reads) == 2
+                    len(scheduler._reads) == 2
                     and app.read_bytes == 2 * len(DATA)
                     and entry.beat is not None
                     and entry.beat.load.link_bytes_in_flight == 2 * len(DATA)
                 )
             )
-            turns._busy = False
-            turns._wake()
+            scheduler._busy = False
+            scheduler._wake_next()
         order = [
             each.request
             for each in entry.messages
@@ -297,24 +297,24 @@
 
 
 async def test_writes_wait_for_every_reader() -> None:
-    turns = LinkTurns(ManualClock())
+    scheduler = LinkScheduler(ManualClock())
     order: list[str] = []
 
     async def read_one(name: str) -> None:
-        await turns.take_read(1)
+        await scheduler.wait_read(1)
         order.append(name)
 
     async def write_one() -> None:
-        await turns.take_write(1)
+        await scheduler.wait_write(1)
         order.append('write')
 
-    turns._busy = True
+    scheduler._busy = True
     async with anyio.create_task_group() as group:
         group.start_soon(write_one)
         await anyio.wait_all_tasks_blocked()
         group.start_soon(read_one, 'one')
         group.start_soon(read_one, 'two')
         await anyio.wait_all_tasks_blocked()
-        turns._busy = False
-        turns._wake()
+        scheduler._busy = False
+        scheduler._wake_next()
     assert order == ['one', 'two', 'write']
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -6,8 +6,8 @@
 
 from agents import make_settings, wait_until
 from oleanderdyke.agent.backend import Backend
-from oleanderdyke.agent.failures import check_replaced
-from oleanderdyke.agent.watch import Ending, ProcessWatch
+from oleanderdyke.agent.failures import check_not_replaced
+from oleanderdyke.agent.process_watch import ProcessStatus, ProcessWatch
 from oleanderdyke.clients.http import HttpError
 from oleanderdyke.clock import ManualClock
 from oleanderdyke.errors import ErrorKind, Ran
@@ -31,7 +31,7 @@
         assert not watch.has_ended()
         await stream.aclose()
         await wait_until(watch.has_ended)
-        assert await watch.judge() is Ending.ENDED
+        assert await watch.diagnose() is ProcessStatus.ENDED
         clock.advance(1_000.0)
         assert not watch.has_ended()
         tasks.cancel_scope.cancel()
@@ -59,7 +59,7 @@
 
 def test_refusal_after_the_end_is_a_lost_run() -> None:
     with pytest.raises(HttpError) as caught:
-        check_replaced(503, ended=True)
+        check_not_replaced(503, ended=True)
     assert caught.value.kind is ErrorKind.BACKEND_LOST
     assert caught.value.ran is Ran.MAYBE
 
@@ -68,4 +68,4 @@
     ('status', 'ended'), [(503, False), (200, True), (400, True)]
 )
 def test_other_answers_are_passed_on(status: int, *, ended: bool) -> None:
-    check_replaced(status, ended=ended)
+    check_not_replaced(status, ended=ended)
