--- a/src/oleanderdyke/agent/__init__.py
+++ b/src/oleanderdyke/agent/__init__.py
@@ -1,1 +1,1 @@
-"""Guard one backend server."""
+"""The agent: the process that runs beside one backend server."""
--- a/src/oleanderdyke/agent/backend.py
+++ b/src/oleanderdyke/agent/backend.py
@@ -1,4 +1,4 @@
-"""Speak HTTP to the one backend server that an agent guards."""
+"""HTTP client for the backend server that an agent runs beside."""
 
 from __future__ import annotations
 
@@ -37,7 +37,11 @@
 
 
 class Backend:
-    """Call the backend server; the waits of runs are bounded by their runs."""
+    """Send requests to the backend server.
+
+    `open` has no read timeout: the deadline of the run bounds it. Every other
+    method has a timeout of its own.
+    """
 
     def __init__(self, settings: BackendSettings) -> None:
         self._address = settings.address
@@ -55,21 +59,24 @@
     async def open(
         self, method: str, path: str, headers: Headers, body: Body
     ) -> AsyncIterator[HttpAnswer]:
-        """Send a request and give its answer; raise HttpError."""
+        """Send a request and yield the open response; raise HttpError."""
         async with self._http.request(
             method, path, headers=headers, body=body
         ) as answer:
             yield answer
 
     async def get_json(self, path: str) -> JsonObject:
-        """Return a JSON object; raise OleanderError."""
+        """Return the JSON object in a GET response; raise OleanderError."""
         data = await self.get_bytes(path, _JSON_LIMIT_BYTES)
         return _parse_object(data)
 
     async def get_bytes(
         self, path: str, limit: int, *, timeout: Millis | None = None
     ) -> bytes:
-        """Return the body of a successful GET; raise OleanderError."""
+        """Return the body of a successful GET; raise OleanderError.
+
+        A body longer than `limit` bytes is an error.
+        """
         status, data = await self.call(
             'GET', path, limit=limit, timeout=timeout
         )
@@ -86,7 +93,10 @@
         limit: int = _JSON_LIMIT_BYTES,
         timeout: Millis | None = None,
     ) -> tuple[int, bytes]:
-        """Return status and whole body within a time; raise HttpError."""
+        """Return the status and the complete body; raise HttpError.
+
+        The default timeout is that of a probe.
+        """
         bound = self._timeout if timeout is None else timeout
         with anyio.move_on_after(bound / SECOND):
             async with self._http.request(
@@ -96,23 +106,28 @@
         raise HttpError(f'no answer within {bound:.0f} ms', ran=Ran.MAYBE)
 
     async def connect(self) -> None:
-        """Prove that the server accepts connections; raise HttpError."""
+        """Open and close a TCP connection; raise HttpError on failure."""
         host, port = split_address(self._address)
         try:
             with anyio.fail_after(self._connect_timeout / SECOND):
                 stream = await anyio.connect_tcp(host, port)
         except OSError as error:
-            raise HttpError('cannot connect', ran=Ran.NO) from error
+            raise HttpError(
+                'cannot connect to the backend server', ran=Ran.NO
+            ) from error
         await stream.aclose()
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections to the backend server."""
         await self._http.close()
         await self.keep_alive.close()
 
 
 def filter_request_headers(headers: Headers) -> Headers:
-    """Drop what belongs to one hop or to the caller's credentials."""
+    """Return the request headers that may go to the backend server.
+
+    Removes hop-by-hop headers and the caller's credentials.
+    """
     named = _list_connection_headers(headers)
     return tuple(
         (name, value)
@@ -123,7 +138,7 @@
 
 
 def filter_response_headers(headers: Headers) -> Headers:
-    """Drop what belongs to the hop between agent and backend server."""
+    """Remove the hop-by-hop headers of a response of the backend server."""
     named = _list_connection_headers(headers)
     return tuple(
         (name, value)
@@ -154,7 +169,7 @@
 
 def _make_answer_error() -> OleanderError:
     return OleanderError(
-        ErrorKind.BACKEND_FAILED, 'the answer is not a JSON object'
+        ErrorKind.BACKEND_FAILED, 'the response body is not a JSON object'
     )
 
 
@@ -163,5 +178,6 @@
         return
     place = path.split('?', 1)[0].rsplit('/', 1)[0]
     raise OleanderError(
-        ErrorKind.BACKEND_FAILED, f'status {status} under {place}/'
+        ErrorKind.BACKEND_FAILED,
+        f'got status {status} for a request under {place}/',
     )
--- a/src/oleanderdyke/agent/configuration.py
+++ b/src/oleanderdyke/agent/configuration.py
@@ -1,4 +1,4 @@
-"""Learn the configuration from peers and pass it on."""
+"""An agent's copy of the configuration, kept up to date by its peers."""
 
 from __future__ import annotations
 
@@ -27,21 +27,25 @@
 from oleanderdyke.logs import EventLog
 
 _CONFIRM_TIMEOUT: Millis = 200.0
-# Questions to one peer that are remembered one by one. One that doesn't answer
-# is asked about once a second until its link ends.
+# A peer that does not answer is sent about one request a second until its link
+# closes; requests beyond this number are counted together.
 _MAX_TRACKED_REQUESTS = 16
 
 
 @dataclass(slots=True)
 class _PendingRequests:
-    """Count questions that were asked at a moment, or later."""
+    """Count unanswered requests to one peer, the earliest sent at `sent_at`."""
 
     sent_at: Millis
     count: int = 1
 
 
 class Configuration:
-    """Hold an agent's copy of the configuration; agents read no log."""
+    """Synchronize a copy of the configuration with the connected peers.
+
+    Agents have no access to the configuration log: they request what they are
+    missing from peers and answer such requests of other peers.
+    """
 
     def __init__(
         self, *, clock: Clock, random: Random, events: EventLog
@@ -58,19 +62,19 @@
 
     @property
     def offset(self) -> int:
-        """Return the offset of the last applied record."""
+        """Return the log offset of the last applied record, -1 before any."""
         return self._reader.offset
 
     async def wait_changed(self) -> None:
-        """Return after the next change."""
+        """Wait until records have been applied."""
         await self._changed.wait()
 
     def add_entry(self, outbox: Outbox) -> None:
-        """Note an entry that can confirm the offset."""
+        """Add an entry that `confirm` may ask for the newest offset."""
         self._entries[outbox.name] = outbox
 
     def on_peer_offset(self, outbox: Outbox, offset: int) -> None:
-        """Learn a peer's offset and ask it for what is missing."""
+        """Record the offset of a peer and request the records missing here."""
         self.highest_offset = max(self.highest_offset, offset)
         now = self._clock.now()
         request = self._reader.on_peer_offset(outbox.name, offset, now)
@@ -78,9 +82,10 @@
             self._send_request(outbox, request)
 
     async def confirm(self) -> bool:
-        """Ask an entry whether this copy is the newest; False if none says.
+        """Ask the entries one by one whether this copy is up to date.
 
-        `confirmed_at` then holds the time of the question.
+        Returns False if none answers in time. Otherwise `confirmed_at` is the
+        time at which the answered request was sent.
         """
         for outbox in tuple(self._entries.values()):
             self._send_request(outbox, ConfigurationRequest(self.offset))
@@ -92,7 +97,7 @@
     def on_difference(
         self, outbox: Outbox, message: ConfigurationDifference
     ) -> None:
-        """Apply what a peer sent."""
+        """Apply the records in a peer's answer."""
         now = self._clock.now()
         self.highest_offset = max(self.highest_offset, message.through)
         advanced = self._reader.on_difference(outbox.name, message, now)
@@ -111,26 +116,27 @@
     async def answer(
         self, outbox: Outbox, request: ConfigurationRequest
     ) -> None:
-        """Send what a peer is missing; raise LinkClosed."""
+        """Send a peer the records that it requests; raise LinkClosed."""
         for message in self._reader.answer(request):
             await outbox.send(message)
-            # Building the next one takes a while, and a send may not wait.
+            # Building a message takes time and sending may not suspend, so let
+            # other tasks run in between.
             await anyio.sleep(0)
 
     def drop_link(self, link: str) -> None:
-        """Forget a peer."""
+        """Discard the state of a peer whose link has closed."""
         self._reader.on_peer_disconnected(link)
         self._pending_requests.pop(link, None)
         self._entries.pop(link, None)
 
     def find_service(self, name: str) -> ServiceSpec | None:
-        """Return a service's spec."""
+        """Return the spec of a service, None if there is no such service."""
         found = self._reader.catalog.get(ObjectKind.SERVICE, name)
         spec = None if found is None else found.spec
         return spec if isinstance(spec, ServiceSpec) else None
 
     def list_versions(self) -> tuple[ModelVersionSpec, ...]:
-        """Return every model version."""
+        """Return the specs of all model versions."""
         return tuple(
             found.spec
             for found in self._reader.catalog.list(ObjectKind.MODEL_VERSION)
@@ -138,7 +144,10 @@
         )
 
     def allows(self, team: str, service: str) -> bool | None:
-        """Return whether a team may use a service; None before any copy."""
+        """Return whether a team may use a service.
+
+        None as long as no configuration has been received.
+        """
         if self.offset < 0:
             return None
         spec = self.find_service(service)
@@ -156,8 +165,9 @@
         if len(pending) < _MAX_TRACKED_REQUESTS:
             pending.append(_PendingRequests(self._clock.now()))
         else:
-            # Were one left out, the answers after it would confirm later
-            # questions than their own.
+            # Every request must be counted: otherwise later answers would be
+            # matched to requests sent after their own, and `confirmed_at` would
+            # be too recent.
             pending[-1].count += 1
         outbox.put(request)
 
--- a/src/oleanderdyke/agent/drain_runner.py
+++ b/src/oleanderdyke/agent/drain_runner.py
@@ -1,4 +1,4 @@
-"""Leave without cutting off a request."""
+"""Graceful shutdown of an agent."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class DrainRunner:
-    """Carry out what the drain decides.
+    """Execute the actions of the drain and wait for its end.
 
-    An agent's streams end where it ends, so it hands none over.
+    Streams of an agent can't outlive its process, so none are handed over.
     """
 
     def __init__(
@@ -45,25 +45,25 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Return whether a stop has been announced."""
+        """Return whether the drain has started."""
         return self._drain.is_leaving
 
     def start_work(self, work_id: str) -> None:
-        """Count a piece of work."""
+        """Record the start of work that the drain waits for."""
         self._drain.start_work(work_id, self._clock.now())
 
     def end_work(self, work_id: str) -> None:
-        """Forget a piece of work."""
+        """Record the end of work, which may complete the drain."""
         self._apply(self._drain.end_work(work_id, self._clock.now()))
 
     def signal(self) -> None:
-        """Start to leave; a second call hurries."""
+        """Start the drain; a second call cuts off the remaining work."""
         if not self.is_leaving:
             self._tasks.start_soon(self._run)
         self._apply(self._drain.signal(self._clock.now()))
 
     async def wait(self) -> None:
-        """Return once nothing is left to do."""
+        """Wait until the drain has finished."""
         await self._done.wait()
 
     async def _run(self) -> None:
--- a/src/oleanderdyke/agent/engine.py
+++ b/src/oleanderdyke/agent/engine.py
@@ -1,4 +1,4 @@
-"""Follow a model engine: its weights, load and cached segments."""
+"""The state of a model engine: its weights, load and cached segments."""
 
 from __future__ import annotations
 
@@ -21,7 +21,11 @@
 
 
 class EngineView:
-    """Hold what an engine last reported; its events are hints only."""
+    """Keep what the engine last reported.
+
+    The set of cached segments is approximate: the engine may drop events.
+    `loaded` is empty while admission is suspended.
+    """
 
     def __init__(
         self,
@@ -36,7 +40,7 @@
         self._events = events
         self._on_loaded = on_loaded
         self._last_event = 0
-        # In order of last use, since an engine evicts what is longest unused.
+        # In order of last use: the engine evicts the least recently used.
         self._cached: dict[SegmentHint, None] = {}
         self.segments = SegmentLog()
         self.observed: ObservedState | None = None
@@ -46,7 +50,7 @@
         self.load = Load()
 
     def reset(self) -> None:
-        """Forget everything, since the engine was lost."""
+        """Discard all state after the engine was lost."""
         self._last_event = 0
         self._cached.clear()
         self.segments.replace(())
@@ -56,17 +60,20 @@
         self._publish_loaded()
 
     def suspend_admission(self) -> None:
-        """Admit no new runs until the weights are as they should be."""
+        """Stop the admission of new runs, before the weights are replaced."""
         self.admission_suspended = True
         self._publish_loaded()
 
     def resume_admission(self) -> None:
-        """Admit new runs with the weights that are loaded."""
+        """Resume the admission of runs for the loaded weights."""
         self.admission_suspended = False
         self._publish_loaded()
 
     async def read_state(self) -> ObservedState:
-        """Read the engine's state; raise OleanderError."""
+        """Request the engine's state and publish its weights.
+
+        Raises OleanderError.
+        """
         asked_at = self._clock.now()
         state = await self._backend.get_json('/state')
         observed = _parse_state(state, asked_at, self._clock.now())
@@ -76,7 +83,7 @@
         return observed
 
     async def poll(self) -> None:
-        """Read load and cache events; raise OleanderError."""
+        """Request the load and new cache events; raise OleanderError."""
         self.load = _parse_load(await self._backend.get_json('/load'))
         self._apply_events(
             await self._backend.get_json(
@@ -85,12 +92,12 @@
         )
 
     def record_use(self, segments: Sequence[SegmentId]) -> None:
-        """Learn that a run has read or computed segments."""
+        """Mark segments as most recently used after a run has used them."""
         for segment in segments:
             self._add(make_hint(segment))
 
     def estimate_prefill(self, segments: int) -> Millis | None:
-        """Return how long computing segments takes; None if unknown."""
+        """Return the time to prefill a number of segments; None if unknown."""
         rate = self.load.prefill_tokens_per_second
         if rate <= 0:
             return None
@@ -121,7 +128,8 @@
             self._apply_event(make_hint(segment), stored=stored)
 
     def _reset_cache(self) -> None:
-        # Numbers went back: another engine with an empty cache answers.
+        # The event numbers start over: a new engine process, whose cache is
+        # empty, has replaced the earlier one.
         self._last_event = 0
         self._cached.clear()
         self.segments.replace(())
@@ -129,7 +137,8 @@
     def _handle_lost_events(self, lost: int) -> None:
         if lost <= 0:
             return
-        # Each lost event may be the removal of what was longest unused.
+        # Any lost event may be an eviction, so assume that as many of the least
+        # recently used segments are gone.
         for segment in list(self._cached)[:lost]:
             self._remove(segment)
         self._events.write(EventName.SEGMENT_EVENTS_LOST, count=lost)
@@ -199,5 +208,6 @@
 
 def _make_answer_error(path: str) -> OleanderError:
     return OleanderError(
-        ErrorKind.BACKEND_FAILED, f'the engine answered {path} wrongly'
+        ErrorKind.BACKEND_FAILED,
+        f'invalid response of the engine to GET {path}',
     )
--- a/src/oleanderdyke/agent/export.py
+++ b/src/oleanderdyke/agent/export.py
@@ -1,4 +1,4 @@
-"""Keep an engine's complete segments in a store, in the background."""
+"""Background export of complete segments from an engine to stores."""
 
 from __future__ import annotations
 
@@ -25,7 +25,8 @@
 )
 from oleanderdyke.logs import EventLog
 
-# An entry's knowledge of a store may be this old.
+# An entry may learn only this much later that a store holds a segment, and
+# plans its export again until then.
 _REOFFER_INTERVAL: Millis = 10 * SECOND
 _MAX_REMEMBERED_OFFERS = 8_192
 _GENERATION = 0
@@ -41,7 +42,10 @@
 
 
 class Exporter:
-    """Offer segments to stores one by one while no fetch is under way."""
+    """Upload segments to stores, one at a time.
+
+    Fetches have precedence: no export starts while one is under way.
+    """
 
     def __init__(
         self,
@@ -67,9 +71,10 @@
     def offer(
         self, plan: FetchPlan, namespace: Namespace, *, depth: int
     ) -> None:
-        """Queue the segments of a plan that were not offered lately.
+        """Queue the segments of a plan that were not offered recently.
 
-        The first of them is at a `depth` in its prompt.
+        `depth` is the index of the first of them within its prompt. Segments
+        that do not fit into the queue are counted in `dropped`.
         """
         for position, segment in enumerate(plan.segments, start=depth):
             if self._was_recently_offered(plan.store, segment):
@@ -84,12 +89,12 @@
         self._queued.set()
 
     def clear(self) -> None:
-        """Drop the queue, since the engine has lost its cache."""
+        """Discard all state after the engine has lost its cache."""
         self._queue.clear()
         self._offered.clear()
 
     async def run(self) -> None:
-        """Export until cancelled."""
+        """Export queued segments until cancelled."""
         while True:
             await self._queued.wait()
             self._queued = anyio.Event()
--- a/src/oleanderdyke/agent/fetch.py
+++ b/src/oleanderdyke/agent/fetch.py
@@ -1,4 +1,4 @@
-"""Bring kept segments from a store into the engine."""
+"""Fetch of cached segments from stores into the engine."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 _READ_ATTEMPT = 0
 _REDIRECT = 300
 _ANSWER_LIMIT = 64 * 1024
-# So many segments are imported at once, which bounds what is held of them.
+# Also bounds the number of received segments that are held in memory.
 _MAX_PARALLEL_IMPORTS = 4
 
 _SegmentKey: TypeAlias = tuple[str, Namespace, SegmentId]
@@ -38,9 +38,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchResult:
-    """Count the leading segments that are in the engine now.
+    """The result of a fetch.
 
-    `length` counts the link bytes that this fetch itself caused.
+    `segments` is the number of leading segments of the plan that were imported
+    into the engine. `link_bytes` are the bytes that this fetch transferred,
+    without those of concurrent fetches that it shared.
     """
 
     segments: int
@@ -48,10 +50,10 @@
 
 
 class FetchActivity(Protocol):
-    """Tell background work when to yield."""
+    """Let background work wait until no fetch is under way."""
 
     async def wait_idle(self) -> None:
-        """Return once no fetch is under way."""
+        """Wait until no fetch is under way."""
 
 
 @dataclass(slots=True)
@@ -75,13 +77,13 @@
     aborted: bool = False
 
     def abort(self, pending: _PendingSegment) -> None:
-        """End a chain at a segment, since nothing after a gap is of use."""
+        """Stop the import at a segment: those after a gap can not be used."""
         self.aborted = True
         pending.complete(imported=False)
 
 
 class Fetcher:
-    """Fetch segments once for all who wait for them."""
+    """Fetch segments; concurrent requests for one segment share a fetch."""
 
     def __init__(
         self,
@@ -107,7 +109,7 @@
         self._idle.set()
 
     async def wait_idle(self) -> None:
-        """Return once no fetch is under way."""
+        """Wait until no fetch is under way."""
         await self._idle.wait()
 
     async def fetch(
@@ -118,10 +120,10 @@
         step: Millis,
         request: str = '',
     ) -> FetchResult:
-        """Import a plan's segments in order.
+        """Import the segments of a plan in order.
 
-        Give up when they come more slowly than one in each `step`, the time
-        that computing one may take; what came until then is of use.
+        Gives up when segments arrive more slowly than one per `step`, the time
+        that computing one may take. The segments imported until then are kept.
         """
         joined_segments = self._join_reads(plan, namespace)
         store_reads = {
@@ -221,7 +223,10 @@
                 await _stop_reading(peer, request)
 
     async def _receive(self, inbox: Inbox, store_read: _StoreRead) -> bool:
-        """Import each segment while the next ones still arrive."""
+        """Import segments while receiving the next ones.
+
+        Returns whether all of them arrived.
+        """
         slots = anyio.Semaphore(_MAX_PARALLEL_IMPORTS)
         async with anyio.create_task_group() as imports:
             for segment, pending in store_read.pending_segments.items():
--- a/src/oleanderdyke/agent/forward.py
+++ b/src/oleanderdyke/agent/forward.py
@@ -23,26 +23,26 @@
 
 
 class Delivery(Protocol):
-    """Hand messages to whoever reads a stream."""
+    """Deliver the messages of a run to the reader of its stream."""
 
     def check_status(self, status: int) -> None:
-        """Raise HttpError where the server that answers isn't the one asked."""
+        """Raise HttpError if another server process has answered."""
 
     def notify_progress(self) -> None:
-        """Note that a run has begun to answer, whether it is read or not."""
+        """Wake waiters for the start of runs, also of runs without reader."""
 
     def attach(self, run: Run, buffer: StreamBuffer) -> None:
-        """Note the reader of a new stream."""
+        """Register the reader of a new stream."""
 
     def send(self, reader: Reader, messages: Iterable[Message]) -> None:
-        """Queue for a reader, if its link is there."""
+        """Queue messages for a reader; discard them if it is disconnected."""
 
     async def push(self, reader: Reader, messages: Sequence[Message]) -> None:
-        """Send to a reader, waiting while its link is slow."""
+        """Send messages to a reader and wait while its link is slow."""
 
 
 class Forwarder:
-    """Carry one attempt through the backend server."""
+    """Forward attempts to the backend server and stream back the responses."""
 
     def __init__(
         self,
@@ -64,11 +64,16 @@
         self._events = events
 
     async def forward(self, run: Run) -> RunAnswer | None:
-        """Return the recorded answer; raise OleanderError."""
+        """Forward a run and return its response if a claim requires a record.
+
+        Raises OleanderError.
+        """
         prepared = await self._preparer.prepare(run)
         if self._clock.now() >= run.deadline:
             raise OleanderError(
-                ErrorKind.DEADLINE, 'too late to start', ran=Ran.NO
+                ErrorKind.DEADLINE,
+                'the deadline passed before the request was forwarded',
+                ran=Ran.NO,
             )
         run.forwarded = True
         async with self._backend.open(
@@ -86,7 +91,7 @@
         return _make_record(run)
 
     def finish(self, run: Run) -> None:
-        """Close the stream of a run whose answer came whole."""
+        """Close the stream of a run whose response is complete."""
         totals = run.make_totals()
         if run.buffer is not None:
             messages = run.buffer.finish(totals, self._clock.now())
@@ -157,6 +162,6 @@
     if run.dispatch.claim is None:
         return None
     if run.record is None:
-        # Status 0 tells that it ended whole and is too long to be kept.
+        # Status 0 means that the response was complete but too long to keep.
         return RunAnswer(0, (), b'')
     return RunAnswer(run.status, run.headers, bytes(run.record))
--- a/src/oleanderdyke/agent/health.py
+++ b/src/oleanderdyke/agent/health.py
@@ -1,4 +1,4 @@
-"""Notice when a backend server dies and when it answers again."""
+"""Health probes of the backend server."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 
 
 class Health:
-    """Probe a backend server; it starts unproven.
+    """Probe the backend server and report when it is lost or up again.
 
-    A refused connection counts at once, since nothing listens; silence counts
-    after `missed_probes` in a row.
+    The server counts as down until the first successful probe. A refused
+    connection marks it as lost at once, since nothing listens there; other
+    failures do after `missed_probes` in a row.
     """
 
     def __init__(
@@ -39,13 +40,13 @@
         self.alive = False
 
     async def run(self) -> None:
-        """Probe until cancelled."""
+        """Probe at regular intervals until cancelled."""
         while True:
             await self.check()
             await anyio.sleep(self._settings.probe_interval / SECOND)
 
     async def check(self) -> bool:
-        """Probe now, tell about a change, return whether it is alive."""
+        """Probe once, report a change, return whether the server is up."""
         async with self._lock:
             try:
                 await self._probe()
@@ -56,7 +57,7 @@
             return self.alive
 
     async def mark_lost(self) -> None:
-        """Take a server as lost that may answer again already."""
+        """Mark a server as lost even if a new process already answers."""
         async with self._lock:
             if self.alive:
                 self.alive = False
@@ -69,7 +70,8 @@
         try:
             await self._on_up()
         except OleanderError:
-            # It answered once and failed in its first use; probe again.
+            # The probe succeeded but the first use failed; the next probe
+            # tries again.
             return
         self.alive = True
 
--- a/src/oleanderdyke/agent/heartbeats.py
+++ b/src/oleanderdyke/agent/heartbeats.py
@@ -1,4 +1,4 @@
-"""Tell every peer how an agent is."""
+"""Heartbeats of an agent to its peers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class HeartbeatSender:
-    """Send heartbeats and the changes of the segments."""
+    """Send heartbeats and segment events to all connected peers."""
 
     def __init__(
         self,
@@ -47,13 +47,16 @@
         self.phase = AgentPhase.STARTING
 
     def set_phase(self, phase: AgentPhase) -> None:
-        """Enter a phase; LEAVING is never left again."""
+        """Set the phase in heartbeats and in the gate.
+
+        The phase in heartbeats never changes again after LEAVING.
+        """
         if self.phase is not AgentPhase.LEAVING:
             self.phase = phase
         self._gate.set_phase(phase)
 
     def send(self) -> None:
-        """Send a heartbeat and the new segment events on every link."""
+        """Queue a heartbeat for all peers and segment events for entries."""
         heartbeat = self._make_heartbeat()
         events = self._role.segments.drain()
         for outbox in self._outboxes.values():
@@ -62,18 +65,23 @@
                 _put_all(outbox, events)
 
     def send_initial_state(self, outbox: Outbox) -> None:
-        """Tell a new peer everything."""
+        """Queue the first messages for a newly connected peer."""
         self._put_heartbeat(outbox, self._make_heartbeat())
         if outbox.peer.role is PeerRole.ENTRY:
-            # A peer that lacks events asks for them.
+            # The entry compares this number with its own and requests the
+            # events that it is missing.
             outbox.put(SegmentEvents(self._role.segments.next_number))
 
     def send_segments(self, outbox: Outbox, after: int = -1) -> None:
-        """Send the segment events from a number on, or the whole set."""
+        """Queue the segment events that follow number `after`.
+
+        Queues the complete set of segments if `after` is -1, or if the events
+        after it are no longer available.
+        """
         _put_all(outbox, self._role.segments.list_after(after))
 
     def _put_heartbeat(self, outbox: Outbox, heartbeat: Heartbeat) -> None:
-        """Send a whole heartbeat, or what differs from the one before."""
+        """Queue a heartbeat, without unchanged parts if the peer allows it."""
         previous, self._last_sent[outbox] = (
             self._last_sent.get(outbox),
             heartbeat,
@@ -104,7 +112,10 @@
 
 
 def omit_unchanged(heartbeat: Heartbeat, previous: Heartbeat) -> Heartbeat:
-    """Leave out the load and the weights where a peer knows them."""
+    """Return the heartbeat without a load and weights equal to the previous.
+
+    The flags `same_load` and `same_weights` tell the peer to reuse them.
+    """
     if heartbeat.load == previous.load:
         heartbeat = replace(heartbeat, load=_NO_LOAD, same_load=True)
     if _get_weights(heartbeat) != _get_weights(previous):
--- a/src/oleanderdyke/agent/main.py
+++ b/src/oleanderdyke/agent/main.py
@@ -1,4 +1,4 @@
-"""Start `oleander-agent`, the only way to one backend server."""
+"""The command line of `oleander-agent`."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the binary; return its exit code."""
+    """Run `oleander-agent` and return its exit code."""
     return _AGENT.run(arguments)
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Build the parser of the command line."""
+    """Build the command-line parser, also used for the reference pages."""
     return daemon.make_parser(_AGENT.name, _AGENT.description)
 
 
--- a/src/oleanderdyke/agent/order_loop.py
+++ b/src/oleanderdyke/agent/order_loop.py
@@ -1,4 +1,4 @@
-"""Order the engine to load what the configuration asks for."""
+"""The loop that makes the engine load the configured weights."""
 
 from __future__ import annotations
 
@@ -38,8 +38,9 @@
 class OrderLoop:
     """Reconcile one engine with the configuration.
 
-    New runs are refused from before an order until the state is read back;
-    `wait_started` returns once no run may still meet the new weights.
+    The admission of runs is suspended before an order and resumed after the
+    state has been read back. `wait_started` waits until every admitted run has
+    begun to answer, so that none starts on the new weights.
     """
 
     def __init__(
@@ -76,13 +77,16 @@
             try:
                 pause = await self.step()
             except OleanderError:
-                # The health probe tells whether the engine is lost.
+                # The health probe detects a lost engine.
                 pause = RECHECK_INTERVAL
             with anyio.move_on_after(max(pause, 0.0) / SECOND):
                 await self._configuration.wait_changed()
 
     async def step(self) -> Millis:
-        """Take one step and return the pause before the next."""
+        """Execute one step and return the pause before the next one.
+
+        Raises OleanderError.
+        """
         desired = self._find_desired()
         if desired is None:
             return RECHECK_INTERVAL
@@ -134,7 +138,7 @@
 
     async def _order(self, order: Order) -> None:
         if not self._engine.admission_suspended:
-            # Nobody may start with the old weights while they are replaced.
+            # No run may start on the old weights while they are replaced.
             self._engine.suspend_admission()
             with anyio.move_on_after(_START_TIMEOUT / SECOND):
                 await self._wait_started()
--- a/src/oleanderdyke/agent/outbox.py
+++ b/src/oleanderdyke/agent/outbox.py
@@ -1,4 +1,4 @@
-"""Send the messages of one link in order."""
+"""Outgoing messages of one link."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Outbox:
-    """Queue messages for one link.
+    """Send messages over one link, in order.
 
-    `put` never waits: what is put is bounded by credit or is small. `send`
-    waits behind a slow peer.
+    `put` never waits and its queue has no limit: messages queued with it are
+    small or bounded by credit. `send` waits while the peer is slow.
     """
 
     def __init__(self, name: str, link: Link) -> None:
@@ -27,14 +27,17 @@
         self._flushing = False
 
     def put(self, message: Message) -> None:
-        """Queue a message; it is lost where the link is."""
+        """Queue a message; discard it if the link is closed."""
         if self._link.closed:
             return
         self._queue.append(message)
         self._queued.set()
 
     async def push(self, messages: Iterable[Message]) -> None:
-        """Queue messages and send them here, which spares a task switch."""
+        """Queue messages and send them from the calling task.
+
+        This avoids the switch to the task of `run`.
+        """
         if self._link.closed:
             return
         self._queue.extend(messages)
@@ -44,23 +47,23 @@
             await self.flush()
 
     async def send(self, message: Message) -> None:
-        """Send now; raise LinkClosed."""
+        """Send a message ahead of the queue; raise LinkClosed."""
         await self._link.send(message)
 
     async def run(self) -> None:
-        """Send what is put until cancelled."""
+        """Send queued messages until cancelled."""
         while True:
             await self._queued.wait()
             self._queued = anyio.Event()
             await self.flush()
 
     async def flush(self) -> None:
-        """Send what is queued, unless another task is at it already."""
+        """Send all queued messages, unless another task is doing so."""
         if self._flushing:
             return
         self._flushing = True
         try:
-            # A message that was taken from the queue must go out whole.
+            # A message removed from the queue must be sent completely.
             with anyio.CancelScope(shield=True):
                 while self._queue:
                     await self._link.send(self._queue.popleft())
@@ -70,7 +73,7 @@
             self._flushing = False
 
     def _write_available(self) -> None:
-        """Send what the link takes without a wait."""
+        """Send as many messages as the link accepts without waiting."""
         while self._queue:
             message = self._queue.popleft()
             if not self._link.write(message):
--- a/src/oleanderdyke/agent/peers.py
+++ b/src/oleanderdyke/agent/peers.py
@@ -1,4 +1,4 @@
-"""Keep links from an engine's agent to the agents of stores."""
+"""Links from an engine's agent to the agents of stores."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class StorePeer:
-    """Exchange segments with one store's agent over one link."""
+    """Exchange messages with one store's agent over one link."""
 
     def __init__(self, link: Link) -> None:
         self._link = link
@@ -45,20 +45,23 @@
 
     @property
     def closed(self) -> bool:
-        """Return whether the link is gone."""
+        """Return whether the link is closed."""
         return self._link.closed
 
     def make_request_id(self) -> str:
-        """Return a request id that is new on this link."""
+        """Return a request ID unique on this link."""
         return f'{next(self._request_ids)}'
 
     async def send(self, message: Message) -> None:
-        """Send; raise LinkClosed."""
+        """Send a message; raise LinkClosed."""
         await self._link.send(message)
 
     @asynccontextmanager
     async def listen(self, request: str) -> AsyncIterator[Inbox]:
-        """Give the answers to one request; they end when the link does."""
+        """Yield the stream of answers to one request.
+
+        It ends when the link closes.
+        """
         sender, receiver = anyio.create_memory_object_stream[StoreAnswer](
             _INBOX_SIZE
         )
@@ -71,7 +74,7 @@
             receiver.close()
 
     async def run(self) -> None:
-        """Read until the link closes."""
+        """Receive answers and deliver them to their requests until the end."""
         try:
             while True:
                 await self._deliver(await self._link.receive())
@@ -96,7 +99,7 @@
 
 
 class StorePeers:
-    """Find or dial the link to a store's agent."""
+    """Keep one link to the agent of each store in use."""
 
     def __init__(
         self,
@@ -116,7 +119,10 @@
         self._locks: dict[str, anyio.Lock] = {}
 
     async def find(self, address: str) -> StorePeer:
-        """Return an open link; raise OleanderError."""
+        """Return the peer at an address, dialing it first if needed.
+
+        Raises OleanderError.
+        """
         lock = self._locks.setdefault(address, anyio.Lock())
         async with lock:
             peer = self._peers.get(address)
--- a/src/oleanderdyke/agent/prepare.py
+++ b/src/oleanderdyke/agent/prepare.py
@@ -1,4 +1,4 @@
-"""Turn a dispatch into the request that its backend server gets."""
+"""Preparation of requests for the backend server."""
 
 from __future__ import annotations
 
@@ -28,27 +28,30 @@
 
 @dataclass(frozen=True, slots=True)
 class PreparedRequest:
-    """Hold what is sent to the backend server."""
+    """The headers and body to send to the backend server."""
 
     headers: Headers
     body: Body
 
 
 class Preparer(Protocol):
-    """Prepare runs for one kind of backend server."""
+    """Prepare requests for one kind of backend server."""
 
     async def prepare(self, run: Run) -> PreparedRequest:
-        """Return the request to send; raise OleanderError."""
+        """Return the request to forward for a run; raise OleanderError."""
 
     def on_complete(self, run: Run) -> None:
-        """Learn that the answer of a run came whole."""
+        """Process a run whose response is complete."""
 
 
 class PlainPreparer:
-    """Pass requests of plain services on unchanged."""
+    """Forward requests of plain services unchanged."""
 
     async def prepare(self, run: Run) -> PreparedRequest:
-        """Stream a body that is still coming, unless a key claimed it."""
+        """Return the request, with a body that may still be arriving.
+
+        The body of a run with a claim is collected completely first.
+        """
         await run.body.wait_first_chunk()
         headers = _make_headers(run.dispatch)
         if run.dispatch.claim is None and not run.body.ended:
@@ -59,11 +62,14 @@
         )
 
     def on_complete(self, run: Run) -> None:
-        """Learn nothing."""
+        """Do nothing: plain services have no segments."""
 
 
 class EnginePreparer:
-    """Bring kept context into the engine and name its namespace."""
+    """Fetch cached context into the engine before a run.
+
+    The request names the namespace of its team as the cache salt.
+    """
 
     def __init__(
         self,
@@ -83,7 +89,7 @@
         self._short_tokens = short_tokens
 
     async def prepare(self, run: Run) -> PreparedRequest:
-        """Fetch first, then check the weights again."""
+        """Fetch context, then check that the weights are still loaded."""
         dispatch = run.dispatch
         body = await run.body.collect()
         namespace = _check_namespace(dispatch)
@@ -103,7 +109,7 @@
         )
 
     def on_complete(self, run: Run) -> None:
-        """Offer the complete segments to the store that should keep them."""
+        """Export the computed segments to the store named in the dispatch."""
         dispatch = run.dispatch
         if self._engine.loaded.digest != dispatch.weight_digest:
             return
@@ -115,7 +121,7 @@
     async def _fetch(
         self, run: Run, plan: FetchPlan, namespace: Namespace
     ) -> int:
-        """Return how many segments of the plan came."""
+        """Fetch the segments of a plan and return how many were imported."""
         estimate = self._engine.estimate_prefill(1)
         step = self._fetch_timeout
         if estimate is not None:
@@ -129,7 +135,10 @@
     def _find_priority(
         self, dispatch: Dispatch, plan: FetchPlan, fetched: int
     ) -> int:
-        """Lower the priority of a plan whose fetch was not whole."""
+        """Lower the priority if segments are left to be computed.
+
+        Long prefills must not delay short requests.
+        """
         missing = _count_missing(dispatch.segments, plan.segments[fetched:])
         return lower_priority(
             dispatch.priority,
@@ -146,14 +155,16 @@
         )
         if self._engine.loaded != expected:
             raise OleanderError(
-                ErrorKind.WRONG_VERSION, 'the weights changed', ran=Ran.NO
+                ErrorKind.WRONG_VERSION,
+                'the loaded weights differ from those of the dispatch',
+                ran=Ran.NO,
             )
 
 
 def _count_missing(
     segments: Sequence[SegmentId], lost: Sequence[SegmentId]
 ) -> int:
-    """Count the segments from the first lost one to the prompt's end."""
+    """Count the segments of a prompt from the first lost one on."""
     if not lost or lost[0] not in segments:
         return 0
     return len(segments) - segments.index(lost[0])
@@ -162,7 +173,7 @@
 def _find_depth(
     segments: Sequence[SegmentId], kept: Sequence[SegmentId]
 ) -> int:
-    """Return where in a prompt the segments to keep begin."""
+    """Return the index in a prompt of the first segment to export."""
     if not kept or kept[0] not in segments:
         return 0
     return segments.index(kept[0])
@@ -178,7 +189,9 @@
     )
     if dispatch.namespace != namespace:
         raise OleanderError(
-            ErrorKind.PROTOCOL, "the namespace is not the team's", ran=Ran.NO
+            ErrorKind.PROTOCOL,
+            'the namespace does not match the team, service and weights',
+            ran=Ran.NO,
         )
     return namespace
 
@@ -201,11 +214,11 @@
         payload = json.loads(body)
     except ValueError as error:
         raise OleanderError(
-            ErrorKind.BAD_REQUEST, 'the body is not JSON'
+            ErrorKind.BAD_REQUEST, 'the request body is not JSON'
         ) from error
     if not isinstance(payload, dict):
         raise OleanderError(
-            ErrorKind.BAD_REQUEST, 'the body is not a JSON object'
+            ErrorKind.BAD_REQUEST, 'the request body is not a JSON object'
         )
     return payload
 
--- a/src/oleanderdyke/agent/stop_requests.py
+++ b/src/oleanderdyke/agent/stop_requests.py
@@ -1,4 +1,4 @@
-"""Take the messages that tell an agent to leave."""
+"""Messages of peers that ask an agent to stop."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class StopRequests:
-    """Start the departure of one incarnation at another's word."""
+    """Start the drain of this incarnation of the agent on request."""
 
     def __init__(
         self,
@@ -27,18 +27,21 @@
         self._superseded = False
 
     def is_superseded(self) -> bool:
-        """Return whether a newer incarnation guards the server now."""
+        """Return whether a newer incarnation of this agent has taken over."""
         return self._superseded
 
     def on_drain_request(self, _outbox: Outbox, message: DrainRequest) -> None:
-        """Leave because an operator asked for it."""
+        """Start the drain that an operator has requested."""
         if self._drain_runner.is_leaving:
             return
         self._events.write(EventName.DRAIN_STARTED, operator=message.operator)
         self._drain_runner.signal()
 
     def on_superseded(self, outbox: Outbox, message: Superseded) -> None:
-        """Leave for good; a newer incarnation guards the server now."""
+        """Start the drain because a newer incarnation has taken over.
+
+        Ignores messages for other incarnations, and those not from an entry.
+        """
         own = (self._process, self._incarnation)
         if (message.process, message.incarnation) != own:
             return
