--- a/src/oleanderdyke/agent/heartbeats.py
+++ b/src/oleanderdyke/agent/heartbeats.py
@@ -73,10 +73,10 @@
             outbox.put(SegmentEvents(self._role.segments.next_number))
 
     def send_segments(self, outbox: Outbox, after: int = -1) -> None:
-        """Queue the segment events that follow number `after`.
+        """Queue the segment events from number `after` on.
 
-        Queues the complete set of segments if `after` is -1, or if the events
-        after it are no longer available.
+        Queues the complete set of segments if `after` is -1, or if those
+        events are no longer available.
         """
         _put_all(outbox, self._role.segments.list_after(after))
 
--- a/src/oleanderdyke/agent/link_scheduler.py
+++ b/src/oleanderdyke/agent/link_scheduler.py
@@ -1,4 +1,4 @@
-"""Share a store's link fairly between its readers and writers."""
+"""Scheduling of a store's link between readers and writers."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class LinkScheduler:
-    """Grant bytes of a link at its rate; reads go before writes.
+    """Grant turns on a link at its rate in bytes per second, reads first.
 
-    Each reader has at most one turn waiting, so turns in order of arrival
-    share the link equally. A rate of zero means no bound.
+    Each reader waits for at most one turn, so that turns in order of arrival
+    share the link equally. A rate of zero means no limit.
     """
 
     def __init__(self, clock: Clock, rate: float = 0.0) -> None:
@@ -25,11 +25,11 @@
         self._busy = False
 
     async def wait_read(self, size: int) -> None:
-        """Wait for the turn to send bytes to a reader."""
+        """Wait for the turn to send a number of bytes to a reader."""
         await self._wait(self._reads, size)
 
     async def wait_write(self, size: int) -> None:
-        """Wait for the turn to keep bytes; yields to every reader."""
+        """Wait for the turn to receive a number of bytes, after all reads."""
         await self._wait(self._writes, size)
 
     async def _wait(self, queue: deque[anyio.Event], size: int) -> None:
--- a/src/oleanderdyke/agent/main.py
+++ b/src/oleanderdyke/agent/main.py
@@ -10,7 +10,7 @@
 
 _AGENT = daemon.Daemon(
     name='oleander-agent',
-    description='Guard one backend server: engine, plain service or store.',
+    description='Agent of one backend server: engine, plain service or store.',
     standalone='oleanderdyke.agent.standalone',
     hosted='oleanderdyke.agent.hosted.mode',
 )
--- a/src/oleanderdyke/agent/process_watch.py
+++ b/src/oleanderdyke/agent/process_watch.py
@@ -1,4 +1,4 @@
-"""Notice the end of a backend server's process between two probes."""
+"""Detection of a restart of the backend server between two probes."""
 
 from __future__ import annotations
 
@@ -12,12 +12,14 @@
 from oleanderdyke.clock import SECOND, Clock, Millis
 from oleanderdyke.links.messages import BackendKind
 
+# For this long after its end, broken connections and refusals are attributed
+# to the ended process. Also the time to wait for the end to show.
 _END_WINDOW: Millis = 250.0
 _READ_BYTES = 1024
 
 
 class ProcessStatus(enum.StrEnum):
-    """Say what became of a process that broke off a connection."""
+    """The state of a server process after it has closed a connection."""
 
     ENDED = 'ended'
     ALIVE = 'lives'
@@ -25,11 +27,11 @@
 
 
 class ProcessWatch:
-    """Hold an idle connection, which ends where its process does.
+    """Hold an idle connection, which is closed when its process ends.
 
-    A process that restarts between two probes answers every probe, but can't
-    keep this connection. A plain service may serve one connection at a time,
-    so none is held there.
+    A process that restarts between two probes answers both of them, but closes
+    this connection. No connection is held to a plain service, as it may serve
+    only one at a time.
     """
 
     def __init__(self, settings: BackendSettings, *, clock: Clock) -> None:
@@ -40,7 +42,7 @@
         self._changed = anyio.Event()
 
     async def run(self) -> None:
-        """Hold a connection until cancelled."""
+        """Hold a connection, and reconnect after its end, until cancelled."""
         if self._settings.kind is BackendKind.PLAIN:
             return
         while True:
@@ -48,14 +50,17 @@
             await anyio.sleep(self._settings.probe_interval / SECOND)
 
     def has_ended(self) -> bool:
-        """Return whether the process ended just now."""
+        """Return whether the process ended within `_END_WINDOW`."""
         ended_at = self._ended_at
         return ended_at is not None and (
             self._clock.now() - ended_at <= _END_WINDOW
         )
 
     async def diagnose(self) -> ProcessStatus:
-        """Tell, once a run's connection broke, whether the process ended."""
+        """Determine whether the process ended, after a run's connection broke.
+
+        Waits briefly for the end of the held connection.
+        """
         if self._held_scope is not None and not self.has_ended():
             with anyio.move_on_after(_END_WINDOW / SECOND):
                 await self._changed.wait()
@@ -68,7 +73,7 @@
         )
 
     def reset(self) -> None:
-        """Forget what was held or ended; a server was lost."""
+        """Discard all state of a lost server and close the connection."""
         self._ended_at = None
         if self._held_scope is not None:
             self._held_scope.cancel()
--- a/src/oleanderdyke/agent/readers.py
+++ b/src/oleanderdyke/agent/readers.py
@@ -1,4 +1,4 @@
-"""Deliver the streams of an agent to those who read them."""
+"""Delivery of streams to the entries that read them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Readers:
-    """Know who reads which stream, and which run fills it."""
+    """Map streams to their readers and to the runs that fill them."""
 
     def __init__(
         self,
@@ -34,12 +34,15 @@
         self._buffers: dict[Reader, StreamBuffer] = {}
 
     def find_run(self, reader: Reader) -> Run | None:
-        """Return the run that fills the stream of a reader."""
+        """Return the run that fills the stream of a reader, if any."""
         buffer = self._buffers.get(reader)
         return None if buffer is None else self._runs.get(buffer)
 
     def attach(self, run: Run, buffer: StreamBuffer) -> None:
-        """Note the reader of a new stream; its link may be gone by now."""
+        """Register the reader of a new stream.
+
+        The stream starts detached if the link of the reader has closed.
+        """
         self._runs[buffer] = run
         if run.outbox.name in self._outboxes:
             self._buffers[run.reader] = buffer
@@ -47,7 +50,7 @@
         buffer.detach(run.outbox.name, self._clock.now())
 
     def grant(self, outbox: Outbox, credit: Credit) -> None:
-        """Let a reader have more of its stream."""
+        """Apply the credit of a reader and send what it allows."""
         reader = Reader(outbox.name, credit.request, credit.attempt)
         buffer = self._buffers.get(reader)
         if buffer is None:
@@ -56,7 +59,7 @@
         self._update_progress(buffer)
 
     def resume(self, outbox: Outbox, message: Resume) -> None:
-        """Give a stream to a new reader."""
+        """Move a stream to the reader that resumes it."""
         now = self._clock.now()
         resumed = self._streams.resume(message, outbox.name, now)
         if isinstance(resumed, Failed):
@@ -78,13 +81,16 @@
         self._update_progress(resumed.stream)
 
     def drop_link(self, link: str) -> None:
-        """Keep the streams of a lost link for a while."""
+        """Detach the streams of a closed link, so that they can be resumed."""
         self._streams.detach(link, self._clock.now())
         for reader in [each for each in self._buffers if each.link == link]:
             del self._buffers[reader]
 
     def expire(self) -> Iterable[Run]:
-        """End the streams that nobody takes; yield each run that filled one."""
+        """Close the streams whose readers made no progress in time.
+
+        Yields the runs that filled them.
+        """
         for buffer in self._streams.expire(self._clock.now()):
             reader = buffer.reader
             run = self._runs.pop(buffer, None)
@@ -96,7 +102,7 @@
                 yield run
 
     def close_stream(self, run: Run) -> None:
-        """End the stream of a run and wake what waits for it."""
+        """Close the stream of a run and wake the task that waits for it."""
         buffer = run.buffer
         run.buffer = None
         if buffer is not None:
@@ -107,12 +113,12 @@
         run.notify()
 
     def remove(self, run: Run) -> None:
-        """Let go of a run; its stream is sent or stays for a new reader."""
+        """Remove a finished run; an unsent stream stays for a new reader."""
         if run.buffer is not None:
             self._runs.pop(run.buffer, None)
 
     def send(self, reader: Reader, messages: Iterable[Message]) -> None:
-        """Queue messages for a reader whose link is there."""
+        """Queue messages for a reader; discard them if it is disconnected."""
         outbox = self._outboxes.get(reader.link)
         if outbox is None:
             return
@@ -120,7 +126,7 @@
             outbox.put(message)
 
     async def push(self, reader: Reader, messages: Sequence[Message]) -> None:
-        """Send messages to a reader whose link is there."""
+        """Send messages to a reader; discard them if it is disconnected."""
         outbox = self._outboxes.get(reader.link)
         if outbox is not None:
             await outbox.push(messages)
--- a/src/oleanderdyke/agent/roles.py
+++ b/src/oleanderdyke/agent/roles.py
@@ -1,4 +1,4 @@
-"""Tell apart the agents of engines, plain services and stores."""
+"""What differs between agents of engines, plain services and stores."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoleDependencies:
-    """Hold what every role may use."""
+    """The parts of an agent that its role may use."""
 
     backend: Backend
     configuration: Configuration
@@ -59,7 +59,7 @@
 
 
 class Role(Protocol):
-    """Do what differs between the kinds of backend servers."""
+    """The behaviour specific to one kind of backend server."""
 
     preparer: Preparer
     segments: SegmentLog
@@ -67,38 +67,38 @@
 
     @property
     def loaded(self) -> LoadedWeights:
-        """Return the weights that runs must name."""
+        """Return the loaded weights, which each dispatch must name."""
 
     def measure(self) -> Load:
-        """Return the load to report."""
+        """Return the load for the next heartbeat."""
 
     async def probe(self) -> None:
-        """Prove that the backend server answers; raise OleanderError."""
+        """Check that the backend server responds; raise OleanderError."""
 
     async def open(self) -> None:
-        """Use a backend server that answers; raise OleanderError."""
+        """Initialize once the server responds; raise OleanderError."""
 
     def close(self) -> None:
-        """Forget a backend server that was lost."""
+        """Discard all state of a lost backend server."""
 
     def on_read(self, outbox: Outbox, message: SegmentRead) -> None:
-        """Answer a read of segments."""
+        """Handle a request to read segments."""
 
     def stop_read(self, outbox: Outbox, request: str) -> None:
-        """Stop a read."""
+        """Stop a read that the peer has cancelled."""
 
     def on_write(self, outbox: Outbox, message: SegmentWrite) -> None:
-        """Answer an offered segment."""
+        """Handle a request to write a segment."""
 
     def on_part(self, outbox: Outbox, message: SegmentPart) -> None:
-        """Take a part of an offered segment."""
+        """Handle a part of a segment to write."""
 
     def drop_link(self, link: str) -> None:
-        """Forget a lost link."""
+        """Discard the reads and writes of a closed link."""
 
 
 class PlainRole:
-    """Guard a plain service."""
+    """The role beside a plain service, which has no weights or segments."""
 
     def __init__(
         self, settings: AgentSettings, dependencies: RoleDependencies
@@ -112,11 +112,11 @@
 
     @property
     def loaded(self) -> LoadedWeights:
-        """Return no weights."""
+        """Return empty weights: a plain service has none."""
         return LoadedWeights()
 
     def measure(self) -> Load:
-        """Count what runs here against the slots."""
+        """Return the number of runs within and beyond the slots."""
         running = self._gate.running
         return Load(
             running=min(running, self._slots),
@@ -125,25 +125,25 @@
         )
 
     async def probe(self) -> None:
-        """Connect only, since any request might have an effect."""
+        """Open a connection only, since a request may have side effects."""
         await self._backend.connect()
 
     async def open(self) -> None:
-        """Do nothing."""
+        """Do nothing: there is no state."""
 
     def close(self) -> None:
-        """Do nothing."""
+        """Do nothing: there is no state."""
 
     def on_read(self, outbox: Outbox, message: SegmentRead) -> None:
-        """Keep no segments."""
+        """Report the first segment as missing, which ends the read."""
         for segment in message.segments[:1]:
             outbox.put(SegmentMissing(message.request, segment))
 
     def stop_read(self, outbox: Outbox, request: str) -> None:
-        """Serve no reads."""
+        """Do nothing: no reads are served."""
 
     def on_write(self, outbox: Outbox, message: SegmentWrite) -> None:
-        """Keep no segments."""
+        """Refuse the write: a plain service stores no segments."""
         outbox.put(
             SegmentWritten(
                 message.request,
@@ -154,14 +154,14 @@
         )
 
     def on_part(self, outbox: Outbox, message: SegmentPart) -> None:
-        """Keep no segments."""
+        """Do nothing: a plain service stores no segments."""
 
     def drop_link(self, link: str) -> None:
-        """Hold nothing for links."""
+        """Do nothing: there is no state per link."""
 
 
 class EngineRole(PlainRole):
-    """Guard a model engine."""
+    """The role beside a model engine."""
 
     def __init__(
         self, settings: AgentSettings, dependencies: RoleDependencies
@@ -222,20 +222,20 @@
 
     @property
     def loaded(self) -> LoadedWeights:
-        """Return the weights that runs must name."""
+        """Return the loaded weights, which each dispatch must name."""
         return self._engine.loaded
 
     def measure(self) -> Load:
-        """Return what the engine last reported."""
+        """Return the load that the engine reported last."""
         return self._engine.load
 
     async def probe(self) -> None:
-        """Read state, load and cache events."""
+        """Request the state, load and cache events of the engine."""
         await self._engine.read_state()
         await self._engine.poll()
 
     def close(self) -> None:
-        """Forget what the lost engine held."""
+        """Discard the state of the lost engine and its pending exports."""
         self._engine.reset()
         self._exporter.clear()
 
@@ -245,7 +245,7 @@
 
 
 class StoreRole(PlainRole):
-    """Guard a store VM."""
+    """The role beside a store, which keeps segments."""
 
     def __init__(
         self, settings: AgentSettings, dependencies: RoleDependencies
@@ -268,44 +268,44 @@
         self.background_loops = (self._store.run,)
 
     def measure(self) -> Load:
-        """Report readers and the link."""
+        """Return the number of readers and the use of the link."""
         return self._store.measure()
 
     async def probe(self) -> None:
-        """Read the space."""
+        """Request the capacity of the store."""
         await self._backend.get_json('/space')
 
     async def open(self) -> None:
-        """Show what the store has kept."""
+        """Make the segments in the store visible; raise OleanderError."""
         await self._store.open()
 
     def close(self) -> None:
-        """Hide everything."""
+        """Make all segments invisible."""
         self._store.close()
 
     def on_read(self, outbox: Outbox, message: SegmentRead) -> None:
-        """Answer a read of segments."""
+        """Handle a request to read segments."""
         self._store.read(outbox, message)
 
     def stop_read(self, outbox: Outbox, request: str) -> None:
-        """Stop a read."""
+        """Stop a read that the peer has cancelled."""
         self._store.stop_read(outbox.name, request)
 
     def on_write(self, outbox: Outbox, message: SegmentWrite) -> None:
-        """Answer an offered segment."""
+        """Handle a request to write a segment."""
         self._store.offer(outbox, message)
 
     def on_part(self, outbox: Outbox, message: SegmentPart) -> None:
-        """Take a part of an offered segment."""
+        """Handle a part of a segment to write."""
         self._store.add_part(outbox.name, message)
 
     def drop_link(self, link: str) -> None:
-        """Forget a lost link."""
+        """Discard the reads and writes of a closed link."""
         self._store.drop_link(link)
 
 
 def make_role(settings: AgentSettings, dependencies: RoleDependencies) -> Role:
-    """Build the role for the kind of backend server."""
+    """Build the role for the configured kind of backend server."""
     kind = settings.backend.kind
     if kind is BackendKind.ENGINE:
         return EngineRole(settings, dependencies)
--- a/src/oleanderdyke/agent/routing.py
+++ b/src/oleanderdyke/agent/routing.py
@@ -1,4 +1,4 @@
-"""Route each message of a peer to the part of an agent that takes it."""
+"""Routing of messages from peers to the parts of an agent."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class Router:
-    """Hand on what peers send; refuse what isn't for an agent."""
+    """Call the handler for each message; refuse types without a handler."""
 
     def __init__(
         self,
@@ -92,7 +92,7 @@
         }
 
     def route(self, outbox: Outbox, message: Message) -> None:
-        """Hand on a message that came over the link of an outbox."""
+        """Handle a message received on the link of an outbox."""
         handler = self._handlers.get(type(message))
         if handler is not None:
             handler(outbox, message)
@@ -104,7 +104,12 @@
             peer=outbox.peer.process,
             kind=type(message).__name__,
         )
-        outbox.put(Refused(ErrorKind.PROTOCOL, 'not for an agent'))
+        outbox.put(
+            Refused(
+                ErrorKind.PROTOCOL,
+                f'an agent takes no {type(message).__name__} messages',
+            )
+        )
 
     def _on_entry_beat(self, outbox: Outbox, message: EntryBeat) -> None:
         self._configuration.on_peer_offset(outbox, message.offset)
--- a/src/oleanderdyke/agent/run.py
+++ b/src/oleanderdyke/agent/run.py
@@ -1,4 +1,4 @@
-"""Hold the state of one attempt at an agent."""
+"""The state of one attempt at an agent."""
 
 from __future__ import annotations
 
@@ -27,10 +27,12 @@
 
 @dataclass(slots=True)
 class Run:
-    """Follow one attempt from its dispatch to the end of its answer.
+    """One attempt, from its dispatch to the end of its response.
 
-    `stopped` tells that nothing more is sent for it; `forwarded` that the
-    backend server may have seen it, `started` that it has begun to answer.
+    `stopped`: nothing more is sent for it. `forwarded`: the backend server may
+    have received it. `started`: the response has begun. `discarded`: nobody
+    reads the response. `record` collects the response of a run with a claim;
+    it is None without a claim, or once it exceeds `record_limit` bytes.
     """
 
     dispatch: Dispatch
@@ -55,28 +57,28 @@
 
     @property
     def key(self) -> RunKey:
-        """Return the request id and the attempt."""
+        """Return the request ID and attempt number."""
         return (self.dispatch.request, self.dispatch.attempt)
 
     @property
     def work_id(self) -> str:
-        """Return the name by which a planned stop knows the run."""
+        """Return the ID of the run in the drain."""
         return f'{self.dispatch.request}/{self.dispatch.attempt}'
 
     @property
     def is_cancellable(self) -> bool:
-        """Return whether a run that nobody waits for may be cancelled."""
+        """Return whether the run may be cancelled once nobody waits for it."""
         return self.dispatch.idempotent and self.dispatch.claim is None
 
     @property
     def reader(self) -> Reader:
-        """Return who gets the answer, or would get it."""
+        """Return the reader of the response, by default the dispatching one."""
         if self.buffer is not None and self.buffer.reader is not None:
             return self.buffer.reader
         return Reader(self.outbox.name, *self.key)
 
     def add_data(self, data: bytes) -> None:
-        """Count answer data, and record it for the key that claimed it."""
+        """Count response data, and record it for the claim of the run."""
         self.length += len(data)
         self.chunks += 1
         self.tail = (self.tail + data)[-_TAIL_BYTES:]
@@ -87,7 +89,7 @@
             self.record = None
 
     def make_totals(self) -> AnswerTotals:
-        """Read the token counts from the end of an engine's answer."""
+        """Return the totals, with token counts from the end of the response."""
         prompt = _find_last_number(_PROMPT_TOKENS, self.tail)
         cached = _find_last_number(_CACHED_TOKENS, self.tail)
         return AnswerTotals(
@@ -97,12 +99,12 @@
         )
 
     def notify(self) -> None:
-        """Wake the task that waits for credit or delivery."""
+        """Wake the task in `wait_changed`."""
         self.changed.set()
         self.changed = anyio.Event()
 
     async def wait_changed(self) -> None:
-        """Return once credit, the reader or the buffer has changed."""
+        """Wait until the credit, the reader or the buffer has changed."""
         await self.changed.wait()
 
 
--- a/src/oleanderdyke/agent/runs.py
+++ b/src/oleanderdyke/agent/runs.py
@@ -1,4 +1,4 @@
-"""Keep the attempts of an agent, from the gate to the delivered answer."""
+"""The attempts of an agent, from admission to the delivered response."""
 
 from __future__ import annotations
 
@@ -41,17 +41,22 @@
 
 
 class WorkTracker(Protocol):
-    """Count the work that a planned stop waits for."""
+    """Track the work that a drain waits for."""
 
     def start_work(self, work_id: str) -> None:
-        """Count a piece of work."""
+        """Record the start of work."""
 
     def end_work(self, work_id: str) -> None:
-        """Forget a piece of work."""
+        """Record the end of work."""
 
 
 class Runs:
-    """Admit, run and deliver attempts; find them by message."""
+    """Admit attempts, execute them and deliver their responses.
+
+    `diagnose_loss` finds out, after a broken connection, whether the process
+    of the backend server has ended. `report_suspects` sends a heartbeat with
+    the current suspects.
+    """
 
     def __init__(
         self,
@@ -85,11 +90,11 @@
         self._progress = anyio.Event()
 
     def set_forwarder(self, forwarder: Forwarder) -> None:
-        """Set what carries runs through the backend server."""
+        """Set the forwarder, which needs this object to be built first."""
         self._forwarder = forwarder
 
     def dispatch(self, outbox: Outbox, message: Dispatch) -> None:
-        """Start a run, or refuse it at once as not run."""
+        """Start a run, or refuse it and report that it did not run."""
         now = self._clock.now()
         self._events.write(
             EventName.DISPATCH_RECEIVED,
@@ -116,7 +121,7 @@
         self._tasks.start_soon(self._execute, run)
 
     def add_body(self, outbox: Outbox, chunk: BodyChunk) -> None:
-        """Take a part of a run's body."""
+        """Append a chunk to the body of a run; ignore it if the run is gone."""
         run = self._runs.get((chunk.request, chunk.attempt))
         if run is None or run.outbox is not outbox or run.stopped:
             return
@@ -128,7 +133,7 @@
             self._stop(run, error)
 
     def cancel(self, outbox: Outbox, message: Cancel) -> None:
-        """Stop a run whose caller has gone; a claimed one goes on unread."""
+        """Stop a run whose caller is gone; with a claim, complete it unread."""
         reader = Reader(outbox.name, message.request, message.attempt)
         run = self._readers.find_run(reader)
         if run is None:
@@ -144,7 +149,10 @@
         self._abandon(run, cancel=run.dispatch.claim is None)
 
     def drop_link(self, link: str) -> None:
-        """Keep the streams of a lost link for a while; end what has none."""
+        """Detach the streams of a closed link.
+
+        Cancels its runs without a stream that are safe to cancel.
+        """
         self._readers.drop_link(link)
         for run in tuple(self._runs.values()):
             if run.outbox.name != link:
@@ -154,12 +162,15 @@
                 self._abandon(run, cancel=True)
 
     def expire(self) -> None:
-        """End the streams that nobody has come back for."""
+        """Close expired streams; cancel their runs where that is safe."""
         for run in self._readers.expire():
             self._abandon(run, cancel=run.is_cancellable)
 
     def end_lost_runs(self) -> tuple[tuple[Reader, Failed], ...]:
-        """End what ran on the lost backend server; return what to tell whom."""
+        """End all runs on a lost backend server.
+
+        Returns the failure to send to each reader.
+        """
         failures = []
         for failed in self._gate.finish_crashed(self._clock.now()):
             run = self._runs.get((failed.request, failed.attempt))
@@ -171,7 +182,7 @@
         return tuple(failures)
 
     def cut(self, work_ids: Iterable[str]) -> None:
-        """Cut off what a planned stop can't wait for."""
+        """Cut off the runs that the drain waits for no longer."""
         wanted = set(work_ids)
         for run in tuple(self._runs.values()):
             if run.work_id in wanted:
@@ -180,33 +191,36 @@
                     request=run.dispatch.request,
                     attempt=run.dispatch.attempt,
                 )
-                error = OleanderError(ErrorKind.STOPPING, 'cut off')
+                error = OleanderError(
+                    ErrorKind.STOPPING,
+                    'the agent is stopping and cut off the run',
+                )
                 self._stop(run, error)
 
     async def wait_started(self) -> None:
-        """Return once every run has begun to answer or has ended."""
+        """Wait until every run has begun to answer or has ended."""
         while any(not run.started for run in self._runs.values()):
             await self._progress.wait()
 
     def check_status(self, status: int) -> None:
-        """Raise HttpError for the refusal of a server that was replaced."""
+        """Raise HttpError if another server process has answered."""
         check_not_replaced(status, ended=self._has_ended())
 
     def notify_progress(self) -> None:
-        """Note that a run has begun to answer or has ended."""
+        """Wake `wait_started` after a run has begun to answer or has ended."""
         self._progress.set()
         self._progress = anyio.Event()
 
     def attach(self, run: Run, buffer: StreamBuffer) -> None:
-        """Note the reader of a new stream."""
+        """Register the reader of a new stream."""
         self._readers.attach(run, buffer)
 
     def send(self, reader: Reader, messages: Iterable[Message]) -> None:
-        """Queue messages for a reader whose link is there."""
+        """Queue messages for a reader; discard them if it is disconnected."""
         self._readers.send(reader, messages)
 
     async def push(self, reader: Reader, messages: Sequence[Message]) -> None:
-        """Send messages to a reader whose link is there."""
+        """Send messages to a reader; discard them if it is disconnected."""
         await self._readers.push(reader, messages)
 
     async def _execute(self, run: Run) -> None:
@@ -249,7 +263,8 @@
         if not isinstance(error, HttpError) or run.stopped:
             self._stop(run, error)
             return
-        # A crash ends the run with the others, as a suspect.
+        # After a crash, `end_lost_runs` ends this run together with all
+        # others, as a suspect.
         ending = await self._diagnose_loss()
         if not may_have_run(run, error):
             self._stop(run, error)
@@ -263,7 +278,8 @@
     def _mark_suspect(self, run: Run) -> None:
         self._gate.finish_disconnected(*run.key, self._clock.now())
         self._log_suspect(run)
-        # Whoever learns of the lost run must know its suspect before.
+        # A peer may retry the request as soon as it is told of the lost run,
+        # so it must know the suspect before.
         self._report_suspects()
 
     def _log_suspect(self, run: Run) -> None:
@@ -320,11 +336,17 @@
 
     def _check_body_bytes(self) -> None:
         if self._body_bytes > self._settings.body_bytes:
-            raise OleanderError(ErrorKind.OVERLOADED, 'too many bodies at once')
+            raise OleanderError(
+                ErrorKind.OVERLOADED,
+                f'request bodies exceed {self._settings.body_bytes} bytes',
+            )
 
     def _require_forwarder(self) -> Forwarder:
         if self._forwarder is None:
-            raise OleanderError(ErrorKind.NOT_READY, 'no forwarder')
+            raise OleanderError(
+                ErrorKind.NOT_READY,
+                'the agent is not initialized: no forwarder is set',
+            )
         return self._forwarder
 
     def _refuse(self, outbox: Outbox, failed: Failed) -> None:
--- a/src/oleanderdyke/agent/segment_assembler.py
+++ b/src/oleanderdyke/agent/segment_assembler.py
@@ -1,4 +1,4 @@
-"""Assemble a segment from its parts."""
+"""Assembly of segments from their parts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 
 class SegmentAssembler:
-    """Assemble one segment from parts of one generation."""
+    """Assemble one segment from parts of the same generation.
+
+    Parts must arrive in order; `limit` bounds the length in bytes.
+    """
 
     def __init__(self, first: SegmentPart, limit: int) -> None:
         self._first = first
@@ -15,7 +18,7 @@
         self._valid = first.length <= limit
 
     def add(self, part: SegmentPart) -> bool:
-        """Take the next part; False when the copy is broken."""
+        """Append the next part; return False once the segment is invalid."""
         expected = (self._first.segment, self._first.generation)
         actual = (part.segment, part.generation)
         self._valid = (
@@ -29,7 +32,7 @@
         return self._valid
 
     def finish(self) -> bytes | None:
-        """Return the segment; None unless it is exactly the sealed one."""
+        """Return the segment, None if its length or digest does not match."""
         data = bytes(self._data)
         if not self._valid:
             return None
--- a/src/oleanderdyke/agent/settings.py
+++ b/src/oleanderdyke/agent/settings.py
@@ -1,4 +1,4 @@
-"""Hold the settings of an agent."""
+"""The settings of an agent."""
 
 from __future__ import annotations
 
@@ -20,9 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ListenSettings:
-    """Say where an agent takes links; port 0 lets the system choose.
+    """The address on which an agent accepts links.
 
-    `plain_text` allows links in plain text on an address that is not loopback.
+    Port 0 lets the system choose one. `plain_text` allows links without TLS on
+    an address that is not loopback.
     """
 
     host: str = '127.0.0.1'
@@ -33,11 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendSettings:
-    """Describe the backend server that an agent guards.
+    """The backend server that an agent runs beside.
 
-    `address` is `ip:port`; `service` names the service, or for a store its
-    configured object. `checks_fencing` says that the engine refuses an order
-    with an old fencing number.
+    `address` is `ip:port`; `service` is the name of the service, or for a store
+    that of its configured object. `checks_fencing` states that the engine
+    refuses orders with an outdated fencing token. `missed_probes` failed probes
+    in a row mark the server as lost. `body_limit` is in bytes.
     """
 
     kind: BackendKind
@@ -54,10 +56,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RunSettings:
-    """Bound the answers of runs.
+    """Limits on runs.
 
-    An answer up to `record_bytes` is kept for the key that claimed its run;
-    `limit` ends a run that has no other bound.
+    Responses are read in pieces of at most `chunk_size` bytes. The response of
+    a run with a claim is recorded if it has at most `record_bytes`. `limit` is
+    the longest time of a run, also without a deadline. `body_bytes` bounds the
+    request bodies of all runs together.
     """
 
     chunk_size: int = 16 * 1024
@@ -68,10 +72,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheSettings:
-    """Bound what fetches and exports of cached context may use.
+    """Limits on fetches and exports of cached context.
 
-    A fetch is given up once its segments come more slowly than `patience` times
-    the time that computing each would take.
+    A fetch is abandoned once a segment takes more than `patience` times the
+    time to compute it, or the fetch more than `fetch_timeout`. `segment_limit`
+    and `part_size` are in bytes; `export_queue` counts segments. A store serves
+    up to `readers` reads and `writes` writes at once.
     """
 
     patience: float = 2.0
@@ -85,10 +91,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentSettings:
-    """Hold everything that an agent reads at its start.
+    """All settings of an agent, read at its start.
 
-    `keeper` names the plug-in by which a store's agent evicts, `policies` says
-    what it weighs.
+    `beat` is the interval between heartbeats. `keeper` names the eviction
+    plug-in of a store's agent, `policies` its parameters.
     """
 
     process: str
@@ -107,7 +113,7 @@
 
 
 def find_faults(settings: AgentSettings) -> tuple[str, ...]:
-    """Return what contradicts itself, each fault naming its keys."""
+    """Return contradictions between settings, each with the keys involved."""
     return tuple(_find_listen_faults(settings.listen))
 
 
--- a/src/oleanderdyke/agent/shell.py
+++ b/src/oleanderdyke/agent/shell.py
@@ -1,4 +1,4 @@
-"""Put the parts of an agent together and run it."""
+"""The main object of an agent, which builds and runs its parts."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class AgentShell:
-    """Run one agent until it has left."""
+    """Run one agent until its drain has finished."""
 
     def __init__(
         self,
@@ -114,7 +114,7 @@
             work_tracker=self._drain_runner,
             diagnose_loss=self._diagnose_loss,
             has_ended=self._process_watch.has_ended,
-            report_suspects=lambda: self._heartbeats.send(),  # noqa: PLW0108 - made later
+            report_suspects=lambda: self._heartbeats.send(),  # noqa: PLW0108 - _heartbeats is set below
         )
         self._role = self._make_role(random, client_tls)
         self._runs.set_forwarder(
@@ -159,7 +159,10 @@
         self.port = 0
 
     async def run(self, *, started: Callable[[], None] | None = None) -> None:
-        """Serve until the drain is over."""
+        """Serve until the drain has finished.
+
+        Calls `started` once the listener accepts links.
+        """
         background_loops: Sequence[BackgroundLoop] = (
             self._health.run,
             self._process_watch.run,
@@ -190,7 +193,7 @@
         await self._backend.close()
 
     def stop(self, signal: str) -> None:
-        """Take a stop signal; the second one hurries."""
+        """Start the drain; a second signal cuts off the remaining work."""
         self._events.write(EventName.PROCESS_STOPPING, signal=signal)
         self._drain_runner.signal()
 
@@ -283,7 +286,8 @@
         failures = self._runs.end_lost_runs()
         self._process_watch.reset()
         self._role.close()
-        # Whoever learns of a lost run must know its suspects before.
+        # Peers may retry requests as soon as they are told of lost runs, so
+        # they must know the suspects before.
         self._heartbeats.send()
         for reader, failed in failures:
             self._runs.send(reader, (failed,))
--- a/src/oleanderdyke/agent/standalone.py
+++ b/src/oleanderdyke/agent/standalone.py
@@ -1,4 +1,4 @@
-"""Run an agent in our own mode, with the settings of a YAML file."""
+"""The standalone mode of the agent, configured by a YAML file."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def make_mode() -> Mode[AgentSettings]:
-    """Build the mode."""
+    """Build the standalone mode for `oleanderdyke.daemon`."""
     return Mode(load=_load, make_log=_make_log, serve=_serve)
 
 
--- a/src/oleanderdyke/agent/store.py
+++ b/src/oleanderdyke/agent/store.py
@@ -1,4 +1,4 @@
-"""Keep segments in the store VM, and serve them to engines' agents."""
+"""Segments in a store: writes, reads, eviction and recovery."""
 
 from __future__ import annotations
 
@@ -50,9 +50,9 @@
 
 
 class StoreShell:
-    """Do the reads and writes that the index allows.
+    """Execute the reads and writes of segments that the index allows.
 
-    Nothing is visible while the store doesn't answer.
+    No segment is visible while the store does not respond.
     """
 
     def __init__(
@@ -95,7 +95,11 @@
         self.segments = SegmentLog()
 
     async def open(self) -> None:
-        """Show what the store has kept whole; raise OleanderError."""
+        """Rebuild the index from the objects in the store and publish it.
+
+        Only segments whose data is complete become visible. Raises
+        OleanderError.
+        """
         space = await self._backend.get_json('/space')
         self._set_rate(float(space['link_bytes_per_second']))
         self._rebuilds += 1
@@ -116,7 +120,7 @@
         await self._delete()
 
     def close(self) -> None:
-        """Hide everything, since the store is lost."""
+        """Hide all segments and fail all writes after the store was lost."""
         self._index = None
         self._reads.set_index(None)
         self.segments.replace(())
@@ -128,7 +132,7 @@
             )
 
     def measure(self) -> Load:
-        """Return the load to report."""
+        """Return the load for the next heartbeat."""
         index = self._index
         return Load(
             running=self._reads.running,
@@ -140,15 +144,15 @@
         )
 
     def read(self, outbox: Outbox, message: SegmentRead) -> None:
-        """Start to answer a read."""
+        """Start to serve a read."""
         self._reads.start(outbox, message)
 
     def stop_read(self, link: str, request: str) -> None:
-        """Stop a read whose reader has given up."""
+        """Stop a read that its reader has cancelled."""
         self._reads.stop(link, request)
 
     def offer(self, outbox: Outbox, message: SegmentWrite) -> None:
-        """Answer an offered segment."""
+        """Accept, join or refuse a write; request the data if accepted."""
         request = f'{outbox.name}/{message.request}'
         self._pending_writes[request] = (outbox, message)
         index = self._index
@@ -171,7 +175,7 @@
                 self._send_result(request, sealed=False, detail=reason)
 
     def add_part(self, link: str, part: SegmentPart) -> None:
-        """Take a part of a segment that was invited."""
+        """Add a part of a segment whose data was requested; ignore others."""
         request = f'{link}/{part.request}'
         index = self._index
         data = self._write_buffers.get(request)
@@ -190,7 +194,7 @@
                 self._finish(failed)
 
     def drop_link(self, link: str) -> None:
-        """End the reads and the writes of a lost link."""
+        """Abort the reads and writes of a closed link."""
         self._reads.drop_link(link)
         prefix = f'{link}/'
         lost = [
@@ -206,7 +210,7 @@
                 )
 
     async def run(self) -> None:
-        """Sweep until cancelled."""
+        """Expire writes and delete evicted objects until cancelled."""
         while True:
             await anyio.sleep(_SWEEP_INTERVAL / SECOND)
             await self._sweep()
@@ -222,7 +226,7 @@
             self._set_rate(float(space['link_bytes_per_second']))
             await self._delete()
         except OleanderError:
-            # The health probe finds a store that doesn't answer.
+            # The health probe detects a store that does not respond.
             return
 
     def _set_rate(self, rate: float) -> None:
@@ -274,7 +278,8 @@
         outcome = index.seal(request, segment, self._clock.now())
         self._finish(outcome)
         if isinstance(outcome, WriteFailed):
-            # Its deletion may have gone before the objects came.
+            # A deletion that the index queued may have been executed before the
+            # objects were written, so delete them again.
             self._pending_deletions += [verified.meta_name, name]
 
     async def _put(
--- a/src/oleanderdyke/agent/store_reads.py
+++ b/src/oleanderdyke/agent/store_reads.py
@@ -1,4 +1,4 @@
-"""Copy sealed segments from a store to the agents that read them."""
+"""Reads of sealed segments by the agents of engines."""
 
 from __future__ import annotations
 
@@ -30,17 +30,21 @@
 
 _REDIRECT = 300
 _NOT_FOUND = 404
-# So many segments of one reader, and of all, are read at once; each reader
-# may always read one, so that many readers wait for one segment of each.
+# Limits on the segments being read ahead, for each reader and in total. One
+# segment is always allowed, so that no reader waits for those of others.
 _MAX_TRANSFERS_PER_READER = 4
 _MAX_TRANSFERS = 8
-# On a slow link a read ahead gains little, and is lost when a fetch is cut.
+# On a slow link reading ahead gains little and is wasted if a fetch is
+# cancelled, so no more is read ahead than is sent within this time.
 _READ_AHEAD_TIME: Millis = 25.0
 _BUFFERED_PARTS = 2
 
 
 class _Transfer:
-    """Hold one segment on its way from the store to a reader."""
+    """One segment being read from the store and sent to a reader.
+
+    `unsent` counts the bytes that have not been sent.
+    """
 
     def __init__(
         self, index: StoreIndex, pinned: Pinned, meter: LinkMeter, length: int
@@ -69,9 +73,10 @@
 
 
 class StoreReads:
-    """Serve a bounded number of readers, part by part in turns.
+    """Serve a limited number of readers, which take turns part by part.
 
-    A reader's next segments are read from the store while the first is sent.
+    The next segments of a reader are read ahead from the store while the
+    current one is sent.
     """
 
     def __init__(
@@ -97,36 +102,36 @@
 
     @property
     def running(self) -> int:
-        """Count the readers that are served."""
+        """Return the number of readers being served."""
         return self._settings.readers - self._slots.value
 
     @property
     def waiting(self) -> int:
-        """Count the readers that wait for a place."""
+        """Return the number of readers that wait to be served."""
         return len(self._readers) - self.running
 
     def set_index(self, index: StoreIndex | None) -> None:
-        """Read by another index; None hides everything."""
+        """Replace the index; None hides all segments."""
         self._index = index
 
     def set_meter(self, meter: LinkMeter) -> None:
-        """Count by another meter."""
+        """Replace the meter for the use of the link."""
         self._meter = meter
 
     def start(self, outbox: Outbox, message: SegmentRead) -> None:
-        """Start to answer a read."""
+        """Start to serve a read."""
         reader = _Reader(outbox, message)
         self._readers[reader.key] = reader
         self._tasks.start_soon(self._serve, reader)
 
     def stop(self, link: str, request: str) -> None:
-        """Stop one read."""
+        """Stop one read, if it is still being served."""
         reader = self._readers.get((link, request))
         if reader is not None:
             reader.scope.cancel()
 
     def drop_link(self, link: str) -> None:
-        """Stop the reads of a lost link."""
+        """Stop the reads of a closed link."""
         for reader in tuple(self._readers.values()):
             if reader.outbox.name == link:
                 reader.scope.cancel()
@@ -149,7 +154,7 @@
             self._end_all(reader)
 
     async def _send_in_order(self, reader: _Reader, tasks: TaskGroup) -> None:
-        # A chain is of use up to its first gap only.
+        # Only the segments before the first gap in a prompt can be used.
         rest = iter(reader.message.segments)
         for segment in reader.message.segments:
             self._read_ahead(reader, rest, tasks)
@@ -245,7 +250,7 @@
                 await self._read_object(transfer)
                 transfer.ended = True
         except OleanderError:
-            # The reader computes what didn't come.
+            # The reader detects the missing data and computes the segment.
             return
         finally:
             self._active_transfers -= 1
@@ -271,7 +276,10 @@
         return True
     if status == _NOT_FOUND:
         return False
-    raise OleanderError(ErrorKind.BACKEND_FAILED, f'the store: {status}')
+    raise OleanderError(
+        ErrorKind.BACKEND_FAILED,
+        f'the store answered a read with status {status}',
+    )
 
 
 def _make_part(
