--- a/src/oleanderdyke/agent/hosted/engine_loads.py
+++ b/src/oleanderdyke/agent/hosted/engine_loader.py
@@ -46,7 +46,7 @@
 _LIST_INTERVAL: Millis = 300.0
 
 
-class EngineLoads:
+class EngineLoader:
     """Take an engine through the queue of loads, and give it orders.
 
     This process is the only holder of orders for its engine. Its fence is an
@@ -68,7 +68,7 @@
         self._settings = settings
         self._log = log
         self._clock = clock
-        self._times = LoadTimes(metrics, clock)
+        self._load_times = LoadTimes(metrics, clock)
         self._store = StoreClient(settings.store)
         self._engine = EngineClient(settings.server)
         self._engine_clock = EngineClock()
@@ -148,9 +148,9 @@
 
     def _record_weights(self, state: EngineState) -> None:
         for model, version in state.versions.items():
-            self._times.record_held(model, version)
+            self._load_times.record_held(model, version)
         for model, version in self.weights.list_newest().items():
-            self._times.record_named(model, version)
+            self._load_times.record_named(model, version)
 
     async def _read_state(self) -> EngineState:
         asked_at = self._clock.now()
@@ -174,7 +174,7 @@
         """
         if self._state is not None and state.has_restarted_since(self._state):
             await self._on_engine_lost()
-            self._times.record_lost()
+            self._load_times.record_lost()
             self._loaded_versions.clear()
             self._logged_loading = ''
             if self._unanswered:
@@ -218,7 +218,7 @@
             await self._append_confirmed(self._make_ended_notice(state))
         # Until the next weights are named it may start anew between two looks.
         self._own_start = None
-        self._times.record_settled()
+        self._load_times.record_settled()
         for model, version in newest.items():
             if self._loaded_versions.get(model) != version:
                 self._loaded_versions[model] = version
@@ -227,7 +227,7 @@
                 )
 
     async def _load(self, state: EngineState, target: Target) -> None:
-        self._times.record_due(target.model)
+        self._load_times.record_due(target.model)
         own = await self._find_own_start(state)
         if own is None:
             return
@@ -290,7 +290,7 @@
         )
         given_at = self._clock.now()
         outcome = await self._engine.give_order(order)
-        self._times.record_order(order.model, outcome, given_at)
+        self._load_times.record_order(order.model, outcome, given_at)
         self._log.write(
             EventName.ORDER_SENT,
             peer=order.server,
--- a/src/oleanderdyke/agent/hosted/shell.py
+++ b/src/oleanderdyke/agent/hosted/shell.py
@@ -9,7 +9,7 @@
 
 import anyio
 
-from oleanderdyke.agent.hosted.engine_loads import EngineLoads
+from oleanderdyke.agent.hosted.engine_loader import EngineLoader
 from oleanderdyke.agent.hosted.news import AgentNews
 from oleanderdyke.clock import SECOND, Clock, Millis, make_clock
 from oleanderdyke.dependencies import Dependency
@@ -70,7 +70,7 @@
         self._clock = clock
         self._metrics = Metrics()
         self._metrics_port = metrics_port
-        self._engine_loads = EngineLoads(settings, log, clock, self._metrics)
+        self._engine_loader = EngineLoader(settings, log, clock, self._metrics)
         self._engine_dependency = Dependency(
             log,
             self._metrics,
@@ -140,7 +140,7 @@
 
     def _refresh(self) -> None:
         self._metrics.set_gauge(
-            Gauge.READY, float(self._engine_loads.has_started)
+            Gauge.READY, float(self._engine_loader.has_started)
         )
         self._metrics.set_count(Count.LINES_DROPPED, self._log.count_dropped())
 
@@ -183,10 +183,10 @@
         for named in news.list_versions():
             self._add_named_version(named)
         if news.is_complete:
-            self._engine_loads.weights.record_read(asked_at + news.waited)
+            self._engine_loader.weights.record_read(asked_at + news.waited)
 
     def _add_named_version(self, named: NamedVersion) -> None:
-        if self._engine_loads.weights.add(named.model, named.version):
+        if self._engine_loader.weights.add(named.model, named.version):
             self._log.write(
                 EventName.VERSION_NAMED,
                 model=named.model,
@@ -194,14 +194,14 @@
             )
 
     async def _read_loads(self) -> None:
-        if not self._engine_loads.has_started:
-            await self._engine_loads.announce_start()
+        if not self._engine_loader.has_started:
+            await self._engine_loader.announce_start()
         notices = await self._loads.read()
         if notices is None:
-            self._engine_loads.clear_queue()
+            self._engine_loader.clear_queue()
             return
         for notice in notices:
-            self._engine_loads.apply(notice)
+            self._engine_loader.apply(notice)
         if notices and not self._loads_client.was_shared:
             await anyio.sleep(_BATCH_WAIT / SECOND)
 
@@ -211,7 +211,7 @@
         while True:
             now = self._clock.now()
             is_due = now - checked_at > _SETTLED_INTERVAL
-            if is_due or not self._engine_loads.is_settled():
+            if is_due or not self._engine_loader.is_settled():
                 checked_at = now
                 pause = await self._step(pause)
             await self._sleep_checked(pause)
@@ -226,7 +226,7 @@
     async def _step(self, pause: Millis) -> Millis:
         """Take a step; return the pause after it, longer without a store."""
         try:
-            await self._engine_loads.step()
+            await self._engine_loader.step()
         except StoreUnavailable as error:
             self._queue_dependency.note_failed(error.message)
             return min(max(2 * pause, _RETRY_PAUSE), _MAX_RETRY_PAUSE)
