--- a/src/oleanderdyke/agent/hosted/__init__.py
+++ b/src/oleanderdyke/agent/hosted/__init__.py
@@ -1,1 +1,1 @@
-"""Watch a backend server on the users' platform."""
+"""The hosted mode of the agent, on the users' platform."""
--- a/src/oleanderdyke/agent/hosted/engine_loader.py
+++ b/src/oleanderdyke/agent/hosted/engine_loader.py
@@ -1,4 +1,4 @@
-"""Bring one model engine to the weights that are named, in its turn."""
+"""Loading of newly published weights into one model engine."""
 
 from __future__ import annotations
 
@@ -35,23 +35,25 @@
 from oleanderdyke.platform.store import StoreClient
 
 _READ_BACK_INTERVAL: Millis = 20.0
-# A long read answers within some milliseconds of an append.
+# A long poll usually returns a few milliseconds after an append.
 _READ_BACK_TIMEOUT: Millis = 2 * SECOND
-# With these an engine has seen the fence of an order, or never will: one that
-# refuses an order for weights that it holds would refuse it again.
+# Outcomes after which an order to raise the fencing token is not repeated: the
+# engine has seen the token, or refuses the order for weights that it holds and
+# would refuse it again.
 _FENCE_REACHED = frozenset(
     {OrderOutcome.HOLDS, OrderOutcome.ACCEPTED, OrderOutcome.REFUSED}
 )
-# The list names a new start of an engine a second or two after it began.
+# A new start of an engine is listed one or two seconds after it began.
 _LIST_INTERVAL: Millis = 300.0
 
 
 class EngineLoader:
-    """Take an engine through the queue of loads, and give it orders.
+    """Queue for a turn to load weights, then order the engine to load them.
 
-    This process is the only holder of orders for its engine. Its fence is an
-    offset of a topic, so a later process on this machine or another has a
-    higher one.
+    Only this process sends orders to its engine. Its fencing token is the
+    offset of a record in a topic, so every later process, on this machine or
+    another, has a higher one. `has_started` becomes true once the first notice
+    of this process has been read back.
     """
 
     def __init__(
@@ -63,7 +65,6 @@
     ) -> None:
         self._rollout = Rollout(settings.version_limit)
         self.weights = self._rollout.weights
-        # Whether the first notice of this process was read back.
         self.has_started = False
         self._settings = settings
         self._log = log
@@ -77,16 +78,16 @@
         self._fence: int | None = None
         self._own_start: ServerStart | None = None
         self._ended_starts: set[ServerStart] = set()
-        # What the present start of the engine told last.
+        # The last state that the current start of the engine reported.
         self._state: EngineState | None = None
         self._last_listed_at = -math.inf
         self._logged_loading = ''
-        # The name of the engine that an order without an answer went to.
+        # The name of the engine to which an order got no response.
         self._unanswered = ''
         self._needs_fence = False
 
     def apply(self, notice: LoadNotice) -> None:
-        """Apply the next notice of the log."""
+        """Apply the next notice of the topic of loads."""
         own = notice.agent == self._settings.process
         if own and notice.step is LoadStep.STARTED:
             self.has_started = True
@@ -97,29 +98,37 @@
         )
 
     def clear_queue(self) -> None:
-        """Drop what void notices told; the next step asks for a place anew."""
+        """Clear the queue after a gap in the notices.
+
+        The next step requests a place in it again.
+        """
         self._queue.clear()
 
     async def announce_start(self) -> None:
-        """Give up the place of a process that was here before.
+        """Append the notice that this process has started.
 
-        The topic comes to be with that, and once it is read back all that was
-        told before is known. Raise StoreUnavailable.
+        It gives up the place in the queue of an earlier process of this name,
+        and creates the topic if there is none. Once it has been read back, all
+        earlier notices are known. Raises StoreUnavailable.
         """
         await append_notice(self._store, self._make_notice(LoadStep.STARTED))
 
     def is_settled(self) -> bool:
-        """Return whether the engine holds all that is named.
+        """Return whether the engine holds the newest version of each model.
 
-        A request for a place that got no answer may be carried out after the
-        load has ended; the place is given up again then.
+        False while this process has a place in the queue: a request for one
+        whose response was lost may take effect after the load has ended, and
+        the place must then be given up again.
         """
         if self._needs_fence or self._queue.is_queued(self._settings.process):
             return False
         return self._loaded_versions == self.weights.list_newest()
 
     async def step(self) -> None:
-        """Look at the engine; raise StoreUnavailable or EngineUnavailable."""
+        """Read the state of the engine and take the next step of a load.
+
+        Raises StoreUnavailable or EngineUnavailable.
+        """
         if not self.has_started:
             return
         try:
@@ -134,7 +143,7 @@
             await self._update_weights(state)
 
     async def _update_weights(self, state: EngineState) -> None:
-        """Take the next step of an idle engine to what is named."""
+        """Take the next step of an idle engine to the newest weights."""
         self._record_weights(state)
         if self._needs_fence:
             await self._raise_fence(state)
@@ -161,16 +170,16 @@
         return state
 
     def _is_outdated(self, state: EngineState) -> bool:
-        """Return whether a report is of a start that another has followed."""
+        """Return whether a state is from before a restart already seen."""
         return self._state is not None and state.is_from_earlier_start(
             self._state
         )
 
     async def _check_restart(self, state: EngineState) -> None:
-        """Know nothing of the start before once the engine is another one.
+        """Discard the state of the earlier engine process after a restart.
 
-        Its name may be the same. What is settled has to be looked at again; the
-        place in the queue is asked for anew, as the engine may hold others.
+        The new process may have the same name but hold other weights, so all
+        versions are checked again and a place in the queue is requested anew.
         """
         if self._state is not None and state.has_restarted_since(self._state):
             await self._on_engine_lost()
@@ -182,18 +191,19 @@
         self._state = state
 
     async def _raise_fence(self, state: EngineState) -> None:
-        """Keep orders to the earlier start off one of the same name.
+        """Make a restarted engine of the same name refuse earlier orders.
 
-        One that got no answer may arrive seconds later, and a new start counts
-        none and has seen no fence: it would take older weights, a load and
-        another one back. An order for what it holds changes nothing, but where
-        fences are checked it brings one above all that went to earlier starts.
+        An order whose response was lost may arrive seconds later. The new
+        process has neither counted orders nor seen a fencing token, so it would
+        load the older weights, and then need another load. An order for the
+        weights that it holds changes nothing, but gives an engine that checks
+        fencing tokens one above those of all earlier orders.
         """
         own = await self._find_own_start(state)
         if own is None:
             return
         if own.server != self._unanswered:
-            # Other orders name another engine, and are refused.
+            # Earlier orders name another start of the engine and are refused.
             self._needs_fence, self._unanswered = False, ''
             return
         model, held = next(iter(state.versions.items()))
@@ -201,9 +211,9 @@
         self._needs_fence = outcome not in _FENCE_REACHED
 
     async def _on_engine_lost(self) -> None:
-        """Hold up nobody while the engine is away; it may start anew.
+        """Mark the place in the queue as lost, so that others need not wait.
 
-        Where the store can't be told now, it is told at the next step.
+        If the store does not respond, the next step appends the notice.
         """
         process = self._settings.process
         if self._queue.is_queued(process) and not self._queue.is_lost(process):
@@ -213,10 +223,11 @@
     async def _finish_rollout(
         self, state: EngineState, newest: dict[str, int]
     ) -> None:
-        """Let the next engine go once this one has what is named."""
+        """Give up the place in the queue once all weights are loaded."""
         if self._queue.is_queued(self._settings.process):
             await self._append_confirmed(self._make_ended_notice(state))
-        # Until the next weights are named it may start anew between two looks.
+        # The engine may restart unnoticed before the next load, so look up its
+        # start again then.
         self._own_start = None
         self._load_times.record_settled()
         for model, version in newest.items():
@@ -241,10 +252,11 @@
         await self._order(own, target, state)
 
     def _may_load(self, own: str, target: Target, held: int) -> bool:
-        """Return whether it is this engine's turn, and log what it waits for.
+        """Return whether the engine may load now; log which ones it waits for.
 
-        One whose weights may serve no longer waits for nobody: it gets no
-        requests, so that loading costs nothing but the others' pace.
+        An engine whose weights are too old to serve does not wait for its turn:
+        it gets no requests, so its load takes no capacity away, though it may
+        slow down other loads.
         """
         now = self._clock.now()
         clock_offset = self._engine_clock.max_offset
@@ -264,7 +276,7 @@
         return not may_serve
 
     def _log_queued(self, own: str, target: Target, now: Millis) -> None:
-        """Say whom this engine waits for, each time that changes."""
+        """Log which engines this one waits for, each time that changes."""
         loading = ','.join(self._queue.list_loading(now))
         if self._logged_loading == loading:
             return
@@ -309,7 +321,10 @@
         return outcome
 
     def _make_request(self, own: str, model: str, held: int) -> LoadNotice:
-        """Ask for a place, and say how old the news of the weights is."""
+        """Build the request for a place in the queue.
+
+        It tells others when the weights that the engine holds were replaced.
+        """
         replaced = self.weights.find_replaced_at(
             model, held, self._clock.now(), self._engine_clock.max_offset
         )
@@ -326,7 +341,10 @@
         )
 
     def _make_ended_notice(self, state: EngineState) -> LoadNotice:
-        """Tell entries what the engine holds, so that they use it at once."""
+        """Build the notice that a load has ended.
+
+        It names the loaded version, so that entries use the engine at once.
+        """
         model = self._queue.find_model(self._settings.process)
         return replace(
             self._make_own_notice(LoadStep.ENDED),
@@ -343,9 +361,10 @@
         return LoadNotice(server, step, agent=self._settings.process)
 
     async def _append_confirmed(self, notice: LoadNotice) -> None:
-        """Append a notice, which counts once it is read back.
+        """Append a notice and wait until it has been read back.
 
-        One whose history was dropped meanwhile is told again at the next step.
+        Gives up after a time: if the records of the topic were dropped
+        meanwhile, the next step appends the notice again.
         """
         await append_notice(self._store, notice)
         with anyio.move_on_after(_READ_BACK_TIMEOUT / SECOND):
@@ -361,11 +380,12 @@
         return not self._queue.is_queued(process)
 
     async def _find_own_start(self, state: EngineState) -> ServerStart | None:
-        """Return the start that told a state, None if not listed.
+        """Return the start of the engine that reported a state.
 
-        The start before it may still be listed for some seconds. Where the
-        engine doesn't tell when it started, the later record is that of the
-        present one, unless an order to it has shown that it has ended.
+        None if it is not listed yet. The earlier start may still be listed for
+        some seconds. If the engine does not report when it started, the later
+        record is that of the current start, unless the response to an order
+        has shown that this one has ended.
         """
         now = self._clock.now()
         if self._own_start or now - self._last_listed_at < _LIST_INTERVAL:
@@ -384,7 +404,10 @@
         )
 
     async def _find_fence(self) -> int:
-        """Append once in this process's life; offsets only rise."""
+        """Return the fencing token, appending a record for it if needed.
+
+        Offsets only increase, so a later token is always higher.
+        """
         if self._fence is None:
             self._fence = await append_fence(
                 self._store, self._settings.process
--- a/src/oleanderdyke/agent/hosted/load_times.py
+++ b/src/oleanderdyke/agent/hosted/load_times.py
@@ -1,4 +1,4 @@
-"""Measure how long one engine's loads of new weights take."""
+"""Metrics of the loads of weights into one engine."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LoadTimes:
-    """Time the wait for a place, the orders and the loads of each model."""
+    """Measure the waits in the queue, orders and loads of each model."""
 
     def __init__(self, metrics: Metrics, clock: Clock) -> None:
         self._metrics = metrics
@@ -17,21 +17,24 @@
         self._loading: dict[str, Millis] = {}
 
     def record_named(self, model: str, version: int) -> None:
-        """Learn which weights are the newest."""
+        """Set the metric of the newest published version."""
         self._metrics.set_gauge(Gauge.WEIGHTS_NAMED, version, model)
 
     def record_held(self, model: str, version: int) -> None:
-        """Learn which weights the engine holds."""
+        """Set the metric of the version that the engine holds."""
         self._metrics.set_gauge(Gauge.WEIGHTS_HELD, version, model)
 
     def record_due(self, model: str) -> None:
-        """Learn that an engine has to take newer weights."""
+        """Start to measure the wait in the queue, unless already started."""
         self._waiting.setdefault(model, self._clock.now())
 
     def record_order(
         self, model: str, outcome: OrderOutcome, given_at: Millis
     ) -> None:
-        """Learn what became of an order."""
+        """Record the outcome of an order sent at `given_at`.
+
+        An accepted order ends the wait in the queue and starts the load.
+        """
         now, metrics = self._clock.now(), self._metrics
         metrics.add(Count.ORDERS, label=outcome.value)
         metrics.time(Timing.ORDER, now - given_at, outcome.value)
@@ -43,7 +46,7 @@
         self._loading.setdefault(model, given_at)
 
     def record_settled(self) -> None:
-        """Learn that the engine holds all that is named."""
+        """Record the end of all loads."""
         now = self._clock.now()
         for model, since in self._loading.items():
             self._metrics.time(Timing.LOAD, now - since, model)
@@ -51,5 +54,5 @@
         self._waiting.clear()
 
     def record_lost(self) -> None:
-        """Forget the load that an engine lost with its start."""
+        """Discard the loads in progress after a restart of the engine."""
         self._loading.clear()
--- a/src/oleanderdyke/agent/hosted/mode.py
+++ b/src/oleanderdyke/agent/hosted/mode.py
@@ -1,4 +1,4 @@
-"""Run an agent on the users' platform."""
+"""The hosted mode of the agent, configured by the users' platform."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def make_mode() -> Mode[HostSettings]:
-    """Build the mode."""
+    """Build the hosted mode for `oleanderdyke.daemon`."""
     return Mode(
         load=find_host_settings,
         make_log=make_hosted_log,
--- a/src/oleanderdyke/agent/hosted/news.py
+++ b/src/oleanderdyke/agent/hosted/news.py
@@ -1,4 +1,4 @@
-"""Take what the entries of the same data centre read."""
+"""Topics of the store read through entries of the same data centre."""
 
 from __future__ import annotations
 
@@ -22,19 +22,24 @@
 from oleanderdyke.platform.sharing import TopicSharing
 from oleanderdyke.platform.store import StoreClient, StoreUnavailable
 
-# Entries tell of themselves every 20 s at most. Those that start together have
-# done so soon after an agent that starts with them has read their notices.
+# Entries announce themselves at least every 20 s. Those that start at the same
+# time as this agent do so shortly after its first read, so the second read
+# follows sooner.
 _READ_INTERVAL: Millis = 10 * SECOND
 _FIRST_READ_INTERVAL: Millis = 2 * SECOND
-# What carries links takes long to load on a small share of a core.
+# Importing the modules for links takes long on a small share of a core, so it
+# is delayed until the agent has started.
 _IMPORT_DELAY: Millis = 1 * SECOND
-# Who reads for others does so every ten seconds.
+# An entry that reads for others does so every ten seconds.
 _ENTRIES_WAIT: Millis = 1 * SECOND
 _ENTRIES_LIMIT: Millis = 20 * SECOND
 
 
 class AgentNews:
-    """Know the entries of the data centre, and ask those that read."""
+    """Track the entries of the data centre and share their reads.
+
+    Reads by one entry for all agents save calls of the store.
+    """
 
     def __init__(
         self,
@@ -59,13 +64,13 @@
         self._incarnation = secrets.token_hex(8)
 
     def share(self, *, wait: Millis, limit: Millis) -> TopicSharing:
-        """Build the sharing of one client of the store."""
+        """Build the sharing of reads for one client of the store."""
         return TopicSharing(
             self._reader, None, self._clock, wait=wait, limit=limit
         )
 
     async def run(self, random: Random) -> None:
-        """Keep links to entries that read, until cancelled."""
+        """Keep links to the entries that share reads, until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._read_entries)
             await anyio.sleep(_IMPORT_DELAY / SECOND)
@@ -75,13 +80,13 @@
             )
 
     async def _read_entries(self) -> None:
-        """Read which entries are alive; without the store, later."""
+        """Track which entries are alive, as long as the store responds."""
         pause = _FIRST_READ_INTERVAL
         while True:
             try:
                 entries = await self._entries.read()
             except StoreUnavailable:
-                # The agent's other reads tell that the store is out.
+                # The other reads of the agent report a failure of the store.
                 entries = None
             for entry in entries or ():
                 self._neighbours.record_alive(entry, self._clock.now())
--- a/src/oleanderdyke/agent/hosted/shell.py
+++ b/src/oleanderdyke/agent/hosted/shell.py
@@ -1,4 +1,4 @@
-"""Run the tasks of an agent on the users' platform."""
+"""The main object of an agent in hosted mode."""
 
 from __future__ import annotations
 
@@ -24,39 +24,41 @@
 from oleanderdyke.platform.store import StoreClient, StoreUnavailable
 from oleanderdyke.scrape import METRICS_PORT, MetricsServer
 
-# A long read returns at once when weights are named. What is known of their age
-# is off by up to this, and so much less time is left for all to load: more load
-# at once for it. Each agent waits for another part of it: those that start
-# together would all know equally old news, and the best of them counts for all.
+# A long poll returns at once when a version is published. The known age of a
+# version is wrong by up to this wait, which shortens the time left for all to
+# load, so that more engines load at once. Each agent waits for a different
+# fraction of it: agents that start together would otherwise all be equally
+# wrong, while the most precise time of any agent counts for all.
 _OPERATOR_WAIT: Millis = 2 * SECOND
 _MIN_WAIT_FRACTION = 0.5
-# Notices of loads come only when weights are named.
+# Notices of loads appear only after a new version was published.
 _LOADS_WAIT: Millis = 5 * SECOND
-# An entry that reads the same answers with the first news, or after this.
+# An entry that reads the same topic answers on its first change or after this.
 _SHARED_LOADS_WAIT: Millis = 3 * SECOND
-# What it knows may be as old as its own reads take, and some more for the way.
+# The state of an entry may be as old as its own reads take, plus the transfer.
 _CONFIGURATION_LIMIT: Millis = 1.25 * SECOND
 _LOADS_LIMIT: Millis = 11 * SECOND
-# Notices come several together: those of so long are read in one call.
+# Notices arrive in bursts: wait this long to read several in one call.
 _BATCH_WAIT: Millis = 40.0
 _RETRY_PAUSE: Millis = 250.0
-# How often the engine on this machine is looked at while weights are due,
-# which costs nothing but a little processor time.
+# The interval between checks of the engine on this machine during a load, each
+# of which costs only a little processor time.
 _ROLLOUT_INTERVAL: Millis = 100.0
-# All agents together ask a store that refuses far less often than it allows.
+# With this pause all agents together stay far below the rate limit of a store
+# that refuses calls.
 _MAX_RETRY_PAUSE: Millis = 1 * SECOND
-# An engine may come back on older weights than it held. Entries send it nothing
-# then, so that this bounds for how long it is missed; a look is one call within
-# the machine.
+# An engine may restart with older weights than it held. Entries then send it no
+# requests, so this interval bounds how long it is unused; a check is one call
+# within the machine.
 _SETTLED_INTERVAL: Millis = 5 * SECOND
-# An agent that wakes up so much later than it meant to was suspended, or its
-# machine is too busy to look after an engine.
+# An agent that wakes up this much later than planned was suspended, or its
+# machine is overloaded.
 _STALL_THRESHOLD: Millis = 1 * SECOND
 _STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 class HostedAgent:
-    """Follow what operators name, and bring the one engine beside to it."""
+    """Keep the engine on this machine at the newest published weights."""
 
     def __init__(
         self,
@@ -100,7 +102,7 @@
         )
 
     async def run(self) -> None:
-        """Work until a signal to stop."""
+        """Run all tasks until a stop signal arrives."""
         self._log.write(
             EventName.PROCESS_STARTED, address=self._settings.server
         )
@@ -123,11 +125,11 @@
             if number in _STOP_SIGNALS:
                 self._log.write(EventName.PROCESS_STOPPING, signal=name)
                 return
-            # Nothing that an agent is told can change while it runs.
+            # The settings of an agent do not change while it runs.
             self._log.write(EventName.SETTINGS_RELOADED, signal=name)
 
     async def _serve_metrics(self) -> None:
-        """Go on without metrics where their port can't be had."""
+        """Serve metrics; log an error and continue if the port is in use."""
         server = MetricsServer(self._metrics, self._refresh)
         try:
             await server.serve(self._settings.ip, self._metrics_port)
@@ -148,7 +150,7 @@
         await self._follow('operator', self._read_operator)
 
     async def _follow_loads(self) -> None:
-        """Read notices of loads, which come only when weights are named."""
+        """Read notices of loads, which appear only after new weights."""
         await self._follow('loads', self._read_loads)
 
     async def _follow(
@@ -206,7 +208,7 @@
             await anyio.sleep(_BATCH_WAIT / SECOND)
 
     async def _run_rollout(self) -> None:
-        """Look at the engine, rarely while no weights are due."""
+        """Take steps of loads; check a settled engine only rarely."""
         pause, checked_at = _ROLLOUT_INTERVAL, -math.inf
         while True:
             now = self._clock.now()
@@ -224,7 +226,10 @@
             self._log.write(EventName.PROCESS_STALLED, duration=round(late))
 
     async def _step(self, pause: Millis) -> Millis:
-        """Take a step; return the pause after it, longer without a store."""
+        """Take a step and return the pause before the next one.
+
+        The pause grows while the store is unavailable.
+        """
         try:
             await self._engine_loader.step()
         except StoreUnavailable as error:
@@ -238,17 +243,17 @@
         return _ROLLOUT_INTERVAL
 
     def _log_refused_record(self, name: str, error: MalformedRecord) -> None:
-        """Keep the last good state where a record can't be read."""
+        """Log a record that can not be read; the last valid state stays."""
         self._log.write(
             EventName.RECORD_REFUSED, name=name, detail=error.message
         )
 
 
 def _draw_wait(process: str) -> Millis:
-    """Return how long an agent's reads of the operators' records wait."""
+    """Return the wait of an agent's reads of operators' records."""
     return _OPERATOR_WAIT * Random(process).uniform(_MIN_WAIT_FRACTION, 1.0)
 
 
 async def run_hosted_agent(settings: HostSettings, log: EventLog) -> None:
-    """Run an agent on the users' platform until it is told to stop."""
+    """Run an agent in hosted mode until a stop signal arrives."""
     await HostedAgent(settings, log, make_clock()).run()
