--- a/tests/agents.py
+++ b/tests/agents.py
@@ -143,9 +143,9 @@
 class FakeEntry:
     """Send dispatches and collect what comes back."""
 
-    def __init__(self, link: Link, world: ConfigurationSource) -> None:
+    def __init__(self, link: Link, source: ConfigurationSource) -> None:
         self.link = link
-        self.world = world
+        self.source = source
         self.beat: Heartbeat | None = None
         self.beats = 0
         self.messages: list[Message] = []
@@ -154,22 +154,22 @@
     async def read(self) -> None:
         with contextlib.suppress(LinkClosed):
             while True:
-                await self._take(await self.link.receive())
+                await self._receive(await self.link.receive())
 
-    async def _take(self, message: Message) -> None:
+    async def _receive(self, message: Message) -> None:
         if isinstance(message, Heartbeat):
             self.beat = message
             self.beats += 1
             return
         if isinstance(message, ConfigurationRequest):
-            for each in self.world.reader.answer(message):
+            for each in self.source.reader.answer(message):
                 await self.link.send(each)
             return
         self.messages.append(message)
         if isinstance(message, AnswerHead | AnswerChunk | AnswerEnd | Failed):
-            self._note(message)
+            self._record(message)
 
-    def _note(self, message: Any) -> None:
+    def _record(self, message: Any) -> None:
         key = (message.request, message.attempt)
         outcome = self.outcomes.setdefault(key, Outcome())
         if isinstance(message, AnswerHead):
@@ -182,7 +182,7 @@
             outcome.failed = message
 
     async def send_offset(self) -> None:
-        offset = self.world.reader.offset
+        offset = self.source.reader.offset
         await self.link.send(EntryBeat('e', 1, offset))
 
     async def wait_serving(self) -> None:
@@ -265,15 +265,15 @@
 @contextlib.asynccontextmanager
 async def connect_entry(
     shell: AgentShell,
-    world: ConfigurationSource | None = None,
+    source: ConfigurationSource | None = None,
     name: str = 'e1',
 ) -> AsyncGenerator[FakeEntry, None]:
-    world = world or ConfigurationSource()
-    hello = Hello(1, Role.ENTRY, name, f'{name}-i', 'dc', world.reader.offset)
+    source = source or ConfigurationSource()
+    hello = Hello(1, Role.ENTRY, name, f'{name}-i', 'dc', source.reader.offset)
     link = await dial(
         f'127.0.0.1:{shell.port}', hello, settings=LinkSettings(), clock=CLOCK
     )
-    entry = FakeEntry(link, world)
+    entry = FakeEntry(link, source)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(entry.read)
         await wait_until(lambda: entry.beat is not None)
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -128,7 +128,7 @@
         assert len(outcome.body) == BIG
 
 
-async def test_hop_by_hop_headers_and_credentials_stay_here() -> None:
+async def test_hop_by_hop_headers_and_credentials_are_not_forwarded() -> None:
     seen: dict[str, str] = {}
 
     async def app(scope: Any, _receive: Any, send: Any) -> None:
@@ -174,8 +174,8 @@
 async def test_keyed_run_with_too_long_an_answer_is_known_to_have_ended() -> (
     None
 ):
-    async with plain_agent(runs=RunSettings(record_bytes=10)) as world:
-        app, _, entry = world
+    async with plain_agent(runs=RunSettings(record_bytes=10)) as source:
+        app, _, entry = source
         set_faults(app, big=11)
         claim = entry.make_claim('k')
         outcome = await entry.call(
@@ -240,7 +240,7 @@
 @pytest.mark.parametrize(
     ('deadline', 'ran'), [(300.0, Ran.MAYBE), (0.0, Ran.NO)]
 )
-async def test_deadline_tells_whether_it_may_have_run(
+async def test_deadline_error_says_whether_the_request_may_have_run(
     deadline: float, ran: Ran
 ) -> None:
     async with plain_agent() as (app, _, entry):
@@ -278,7 +278,7 @@
         assert not app.runs
 
 
-async def test_stream_goes_on_through_another_entry() -> None:
+async def test_stream_resumes_through_another_entry() -> None:
     limits = StreamLimits(credit=4)
     async with plain_agent(streams=limits) as (app, shell, entry):
         set_faults(app, big=BIG)
@@ -308,7 +308,7 @@
         assert refused.kind is ErrorKind.STREAM_GONE
 
 
-async def test_stream_that_nobody_takes_is_given_up() -> None:
+async def test_unread_stream_is_closed() -> None:
     limits = StreamLimits(credit=4, hold=300.0)
     async with plain_agent(streams=limits) as (app, shell, entry):
         set_faults(app, big=BIG)
@@ -427,7 +427,7 @@
     service.close()
 
 
-async def test_leaving_refuses_new_work_and_ends_after_the_old() -> None:
+async def test_drain_refuses_new_runs_and_waits_for_running_ones() -> None:
     drain = DrainSettings(announce=100.0)
     async with plain_agent(drain=drain) as (app, shell, entry):
         set_faults(app, slow=600.0)
@@ -451,7 +451,7 @@
             await wait_until(lambda: entry.link.closed and other.link.closed)
 
 
-async def test_second_signal_cuts_what_still_runs() -> None:
+async def test_second_signal_cuts_off_remaining_runs() -> None:
     async with plain_agent() as (app, shell, entry):
         set_faults(app, silent=True)
         outcome = await entry.send(entry.make_dispatch('r'), b'x')
@@ -466,9 +466,9 @@
 
 
 async def test_configuration_passes_from_entry_to_entry() -> None:
-    world = ConfigurationSource((ObjectKind.TEAM, TEAM, TeamSpec()))
+    source = ConfigurationSource((ObjectKind.TEAM, TEAM, TeamSpec()))
     async with plain_agent() as (_, shell, behind):
-        async with connect_entry(shell, world, name='e2') as ahead:
+        async with connect_entry(shell, source, name='e2') as ahead:
             await ahead.send_offset()
             await wait_until(
                 lambda: behind.beat is not None and behind.beat.offset == 0
@@ -492,7 +492,7 @@
 
 
 @pytest.mark.parametrize('unanswered', [1, 15, 16, 17, 40])
-def test_an_answer_confirms_no_later_question_than_its_own(
+def test_an_answer_confirms_no_request_after_its_own(
     unanswered: int,
 ) -> None:
     clock = ManualClock()
@@ -518,7 +518,7 @@
     assert configuration.confirmed_at == clock.now()
 
 
-async def test_message_for_others_is_refused() -> None:
+async def test_message_not_for_an_agent_is_refused() -> None:
     async with plain_agent() as (_, _, entry):
         await entry.link.send(SegmentWritten('r', b'', sealed=True))
         await wait_until(
@@ -537,14 +537,14 @@
         )
         async with server.serving(app) as (address,):
             settings = make_settings(BackendKind.ENGINE, address, 'asistente')
-            world = make_source(find_digest('1'))
+            source = make_source(find_digest('1'))
             async with (
                 run_agent(settings) as shell,
-                connect_entry(shell, world) as entry,
+                connect_entry(shell, source) as entry,
             ):
                 await entry.send_offset()
                 await entry.wait_weights(find_digest('1'))
-                yield app, world, entry
+                yield app, source, entry
 
 
 def find_digest(version: str) -> str:
@@ -556,14 +556,14 @@
     return json.dumps({'messages': messages} | more).encode()
 
 
-def publish_second(world: ConfigurationSource) -> None:
-    world.publish(
+def publish_second(source: ConfigurationSource) -> None:
+    source.publish(
         ObjectKind.MODEL_VERSION,
         'v2',
         ModelVersionSpec('modelo', '2', find_digest('2')),
     )
     service = ServiceSpec(ServiceKind.MODEL, model='modelo', version='2')
-    world.publish(ObjectKind.SERVICE, 'asistente', service, expected=1)
+    source.publish(ObjectKind.SERVICE, 'asistente', service, expected=1)
 
 
 @pytest.mark.parametrize('options', [{'stream': True}, {'stream': False}])
@@ -592,9 +592,9 @@
 
 
 async def test_new_version_is_ordered_and_the_old_one_refused() -> None:
-    async with engine_agent() as (app, world, entry):
+    async with engine_agent() as (app, source, entry):
         old = entry.make_chat('old')
-        publish_second(world)
+        publish_second(source)
         await entry.send_offset()
         await entry.wait_weights(find_digest('2'))
         refused = await entry.call(old, make_chat())
@@ -606,8 +606,8 @@
         assert app.stats.orders_refused == 0
 
 
-async def test_superseded_agent_leaves_and_orders_nothing_more() -> None:
-    async with engine_agent(decode_ms=60.0) as (app, world, entry):
+async def test_superseded_agent_drains_and_sends_no_more_orders() -> None:
+    async with engine_agent(decode_ms=60.0) as (app, source, entry):
         chat = entry.make_chat('r')
         running_one = await entry.send(chat, make_chat(max_tokens=30))
         await wait_until(lambda: running_one.head is not None)
@@ -625,9 +625,9 @@
             )
         )
         taken = app.stats.orders_taken
-        publish_second(world)
+        publish_second(source)
         await entry.send_offset()
-        offset = world.reader.offset
+        offset = source.reader.offset
         await wait_until(
             lambda: entry.beat is not None and entry.beat.offset == offset
         )
@@ -637,14 +637,14 @@
 
 
 async def test_order_waits_for_runs_that_have_not_begun_to_answer() -> None:
-    async with engine_agent(decode_ms=60.0) as (app, world, entry):
+    async with engine_agent(decode_ms=60.0) as (app, source, entry):
         body = make_chat(stream=False)
         running_one = await entry.send(entry.make_chat('r'), body)
         await wait_until(lambda: bool(app.stats.runs))
         service = ServiceSpec(
             ServiceKind.MODEL, model='modelo', version='1', adapter='a'
         )
-        world.publish(ObjectKind.SERVICE, 'asistente', service, expected=1)
+        source.publish(ObjectKind.SERVICE, 'asistente', service, expected=1)
         await entry.send_offset()
         await wait_until(lambda: app.loaded.adapter == 'a')
         assert app.stats.finished == 1
@@ -657,7 +657,7 @@
     return {'first': 1, 'next': events[-1][0] + 1, 'events': rows}
 
 
-def test_lost_cache_events_cost_the_longest_unused_segments() -> None:
+def test_lost_cache_events_drop_the_least_recently_used_segments() -> None:
     log = make_event_log('a', stream=io.StringIO())
     view = EngineView(
         Backend(BackendSettings(BackendKind.ENGINE, '127.0.0.1:1', 's')),
@@ -681,7 +681,7 @@
     assert list_known() == []
 
 
-async def test_a_state_is_as_old_as_the_question_for_it() -> None:
+async def test_engine_state_is_as_old_as_its_request() -> None:
     clock = ManualClock()
 
     class SlowEngine(Backend):
--- a/tests/test_fetch.py
+++ b/tests/test_fetch.py
@@ -34,9 +34,9 @@
 DIGEST = weights.make_digest('modelo', '1')
 # A fetch that only has to arrive is not raced against computing: how fast it
 # comes depends on what else the machine does. `CacheSettings` bounds it still.
-UNHURRIED = 1_000.0
+UNLIMITED_PATIENCE = 1_000.0
 # Bytes per second: the next segment would take half a minute.
-STALLED = 500.0
+STALLED_RATE = 500.0
 
 
 @dataclass
@@ -45,11 +45,13 @@
     engines: list[engine.Engine]
     entries: list[FakeEntry]
     shells: list[Any]
-    keeper: Any
+    store_agent: Any
     watcher: FakeEntry
 
     def plan(self, segments: tuple[bytes, ...]) -> FetchPlan:
-        return FetchPlan('memoria', f'127.0.0.1:{self.keeper.port}', segments)
+        return FetchPlan(
+            'memoria', f'127.0.0.1:{self.store_agent.port}', segments
+        )
 
     def make_chat(
         self, number: int, request: str, **more: Any
@@ -76,7 +78,7 @@
         return outcome.end
 
 
-def list_told(watcher: FakeEntry, change: str) -> list[bytes]:
+def list_reported(watcher: FakeEntry, change: str) -> list[bytes]:
     return [
         segment
         for each in watcher.messages
@@ -90,26 +92,30 @@
     *,
     link: float = 0.0,
     prefill: float = 20_000.0,
-    patience: float = UNHURRIED,
+    patience: float = UNLIMITED_PATIENCE,
     **more: Any,
 ) -> AsyncGenerator[Site, None]:
-    kept = store.make_app(store.StoreSettings(link_bytes_per_second=link))
+    store_app = store.make_app(store.StoreSettings(link_bytes_per_second=link))
     async with contextlib.AsyncExitStack() as stack:
 
         async def enter(manager: Any) -> Any:
             return await stack.enter_async_context(manager)
 
-        weight, place = await enter(server.serving(weights.make_app(), kept))
+        weight, store_address = await enter(
+            server.serving(weights.make_app(), store_app)
+        )
         settings = engine.EngineSettings(
             weights=weight, prefill_tokens_per_second=prefill
         )
         engines = [engine.make_app(settings) for _ in range(2)]
         addresses = await enter(server.serving(*engines))
-        keeper = await enter(
-            run_agent(make_settings(BackendKind.STORE, place, 'memoria'))
+        store_agent = await enter(
+            run_agent(
+                make_settings(BackendKind.STORE, store_address, 'memoria')
+            )
         )
-        watcher = await enter(connect_entry(keeper))
-        found = Site(kept, engines, [], [], keeper, watcher)
+        watcher = await enter(connect_entry(store_agent))
+        found = Site(store_app, engines, [], [], store_agent, watcher)
         await watcher.wait_serving()
         for address in addresses:
             agent = make_settings(
@@ -127,30 +133,30 @@
         yield found
 
 
-async def test_context_comes_back_from_the_store() -> None:
-    async with site() as place:
-        await place.keep()
-        _, plan = place.make_chat(1, 'x')
-        end = await place.ask('r', plan)
+async def test_context_is_fetched_from_the_store() -> None:
+    async with site() as setup:
+        await setup.keep()
+        _, plan = setup.make_chat(1, 'x')
+        end = await setup.ask('r', plan)
         assert end.recomputed_tokens < cache.SEGMENT_TOKENS
         assert end.prompt_tokens == TOKENS
         assert end.link_bytes == SEGMENT_KV * len(plan.segments)
-        assert place.engines[1].stats.imports == len(plan.segments)
+        assert setup.engines[1].stats.imports == len(plan.segments)
 
 
 async def test_requests_that_wait_for_one_segment_share_its_fetch() -> None:
-    async with site(link=1e6, prefill=4_000.0) as place:
-        await place.keep()
-        _, plan = place.make_chat(1, 'x')
+    async with site(link=1e6, prefill=4_000.0) as setup:
+        await setup.keep()
+        _, plan = setup.make_chat(1, 'x')
         ends: list[Any] = []
 
         async def ask(request: str) -> None:
-            ends.append(await place.ask(request, plan))
+            ends.append(await setup.ask(request, plan))
 
         async with anyio.create_task_group() as group:
             for number in range(4):
                 group.start_soon(ask, f'r{number}')
-        assert place.engines[1].stats.imports == len(plan.segments)
+        assert setup.engines[1].stats.imports == len(plan.segments)
         assert sum(each.link_bytes > 0 for each in ends) == 1
         assert all(
             each.recomputed_tokens < cache.SEGMENT_TOKENS for each in ends
@@ -159,133 +165,135 @@
 
 @pytest.mark.parametrize('damage', ['corrupt', 'truncate', 'lose'])
 async def test_damaged_context_is_recomputed(damage: str) -> None:
-    async with site() as place:
-        await place.keep()
+    async with site() as setup:
+        await setup.keep()
         names = [
-            each for each in place.store.objects if not each.endswith('.meta')
+            each for each in setup.store.objects if not each.endswith('.meta')
         ]
-        place.store.faults = store.StoreFaults(**{damage: names})
-        place.store.note_faults()
-        _, plan = place.make_chat(1, 'x')
-        end = await place.ask('r', plan)
+        setup.store.faults = store.StoreFaults(**{damage: names})
+        setup.store.note_faults()
+        _, plan = setup.make_chat(1, 'x')
+        end = await setup.ask('r', plan)
         assert end.recomputed_tokens == TOKENS
-        assert place.engines[1].stats.imports == 0
-        assert place.engines[1].stats.corrupt_used == 0
+        assert setup.engines[1].stats.imports == 0
+        assert setup.engines[1].stats.corrupt_used == 0
 
 
 async def test_only_the_leading_whole_segments_are_used() -> None:
-    async with site() as place:
-        await place.keep()
-        _, plan = place.make_chat(1, 'x')
+    async with site() as setup:
+        await setup.keep()
+        _, plan = setup.make_chat(1, 'x')
         broken = plan.segments[2].hex()
-        names = [each for each in place.store.objects if broken in each]
-        place.store.faults = store.StoreFaults(lose=names)
-        place.store.note_faults()
-        end = await place.ask('r', plan)
-        assert place.engines[1].stats.imports == 2
+        names = [each for each in setup.store.objects if broken in each]
+        setup.store.faults = store.StoreFaults(lose=names)
+        setup.store.note_faults()
+        end = await setup.ask('r', plan)
+        assert setup.engines[1].stats.imports == 2
         assert end.recomputed_tokens == TOKENS - 2 * cache.SEGMENT_TOKENS
 
 
 @pytest.mark.parametrize('how', ['evicted', 'lost by the store'])
-async def test_segment_gone_since_the_plan_costs_time_and_is_told(
+async def test_segment_missing_since_the_plan_is_recomputed_and_reported(
     how: str,
 ) -> None:
-    async with site() as place:
-        await place.keep()
-        _, plan = place.make_chat(1, 'x')
+    async with site() as setup:
+        await setup.keep()
+        _, plan = setup.make_chat(1, 'x')
         gone = plan.segments[2]
         # What goes before it was told is never told, as nobody knows of it.
         await wait_until(
-            lambda: make_hint(gone) in list_told(place.watcher, 'added')
+            lambda: make_hint(gone) in list_reported(setup.watcher, 'added')
         )
         if how == 'evicted':
-            place.keeper._role._store._index.free(gone)
+            setup.store_agent._role._store._index.free(gone)
         else:
-            names = [each for each in place.store.objects if gone.hex() in each]
-            place.store.faults = store.StoreFaults(lose=names)
-            place.store.note_faults()
-        end = await place.ask('r', plan)
+            names = [each for each in setup.store.objects if gone.hex() in each]
+            setup.store.faults = store.StoreFaults(lose=names)
+            setup.store.note_faults()
+        end = await setup.ask('r', plan)
         assert end.recomputed_tokens == TOKENS - 2 * cache.SEGMENT_TOKENS
         await wait_until(
-            lambda: make_hint(gone) in list_told(place.watcher, 'removed')
+            lambda: make_hint(gone) in list_reported(setup.watcher, 'removed')
         )
 
 
-async def test_store_that_cannot_be_reached_costs_a_recompute_only() -> None:
-    async with site() as place:
-        _, plan = place.make_chat(1, 'x')
+async def test_unreachable_store_only_causes_a_recompute() -> None:
+    async with site() as setup:
+        _, plan = setup.make_chat(1, 'x')
         dead = replace(plan, address='127.0.0.1:1')
-        end = await place.ask('r', dead)
+        end = await setup.ask('r', dead)
         assert end.recomputed_tokens == TOKENS
 
 
-async def test_fetch_slower_than_computing_is_given_up() -> None:
+async def test_fetch_slower_than_computing_is_abandoned() -> None:
     usual = CacheSettings().patience
-    async with site(link=2e5, prefill=50_000.0, patience=usual) as place:
-        chat, plan = place.make_chat(0, 'first')
+    async with site(link=2e5, prefill=50_000.0, patience=usual) as setup:
+        chat, plan = setup.make_chat(0, 'first')
         few = replace(plan, segments=plan.segments[:2])
-        await place.entries[0].call(replace(chat, keep=few), BODY)
-        await wait_until(lambda: len(place.store.objects) == 4)
-        place.store.faults = store.StoreFaults(link_bytes_per_second=2e4)
-        place.store.note_faults()
-        end = await place.ask('r', few)
+        await setup.entries[0].call(replace(chat, keep=few), BODY)
+        await wait_until(lambda: len(setup.store.objects) == 4)
+        setup.store.faults = store.StoreFaults(link_bytes_per_second=2e4)
+        setup.store.note_faults()
+        end = await setup.ask('r', few)
         assert end.recomputed_tokens > TOKENS - 2 * cache.SEGMENT_TOKENS
-        fetcher = place.shells[1]._role.preparer._fetcher
+        fetcher = setup.shells[1]._role.preparer._fetcher
         with anyio.fail_after(10):
             await fetcher.wait_idle()
 
 
-class TurningSlow(web.Pipe):
+class SlowingPipe(web.Pipe):
     """Carry one segment at once and the rest far too slowly."""
 
     async def carry(self, units: float) -> None:
         await super().carry(units)
-        self.rate = STALLED
+        self.rate = STALLED_RATE
 
 
-async def test_fetch_that_turns_slow_is_cut_and_the_rest_computed() -> None:
+async def test_fetch_that_slows_down_is_cancelled_and_the_rest_computed() -> (
+    None
+):
     # The first segment has the budget of six; the second only its own.
-    async with site(patience=100.0) as place:
-        await place.keep()
-        place.store._link = TurningSlow(0.0)
-        _, plan = place.make_chat(1, 'x')
-        end = await place.ask('r', plan)
+    async with site(patience=100.0) as setup:
+        await setup.keep()
+        setup.store._link = SlowingPipe(0.0)
+        _, plan = setup.make_chat(1, 'x')
+        end = await setup.ask('r', plan)
         assert end.recomputed_tokens == TOKENS - cache.SEGMENT_TOKENS
         assert end.link_bytes < 2 * SEGMENT_KV
         # Nothing goes on at the store's agent, and nothing stays pinned.
-        await wait_until(lambda: place.keeper._role.measure().running == 0)
-        assert place.keeper._role.measure().link_bytes_in_flight == 0
-        assert not place.keeper._role._store._index._pins._pins
+        await wait_until(lambda: setup.store_agent._role.measure().running == 0)
+        assert setup.store_agent._role.measure().link_bytes_in_flight == 0
+        assert not setup.store_agent._role._store._index._pins._pins
 
 
 @pytest.mark.parametrize('patience', [CacheSettings().patience, 5.0])
 async def test_segment_may_take_patience_times_what_computing_it_takes(
     patience: float,
 ) -> None:
-    async with site(prefill=4_000.0, patience=patience) as place:
-        await place.keep()
-        fetcher = place.shells[1]._role.preparer._fetcher
+    async with site(prefill=4_000.0, patience=patience) as setup:
+        await setup.keep()
+        fetcher = setup.shells[1]._role.preparer._fetcher
         fetch, steps = fetcher.fetch, []
 
-        async def note(*args: Any, step: float, **more: Any) -> Any:
+        async def record(*args: Any, step: float, **more: Any) -> Any:
             steps.append(step)
             return await fetch(*args, step=step, **more)
 
-        fetcher.fetch = note
-        _, plan = place.make_chat(1, 'x')
-        await place.ask('r', plan)
+        fetcher.fetch = record
+        _, plan = setup.make_chat(1, 'x')
+        await setup.ask('r', plan)
         assert steps == [patience * cache.SEGMENT_TOKENS / 4_000.0 * 1_000]
 
 
 async def test_waiter_that_leaves_does_not_stop_the_fetch_of_others() -> None:
-    async with site(link=1e6, prefill=4_000.0) as place:
-        await place.keep()
-        fetcher = place.shells[1]._role.preparer._fetcher
-        _, plan = place.make_chat(1, 'x')
+    async with site(link=1e6, prefill=4_000.0) as setup:
+        await setup.keep()
+        fetcher = setup.shells[1]._role.preparer._fetcher
+        _, plan = setup.make_chat(1, 'x')
         counts: list[int] = []
 
         async def fetch(step: float) -> None:
-            namespace = place.make_chat(1, 'x')[0].namespace
+            namespace = setup.make_chat(1, 'x')[0].namespace
             fetched = await fetcher.fetch(plan, namespace, step=step)
             counts.append(fetched.segments)
 
@@ -293,7 +301,7 @@
             group.start_soon(fetch, 0.1)
             group.start_soon(fetch, 10_000.0)
         assert counts == [0, len(plan.segments)]
-        assert place.engines[1].stats.imports == len(plan.segments)
+        assert setup.engines[1].stats.imports == len(plan.segments)
 
 
 def test_pace_is_measured_once_the_first_segment_has_come() -> None:
@@ -310,8 +318,8 @@
 
 
 async def test_export_queue_is_bounded() -> None:
-    async with site(export_queue=2) as place:
-        chat, plan = place.make_chat(0, 'first')
-        await place.entries[0].call(replace(chat, keep=plan), BODY)
-        await wait_until(lambda: len(place.store.objects) == 4)
-        assert place.shells[0]._role._exporter.dropped == len(plan.segments) - 2
+    async with site(export_queue=2) as setup:
+        chat, plan = setup.make_chat(0, 'first')
+        await setup.entries[0].call(replace(chat, keep=plan), BODY)
+        await wait_until(lambda: len(setup.store.objects) == 4)
+        assert setup.shells[0]._role._exporter.dropped == len(plan.segments) - 2
--- a/tests/test_hosted_agent.py
+++ b/tests/test_hosted_agent.py
@@ -40,7 +40,7 @@
         self.log = log
         self.port = port
 
-    def name(self, version):
+    def publish_version(self, version):
         named = {'model': MODEL, 'version': version}
         self.store.put(OPERATOR, f'version/{MODEL}', named)
 
@@ -101,7 +101,7 @@
 
 async def test_named_weights_are_ordered_once(tmp_path):
     async with staging(tmp_path) as stage:
-        stage.name(2)
+        stage.publish_version(2)
         await stage.wait_version(2)
         await anyio.sleep(0.8)
     (order,) = stage.engine.orders
@@ -118,8 +118,8 @@
 
 async def test_the_newest_of_two_named_versions_is_loaded(tmp_path):
     async with staging(tmp_path) as stage:
-        stage.name(2)
-        stage.name(3)
+        stage.publish_version(2)
+        stage.publish_version(3)
         await stage.wait_version(3)
 
 
@@ -127,16 +127,18 @@
     engine = HostedEngine(MODEL)
     engine.version = 5
     async with staging(tmp_path, engine) as stage:
-        stage.name(4)
+        stage.publish_version(4)
         await anyio.sleep(0.8)
     assert not engine.orders
 
 
-async def test_an_order_without_answer_is_repeated_on_the_same_terms(tmp_path):
+async def test_an_order_without_response_is_repeated_with_the_same_precondition(
+    tmp_path,
+):
     engine = HostedEngine(MODEL)
     engine.lose_answers = 2
     async with staging(tmp_path, engine) as stage:
-        stage.name(2)
+        stage.publish_version(2)
         await stage.wait_version(2)
     assert {order['precondition'] for order in engine.orders} == {0}
 
@@ -146,7 +148,7 @@
 ):
     engine = HostedEngine(MODEL)
     async with staging(tmp_path, engine) as stage:
-        stage.name(2)
+        stage.publish_version(2)
         await stage.wait_version(2)
         late = engine.orders[0]
         assert late['precondition'] != engine.accepted
@@ -160,7 +162,7 @@
             if store_of_one:
                 topic = stage.store.find('oleander-fences')
                 topic.records.extend(store_of_one)
-            stage.name(2)
+            stage.publish_version(2)
             await stage.wait_version(2)
             store_of_one = list(stage.store.find('oleander-fences').records)
         fences.append(stage.engine.orders[0]['fence'])
@@ -171,7 +173,7 @@
     engine = HostedEngine(MODEL)
     engine.outcome = 412
     async with staging(tmp_path, engine) as stage:
-        stage.name(2)
+        stage.publish_version(2)
         with anyio.fail_after(5):
             while len(engine.orders) < 2:
                 await anyio.sleep(0.02)
@@ -181,13 +183,13 @@
     assert fences == sorted(set(fences))
 
 
-async def test_two_that_load_are_waited_for(tmp_path):
+async def test_agent_waits_while_two_engines_load(tmp_path):
     before = [
         {'server': 'i-a', 'step': 'waits'},
         {'server': 'i-b', 'step': 'waits'},
     ]
     async with staging(tmp_path, before=before) as stage:
-        stage.name(2)
+        stage.publish_version(2)
         await anyio.sleep(1.0)
         assert not stage.engine.orders
         ended = {'server': 'i-a', 'step': 'ended'}
@@ -199,25 +201,25 @@
     async with staging(tmp_path) as stage:
         later = json.loads(stage.store.find(SERVERS).newest['i-own'][1])
         stage.store.put(SERVERS, 'a-later', later)
-        stage.name(2)
+        stage.publish_version(2)
         await stage.wait_version(2)
     (order,) = stage.engine.orders
     assert order['instance'] == 'a-later'
 
 
-async def test_a_lost_answer_of_the_store_stops_nothing(tmp_path):
+async def test_a_lost_response_of_the_store_does_not_stop_a_load(tmp_path):
     async with staging(tmp_path) as stage:
         stage.store.faults = RecordFaults(lose_answers=1)
         stage.store.note_faults()
-        stage.name(2)
+        stage.publish_version(2)
         await stage.wait_version(2, seconds=8)
 
 
-async def test_a_malformed_notice_is_told_and_passed_over(tmp_path):
+async def test_a_malformed_notice_is_logged_and_skipped(tmp_path):
     async with staging(tmp_path) as stage:
         stage.store.find(LOADS).append(b'no notice')
         await anyio.sleep(0.1)
-        stage.name(2)
+        stage.publish_version(2)
         await stage.wait_version(2)
     assert 'event=record_refused' in stage.log.read_text()
 
@@ -227,11 +229,11 @@
         await anyio.sleep(0.2)
         signal.raise_signal(signal.SIGHUP)
         await anyio.sleep(0.1)
-        stage.name(2)
+        stage.publish_version(2)
         await stage.wait_version(2)
 
 
-async def test_a_stopped_agent_tells_so(tmp_path):
+async def test_a_stopped_agent_logs_its_stop(tmp_path):
     async with staging(tmp_path) as stage:
         await anyio.sleep(0.2)
         signal.raise_signal(signal.SIGTERM)
@@ -239,11 +241,11 @@
         assert 'event=process_stopped' in stage.log.read_text()
 
 
-async def test_an_engine_that_started_anew_is_found_again(tmp_path):
+async def test_a_restarted_engine_is_found_again(tmp_path):
     engine = HostedEngine(MODEL)
     engine.outcome = 421
     async with staging(tmp_path, engine) as stage:
-        stage.name(2)
+        stage.publish_version(2)
         with anyio.fail_after(5):
             while not engine.orders:
                 await anyio.sleep(0.02)
@@ -268,20 +270,20 @@
         return offset
 
 
-async def test_a_notice_that_was_never_read_back_is_told_again(tmp_path):
+async def test_a_notice_that_was_not_read_back_is_appended_again(tmp_path):
     async with staging(tmp_path) as stage:
         stage.store.topics[LOADS] = ForgetfulTopic()
-        stage.name(2)
+        stage.publish_version(2)
         await stage.wait_version(2, seconds=12)
 
 
-async def test_an_agent_logs_whom_its_engine_waits_for(tmp_path):
+async def test_an_agent_logs_which_engines_it_waits_for(tmp_path):
     before = [
         {'server': 'i-a', 'step': 'waits'},
         {'server': 'i-b', 'step': 'waits'},
     ]
     async with staging(tmp_path, before=before) as stage:
-        stage.name(2)
+        stage.publish_version(2)
         await anyio.sleep(1.0)
         (line,) = [
             line
@@ -317,7 +319,7 @@
 
 async def test_an_engine_asks_for_a_place_for_each_of_its_models(tmp_path):
     async with staging(tmp_path, TwoModels(MODEL)) as stage:
-        stage.name(2)
+        stage.publish_version(2)
         named = {'model': OTHER, 'version': 2}
         stage.store.put(OPERATOR, f'version/{OTHER}', named)
         await stage.wait_version(2)
@@ -328,9 +330,9 @@
         assert {each['model'] for each in waits} == {MODEL, OTHER}
 
 
-async def test_an_agent_serves_what_its_engine_took_and_how_long(tmp_path):
+async def test_an_agent_serves_metrics_of_orders_and_loads(tmp_path):
     async with staging(tmp_path) as stage:
-        stage.name(2)
+        stage.publish_version(2)
         await stage.wait_version(2)
         await anyio.sleep(0.5)
         lines = await stage.read_metrics()
@@ -343,7 +345,7 @@
     assert 'oleander_order_milliseconds_count{label="accepted"} 1.0' in lines
 
 
-async def test_a_lost_store_is_told_once_and_its_return_once(tmp_path):
+async def test_a_store_outage_is_logged_once_and_its_end_once(tmp_path):
     async with staging(tmp_path) as stage:
         await anyio.sleep(0.3)
         stage.store.faults = RecordFaults(down=True)
@@ -365,7 +367,7 @@
     assert float(faults.split()[-1]) > 1
 
 
-async def test_an_agent_tells_that_it_stood_still(tmp_path):
+async def test_an_agent_logs_that_it_was_stalled(tmp_path):
     async with staging(tmp_path) as stage:
         await anyio.sleep(0.3)
         time.sleep(1.5)
--- a/tests/test_old_weights.py
+++ b/tests/test_old_weights.py
@@ -55,12 +55,12 @@
 pytestmark = pytest.mark.anyio
 
 
-def name_weights(store, version):
+def publish_weights(store, version):
     named = {'model': MODEL, 'version': version}
     store.put(OPERATOR, f'version/{MODEL}', named)
 
 
-async def ask(stage, wait='2000'):
+async def call_letter(stage, wait='2000'):
     return await stage.call(
         '/letter/1',
         oleanderdyke_deadline_ms=wait,
@@ -69,37 +69,39 @@
     )
 
 
-async def test_no_request_is_sent_to_weights_past_their_time(tmp_path):
+async def test_no_request_is_sent_to_weights_past_their_limit(tmp_path):
     async with hosted.staging(
         tmp_path, answer_well, version_limit=LIMIT, models=OLD
     ) as stage:
-        name_weights(stage.store, 2)
+        publish_weights(stage.store, 2)
         await anyio.sleep(0.1)
-        assert (await ask(stage)).status == 200
+        assert (await call_letter(stage)).status == 200
         await anyio.sleep(LIMIT / 1_000)
         with anyio.fail_after(1):
-            refused = await ask(stage)
+            refused = await call_letter(stage)
         assert refused.status == 503
         assert float(refused.headers['retry-after']) > 0
         assert len(stage.replicas[0].received) == 1
 
 
-async def test_news_of_unknown_age_allow_no_old_weights(tmp_path):
+async def test_old_weights_do_not_serve_if_the_age_of_newer_ones_is_unknown(
+    tmp_path,
+):
     store = RecordStore()
-    name_weights(store, 2)
+    publish_weights(store, 2)
     async with hosted.staging(
         tmp_path, answer_well, store=store, version_limit=LIMIT, models=OLD
     ) as stage:
-        assert (await ask(stage)).status == 503
+        assert (await call_letter(stage)).status == 503
         assert not stage.replicas[0].received
 
 
-async def test_a_request_that_waits_on_old_weights_is_taken_back(tmp_path):
-    taken_back = anyio.Event()
+async def test_a_request_that_waits_on_old_weights_is_cancelled(tmp_path):
+    cancelled = anyio.Event()
 
     async def wait(peer):
         await peer.wait_closed()
-        taken_back.set()
+        cancelled.set()
 
     async with hosted.staging(
         tmp_path,
@@ -108,20 +110,22 @@
         version_limit=LIMIT,
         models=OLD,
     ) as stage:
-        name_weights(stage.store, 2)
+        publish_weights(stage.store, 2)
         await anyio.sleep(0.1)
         with anyio.fail_after(LIMIT / 1_000 - 0.1):
-            answer = await ask(stage, '9000')
-            await taken_back.wait()
+            answer = await call_letter(stage, '9000')
+            await cancelled.wait()
         assert answer.status == 502
 
 
-async def test_news_that_others_tell_the_age_of_allow_old_weights(tmp_path):
+async def test_old_weights_serve_if_an_agent_reports_the_age_of_newer_ones(
+    tmp_path,
+):
     store = RecordStore()
-    name_weights(store, 2)
+    publish_weights(store, 2)
     contexts = ContextStore()
     async with server.serving(contexts) as (address,):
-        told = {
+        notice = {
             'server': 'i-0',
             'step': 'waits',
             'agent': 'side-0',
@@ -129,7 +133,7 @@
             'held': 1,
             'newest_at': contexts.clock,
         }
-        store.find('oleander-loads').append(json.dumps(told).encode())
+        store.find('oleander-loads').append(json.dumps(notice).encode())
         async with hosted.staging(
             tmp_path,
             answer_well,
@@ -139,9 +143,9 @@
             models=OLD,
         ) as stage:
             await wait_until(lambda: contexts.reads > 1, 5)
-            assert (await ask(stage)).status == 200
+            assert (await call_letter(stage)).status == 200
             await anyio.sleep(4.0)
-            assert (await ask(stage)).status == 503
+            assert (await call_letter(stage)).status == 503
 
 
 class Fleet:
@@ -161,9 +165,9 @@
         _, where = await stack.enter_async_context(serving_replica(engine))
         self.engines[name] = engine
         self._where[name] = where
-        self.list_engine(name)
+        self.register_engine(name)
 
-    def list_engine(self, name):
+    def register_engine(self, name):
         record = make_record(self._where[name], models=OLD)
         self.store.put(SERVERS, self.engines[name].server, record)
 
@@ -189,7 +193,7 @@
         await anyio.sleep(0.5)
         engine.start_anew(f'{before}-again')
         await anyio.sleep(0.5)
-        self.list_engine(name)
+        self.register_engine(name)
         self.store.drop(SERVERS, before)
 
 
@@ -212,9 +216,9 @@
             await anyio.sleep(0.02)
 
 
-async def test_engines_that_crash_hold_no_place_before_others(tmp_path):
+async def test_crashed_engines_do_not_block_the_queue(tmp_path):
     async with staging_fleet(tmp_path, a=9.0, b=9.0, c=0.05) as fleet:
-        name_weights(fleet.store, 2)
+        publish_weights(fleet.store, 2)
         for name in 'ab':
             fleet.start_agent(name)
         first = [fleet.engines[name] for name in 'ab']
@@ -233,13 +237,13 @@
         await wait_until(lambda: fleet.engines['c'].version == 2, 3)
 
 
-async def test_engines_take_turns_while_there_is_time(tmp_path):
+async def test_engines_load_in_turns_while_there_is_time(tmp_path):
     names = dict.fromkeys('abcdef', 0.3)
     async with staging_fleet(tmp_path, limit=15_000.0, **names) as fleet:
         for name in names:
             fleet.start_agent(name)
         await anyio.sleep(0.5)
-        name_weights(fleet.store, 2)
+        publish_weights(fleet.store, 2)
         engines = list(fleet.engines.values())
         most = 0
         with anyio.fail_after(8):
@@ -249,7 +253,7 @@
     assert most == 2
 
 
-async def test_a_stream_that_has_begun_on_old_weights_goes_on(tmp_path):
+async def test_a_stream_started_on_old_weights_continues(tmp_path):
     async def dictate(peer):
         await send_events(peer, 1, 2)
         for number in range(3, 9):
@@ -264,10 +268,10 @@
         version_limit=LIMIT,
         models=OLD,
     ) as stage:
-        name_weights(stage.store, 2)
+        publish_weights(stage.store, 2)
         await anyio.sleep(0.7)
         with anyio.fail_after(8):
-            answer = await ask(stage, '9000')
+            answer = await call_letter(stage, '9000')
     assert (answer.status, answer.is_whole) == (200, True)
     assert answer.body.count(b'data:') == 8
 
@@ -277,9 +281,11 @@
     return [json.loads(each)['step'] for each in records]
 
 
-async def test_a_settled_agent_gives_up_a_place_that_is_told_late(tmp_path):
+async def test_a_settled_agent_gives_up_a_place_that_is_requested_late(
+    tmp_path,
+):
     async with staging_fleet(tmp_path, a=0.05) as fleet:
-        name_weights(fleet.store, 2)
+        publish_weights(fleet.store, 2)
         fleet.start_agent('a')
         await wait_until(lambda: list_steps(fleet)[-1:] == ['ended'], 8)
         await anyio.sleep(0.3)
@@ -290,7 +296,7 @@
 
 async def test_no_order_names_a_start_that_ended_between_rollouts(tmp_path):
     async with staging_fleet(tmp_path, a=0.05) as fleet:
-        name_weights(fleet.store, 2)
+        publish_weights(fleet.store, 2)
         fleet.start_agent('a')
         engine = fleet.engines['a']
         await wait_until(lambda: engine.version == 2, 8)
@@ -298,15 +304,15 @@
         await fleet.crash('a')
         await anyio.sleep(0.5)
         before = len(engine.orders)
-        name_weights(fleet.store, 3)
+        publish_weights(fleet.store, 3)
         await wait_until(lambda: engine.version == 3, 5)
     named = [each['instance'] for each in engine.orders[before:]]
     assert named == ['i-a-again']
 
 
-async def test_a_lost_engine_is_told_once_the_store_is_back(tmp_path):
+async def test_a_lost_engine_is_reported_once_the_store_is_back(tmp_path):
     async with staging_fleet(tmp_path, a=9.0) as fleet:
-        name_weights(fleet.store, 2)
+        publish_weights(fleet.store, 2)
         fleet.start_agent('a')
         await wait_until(lambda: fleet.engines['a'].orders, 8)
         fleet.store.faults = RecordFaults(down=True)
@@ -317,11 +323,11 @@
         await wait_until(lambda: 'lost' in list_steps(fleet), 3)
 
 
-async def test_an_agent_asks_a_store_that_is_down_seldom(tmp_path):
+async def test_an_agent_rarely_calls_a_store_that_is_down(tmp_path):
     async with staging_fleet(tmp_path, a=0.05) as fleet:
         fleet.start_agent('a')
         await wait_until(lambda: list_steps(fleet), 5)
-        name_weights(fleet.store, 2)
+        publish_weights(fleet.store, 2)
         fleet.store.faults = RecordFaults(down=True)
         before = len(fleet.store.calls)
         await anyio.sleep(3.0)
@@ -330,17 +336,17 @@
     assert tried <= 3 * 3 * 4
 
 
-async def test_callers_learn_the_true_reason_where_no_engine_is_listed(
+async def test_callers_get_the_true_reason_where_no_engine_is_listed(
     tmp_path,
 ):
     async with hosted.staging(
         tmp_path, answer_well, version_limit=LIMIT, models=OLD
     ) as stage:
-        name_weights(stage.store, 2)
+        publish_weights(stage.store, 2)
         plain = make_record('127.0.0.1:9', service='counter')
         stage.store.put(SERVERS, 'i-plain', plain)
         stage.store.drop(SERVERS, 'i-0')
         await anyio.sleep(1.5)
-        refused = await ask(stage)
+        refused = await call_letter(stage)
         assert refused.status == 503
         assert 'no server listed' in stage.log.read_text()
--- a/tests/test_prepare.py
+++ b/tests/test_prepare.py
@@ -95,7 +95,7 @@
         keep = replace(plan, segments=segments)
         await place.entries[0].call(replace(chat, keep=keep), BODY)
         await wait_until(lambda: len(place.store.objects) == 2 * len(segments))
-        entries = place.keeper._role._store._index._entries
+        entries = place.store_agent._role._store._index._entries
         await wait_until(lambda: len(entries) == len(segments))
         depths = [entries.get(each).meta.depth for each in segments]
         assert depths == list(range(first, len(plan.segments)))
--- a/tests/test_starts_agent.py
+++ b/tests/test_starts_agent.py
@@ -20,13 +20,13 @@
     stage.store.put(SERVERS, name, found | {'born': born})
 
 
-def put_others(stage):
+def queue_others(stage):
     for server in ('i-a', 'i-b'):
         waits = {'server': server, 'step': 'waits'}
         stage.store.find(LOADS).append(json.dumps(waits).encode())
 
 
-def release_others(stage):
+def end_other_loads(stage):
     for server in ('i-a', 'i-b'):
         ended = {'server': server, 'step': 'ended'}
         stage.store.find(LOADS).append(json.dumps(ended).encode())
@@ -42,7 +42,7 @@
             await anyio.sleep(0.02)
 
 
-def test_a_report_shows_that_its_engine_has_started_anew():
+def test_a_state_shows_that_its_engine_has_restarted():
     def report(orders, born):
         return EngineState({}, is_busy=False, orders=orders, born=born)
 
@@ -55,77 +55,77 @@
     assert not report(0, LATER).is_from_earlier_start(report(1, None))
 
 
-async def test_a_start_under_the_same_name_gives_its_place_up_first(tmp_path):
+async def test_a_restart_under_the_same_name_gives_up_its_place_first(tmp_path):
     engine = HostedEngine(MODEL)
     engine.born = EARLIER
     async with staging(tmp_path, engine) as stage:
         put_record(stage, EARLIER)
-        put_others(stage)
-        stage.name(2)
+        queue_others(stage)
+        stage.publish_version(2)
         await wait_steps(stage, ['started', 'waits'])
         engine.start_anew('', born=LATER)
         put_record(stage, LATER)
         await wait_steps(stage, ['started', 'waits', 'lost', 'waits'])
         assert not engine.orders
-        release_others(stage)
+        end_other_loads(stage)
         await stage.wait_version(2)
     (order,) = engine.orders
     assert order['precondition'] == 0
 
 
-async def test_a_start_that_nobody_tells_shows_in_the_count_of_orders(
+async def test_an_unannounced_restart_shows_in_the_count_of_orders(
     tmp_path,
 ):
     engine = HostedEngine(MODEL)
     engine.accepted = 4
     async with staging(tmp_path, engine) as stage:
-        put_others(stage)
-        stage.name(2)
+        queue_others(stage)
+        stage.publish_version(2)
         await wait_steps(stage, ['started', 'waits'])
         engine.start_anew('')
         await wait_steps(stage, ['started', 'waits', 'lost', 'waits'])
-        release_others(stage)
+        end_other_loads(stage)
         await stage.wait_version(2)
     (order,) = engine.orders
     assert order['precondition'] == 0
 
 
-async def test_a_record_of_the_earlier_start_brings_no_order(tmp_path):
+async def test_a_record_of_the_earlier_start_causes_no_order(tmp_path):
     engine = HostedEngine(MODEL)
     engine.born = LATER
     async with staging(tmp_path, engine) as stage:
         put_record(stage, EARLIER)
-        stage.name(2)
+        stage.publish_version(2)
         await anyio.sleep(0.8)
         assert list_own_steps(stage) == ['started']
         put_record(stage, LATER)
         await stage.wait_version(2)
 
 
-async def test_a_late_report_of_the_earlier_start_brings_no_order(tmp_path):
+async def test_a_late_state_of_the_earlier_start_causes_no_order(tmp_path):
     engine = HostedEngine(MODEL)
     engine.born = LATER
     async with staging(tmp_path, engine) as stage:
         put_record(stage, LATER)
-        put_others(stage)
-        stage.name(2)
+        queue_others(stage)
+        stage.publish_version(2)
         await wait_steps(stage, ['started', 'waits'])
         engine.born = EARLIER
         await anyio.sleep(0.5)
         assert list_own_steps(stage) == ['started', 'waits']
-        release_others(stage)
+        end_other_loads(stage)
         await anyio.sleep(0.5)
         assert not engine.orders
         engine.born = LATER
         await stage.wait_version(2)
 
 
-async def test_a_restart_midway_through_a_load_is_ordered_anew(tmp_path):
+async def test_a_restart_during_a_load_is_ordered_again(tmp_path):
     engine = HostedEngine(MODEL, load_seconds=0.6)
     engine.born = EARLIER
     async with staging(tmp_path, engine) as stage:
         put_record(stage, EARLIER)
-        stage.name(2)
+        stage.publish_version(2)
         with anyio.fail_after(5):
             while not engine.busy:
                 await anyio.sleep(0.01)
@@ -138,12 +138,12 @@
     assert list_own_steps(stage)[:4] == ['started', 'waits', 'lost', 'waits']
 
 
-async def test_an_engine_that_comes_back_on_older_weights_is_seen(tmp_path):
+async def test_an_engine_that_restarts_with_older_weights_is_detected(tmp_path):
     engine = HostedEngine(MODEL)
     engine.born = EARLIER
     async with staging(tmp_path, engine) as stage:
         put_record(stage, EARLIER)
-        stage.name(2)
+        stage.publish_version(2)
         await stage.wait_version(2)
         await wait_steps(stage, ['started', 'waits', 'ended'])
         engine.start_anew('', born=LATER)
@@ -152,9 +152,9 @@
         await stage.wait_version(2, seconds=9)
 
 
-async def test_looks_at_a_settled_engine_cost_no_calls_of_the_store(tmp_path):
+async def test_checks_of_a_settled_engine_make_no_calls_of_the_store(tmp_path):
     async with staging(tmp_path) as stage:
-        stage.name(2)
+        stage.publish_version(2)
         await stage.wait_version(2)
         await wait_steps(stage, ['started', 'waits', 'ended'])
         stage.store.calls.clear()
@@ -166,9 +166,9 @@
 async def change_twice_with_a_lost_order(stage):
     """Leave the first order, for version 2, without an answer."""
     stage.engine.lose_answers = 1
-    stage.name(2)
+    stage.publish_version(2)
     await stage.wait_version(2)
-    stage.name(3)
+    stage.publish_version(3)
     await stage.wait_version(3)
     with anyio.fail_after(5):
         while list_own_steps(stage)[-1] != 'ended':
@@ -182,7 +182,7 @@
             await anyio.sleep(0.02)
 
 
-async def test_a_late_order_for_the_earlier_start_meets_a_higher_fence(
+async def test_a_late_order_for_the_earlier_start_is_refused_by_a_higher_fence(
     tmp_path,
 ):
     engine = HostedEngine(MODEL)
@@ -214,12 +214,12 @@
         assert len(engine.orders) == given
 
 
-async def test_an_order_with_an_answer_brings_no_higher_fence(tmp_path):
+async def test_an_order_with_a_response_needs_no_higher_fence(tmp_path):
     engine = HostedEngine(MODEL)
     engine.born, engine.fence = EARLIER, 0
     async with staging(tmp_path, engine) as stage:
         put_record(stage, EARLIER)
-        stage.name(2)
+        stage.publish_version(2)
         await stage.wait_version(2)
         await wait_steps(stage, ['started', 'waits', 'ended'])
         engine.start_anew('', born=LATER)
@@ -228,7 +228,7 @@
     assert len(engine.orders) == 1
 
 
-async def test_a_late_order_that_passes_costs_one_more_load(tmp_path):
+async def test_a_late_order_that_is_accepted_costs_one_more_load(tmp_path):
     """Nothing checks a fence here: the newest weights are ordered again."""
     engine = HostedEngine(MODEL)
     engine.born = EARLIER
--- a/tests/test_store_agent.py
+++ b/tests/test_store_agent.py
@@ -34,7 +34,7 @@
 from standins import server, store
 
 pytestmark = pytest.mark.anyio
-SPACE = bytes(32)
+NAMESPACE = bytes(32)
 SEGMENT = b's' * 32
 DATA = bytes(range(256)) * 400
 PART = 40_000
@@ -60,7 +60,7 @@
     request: str, segment: bytes = SEGMENT, data: bytes = DATA
 ) -> SegmentWrite:
     return SegmentWrite(
-        request, SPACE, segment, len(data), digest_segment(data)
+        request, NAMESPACE, segment, len(data), digest_segment(data)
     )
 
 
@@ -89,7 +89,7 @@
     ]
 
 
-async def keep(
+async def write_segment(
     entry: FakeEntry, write: SegmentWrite, parts: list[SegmentPart]
 ) -> SegmentWritten:
     def answered() -> bool:
@@ -111,7 +111,7 @@
     entry: FakeEntry,
     request: str,
     *segments: bytes,
-    namespace: bytes = SPACE,
+    namespace: bytes = NAMESPACE,
 ) -> bytes | None:
     segments = segments or (SEGMENT,)
     await entry.link.send(SegmentRead(request, namespace, segments))
@@ -131,7 +131,7 @@
     return b''.join(each.data for each in find(entry, SegmentPart, request))
 
 
-async def wait_told(entry: FakeEntry, change: str) -> None:
+async def wait_reported(entry: FakeEntry, change: str) -> None:
     await wait_until(
         lambda: any(
             SEGMENT[:8] in getattr(each, change)
@@ -141,21 +141,21 @@
     )
 
 
-async def test_kept_segment_is_read_whole_and_offered_once() -> None:
+async def test_stored_segment_is_read_complete_and_requested_once() -> None:
     async with store_agent(store.make_app()) as (_, entry):
         write = make_write('w')
-        assert (await keep(entry, write, split(write))).sealed
+        assert (await write_segment(entry, write, split(write))).sealed
         assert await read(entry, 'r') == DATA
         again = make_write('w2')
-        assert (await keep(entry, again, [])).sealed
+        assert (await write_segment(entry, again, [])).sealed
         assert not find(entry, SegmentWanted, 'w2')
-        await wait_told(entry, 'added')
+        await wait_reported(entry, 'added')
 
 
 async def test_another_namespace_finds_nothing() -> None:
     async with store_agent(store.make_app()) as (_, entry):
         write = make_write('w')
-        await keep(entry, write, split(write))
+        await write_segment(entry, write, split(write))
         assert await read(entry, 'r', namespace=bytes([1]) * 32) is None
 
 
@@ -164,17 +164,17 @@
     app = store.make_app()
     async with store_agent(app) as (_, entry):
         write = make_write('w')
-        await keep(entry, write, split(write))
-        await wait_told(entry, 'added')
+        await write_segment(entry, write, split(write))
+        await wait_reported(entry, 'added')
         names = [each for each in app.objects if not each.endswith('.meta')]
         app.faults = store.StoreFaults(**{damage: names})
         app.note_faults()
         assert await read(entry, 'r') is None
         parts = find(entry, SegmentPart, 'r')
         assert not any(each.last for each in parts)
-        await wait_told(entry, 'removed')
+        await wait_reported(entry, 'removed')
         again = make_write('w2')
-        assert (await keep(entry, again, split(again))).sealed
+        assert (await write_segment(entry, again, split(again))).sealed
 
 
 async def test_wrong_bytes_are_never_sealed() -> None:
@@ -182,7 +182,7 @@
     async with store_agent(app) as (_, entry):
         write = make_write('w')
         wrong = split(write, DATA[::-1])
-        assert not (await keep(entry, write, wrong)).sealed
+        assert not (await write_segment(entry, write, wrong)).sealed
         assert await read(entry, 'r') is None
         assert not app.objects
 
@@ -192,7 +192,7 @@
     async with store_agent(app) as (_, entry):
         app.faults = store.StoreFaults(full=True)
         write = make_write('w')
-        written = await keep(entry, write, split(write))
+        written = await write_segment(entry, write, split(write))
         assert (written.sealed, written.detail) == (False, 'store_full')
         assert await read(entry, 'r') is None
 
@@ -208,7 +208,7 @@
         await wait_until(lambda: len(shell._outboxes) == 1)
         assert await read(entry, 'r') is None
         write = make_write('w')
-        assert (await keep(entry, write, split(write))).sealed
+        assert (await write_segment(entry, write, split(write))).sealed
 
 
 async def test_restarted_agent_shows_only_what_is_whole() -> None:
@@ -216,7 +216,7 @@
     async with store_agent(app) as (_, entry):
         for number in range(2):
             write = make_write(f'w{number}', bytes([number]) * 32)
-            await keep(entry, write, split(write))
+            await write_segment(entry, write, split(write))
     whole, broken = sorted(
         each for each in app.objects if not each.endswith('.meta')
     )
@@ -232,7 +232,7 @@
     app = store.make_app()
     async with store_agent(app) as (_, entry):
         write = make_write('w')
-        await keep(entry, write, split(write))
+        await write_segment(entry, write, split(write))
         app.faults = store.StoreFaults(down=True)
         await wait_until(
             lambda: (
@@ -241,7 +241,7 @@
             )
         )
         assert await read(entry, 'r') is None
-        assert not (await keep(entry, make_write('w2'), [])).sealed
+        assert not (await write_segment(entry, make_write('w2'), [])).sealed
         app.faults = store.StoreFaults()
         await entry.wait_serving()
         assert await read(entry, 'r2') == DATA
@@ -252,7 +252,7 @@
     async with store_agent(app) as (shell, entry):
         for number in range(2):
             write = make_write(f'w{number}', bytes([number]) * 32)
-            await keep(entry, write, split(write))
+            await write_segment(entry, write, split(write))
         # Held until the store has sent everything to both, so that only their
         # turns decide who is next, not whose bytes come first.
         scheduler = shell._role._store._scheduler
@@ -283,12 +283,12 @@
         assert entry.beat.load.link_bytes_per_second > 0
 
 
-async def test_given_up_read_stops_sending() -> None:
+async def test_cancelled_read_stops_sending() -> None:
     app = store.make_app(store.StoreSettings(link_bytes_per_second=1e6))
     async with store_agent(app) as (shell, entry):
         write = make_write('w')
-        await keep(entry, write, split(write))
-        await entry.link.send(SegmentRead('r', SPACE, (SEGMENT,)))
+        await write_segment(entry, write, split(write))
+        await entry.link.send(SegmentRead('r', NAMESPACE, (SEGMENT,)))
         await wait_until(lambda: bool(find(entry, SegmentPart, 'r')))
         await entry.link.send(Cancel('r', 0))
         await wait_until(lambda: shell._role.measure().running == 0)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -16,7 +16,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_end_of_the_held_connection_tells_the_end_for_a_while() -> None:
+async def test_end_of_the_held_connection_shows_the_end_for_a_while() -> None:
     clock = ManualClock()
     opened = await anyio.create_tcp_listener(local_host='127.0.0.1')
     listener = opened.listeners[0]
@@ -37,7 +37,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_brackets_of_an_address_are_no_part_of_the_host(
+async def test_brackets_in_an_address_are_not_part_of_the_host(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     asked = []
@@ -57,7 +57,7 @@
     assert asked == [('::1', 80)] * 2
 
 
-def test_refusal_after_the_end_is_a_lost_run() -> None:
+def test_refusal_after_the_end_counts_as_a_lost_run() -> None:
     with pytest.raises(HttpError) as caught:
         check_not_replaced(503, ended=True)
     assert caught.value.kind is ErrorKind.BACKEND_LOST
