--- a/tests/agents.py
+++ b/tests/agents.py
@@ -1,4 +1,4 @@
-"""Run an agent in this loop and speak to it as an entry does."""
+"""Helpers that run an agent in process and connect to it as an entry."""
 
 from __future__ import annotations
 
@@ -89,7 +89,7 @@
 
 
 class ConfigurationSource:
-    """Hold the configuration that entries serve."""
+    """The configuration log that a fake entry serves."""
 
     def __init__(self, *specs: tuple[ObjectKind, str, Spec]) -> None:
         self.reader = ConfigurationReader(Random(1))
@@ -141,7 +141,7 @@
 
 
 class FakeEntry:
-    """Send dispatches and collect what comes back."""
+    """An entry that sends dispatches and collects the responses."""
 
     def __init__(self, link: Link, source: ConfigurationSource) -> None:
         self.link = link
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""Hold what one agent promises about its runs and its planned stop."""
+"""Runs, claims, streams, drain and orders of one agent."""
 
 from __future__ import annotations
 
@@ -320,7 +320,7 @@
 
 
 class CrashingService:
-    """Accept runs, then die with all of them."""
+    """A service that accepts runs and then crashes with all of them."""
 
     def __init__(self) -> None:
         self.accepted = 0
@@ -483,12 +483,12 @@
 
 
 class SilentLink:
-    """Stand in for the link to an entry that the test answers for."""
+    """A link to an entry; the test supplies the answers."""
 
     name = 'entry-1'
 
     def put(self, message: Message) -> None:
-        """Send nothing."""
+        """Discard the message."""
 
 
 @pytest.mark.parametrize('unanswered', [1, 15, 16, 17, 40])
@@ -505,7 +505,8 @@
     configuration.add_entry(entry)
     asked = []
     for _ in range(unanswered):
-        # It is behind, and asks for what it lacks every two seconds.
+        # The copy is behind and requests the missing records every two
+        # seconds.
         configuration.on_peer_offset(entry, 1)
         asked.append(clock.now())
         clock.advance(3_000.0)
--- a/tests/test_fetch.py
+++ b/tests/test_fetch.py
@@ -1,4 +1,4 @@
-"""Hold how kept context comes back to an engine, and what may not."""
+"""Fetches of cached context from a store into an engine."""
 
 from __future__ import annotations
 
@@ -32,10 +32,11 @@
 TOKENS = cache.count_tokens(f'user\0{TEXT}\n'.encode())
 SEGMENT_KV = cache.KV_BYTES_PER_TOKEN * cache.SEGMENT_TOKENS
 DIGEST = weights.make_digest('modelo', '1')
-# A fetch that only has to arrive is not raced against computing: how fast it
-# comes depends on what else the machine does. `CacheSettings` bounds it still.
+# For tests in which a fetch only has to succeed: its speed depends on the load
+# of the machine, so it must not be abandoned for being slower than computing.
+# The timeout of `CacheSettings` still applies.
 UNLIMITED_PATIENCE = 1_000.0
-# Bytes per second: the next segment would take half a minute.
+# In bytes per second: the next segment would take half a minute.
 STALLED_RATE = 500.0
 
 
@@ -63,7 +64,7 @@
         return replace(chat, segments=segments, **more), plan
 
     async def keep(self) -> None:
-        """Run once on the first engine, until everything is kept."""
+        """Run once on the first engine, until all segments are exported."""
         chat, plan = self.make_chat(0, 'first')
         outcome = await self.entries[0].call(replace(chat, keep=plan), BODY)
         assert outcome.end is not None
@@ -71,7 +72,7 @@
         await wait_until(lambda: len(self.store.objects) == 2 * count)
 
     async def ask(self, request: str, plan: FetchPlan | None) -> Any:
-        """Run on the second engine and return the end."""
+        """Run on the second engine and return the end of the response."""
         chat, _ = self.make_chat(1, request)
         outcome = await self.entries[1].call(replace(chat, fetch=plan), BODY)
         assert outcome.end is not None
@@ -200,7 +201,7 @@
         await setup.keep()
         _, plan = setup.make_chat(1, 'x')
         gone = plan.segments[2]
-        # What goes before it was told is never told, as nobody knows of it.
+        # The removal of a segment is reported only if it has been added.
         await wait_until(
             lambda: make_hint(gone) in list_reported(setup.watcher, 'added')
         )
@@ -242,7 +243,7 @@
 
 
 class SlowingPipe(web.Pipe):
-    """Carry one segment at once and the rest far too slowly."""
+    """A link that carries one segment at once and the rest very slowly."""
 
     async def carry(self, units: float) -> None:
         await super().carry(units)
@@ -252,7 +253,7 @@
 async def test_fetch_that_slows_down_is_cancelled_and_the_rest_computed() -> (
     None
 ):
-    # The first segment has the budget of six; the second only its own.
+    # The first segment may take the time of six; the second only its own.
     async with site(patience=100.0) as setup:
         await setup.keep()
         setup.store._link = SlowingPipe(0.0)
@@ -260,7 +261,7 @@
         end = await setup.ask('r', plan)
         assert end.recomputed_tokens == TOKENS - cache.SEGMENT_TOKENS
         assert end.link_bytes < 2 * SEGMENT_KV
-        # Nothing goes on at the store's agent, and nothing stays pinned.
+        # The store's agent has stopped the read and unpinned all segments.
         await wait_until(lambda: setup.store_agent._role.measure().running == 0)
         assert setup.store_agent._role.measure().link_bytes_in_flight == 0
         assert not setup.store_agent._role._store._index._pins._pins
--- a/tests/test_hosted_agent.py
+++ b/tests/test_hosted_agent.py
@@ -32,7 +32,7 @@
 
 
 class Stage:
-    """Hold a store, an engine and its agent."""
+    """A store, an engine and its agent."""
 
     def __init__(self, store, engine, log, port):
         self.store = store
@@ -258,7 +258,7 @@
 
 
 class ForgetfulTopic(Topic):
-    """Drop the history right after the first records."""
+    """A topic that drops its records right after each of the first two."""
 
     drops = 2
 
@@ -295,7 +295,7 @@
 
 
 class TwoModels(HostedEngine):
-    """Hold weights of two models, each loaded by itself."""
+    """An engine with weights of two models, loaded separately."""
 
     other = 1
 
@@ -350,7 +350,7 @@
         await anyio.sleep(0.3)
         stage.store.faults = RecordFaults(down=True)
         await stage.wait_event('log_down', 'operator')
-        # Some more tries fail meanwhile.
+        # Further attempts fail in the meantime.
         await anyio.sleep(1.0)
         stage.store.faults = RecordFaults()
         await stage.wait_event('log_up', 'operator')
--- a/tests/test_old_weights.py
+++ b/tests/test_old_weights.py
@@ -1,21 +1,12 @@
-"""Requests began on weights over 15 s after newer ones had been named.
-
-What was seen: two requests began on version 1 of the weights 16.7 s after
-version 2 was named, where 15 s are allowed. Engines had crashed and come back,
-some twice, while the weights were rolled out two engines at a time.
-
-How it came about: an engine asked for a place in the queue of loads under the
-id of its start. When it crashed, the place stayed with that id for 7 s; its
-agent ordered under the id, was refused, and asked anew behind all others. First
-one such place, then both that there were held up all engines behind them.
-
-What caused it: a place was not bound to the life of who held it, and nothing
-but the order of loads kept requests off old weights: no process knew the bound.
-
-What proved it: the agents' logs show orders refused at the turns of two engines
-that had started anew, and then none for four seconds with three engines due.
-With places that a crash frees, the third engine below loads at once; without
-that, after 7 s.
+"""No request starts on weights that were replaced too long ago.
+
+Guards against requests that started on the old version 16.7 s after the new one
+was published, where 15 s are allowed. Two engines load at a time. An engine
+that crashed kept its place in the queue of loads for 7 s, under the ID of a
+start that had ended; its agent's order was refused and it queued again behind
+all others. Two such places blocked every engine behind them, and no process
+enforced the limit on requests. A crash now frees the place, and requests are
+not sent to weights past their limit.
 """
 
 from __future__ import annotations
@@ -149,7 +140,7 @@
 
 
 class Fleet:
-    """Hold engines that the list of servers names, and start their agents."""
+    """Engines listed in the topic of servers, and their agents."""
 
     def __init__(self, directory, store, address, tasks, limit):
         self.store = store
@@ -186,7 +177,7 @@
         self._tasks.start_soon(HostedAgent(settings, log, make_clock()).run)
 
     async def crash(self, name):
-        """Let an engine crash and come back; the list learns it later."""
+        """Crash and restart an engine; its new record appears 0.5 s later."""
         engine = self.engines[name]
         before = engine.server
         engine.crash()
@@ -332,7 +323,7 @@
         before = len(fleet.store.calls)
         await anyio.sleep(3.0)
         tried = len(fleet.store.calls) - before
-    # Three readers and writers, each four times a second at most.
+    # Three tasks read or write, each at most four times a second, for 3 s.
     assert tried <= 3 * 3 * 4
 
 
--- a/tests/test_starts_agent.py
+++ b/tests/test_starts_agent.py
@@ -159,12 +159,12 @@
         await wait_steps(stage, ['started', 'waits', 'ended'])
         stage.store.calls.clear()
         await anyio.sleep(6.0)
-        # The long reads, which go on as before.
+        # Only the long polls continue.
         assert set(stage.store.calls) <= {'/api/log-read'}
 
 
 async def change_twice_with_a_lost_order(stage):
-    """Leave the first order, for version 2, without an answer."""
+    """Load versions 2 and 3; the response to the first order is lost."""
     stage.engine.lose_answers = 1
     stage.publish_version(2)
     await stage.wait_version(2)
@@ -176,7 +176,7 @@
 
 
 async def wait_fence(engine, seconds=8):
-    """Wait until a start has a fence, which the first order to it brings."""
+    """Wait until the engine has a fencing token from its first order."""
     with anyio.fail_after(seconds):
         while not engine.fence:
             await anyio.sleep(0.02)
@@ -229,7 +229,7 @@
 
 
 async def test_a_late_order_that_is_accepted_costs_one_more_load(tmp_path):
-    """Nothing checks a fence here: the newest weights are ordered again."""
+    """This engine checks no fencing token: the newest weights load again."""
     engine = HostedEngine(MODEL)
     engine.born = EARLIER
     async with staging(tmp_path, engine) as stage:
--- a/tests/test_store_agent.py
+++ b/tests/test_store_agent.py
@@ -1,4 +1,4 @@
-"""Hold what a store's agent shows, hides and shares."""
+"""Segments that the agent of a store makes visible, hides or sends."""
 
 from __future__ import annotations
 
@@ -253,8 +253,8 @@
         for number in range(2):
             write = make_write(f'w{number}', bytes([number]) * 32)
             await write_segment(entry, write, split(write))
-        # Held until the store has sent everything to both, so that only their
-        # turns decide who is next, not whose bytes come first.
+        # Block turns until the store has sent all data for both readers, so
+        # that the order of turns alone decides, not that of the data.
         scheduler = shell._role._store._scheduler
         await wait_until(lambda: not scheduler._busy)
         scheduler._busy = True
