--- a/src/oleanderdyke/agent/hosted/engine_loader.py
+++ b/src/oleanderdyke/agent/hosted/engine_loader.py
@@ -98,7 +98,7 @@
         )
 
     def clear_queue(self) -> None:
-        """Clear the queue after a gap in the notices.
+        """Clear the queue after the records of the topic were dropped.
 
         The next step requests a place in it again.
         """
--- a/src/oleanderdyke/agent/routing.py
+++ b/src/oleanderdyke/agent/routing.py
@@ -107,7 +107,7 @@
         outbox.put(
             Refused(
                 ErrorKind.PROTOCOL,
-                f'an agent takes no {type(message).__name__} messages',
+                f'agents do not accept {type(message).__name__}',
             )
         )
 
--- a/src/oleanderdyke/agent/settings.py
+++ b/src/oleanderdyke/agent/settings.py
@@ -58,10 +58,10 @@
 class RunSettings:
     """Limits on runs.
 
-    Responses are read in pieces of at most `chunk_size` bytes. The response of
-    a run with a claim is recorded if it has at most `record_bytes`. `limit` is
-    the longest time of a run, also without a deadline. `body_bytes` bounds the
-    request bodies of all runs together.
+    Responses are forwarded in chunks of at most `chunk_size` bytes. The
+    response of a run with a claim is recorded if it has at most `record_bytes`.
+    `limit` is the longest time of a run, also without a deadline. `body_bytes`
+    bounds the request bodies of all runs together.
     """
 
     chunk_size: int = 16 * 1024
@@ -75,9 +75,10 @@
     """Limits on fetches and exports of cached context.
 
     A fetch is abandoned once a segment takes more than `patience` times the
-    time to compute it, or the fetch more than `fetch_timeout`. `segment_limit`
-    and `part_size` are in bytes; `export_queue` counts segments. A store serves
-    up to `readers` reads and `writes` writes at once.
+    time to compute it, or the fetch more than `fetch_timeout`, which also
+    bounds each export and each write to a store. `segment_limit` and
+    `part_size` are in bytes; `export_queue` counts segments. A store serves up
+    to `readers` reads and `writes` writes at once.
     """
 
     patience: float = 2.0
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -174,8 +174,8 @@
 async def test_keyed_run_with_too_long_an_answer_is_known_to_have_ended() -> (
     None
 ):
-    async with plain_agent(runs=RunSettings(record_bytes=10)) as source:
-        app, _, entry = source
+    async with plain_agent(runs=RunSettings(record_bytes=10)) as parts:
+        app, _, entry = parts
         set_faults(app, big=11)
         claim = entry.make_claim('k')
         outcome = await entry.call(
