--- a/src/oleanderdyke/agent/backend.py
+++ b/src/oleanderdyke/agent/backend.py
@@ -176,8 +176,8 @@
 def _check_status(status: int, path: str) -> None:
     if _OK <= status < _REDIRECT:
         return
-    place = path.split('?', 1)[0].rsplit('/', 1)[0]
+    directory = path.split('?', 1)[0].rsplit('/', 1)[0]
     raise OleanderError(
         ErrorKind.BACKEND_FAILED,
-        f'got status {status} for a request under {place}/',
+        f'got status {status} for a request under {directory}/',
     )
--- a/src/oleanderdyke/agent/hosted/engine_loader.py
+++ b/src/oleanderdyke/agent/hosted/engine_loader.py
@@ -297,7 +297,7 @@
             model=target.model,
             version=target.version,
             holder=self._settings.process,
-            fence=await self._find_fence(),
+            fence=await self._get_fence(),
             after=state.orders,
         )
         given_at = self._clock.now()
@@ -403,7 +403,7 @@
             EventName.RECORD_REFUSED, name=name, detail=error.message
         )
 
-    async def _find_fence(self) -> int:
+    async def _get_fence(self) -> int:
         """Return the fencing token, appending a record for it if needed.
 
         Offsets only increase, so a later token is always higher.
--- a/src/oleanderdyke/agent/run.py
+++ b/src/oleanderdyke/agent/run.py
@@ -21,8 +21,8 @@
 RunKey: TypeAlias = tuple[str, int]
 
 _TAIL_BYTES = 4 * 1024
-_PROMPT_TOKENS = re.compile(rb'"prompt_tokens"\s*:\s*(\d+)')
-_CACHED_TOKENS = re.compile(rb'"cached_tokens"\s*:\s*(\d+)')
+_PROMPT_TOKENS_PATTERN = re.compile(rb'"prompt_tokens"\s*:\s*(\d+)')
+_CACHED_TOKENS_PATTERN = re.compile(rb'"cached_tokens"\s*:\s*(\d+)')
 
 
 @dataclass(slots=True)
@@ -90,8 +90,8 @@
 
     def make_totals(self) -> AnswerTotals:
         """Return the totals, with token counts from the end of the response."""
-        prompt = _find_last_number(_PROMPT_TOKENS, self.tail)
-        cached = _find_last_number(_CACHED_TOKENS, self.tail)
+        prompt = _find_last_number(_PROMPT_TOKENS_PATTERN, self.tail)
+        cached = _find_last_number(_CACHED_TOKENS_PATTERN, self.tail)
         return AnswerTotals(
             recomputed_tokens=max(0, prompt - cached),
             prompt_tokens=prompt,
--- a/src/oleanderdyke/agent/store_reads.py
+++ b/src/oleanderdyke/agent/store_reads.py
@@ -260,7 +260,7 @@
         size = self._settings.part_size
         buffered = bytearray()
         async with self._backend.keep_alive.request('GET', path) as answer:
-            if not _check_found(answer.status):
+            if not _exists(answer.status):
                 return
             async for data in answer.body:
                 buffered += data
@@ -271,7 +271,7 @@
             await transfer.sender.send(bytes(buffered))
 
 
-def _check_found(status: int) -> bool:
+def _exists(status: int) -> bool:
     if status < _REDIRECT:
         return True
     if status == _NOT_FOUND:
