--- a/src/oleanderdyke/entry/hosted/dispatch.py
+++ b/src/oleanderdyke/entry/hosted/dispatch.py
@@ -1,8 +1,8 @@
-"""Say what a backend server is told beside a request."""
+"""Build what accompanies a request to a backend server."""
 
 from __future__ import annotations
 
-from oleanderdyke.entry.hosted.call import HostedCall, find_contexts
+from oleanderdyke.entry.hosted.call import HostedCall, find_context_stores
 from oleanderdyke.entry.hosted.core import HostedCore
 from oleanderdyke.kernel.backend import Backend
 from oleanderdyke.kernel.context_stores import NO_CONTEXTS, ContextPlan
@@ -11,15 +11,16 @@
 def describe_dispatch(
     core: HostedCore, call: HostedCall, version: int | None
 ) -> dict[str, float]:
-    """Say what is left of the deadline, and how old the weights are.
+    """Return log fields for the time left and for outdated weights.
 
-    Where newer ones are known, that news is at most `age` old.
+    Times are in milliseconds. `newest` and `age` are present if newer weights
+    are known, which were published at most `age` ago.
     """
-    now, demand = core.clock.now(), call.asked.demand
+    now, demand = core.clock.now(), call.parameters.demand
     limit: dict[str, float] = {'limit': round(call.deadline - now)}
     if demand is None or version is None:
         return limit
-    replaced = core.find_replaced(demand.model, version)
+    replaced = core.find_replacement_time(demand.model, version)
     if replaced is None:
         return limit
     newest = core.rollout.weights.find_newest(demand.model)
@@ -29,22 +30,23 @@
 def plan_contexts(
     core: HostedCore, call: HostedCall, backend: Backend, salt: str
 ) -> ContextPlan:
-    """Say where context comes from and goes to, nowhere where in doubt."""
-    demand = call.asked.demand
+    """Plan which context to fetch and save, or nothing if that is unsafe."""
+    demand = call.parameters.demand
     if demand is None or not salt or not demand.parts:
         return NO_CONTEXTS
     now = core.clock.now()
     held = backend.record.versions.get(demand.model, 0)
-    replaced = core.find_replaced(demand.model, held)
+    replaced = core.find_replacement_time(demand.model, held)
     if replaced is not None and backend.listed_at >= replaced:
-        # Others may think that no engine is left on these weights.
+        # Other entries may assume that no engine is left on these weights and
+        # free their context.
         return NO_CONTEXTS
-    contexts = find_contexts(core, call)
+    contexts = find_context_stores(core, call)
     plan = contexts.plan(
         salt,
         demand.parts,
         data_centre=backend.record.data_centre,
-        versions_read_at=core.configuration_asked,
+        versions_read_at=core.configuration_requested_at,
         may_save=replaced is None,
         now=now,
     )
--- a/src/oleanderdyke/entry/hosted/shell.py
+++ b/src/oleanderdyke/entry/hosted/shell.py
@@ -28,21 +28,22 @@
 from oleanderdyke.platform.settings import HostSettings, load_host_settings
 from oleanderdyke.scrape import METRICS_PORT, MetricsServer
 
-_TICK: Millis = 50.0
-# A process whose ticks are so far apart was suspended or stood still: what came
-# meanwhile is read only now. Half of the time after which a server is silent.
-_STALL: Millis = 250.0
+_TICK_PERIOD: Millis = 50.0
+# A process whose ticks are this far apart was suspended or blocked, and reads
+# only now what arrived meanwhile. It is half the time after which a server
+# counts as silent.
+_STALL_THRESHOLD: Millis = 250.0
 _SETTINGS_PERIOD: Millis = 1 * SECOND
-# The grace time ends 600 ms after running work was cut off; the exit of the
-# interpreter needs the rest.
-_CLOSE_LIMIT: Millis = 400.0
+# The grace time ends 600 ms after running requests are cut off; the interpreter
+# needs the rest to exit.
+_CLOSE_TIMEOUT: Millis = 400.0
 _MIB = 1024 * 1024
-# The platform bounds a body by its configuration; this one only guards.
+# Safety limit in bytes; the actual body limit is part of the configuration.
 _BODY_LIMIT = 64 * _MIB
 
 
 class HostedShell:
-    """Hold the tasks of one entry."""
+    """Start, run and stop the tasks of one entry."""
 
     def __init__(self, core: HostedCore) -> None:
         self._core = core
@@ -51,7 +52,7 @@
         self._watch = StoreWatch(core)
 
     async def run(self) -> None:
-        """Serve until a planned stop is over."""
+        """Serve until a graceful shutdown is complete."""
         core = self._core
         callers = split_address(core.settings.callers)
         readiness = split_address(core.settings.readiness)
@@ -69,7 +70,7 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(server.serve, [front, ready])
                 tasks.start_soon(self._serve_metrics)
-                tasks.start_soon(core.news.run, core.log, core.random)
+                tasks.start_soon(core.peers.run, core.log, core.random)
                 tasks.start_soon(self._watch.follow_operator)
                 tasks.start_soon(self._watch.follow_servers)
                 tasks.start_soon(self._watch.follow_loads)
@@ -85,9 +86,9 @@
         core.log.write(EventName.PROCESS_STOPPED)
 
     async def _serve_metrics(self) -> None:
-        """Go on without metrics where their port can't be had."""
+        """Serve metrics; log an error if their port can't be bound."""
         core = self._core
-        server = MetricsServer(core.metrics, core.note_levels)
+        server = MetricsServer(core.metrics, core.update_gauges)
         try:
             await server.serve(core.settings.ip)
         except OSError as error:
@@ -98,12 +99,12 @@
             )
 
     async def _tick(self, server: EdgeServer) -> None:
-        """Look after silent servers and tell changes of readiness."""
-        core, told = self._core, 'starting'
+        """Check running requests, stalls and readiness periodically."""
+        core, logged = self._core, 'starting'
         last = core.clock.now()
         while True:
             now = core.clock.now()
-            if now - last > _STALL:
+            if now - last > _STALL_THRESHOLD:
                 core.backends.reset_silence(now)
                 core.log.write(
                     EventName.PROCESS_STALLED, duration=round(now - last)
@@ -114,24 +115,24 @@
             core.rollout.tick(
                 now=now, clock_offset=core.engine_clock.max_offset
             )
-            fault = core.find_fault()
-            if fault != told:
-                told = fault
+            fault = core.find_unready_reason()
+            if fault != logged:
+                logged = fault
                 event = EventName.PROCESS_NOT_READY
                 if not fault:
                     event = EventName.PROCESS_READY
                 core.log.write(event, reason=fault or None)
             self._apply_limits(server)
-            await anyio.sleep(_TICK / SECOND)
+            await anyio.sleep(_TICK_PERIOD / SECOND)
 
     def _apply_limits(self, server: EdgeServer) -> None:
-        """Keep idle connections as long as the configuration says."""
+        """Apply the idle timeout of the configuration to the server."""
         deployment = self._core.deployment
         if deployment is not None:
             server.set_idle_timeout(deployment.limits.idle_timeout)
 
     async def _watch_settings(self) -> None:
-        """Notice a settings file that changes without a signal."""
+        """Poll the settings file for changes made without a signal."""
         while True:
             await anyio.sleep(_SETTINGS_PERIOD / SECOND)
             self._load_settings()
@@ -141,7 +142,7 @@
             self._load_settings()
 
     def _load_settings(self) -> None:
-        """Take changed settings; keep the last good ones."""
+        """Apply changed settings; keep the last ones if they are invalid."""
         core = self._core
         try:
             settings = load_host_settings(self._path)
@@ -149,7 +150,7 @@
             core.log.write(EventName.RECORD_REFUSED, detail=str(error))
             return
         if math.isinf(settings.version_limit):
-            # A file that is read half written must not lift the bound.
+            # A partially written file must not remove the limit.
             limit = core.settings.version_limit
             settings = replace(settings, version_limit=limit)
         if settings != core.settings:
@@ -157,16 +158,16 @@
             core.log.write(EventName.SETTINGS_RELOADED)
 
     async def _close(self, server: EdgeServer) -> None:
-        """Let the last answers go out, within bounds."""
+        """Close the server; let pending responses finish until a timeout."""
         server.should_exit = True
-        with anyio.move_on_after(_CLOSE_LIMIT / SECOND):
+        with anyio.move_on_after(_CLOSE_TIMEOUT / SECOND):
             while not server.closed:
-                await anyio.sleep(_TICK / SECOND)
+                await anyio.sleep(_TICK_PERIOD / SECOND)
         self._core.pool.close()
 
 
 async def run_hosted_entry(settings: HostSettings, log: EventLog) -> None:
-    """Run an entry on the users' platform until it is told to stop."""
+    """Run an entry on the users' platform until a signal stops it."""
     core = make_hosted_core(settings, make_clock(), log, Random())
     await HostedShell(core).run()
 
@@ -177,7 +178,7 @@
 
 def _make_http(callers: tuple[str, int]) -> HttpSettings:
     host, port = callers
-    # Until the configuration tells how long callers may idle.
+    # Defaults until the configuration with the idle timeout has been read.
     return HttpSettings(
         host=host,
         port=port,
--- a/src/oleanderdyke/kernel/attempts.py
+++ b/src/oleanderdyke/kernel/attempts.py
@@ -1,4 +1,4 @@
-"""Lead one request at an entry from its arrival to its answer."""
+"""Drive one request at an entry from its arrival to its answer."""
 
 from __future__ import annotations
 
@@ -48,10 +48,11 @@
 
 __all__ = ['AttemptSettings', 'RequestFacts', 'RequestStateMachine']
 
+# A request is not sent again after this many crashes of its backend server.
 _CRASH_LIMIT = 2
 
-# Refusals of one agent that say nothing about the others.
-_ELSEWHERE = frozenset(
+# Refusals by one agent after which another agent may still accept.
+_RETRY_ELSEWHERE = frozenset(
     {
         ErrorKind.LEAVING,
         ErrorKind.NOT_READY,
@@ -63,59 +64,65 @@
     }
 )
 
-# Stages in which nothing of this call is dispatched.
-_IDLE = frozenset({Stage.ROUTING, Stage.CLAIMING, Stage.WAITING})
-_ASKED = frozenset({Stage.ASKING, Stage.POLLING})
+# Stages in which no attempt of this request is dispatched.
+_IDLE_STAGES = frozenset({Stage.ROUTING, Stage.CLAIMING, Stage.WAITING})
+_QUERY_STAGES = frozenset({Stage.QUERYING, Stage.POLLING})
 
 
 class RequestStateMachine(ClaimedAttempts):
-    """Answer events of one request with actions.
+    """Map the events of one request to actions.
 
-    It is the only place that decides on retries, `ran` and the final answer.
+    Retries, the value of `ran` and the final answer are decided only here.
     """
 
     _delivered = 0
 
     def start(self, _now: Millis, verdict: Verdict | None = None) -> Actions:
-        """Begin; a keyed request gives `ClaimTable.verdict` of its key."""
+        """Return the first actions.
+
+        A request that needs a claim passes its key's verdict in the table.
+        """
         self._budget.deposit()
         if verdict is None or not self._facts.needs_claim:
             return self._route()
-        return self._judge(verdict)
+        return self._apply_verdict(verdict)
 
     def handle_event(self, event: Event, _now: Millis) -> Actions:
-        """Answer one event; late ones are answered by nothing."""
+        """Return the actions for one event; none once the request has ended."""
         if self.done:
             return ()
         detached = self._detached
         actions = self.HANDLERS[type(event)](self, event)
-        return self._mute(actions) if detached else actions
+        return self._drop_deliveries(actions) if detached else actions
 
     def reserve_retry(self) -> bool:
-        """Pay for another run; False where a failure now would lead to none.
+        """Withdraw the next retry from the budget in advance.
 
-        Requests that give up one server together share what is left of the
-        budget: each that was only told that there is some would break off an
-        answer that nobody else can go on with.
+        Returns False if a failure now would not lead to another run. When many
+        requests leave the same server together, reserving keeps them from all
+        breaking off their answers for the same few remaining retries.
         """
-        if not self._may_run_elsewhere() or not self._pay_retry():
+        if not self._can_rerun() or not self._spend_retry():
             return False
-        self._has_paid = True
+        self._has_reserved_retry = True
         return True
 
     def hand_over(self) -> Actions | None:
-        """Return what the caller needs to go on elsewhere; None if it can't."""
-        if not self._token or self._stage in _IDLE:
+        """Return the actions that let the caller resume at another entry.
+
+        None if the answer has no resume token.
+        """
+        if not self._token or self._stage in _IDLE_STAGES:
             return None
-        return self._release_head()
+        return self._deliver_held_head()
 
-    def _may_run_elsewhere(self) -> bool:
+    def _can_rerun(self) -> bool:
         facts = self._facts
         may_repeat = facts.idempotent and not self._head_delivered
         return (
             self._stage is Stage.RUNNING
             and (may_repeat or facts.resumable)
-            and self._may_run_again()
+            and self._can_retry()
         )
 
     def _on_routed(self, event: Routed) -> Actions:
@@ -130,11 +137,11 @@
         if self._stage is not Stage.ROUTING:
             return ()
         refusal = event.refusal
-        if refusal.kind is ErrorKind.NO_REPLICA and self._may_await_replica():
+        if refusal.kind is ErrorKind.NO_REPLICA and self._can_await_replica():
             return self._await_replica()
         return self._refuse(refusal.kind, refusal.retry_after, refusal.reason)
 
-    def _on_received(self, event: MessageReceived) -> Actions:
+    def _on_message_received(self, event: MessageReceived) -> Actions:
         message = event.message
         if message.attempt != self._attempt:
             return ()
@@ -146,18 +153,18 @@
             case AnswerEnd():
                 return self._on_end(message)
             case _:
-                return self._on_part(message)
+                return self._on_head_or_chunk(message)
 
-    def _on_part(self, message: AnswerHead | AnswerChunk) -> Actions:
+    def _on_head_or_chunk(self, message: AnswerHead | AnswerChunk) -> Actions:
         if self._claim is not None:
-            return self._collect(message)
+            return self._buffer_answer(message)
         if isinstance(message, AnswerHead):
             return self._on_head(message)
         self._delivered += 1
-        return (*self._release_head(), DeliverChunk(message.data))
+        return (*self._deliver_held_head(), DeliverChunk(message.data))
 
     def _on_head(self, message: AnswerHead) -> Actions:
-        """Hold the head back: until it goes out, another run may answer."""
+        """Hold the head back: until it is delivered, another run may answer."""
         self._stage = Stage.RUNNING
         self._token = message.resume or self._token
         if self._head_delivered or self._held_head is not None:
@@ -167,8 +174,8 @@
         )
         return (MarkResumable(),) if message.resume else ()
 
-    def _release_head(self) -> Actions:
-        """Pass on the held head, once, with what follows it."""
+    def _deliver_held_head(self) -> Actions:
+        """Deliver the held head, if it has not been delivered yet."""
         head, self._held_head = self._held_head, None
         if head is None:
             return ()
@@ -176,11 +183,11 @@
         return (head,)
 
     def _on_end(self, message: AnswerEnd) -> Actions:
-        self._learn(Ran.YES)
+        self._record_ran(Ran.YES)
         cleared = self._clear_suspect()
         if self._claim is not None:
-            return (*cleared, *self._record())
-        head = self._release_head()
+            return (*cleared, *self._append_outcome())
+        head = self._deliver_held_head()
         return (*cleared, *self._finish(*head, DeliverEnd(message)))
 
     def _clear_suspect(self) -> Actions:
@@ -191,10 +198,11 @@
             return self._after_not_run(failed)
         if self._claim is not None:
             return self._after_claimed_failure(failed)
-        # A stream that only broke on its way may still run.
+        # The backend server may still be working on a stream that broke in
+        # transit.
         broken = failed.kind is ErrorKind.STREAM_BROKEN
         cancel = self._make_cancel() if broken else ()
-        self._learn(max_ran(failed.ran, Ran.MAYBE))
+        self._record_ran(max_ran(failed.ran, Ran.MAYBE))
         return (*cancel, *self._after_unclaimed_failure(failed))
 
     def _after_unclaimed_failure(self, failed: Failed) -> Actions:
@@ -204,32 +212,32 @@
         if self._head_delivered:
             return self._refuse(failed.kind)
         if failed.kind is ErrorKind.STREAM_GONE:
-            return self._after_silence()
+            return self._after_lost_attempt()
         if not self._facts.idempotent:
             return self._refuse(failed.kind, failed.retry_after, failed.detail)
-        return self._after_lost(failed.kind)
+        return self._rerun_idempotent(failed.kind)
 
     def _after_not_run(self, failed: Failed) -> Actions:
-        """Go elsewhere with what the agent has proven not to run."""
-        self._prove_not_run()
+        """Retry an attempt that the agent has proven not to have run."""
+        self._mark_not_run()
         if failed.kind is ErrorKind.OVERLOADED and self._alone:
             return self._retry_alone(failed.retry_after)
-        if failed.kind not in _ELSEWHERE:
+        if failed.kind not in _RETRY_ELSEWHERE:
             return self._refuse(failed.kind, failed.retry_after, failed.detail)
         self._exclude_current()
-        return self._retry_refused(
+        return self._retry_not_run(
             failed.kind, failed.retry_after, failed.detail
         )
 
     def _after_claimed_failure(self, failed: Failed) -> Actions:
-        """Believe the agent, but ask it where only the way was broken."""
+        """Query the agent if the stream broke in transit, else refuse."""
         if failed.kind is ErrorKind.STREAM_BROKEN:
-            return self._ask()
-        self._learn(max_ran(failed.ran, Ran.MAYBE))
+            return self._query_claim()
+        self._record_ran(max_ran(failed.ran, Ran.MAYBE))
         return self._refuse(failed.kind, failed.retry_after, failed.detail)
 
-    def _after_lost(self, kind: ErrorKind) -> Actions:
-        """Run an idempotent request again; a suspect alone, and once."""
+    def _rerun_idempotent(self, kind: ErrorKind) -> Actions:
+        """Retry an idempotent request; after a crash once only, and alone."""
         self._exclude_current()
         if kind is not ErrorKind.BACKEND_LOST:
             return self._retry(kind)
@@ -237,7 +245,7 @@
             return self._refuse(ErrorKind.QUARANTINED)
         self._crashes += 1
         self._alone = True
-        # What was refused before the crash must not cost the run alone.
+        # Earlier refusals must not use up the attempt that runs alone.
         self._retries = 0
         return self._retry(kind)
 
@@ -245,37 +253,37 @@
         if self._routed is not None:
             self._exclude(self._routed.replica.agent)
 
-    def _on_unsent(self, event: DispatchNotSent) -> Actions:
+    def _on_dispatch_not_sent(self, event: DispatchNotSent) -> Actions:
         if event.attempt != self._attempt or self._stage is not Stage.RUNNING:
             return ()
-        self._prove_not_run()
+        self._mark_not_run()
         self._exclude_current()
-        return self._retry_refused(ErrorKind.NO_REPLICA)
+        return self._retry_not_run(ErrorKind.NO_REPLICA)
 
     def _on_link_lost(self, event: LinkLost) -> Actions:
-        if not self._is_at(event.agent, event.incarnation):
+        if not self._is_current(event.agent, event.incarnation):
             return ()
         if self._stage is not Stage.RUNNING:
             return ()
         if self._claim is not None:
-            return self._ask()
+            return self._query_claim()
         return self._resume()
 
     def _on_link_up(self, event: LinkUp) -> Actions:
-        """Ask for the rest at once where the wait was for a link."""
+        """Resume at once if the stream was waiting for a link."""
         if self._stage is not Stage.RESUMING:
             return ()
-        if not self._is_at(event.agent, event.incarnation):
+        if not self._is_current(event.agent, event.incarnation):
             return ()
         return self._resume()
 
     def _on_incarnation_ended(self, event: IncarnationEnded) -> Actions:
-        if self._stage in _ASKED:
+        if self._stage in _QUERY_STAGES:
             return self._after_owner_ended(event)
-        if not self._is_at(event.agent, event.incarnation):
+        if not self._is_current(event.agent, event.incarnation):
             return ()
         if self._stage is Stage.RESUMING or self._stage is Stage.RUNNING:
-            return self._after_silence()
+            return self._after_lost_attempt()
         return ()
 
     def _after_owner_ended(self, event: IncarnationEnded) -> Actions:
@@ -286,9 +294,9 @@
             return ()
         return self._refuse(ErrorKind.OUTCOME_UNKNOWN)
 
-    def _after_silence(self) -> Actions:
-        """Go on after an attempt of which nothing more will be heard."""
-        self._learn(Ran.MAYBE)
+    def _after_lost_attempt(self) -> Actions:
+        """Retry or refuse after an attempt that will send nothing more."""
+        self._record_ran(Ran.MAYBE)
         can_repeat = self._facts.idempotent and not self._head_delivered
         if not can_repeat:
             return self._refuse(ErrorKind.BACKEND_LOST)
@@ -296,12 +304,12 @@
         return self._retry(ErrorKind.BACKEND_LOST)
 
     def _resume(self) -> Actions:
-        """Ask the same agent for the rest of the same run, if it can."""
+        """Request the rest of the run from the same agent, if it can resume."""
         routed = self._routed
         self._resumes += 1
         may_resume = self._token and self._resumes <= self._settings.max_queries
         if routed is None or not may_resume:
-            return self._after_silence()
+            return self._after_lost_attempt()
         self._stage = Stage.RESUMING
         self._attempt += 1
         resume = SendResume(
@@ -327,25 +335,25 @@
 
     def _on_caller_gone(self, _event: CallerGone) -> Actions:
         if self._stage is Stage.CLAIMING:
-            return self._mute_all(self._withdraw(ErrorKind.CANCELLED))
+            return self._drop_caller(self._withdraw(ErrorKind.CANCELLED))
         if self._is_own_run():
             return self._detach()
         cancel = self._make_cancel()
-        return self._mute_all((*cancel, *self._finish()))
+        return self._drop_caller((*cancel, *self._finish()))
 
     def _on_deadline(self, _event: DeadlinePassed) -> Actions:
         if self._stage is Stage.RECORDING:
             return self._on_receipt_timer()
-        return self._end_early(ErrorKind.DEADLINE)
+        return self._end_now(ErrorKind.DEADLINE)
 
     def _on_stopping(self, event: Stopping) -> Actions:
         self._stopping = True
-        if event.immediate or self._stage in _IDLE:
-            return self._end_early(ErrorKind.STOPPING)
+        if event.immediate or self._stage in _IDLE_STAGES:
+            return self._end_now(ErrorKind.STOPPING)
         return ()
 
-    def _end_early(self, kind: ErrorKind) -> Actions:
-        """Answer now; a run that can't be repeated is recorded still."""
+    def _end_now(self, kind: ErrorKind) -> Actions:
+        """Answer now; the outcome of a claimed run is still recorded."""
         if self._stage is Stage.CLAIMING:
             return self._withdraw(kind)
         if self._joined:
@@ -356,19 +364,19 @@
         return (self._make_refusal(kind), *self._detach())
 
     def _is_own_run(self) -> bool:
-        """Return whether a claimed run of this call may be under way."""
+        """Return whether this request may have a claimed run in progress."""
         return self._claim is not None and not self._joined
 
-    def _mute_all(self, actions: Actions) -> Actions:
+    def _drop_caller(self, actions: Actions) -> Actions:
         self._detached = True
-        return self._mute(actions)
+        return self._drop_deliveries(actions)
 
     HANDLERS: ClassVar[Mapping[type[Any], Handler]] = {
         **ClaimedAttempts.HANDLERS,
         Routed: _on_routed,
         NoRoute: _on_no_route,
-        MessageReceived: _on_received,
-        DispatchNotSent: _on_unsent,
+        MessageReceived: _on_message_received,
+        DispatchNotSent: _on_dispatch_not_sent,
         LinkLost: _on_link_lost,
         LinkUp: _on_link_up,
         IncarnationEnded: _on_incarnation_ended,
--- a/src/oleanderdyke/kernel/claimed_attempts.py
+++ b/src/oleanderdyke/kernel/claimed_attempts.py
@@ -1,4 +1,4 @@
-"""Lead the part of a request that has to do with its claim."""
+"""Handle the claim of a request: append, query, run and record."""
 
 from __future__ import annotations
 
@@ -46,22 +46,24 @@
 from oleanderdyke.links.messages import AnswerChunk, AnswerHead
 from oleanderdyke.links.messages.claims import Claim, ClaimAnswer, ClaimState
 
-_NOT_KEPT = 'it ran; its answer is too long, or too old, to be kept'
-_LOG_OUT = 'the log is out; this call did not run'
-_LOG_SLOW = 'the log is slow; this call did not run'
+_ANSWER_NOT_KEPT = (
+    'the request ran, but its answer was too long or too old to be kept'
+)
+_LOG_UNAVAILABLE = 'the claims log is unavailable; the request did not run'
+_LOG_TIMEOUT = 'the claims log did not answer in time; the request did not run'
 
 
 class ClaimedAttempts(AttemptCore):
-    """Claim a key, run under it, or join the call that owns it."""
+    """Claim a key and run under it, or await the claim that owns it."""
 
     _claims = 0
     _claim_id = ''
-    _asks = 0
+    _queries = 0
     _is_running = False
     _receipt: Receipt | None = None
 
     def _append_claim(self) -> Actions:
-        """Ask the log for the key, and hand it the release that waits."""
+        """Append a claim on the key, with a release that is still pending."""
         if self._routed is None or self._claims >= self._settings.max_claims:
             return self._refuse(ErrorKind.IN_PROGRESS)
         self._stage = Stage.CLAIMING
@@ -88,28 +90,28 @@
         if not self._awaits_claim(event.claim_id):
             return ()
         if isinstance(event.verdict, Free):
-            return self._withdraw(ErrorKind.LOG_UNAVAILABLE, _LOG_OUT)
-        return self._judge(event.verdict)
+            return self._withdraw(ErrorKind.LOG_UNAVAILABLE, _LOG_UNAVAILABLE)
+        return self._apply_verdict(event.verdict)
 
     def _on_claim_failed(self, event: ClaimFailed) -> Actions:
         if not self._awaits_claim(event.claim_id):
             return ()
-        return self._refuse(ErrorKind.LOG_UNAVAILABLE, detail=_LOG_OUT)
+        return self._refuse(ErrorKind.LOG_UNAVAILABLE, detail=_LOG_UNAVAILABLE)
 
     def _awaits_claim(self, claim_id: str) -> bool:
         return self._stage is Stage.CLAIMING and claim_id == self._claim_id
 
     def _withdraw(self, kind: ErrorKind, detail: str = '') -> Actions:
-        """Give up while a claim may be, or may yet get, into the log.
+        """Refuse the request and withdraw a claim that may reach the log.
 
-        Nothing was dispatched under it and nothing will be, so its appender
-        may take it back without asking the agent.
+        Nothing was dispatched under the claim and nothing will be, so it can
+        be withdrawn without querying the agent.
         """
         record = WithdrawRecord(self._facts.key, self._claim_id)
         return (AppendRelease(record), *self._refuse(kind, detail=detail))
 
-    def _judge(self, verdict: Verdict) -> Actions:
-        """Act on what the log says about the key."""
+    def _apply_verdict(self, verdict: Verdict) -> Actions:
+        """Continue according to the state of the key in the log."""
         match verdict:
             case Free():
                 return self._route()
@@ -125,34 +127,34 @@
     def _join(self, claim: Claim) -> Actions:
         self._claim = claim
         self._joined = True
-        return self._ask()
+        return self._query_claim()
 
-    def _ask(self) -> Actions:
-        """Ask the agent of the claim what became of it."""
+    def _query_claim(self) -> Actions:
+        """Query the claim's agent for the outcome, within `max_queries`."""
         claim = self._claim
         if claim is None:
             return self._refuse(ErrorKind.INTERNAL)
-        self._asks += 1
-        if self._asks > self._settings.max_queries:
-            return self._give_up_asking()
-        self._stage = Stage.ASKING
-        timer = self._start_timer(TimerKind.ASK, self._settings.query_timeout)
+        self._queries += 1
+        if self._queries > self._settings.max_queries:
+            return self._give_up_querying()
+        self._stage = Stage.QUERYING
+        timer = self._start_timer(TimerKind.QUERY, self._settings.query_timeout)
         return (QueryClaim(claim.agent, claim), timer)
 
-    def _give_up_asking(self) -> Actions:
+    def _give_up_querying(self) -> Actions:
         if self._is_running:
             return self._refuse(ErrorKind.IN_PROGRESS)
         return self._refuse(ErrorKind.OUTCOME_UNKNOWN)
 
     def _on_claim_answered(self, event: ClaimAnswered) -> Actions:
         answer = event.answer
-        if self._stage is not Stage.ASKING or answer.claim != self._claim:
+        if self._stage is not Stage.QUERYING or answer.claim != self._claim:
             return ()
         match answer.state:
             case ClaimState.RUNNING:
                 return self._poll()
             case ClaimState.FINISHED:
-                return self._take_finished(answer)
+                return self._accept_finished(answer)
             case ClaimState.BARRED:
                 return self._reclaim()
             case ClaimState.UNKNOWN:
@@ -160,19 +162,19 @@
 
     def _poll(self) -> Actions:
         self._stage = Stage.POLLING
-        self._asks = 0
+        self._queries = 0
         self._is_running = True
         return (
             self._start_timer(TimerKind.POLL, self._settings.poll_interval),
         )
 
     def _reclaim(self) -> Actions:
-        """Go on after the agent has proven and barred."""
+        """Continue after the agent barred the claim: it never ran."""
         was_own = not self._joined
         if was_own and self._claim is not None:
             self._exclude(self._claim.agent)
-        self._prove_not_run()
-        self._asks = 0
+        self._mark_not_run()
+        self._queries = 0
         self._is_running = False
         if was_own:
             return self._retry(ErrorKind.BACKEND_LOST)
@@ -183,28 +185,30 @@
             self._receipt = Receipt()
         return self._receipt
 
-    def _collect(self, message: AnswerHead | AnswerChunk) -> Actions:
-        """Hold the answer back, unless it is too long to be recorded."""
+    def _buffer_answer(self, message: AnswerHead | AnswerChunk) -> Actions:
+        """Buffer the answer; pass it on once it is too long to be recorded."""
         receipt = self._get_receipt()
         if isinstance(message, AnswerHead):
             receipt.open(message.status, message.headers)
             return ()
         receipt.add(message.data)
         return (
-            self._deliver_body(ReceiptState.DIGEST) if receipt.is_long else ()
+            self._deliver_body(ReceiptState.DIGEST) if receipt.is_large else ()
         )
 
-    def _take_finished(self, answer: ClaimAnswer) -> Actions:
+    def _accept_finished(self, answer: ClaimAnswer) -> Actions:
         self._known_ran = Ran.YES
         if not answer.status:
-            return self._refuse(ErrorKind.OUTCOME_UNKNOWN, detail=_NOT_KEPT)
+            return self._refuse(
+                ErrorKind.OUTCOME_UNKNOWN, detail=_ANSWER_NOT_KEPT
+            )
         receipt = self._get_receipt()
         receipt.open(answer.status, answer.headers)
-        receipt.add_rest(answer.body)
-        return self._record()
+        receipt.add_missing(answer.body)
+        return self._append_outcome()
 
-    def _record(self) -> Actions:
-        """Get the answer into the log before the caller gets it."""
+    def _append_outcome(self) -> Actions:
+        """Append the outcome to the log before the caller gets the answer."""
         claim = self._claim
         if claim is None:
             return self._refuse(ErrorKind.INTERNAL)
@@ -226,13 +230,13 @@
         return self._deliver_receipt(ReceiptState.UNRECORDED)
 
     def _deliver_receipt(self, state: ReceiptState) -> Actions:
-        if self._get_receipt().is_long:
+        if self._get_receipt().is_large:
             state = ReceiptState.DIGEST
         return self._finish(*self._deliver_body(state), DeliverEnd())
 
     def _deliver_body(self, state: ReceiptState) -> Actions:
         receipt = self._get_receipt()
-        body = receipt.take_body()
+        body = receipt.pop_body()
         chunk = (DeliverChunk(body),) if body else ()
         if self._head_delivered:
             return chunk
@@ -241,28 +245,28 @@
         return (head, *chunk)
 
     def _replay(self, verdict: Finished) -> Actions:
-        """Give the recorded answer, or ask the agent for a long one."""
+        """Deliver the recorded answer, or query the agent for a long one."""
         outcome = verdict.outcome
         self._claim = verdict.claim
         self._known_ran = Ran.YES
         if outcome.body_digest:
             return self._join(verdict.claim)
-        self._open_recorded(outcome)
+        self._load_outcome(outcome)
         return self._deliver_receipt(ReceiptState.RECORDED)
 
-    def _open_recorded(self, outcome: OutcomeRecord) -> None:
+    def _load_outcome(self, outcome: OutcomeRecord) -> None:
         receipt = self._get_receipt()
         receipt.open(outcome.status, outcome.headers)
         receipt.add(outcome.body)
 
     def _detach(self) -> Actions:
-        """Go on without the caller until the answer is recorded."""
+        """Continue without the caller until the outcome is recorded."""
         self._detached = True
         linger = self._settings.linger
         return (StartTimer(TimerKind.LINGER, 0, linger),)
 
     def _on_claim_timer(self) -> Actions:
-        return self._withdraw(ErrorKind.LOG_UNAVAILABLE, _LOG_SLOW)
+        return self._withdraw(ErrorKind.LOG_UNAVAILABLE, _LOG_TIMEOUT)
 
     def _on_receipt_timer(self) -> Actions:
         return self._deliver_receipt(ReceiptState.UNRECORDED)
@@ -277,7 +281,7 @@
 
     TIMERS: ClassVar[Mapping[TimerKind, TimerHandler]] = {
         TimerKind.CLAIM: (Stage.CLAIMING, _on_claim_timer),
-        TimerKind.ASK: (Stage.ASKING, _ask),
-        TimerKind.POLL: (Stage.POLLING, _ask),
+        TimerKind.QUERY: (Stage.QUERYING, _query_claim),
+        TimerKind.POLL: (Stage.POLLING, _query_claim),
         TimerKind.RECEIPT: (Stage.RECORDING, _on_receipt_timer),
     }
--- a/src/oleanderdyke/kernel/eviction.py
+++ b/src/oleanderdyke/kernel/eviction.py
@@ -1,4 +1,4 @@
-"""Choose the entries that make room for a better one."""
+"""Eviction of the least valuable entries of a store."""
 
 from __future__ import annotations
 
@@ -15,107 +15,110 @@
 from oleanderdyke.kernel.store_meta import SealedMeta
 from oleanderdyke.kernel.store_outcomes import WriteRefusal
 
-# Up to so many entries all are ranked.
-_FEW = 64
-# The poorest of each sample are kept for the next choice, so that small samples
-# find poor entries; they are weighed again before they go.
-_SAMPLE = 16
-_POOL = 8
+# Up to this many entries, all are ranked instead of a sample.
+_FULL_SCAN_LIMIT = 64
+# Entries ranked per sample, and the lowest of them that are kept as candidates
+# for the next choice, so that small samples find entries of low value. They are
+# scored again before eviction.
+_SAMPLE_SIZE = 16
+_POOL_SIZE = 8
 
 
 class _Candidate(NamedTuple):
-    """Rank an entry by its worth; of equals the deepest goes first.
+    """Hold the rank of an entry; the lowest tuple is evicted first.
 
-    What lies behind a gap in a prompt is of no use. Of equally deep ones the
-    oldest goes first.
+    Of equal scores the deepest segment goes first, as segments behind a gap in
+    a prompt can't be used; of equal depths the oldest entry.
     """
 
-    worth: float
-    height: int
+    score: float
+    negative_depth: int
     generation: int
-    place: int
+    row: int
     length: int
 
 
 class Evictor:
-    """Rank unpinned entries by their worth per byte."""
+    """Rank unpinned entries by their value per byte."""
 
     def __init__(
         self,
         entries: SealedEntries,
         pins: PinTable,
-        keeper: RetentionPolicy,
+        retention_policy: RetentionPolicy,
         random: Random,
     ) -> None:
         self._entries = entries
         self._pins = pins
-        self._keeper = keeper
+        self._retention_policy = retention_policy
         self._random = random
         self._pool: list[_Candidate] = []
 
     def choose(
-        self, newcomer: SealedMeta, missing: int, now: Millis
+        self, incoming: SealedMeta, needed_bytes: int, now: Millis
     ) -> tuple[SegmentId, ...] | WriteRefusal:
-        """Return whom to free for the missing bytes, or why nobody is."""
-        own = self._keeper.estimate_value(
-            make_hint(newcomer.segment), newcomer.length, newcomer.gap, now
+        """Return the segments to free for `incoming`, or why it is refused."""
+        incoming_score = self._retention_policy.estimate_value(
+            make_hint(incoming.segment), incoming.length, incoming.gap, now
         )
-        ranked = self._rank(missing, now)
+        ranked = self._rank(needed_bytes, now)
         count = 0
-        while missing > 0:
+        while needed_bytes > 0:
             if count == len(ranked):
                 return WriteRefusal.FULL
-            self._renew(ranked, count, now)
-            if ranked[count].worth >= own:
+            self._rescore(ranked, count, now)
+            if ranked[count].score >= incoming_score:
                 return WriteRefusal.NOT_WORTH_IT
-            missing -= ranked[count].length
+            needed_bytes -= ranked[count].length
             count += 1
-        self._pool = ranked[count : count + _POOL]
+        self._pool = ranked[count : count + _POOL_SIZE]
         return tuple(
-            self._entries.read_segment(each.place) for each in ranked[:count]
+            self._entries.read_segment(each.row) for each in ranked[:count]
         )
 
-    def _rank(self, missing: int, now: Millis) -> list[_Candidate]:
+    def _rank(self, needed_bytes: int, now: Millis) -> list[_Candidate]:
         found = self._sample(now)
-        if sum(each.length for each in found) < missing:
-            found = self._weigh(range(len(self._entries)), now)
+        if sum(each.length for each in found) < needed_bytes:
+            found = self._score_rows(range(len(self._entries)), now)
         found.sort()
         return found
 
     def _sample(self, now: Millis) -> list[_Candidate]:
-        if len(self._entries) <= _FEW:
-            return self._weigh(range(len(self._entries)), now)
-        known = [each for each in self._pool if self._is_left(each)]
-        places = set(self._entries.sample(self._random, _SAMPLE))
-        places.difference_update(each.place for each in known)
-        return known + self._weigh(places, now)
-
-    def _is_left(self, known: _Candidate) -> bool:
-        if not self._entries.is_at(known.place, known.generation):
+        if len(self._entries) <= _FULL_SCAN_LIMIT:
+            return self._score_rows(range(len(self._entries)), now)
+        pooled = [each for each in self._pool if self._is_evictable(each)]
+        rows = set(self._entries.sample(self._random, _SAMPLE_SIZE))
+        rows.difference_update(each.row for each in pooled)
+        return pooled + self._score_rows(rows, now)
+
+    def _is_evictable(self, entry: _Candidate) -> bool:
+        if not self._entries.has_generation(entry.row, entry.generation):
             return False
-        return not self._pins.is_pinned(known.generation)
+        return not self._pins.is_pinned(entry.generation)
 
-    def _renew(self, ranked: list[_Candidate], place: int, now: Millis) -> None:
-        """Let the next one be poorest by its present worth."""
+    def _rescore(
+        self, ranked: list[_Candidate], index: int, now: Millis
+    ) -> None:
+        """Move entries whose score has risen until the next is up to date."""
         while True:
-            (renewed,) = self._weigh((ranked[place].place,), now)
-            if renewed.worth <= ranked[place].worth:
+            (rescored,) = self._score_rows((ranked[index].row,), now)
+            if rescored.score <= ranked[index].score:
                 return
-            del ranked[place]
-            insort(ranked, renewed, lo=place)
+            del ranked[index]
+            insort(ranked, rescored, lo=index)
 
-    def _weigh(self, places: Iterable[int], now: Millis) -> list[_Candidate]:
+    def _score_rows(self, rows: Iterable[int], now: Millis) -> list[_Candidate]:
         found = []
-        for place in places:
-            read = self._entries.read_worth(place)
+        for row in rows:
+            read = self._entries.read_ranking(row)
             if self._pins.is_pinned(read.generation):
                 continue
-            worth = self._keeper.estimate_value(
-                read.short, read.length, read.gap, now
+            score = self._retention_policy.estimate_value(
+                read.hint, read.length, read.gap, now
             )
             found.append(
                 _Candidate(
-                    worth, -read.depth, read.generation, place, read.length
+                    score, -read.depth, read.generation, row, read.length
                 )
             )
         return found
--- a/src/oleanderdyke/kernel/hint_set.py
+++ b/src/oleanderdyke/kernel/hint_set.py
@@ -1,4 +1,4 @@
-"""Hold many 8-byte hints in little memory."""
+"""Compact set of 8-byte segment hints."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from oleanderdyke.kernel.demand import SegmentHint
 
-# Hints are spread evenly, so a shard is a short sorted array at any size.
+# Hints are spread evenly, so each shard is a short sorted array.
 _SHARD_BITS = 10
 _HINT_BYTES = 8
 _SHIFT = 8 * _HINT_BYTES - _SHARD_BITS
 
 
 class HintSet:
-    """Hold 8 bytes for each hint and no object."""
+    """Set of hints that takes 8 bytes for each."""
 
     def __init__(self) -> None:
         self._shards = [array('Q') for _ in range(1 << _SHARD_BITS)]
@@ -27,8 +27,8 @@
     def __contains__(self, hint: SegmentHint) -> bool:
         key = int.from_bytes(hint)
         shard = self._shards[key >> _SHIFT]
-        place = bisect_left(shard, key)
-        return place < len(shard) and shard[place] == key
+        position = bisect_left(shard, key)
+        return position < len(shard) and shard[position] == key
 
     def __iter__(self) -> Iterator[SegmentHint]:
         for shard in self._shards:
@@ -36,23 +36,23 @@
                 yield key.to_bytes(_HINT_BYTES)
 
     def add(self, hint: SegmentHint) -> bool:
-        """Add a hint; tell whether it is new."""
+        """Add a hint; return whether it is new."""
         key = int.from_bytes(hint)
         shard = self._shards[key >> _SHIFT]
-        place = bisect_left(shard, key)
-        if place < len(shard) and shard[place] == key:
+        position = bisect_left(shard, key)
+        if position < len(shard) and shard[position] == key:
             return False
-        shard.insert(place, key)
+        shard.insert(position, key)
         self._count += 1
         return True
 
     def discard(self, hint: SegmentHint) -> bool:
-        """Remove a hint; tell whether it was there."""
+        """Remove a hint; return whether it was present."""
         key = int.from_bytes(hint)
         shard = self._shards[key >> _SHIFT]
-        place = bisect_left(shard, key)
-        if place == len(shard) or shard[place] != key:
+        position = bisect_left(shard, key)
+        if position == len(shard) or shard[position] != key:
             return False
-        del shard[place]
+        del shard[position]
         self._count -= 1
         return True
--- a/src/oleanderdyke/kernel/shared_values.py
+++ b/src/oleanderdyke/kernel/interned_values.py
@@ -1,4 +1,4 @@
-"""Number values that many entries share."""
+"""Interned values with use counts."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 ValueT = TypeVar('ValueT', bound=Hashable)
 
 
-class SharedValues(Generic[ValueT]):
-    """Keep each value once, for as long as it is used."""
+class InternedValues(Generic[ValueT]):
+    """Store each value once, under a number, while it is in use."""
 
     def __init__(self) -> None:
         self._numbers: dict[ValueT, int] = {}
         self._values: dict[int, ValueT] = {}
-        self._uses: dict[int, int] = {}
+        self._use_counts: dict[int, int] = {}
         self._next = 0
 
     def get(self, number: int) -> ValueT:
-        """Return the value of a number."""
+        """Return the value with a number."""
         return self._values[number]
 
-    def take(self, value: ValueT) -> int:
-        """Count one more use of a value; return its number."""
+    def acquire(self, value: ValueT) -> int:
+        """Add a use of a value and return its number."""
         number = self._numbers.get(value)
         if number is None:
             number = self._next
             self._next += 1
             self._numbers[value] = number
             self._values[number] = value
-            self._uses[number] = 0
-        self._uses[number] += 1
+            self._use_counts[number] = 0
+        self._use_counts[number] += 1
         return number
 
-    def give_back(self, number: int) -> None:
-        """Count one use less."""
-        self._uses[number] -= 1
-        if not self._uses[number]:
+    def release(self, number: int) -> None:
+        """Remove a use; drop the value after the last one."""
+        self._use_counts[number] -= 1
+        if not self._use_counts[number]:
             del self._numbers[self._values.pop(number)]
-            del self._uses[number]
+            del self._use_counts[number]
--- a/src/oleanderdyke/kernel/snapshot_detector.py
+++ b/src/oleanderdyke/kernel/snapshot_detector.py
@@ -1,4 +1,4 @@
-"""Put the chunks of snapshots together that the log holds."""
+"""Detection of complete snapshots in the log."""
 
 from __future__ import annotations
 
@@ -12,12 +12,16 @@
     make_digest,
 )
 
-_PARTIAL_SNAPSHOTS = 4
+_MAX_PARTIAL_SNAPSHOTS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class CompleteSnapshot:
-    """Remember a whole snapshot that the log holds."""
+    """Describe a complete snapshot in the log.
+
+    `start` is the offset of its first chunk, `through` the last offset that it
+    includes, `at` the time of its last record.
+    """
 
     start: int
     through: int
@@ -25,17 +29,17 @@
 
 
 class _Collector:
-    """Follow the chunks of one snapshot; load them only where wanted."""
+    """Collect the chunks of one snapshot; load them if asked to."""
 
-    def __init__(self, through: int, start: int, *, wanted: bool) -> None:
+    def __init__(self, through: int, start: int, *, should_load: bool) -> None:
         self.through = through
         self.start = start
-        self.loader = SnapshotLoader(through) if wanted else None
+        self.loader = SnapshotLoader(through) if should_load else None
         self._next = 0
         self._digest = make_digest(through)
 
     def add(self, chunk: SnapshotChunk) -> bool:
-        """Take the next chunk; tell whether the snapshot is whole."""
+        """Add the next chunk; return whether the snapshot is complete."""
         if (chunk.through, chunk.index) != (self.through, self._next):
             return False
         self._next += 1
@@ -46,10 +50,10 @@
 
 
 class SnapshotDetector:
-    """Notice the whole snapshots among the records of the log.
+    """Detect complete snapshots among the records of the log.
 
-    Several processes may append theirs at once, or stop half-way: every first
-    chunk opens a collector, and each collector takes what follows it.
+    Several processes may append snapshots at once, or stop before the end. Each
+    first chunk starts a collector, which takes the chunks that follow in order.
     """
 
     def __init__(self) -> None:
@@ -57,31 +61,41 @@
         self._collectors: list[_Collector] = []
 
     def add(
-        self, offset: int, at: Millis, data: bytes, have: int
+        self, offset: int, at: Millis, data: bytes, loaded_offset: int
     ) -> LoadedSnapshot | None:
-        """Take a record; return a snapshot that it completes.
+        """Process a record; return the loaded snapshot that it completes.
 
-        Only a snapshot that is ahead of the offset `have` is loaded for this.
+        Only snapshots beyond `loaded_offset` are loaded.
         """
         chunk = decode_record(data)
         if not isinstance(chunk, SnapshotChunk) or chunk.through >= offset:
             return None
         if chunk.index == 0:
-            self._open(offset, chunk.through, wanted=chunk.through > have)
-        whole = [item for item in self._collectors if item.add(chunk)]
-        if not whole:
+            self._open(
+                offset, chunk.through, should_load=chunk.through > loaded_offset
+            )
+        complete = [
+            collector for collector in self._collectors if collector.add(chunk)
+        ]
+        if not complete:
             return None
-        self._keep_newest(CompleteSnapshot(whole[0].start, chunk.through, at))
+        self._update_newest(
+            CompleteSnapshot(complete[0].start, chunk.through, at)
+        )
         self._collectors = [
-            item for item in self._collectors if item.through != chunk.through
+            collector
+            for collector in self._collectors
+            if collector.through != chunk.through
         ]
-        loader = whole[0].loader
+        loader = complete[0].loader
         return None if loader is None else loader.loaded
 
-    def _open(self, offset: int, through: int, *, wanted: bool) -> None:
-        self._collectors.append(_Collector(through, offset, wanted=wanted))
-        del self._collectors[:-_PARTIAL_SNAPSHOTS]
+    def _open(self, offset: int, through: int, *, should_load: bool) -> None:
+        self._collectors.append(
+            _Collector(through, offset, should_load=should_load)
+        )
+        del self._collectors[:-_MAX_PARTIAL_SNAPSHOTS]
 
-    def _keep_newest(self, kept: CompleteSnapshot) -> None:
-        if self.newest is None or kept.start > self.newest.start:
-            self.newest = kept
+    def _update_newest(self, snapshot: CompleteSnapshot) -> None:
+        if self.newest is None or snapshot.start > self.newest.start:
+            self.newest = snapshot
--- a/src/oleanderdyke/kernel/store_index.py
+++ b/src/oleanderdyke/kernel/store_index.py
@@ -1,4 +1,4 @@
-"""Track which kept segments of a store are whole and may be read."""
+"""Index of a store: which segments are complete and may be read."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreLimits:
-    """Bound what a store's index holds."""
+    """Limit the size and the pending operations of a store's index."""
 
     capacity_bytes: int
     write_time: Millis = 30 * SECOND
@@ -74,52 +74,54 @@
 
 
 class StoreIndex:
-    """Decide what a store's agent may write, show, read and delete.
+    """Decide what a store's agent may write, list, read and delete.
 
-    The shell stores a write's object, then its meta record, then calls
-    `seal`; it deletes what `drain_deletions` names, in that order, before it
-    stores anything new.
+    The caller stores the object of a write, then its meta record, then calls
+    `seal`. It deletes the objects that `drain_deletions` returns, in that
+    order, before it stores anything new.
     """
 
     def __init__(
         self,
         limits: StoreLimits,
-        keeper: RetentionPolicy,
+        retention_policy: RetentionPolicy,
         incarnation: str,
         random: Random,
     ) -> None:
         self._limits = limits
-        self._keeper = keeper
+        self._retention_policy = retention_policy
         self._incarnation = incarnation
         self._generations = count(1)
         self._entries = SealedEntries()
         self._writes: dict[SegmentId, OpenWrite] = {}
         self._pins = PinTable(limit=limits.pins, time=limits.pin_time)
-        self._evictor = Evictor(self._entries, self._pins, keeper, random)
-        self._doomed: dict[str, int] = {}
+        self._evictor = Evictor(
+            self._entries, self._pins, retention_policy, random
+        )
+        self._pending_deletions: dict[str, int] = {}
         self._deletions: list[str] = []
         self._used = 0
         self.log = SegmentLog()
 
     @property
     def used_bytes(self) -> int:
-        """Return the bytes of objects kept, pinned or being written."""
+        """Return the bytes of objects that are stored or being written."""
         return self._used
 
     def begin(self, write: SegmentWrite, now: Millis) -> BeginOutcome:
-        """Open a write, or say why not."""
-        known = self._find_known(write)
-        if known is not None:
-            return known
+        """Open a write, join one of the same segment, or refuse."""
+        existing = self._find_existing(write)
+        if existing is not None:
+            return existing
         if len(self._writes) >= self._limits.writes:
             return WriteFailed(WriteRefusal.BUSY, (write.request,))
         if not _has_ids(write.segment, write.digest):
             return WriteFailed(WriteRefusal.LENGTH, (write.request,))
         generation = next(self._generations)
-        meta = self._describe(write, generation)
-        fault = self._make_room(meta, now)
-        if fault is not None:
-            return WriteFailed(fault, (write.request,))
+        meta = self._make_meta(write, generation)
+        refusal = self._make_room(meta, now)
+        if refusal is not None:
+            return WriteFailed(refusal, (write.request,))
         self._used += meta.length
         self._writes[meta.segment] = OpenWrite(
             write.request, meta, generation, now + self._limits.write_time
@@ -127,15 +129,15 @@
         return WriteBegun(meta.object_name)
 
     def add_part(self, part: SegmentPart, now: Millis) -> PartOutcome:
-        """Check the next part of the write that its request opened."""
+        """Add the next part to the write that its request opened."""
         write = self._find_write(part.request, part.segment)
         if write is None:
             return PartIgnored()
         if now >= write.until:
-            return self._drop_write(write, WriteRefusal.TIMEOUT)
-        fault = write.add(part)
-        if fault is not None:
-            return self._drop_write(write, fault)
+            return self._fail_write(write, WriteRefusal.TIMEOUT)
+        refusal = write.add(part)
+        if refusal is not None:
+            return self._fail_write(write, refusal)
         if not write.is_verified:
             return PartAccepted()
         meta_name = write.meta.object_name + META_SUFFIX
@@ -149,26 +151,26 @@
         if write is None:
             return WriteFailed(WriteRefusal.UNKNOWN)
         if now >= write.until:
-            return self._drop_write(write, WriteRefusal.TIMEOUT)
+            return self._fail_write(write, WriteRefusal.TIMEOUT)
         if not write.is_verified:
-            return self._drop_write(write, WriteRefusal.LENGTH)
+            return self._fail_write(write, WriteRefusal.LENGTH)
         del self._writes[segment]
-        self._show(SealedEntry(write.meta, write.generation), now)
+        self._publish(SealedEntry(write.meta, write.generation), now)
         return WriteSealed(write.requests)
 
     def abort(
         self, request: str, segment: SegmentId, reason: WriteRefusal
     ) -> WriteFailed:
-        """Give up a write; also when the store is full or has failed."""
+        """Fail a write, for instance when the store is full or has failed."""
         write = self._find_write(request, segment)
         if write is None:
             return WriteFailed(WriteRefusal.UNKNOWN)
-        return self._drop_write(write, reason)
+        return self._fail_write(write, reason)
 
     def pin(
         self, namespace: Namespace, segment: SegmentId, now: Millis
     ) -> Pinned | ReadRefused:
-        """Let one reader copy a segment; each pin needs one `unpin`."""
+        """Pin a segment for one reader's copy; `unpin` has to follow."""
         entry = self._entries.get(segment)
         if entry is None:
             return ReadRefused(ReadRefusal.MISSING)
@@ -177,31 +179,31 @@
         pinned = self._pins.add(entry.meta, entry.generation, now)
         if pinned is None:
             return ReadRefused(ReadRefusal.BUSY)
-        self._keeper.record_use(make_hint(segment), now)
+        self._retention_policy.record_use(make_hint(segment), now)
         return pinned
 
     def is_pin_valid(self, pinned: Pinned, now: Millis) -> bool:
-        """Tell, after the copy, whether the copied bytes may be used."""
+        """Return whether bytes that were copied under a pin may be used."""
         entry = self._entries.get(pinned.segment)
         if entry is None or entry.generation != pinned.generation:
             return False
         return self._pins.is_valid(pinned, now)
 
     def unpin(self, pinned: Pinned) -> None:
-        """End a reader's copy."""
+        """Remove a pin; delete the object if it is freed and unpinned."""
         if self._pins.remove(pinned):
-            self._delete_doomed(pinned.object_name)
+            self._delete_pending(pinned.object_name)
 
     def free(self, segment: SegmentId) -> None:
-        """Hide a segment at once; delete its object when no pin is left."""
+        """Remove a segment; delete its object once no pin is left."""
         entry = self._entries.remove(segment)
         if entry is None:
             return
         self.log.remove(make_hint(segment))
         name = entry.meta.object_name
-        self._doomed[name] = entry.meta.length
+        self._pending_deletions[name] = entry.meta.length
         if not self._pins.is_pinned(entry.generation):
-            self._delete_doomed(name)
+            self._delete_pending(name)
 
     def free_corrupt(self, pinned: Pinned) -> None:
         """Free the entry whose bytes failed verification, if still there."""
@@ -210,16 +212,16 @@
             self.free(pinned.segment)
 
     def expire(self, now: Millis) -> tuple[WriteFailed, ...]:
-        """End writes and pins whose time is over."""
+        """Drop timed-out pins and writes; return the failed writes."""
         for pinned in self._pins.list_expired(now):
             self.unpin(pinned)
-        late = [each for each in self._writes.values() if now >= each.until]
+        expired = [each for each in self._writes.values() if now >= each.until]
         return tuple(
-            self._drop_write(each, WriteRefusal.TIMEOUT) for each in late
+            self._fail_write(each, WriteRefusal.TIMEOUT) for each in expired
         )
 
     def drain_deletions(self) -> tuple[str, ...]:
-        """Return the names to delete from the store, meta records first."""
+        """Return the names to delete, each record before its object."""
         names = tuple(self._deletions)
         self._deletions.clear()
         return names
@@ -227,22 +229,22 @@
     def restore(
         self, meta_name: str, meta: bytes, stored: int | None, now: Millis
     ) -> bool:
-        """Show an object of an earlier incarnation if its record matches.
+        """Add an object of an earlier incarnation if its record matches.
 
-        `stored` is the object's length in the store's list. Both objects are
-        named for deletion otherwise.
+        `stored` is the object's length in the store's list, None if missing.
+        The object and its record are queued for deletion otherwise.
         """
         record = decode_meta(meta)
-        if record is None or not self._fits(meta_name, record, stored):
-            self._name_deletions(meta_name.removesuffix(META_SUFFIX))
+        if record is None or not self._can_restore(meta_name, record, stored):
+            self._queue_deletions(meta_name.removesuffix(META_SUFFIX))
             return False
         if self._entries.get(record.segment) is not None:
-            return self._settle_twin(record)
+            return self._resolve_duplicate(record)
         self._used += record.length
-        self._show(SealedEntry(record, next(self._generations)), now)
+        self._publish(SealedEntry(record, next(self._generations)), now)
         return True
 
-    def _fits(
+    def _can_restore(
         self, meta_name: str, record: SealedMeta, stored: int | None
     ) -> bool:
         if meta_name != record.object_name + META_SUFFIX:
@@ -253,26 +255,26 @@
             return False
         return self._used + record.length <= self._limits.capacity_bytes
 
-    def _settle_twin(self, record: SealedMeta) -> bool:
+    def _resolve_duplicate(self, record: SealedMeta) -> bool:
         entry = self._entries.get(record.segment)
         if entry is not None and entry.meta == record:
             return True
-        self._name_deletions(record.object_name)
+        self._queue_deletions(record.object_name)
         return False
 
-    def _find_known(self, write: SegmentWrite) -> BeginOutcome | None:
-        opened = self._writes.get(write.segment)
+    def _find_existing(self, write: SegmentWrite) -> BeginOutcome | None:
+        open_write = self._writes.get(write.segment)
         entry = self._entries.get(write.segment)
-        known = opened or entry
-        if known is None:
+        existing = open_write or entry
+        if existing is None:
             return None
-        if known.meta.namespace != write.namespace:
+        if existing.meta.namespace != write.namespace:
             return WriteFailed(WriteRefusal.NAMESPACE, (write.request,))
-        if opened is None:
+        if open_write is None:
             return WritePresent()
-        if len(opened.joined) >= self._limits.writes:
+        if len(open_write.joined) >= self._limits.writes:
             return WriteFailed(WriteRefusal.BUSY, (write.request,))
-        opened.joined.append(write.request)
+        open_write.joined.append(write.request)
         return WriteJoined()
 
     def _find_write(self, request: str, segment: SegmentId) -> OpenWrite | None:
@@ -281,7 +283,7 @@
             return None
         return write
 
-    def _describe(self, write: SegmentWrite, generation: int) -> SealedMeta:
+    def _make_meta(self, write: SegmentWrite, generation: int) -> SealedMeta:
         name = f'{write.segment.hex()}-{self._incarnation}-{generation}'
         return SealedMeta(
             object_name=name,
@@ -293,38 +295,38 @@
             depth=max(0, min(write.depth, MAX_DEPTH)),
         )
 
-    def _drop_write(
+    def _fail_write(
         self, write: OpenWrite, reason: WriteRefusal
     ) -> WriteFailed:
         del self._writes[write.meta.segment]
         self._delete(write.meta.object_name, write.meta.length)
         return WriteFailed(reason, write.requests)
 
-    def _show(self, entry: SealedEntry, now: Millis) -> None:
+    def _publish(self, entry: SealedEntry, now: Millis) -> None:
         segment = entry.meta.segment
         self._entries.add(entry)
-        self._keeper.record_use(make_hint(segment), now)
+        self._retention_policy.record_use(make_hint(segment), now)
         self.log.add(make_hint(segment))
 
-    def _delete_doomed(self, name: str) -> None:
-        length = self._doomed.pop(name, None)
+    def _delete_pending(self, name: str) -> None:
+        length = self._pending_deletions.pop(name, None)
         if length is not None:
             self._delete(name, length)
 
     def _delete(self, name: str, length: int) -> None:
         self._used -= length
-        self._name_deletions(name)
+        self._queue_deletions(name)
 
-    def _name_deletions(self, name: str) -> None:
+    def _queue_deletions(self, name: str) -> None:
         self._deletions += [name + META_SUFFIX, name]
 
     def _make_room(self, meta: SealedMeta, now: Millis) -> WriteRefusal | None:
         if not 0 < meta.length <= self._limits.capacity_bytes:
             return WriteRefusal.FULL
-        missing = self._used + meta.length - self._limits.capacity_bytes
-        if missing <= 0:
+        needed_bytes = self._used + meta.length - self._limits.capacity_bytes
+        if needed_bytes <= 0:
             return None
-        victims = self._evictor.choose(meta, missing, now)
+        victims = self._evictor.choose(meta, needed_bytes, now)
         if isinstance(victims, WriteRefusal):
             return victims
         for segment in victims:
--- a/src/oleanderdyke/policies/admission.py
+++ b/src/oleanderdyke/policies/admission.py
@@ -1,4 +1,4 @@
-"""Decide which requests go on now, wait, or are refused early."""
+"""Admission of requests: start now, queue, or refuse early."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 _JITTER = 0.5
 
 
-class _Class(enum.IntEnum):
-    """Order requests: little work first, background last."""
+class _RequestClass(enum.IntEnum):
+    """Request classes in the order of service, short requests first."""
 
     SHORT = 0
     LONG = 1
@@ -45,54 +45,58 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Held:
-    """Pair a request with its class and the work that it asks for."""
+class _Classified:
+    """A request with its class and the tokens that it has to prefill."""
 
     demand: Demand
-    kind: _Class
+    kind: _RequestClass
     missing: int
 
     @property
     def cost(self) -> float:
-        """Return the tokens to work on, at least one."""
+        """Return the tokens to prefill and to generate, at least one."""
         return float(max(1, self.missing + self.demand.answer_tokens))
 
 
 def _make_queues() -> tuple[FairQueue, ...]:
-    return tuple(FairQueue() for _ in _Class)
+    return tuple(FairQueue() for _ in _RequestClass)
 
 
 @dataclass(slots=True)
 class _Service:
-    """Hold the queues of one service."""
+    """The queues of one service."""
 
     capacity: ServiceCapacity
     queues: tuple[FairQueue, ...] = field(default_factory=_make_queues)
     mean_cost: float = 1.0
-    returning: Millis = 0.0
+    return_at: Millis = 0.0
 
-    def has_ahead(self, kind: _Class) -> bool:
-        """Return whether anybody waits who goes first."""
+    def has_waiting(self, kind: _RequestClass) -> bool:
+        """Return whether requests of this or an earlier class wait."""
         return any(self.queues[: kind + 1])
 
-    def count_ahead(self, held: _Held, weight: float) -> float:
-        """Estimate the work that is done before a new request ends."""
-        queue = self.queues[held.kind]
-        ahead = queue.estimate_ahead(held.demand.team, held.cost, weight)
-        return ahead + sum(each.cost for each in self.queues[: held.kind])
+    def estimate_work_ahead(
+        self, classified: _Classified, weight: float
+    ) -> float:
+        """Estimate the work to be done before a new request of a team."""
+        queue = self.queues[classified.kind]
+        work = queue.estimate_ahead(
+            classified.demand.team, classified.cost, weight
+        )
+        return work + sum(each.cost for each in self.queues[: classified.kind])
 
 
 class FairAdmission:
-    """Share each service between teams and refuse what would be late."""
+    """Share each service between teams and refuse late requests."""
 
     def __init__(self, settings: PolicySettings, find_terms: FindTerms) -> None:
         self._settings = settings
         self._find_terms = find_terms
         self._limits = TeamLimits(find_terms)
         self._services: dict[str, _Service] = {}
-        self._waiting: dict[str, tuple[_Held, QueuedRequest]] = {}
+        self._waiting: dict[str, tuple[_Classified, QueuedRequest]] = {}
         self._running: dict[str, Demand] = {}
-        self._latest: list[tuple[Millis, str]] = []
+        self._start_deadlines: list[tuple[Millis, str]] = []
 
     def admit(
         self, demand: Demand, fleet: Fleet, now: Millis
@@ -103,22 +107,26 @@
             return limited
         service = self._find_service(demand.service)
         service.capacity.refresh(demand.service, fleet, now)
-        held = self._classify(demand, fleet)
-        service.mean_cost += _MEAN_SMOOTHING * (held.cost - service.mean_cost)
-        if service.has_ahead(held.kind) or not self._has_room(
-            service, held.kind
+        classified = self._classify(demand, fleet)
+        service.mean_cost += _MEAN_SMOOTHING * (
+            classified.cost - service.mean_cost
+        )
+        if service.has_waiting(classified.kind) or not self._has_capacity(
+            service, classified.kind
         ):
-            return self._refuse_or_queue(service, held, now)
-        self._limits.note_started(demand, now)
-        self._run(service, held)
+            return self._refuse_or_queue(service, classified, now)
+        self._limits.record_started(demand, now)
+        self._run(service, classified)
         weight = self._find_terms(demand.team).weight
-        service.queues[held.kind].charge(demand.team, held.cost, weight)
+        service.queues[classified.kind].charge(
+            demand.team, classified.cost, weight
+        )
         return _ADMITTED
 
     def release(
         self, fleet: Fleet, now: Millis
     ) -> Sequence[tuple[str, Admitted | Refusal]]:
-        """Return who may go on and who has waited too long."""
+        """Return the queued requests to start now or to refuse as late."""
         released = self._expire(now)
         for name, service in self._services.items():
             if not any(service.queues):
@@ -128,14 +136,14 @@
         return released
 
     def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
-        """Learn which work an admitted request brought."""
+        """Record the plan of an admitted request that was sent."""
         present = (plan.cached + plan.fetched) * SEGMENT_TOKENS
         tokens = float(max(0, demand.tokens - present))
         capacity = self._find_service(demand.service).capacity
         capacity.record_sent(demand, plan, tokens, now)
 
     def record_first_token(self, request: str, now: Millis) -> None:
-        """Learn that a prefill is over."""
+        """Record that the prefill of a request has ended."""
         demand = self._running.get(request)
         if demand is None:
             return
@@ -143,7 +151,7 @@
         capacity.record_first_token(request, now)
 
     def record_finished(self, request: str, now: Millis) -> None:
-        """Give back what a request held, queued or running."""
+        """Release what a request occupied, queued or running."""
         if request in self._waiting:
             self._drop(request, now)
             return
@@ -161,129 +169,143 @@
             self._services[name] = service
         return service
 
-    def _classify(self, demand: Demand, fleet: Fleet) -> _Held:
+    def _classify(self, demand: Demand, fleet: Fleet) -> _Classified:
         missing = estimate_missing(demand, fleet)
         if demand.background:
-            return _Held(demand, _Class.BACKGROUND, missing)
+            return _Classified(demand, _RequestClass.BACKGROUND, missing)
         short = missing <= self._settings.short_tokens
-        return _Held(demand, _Class.SHORT if short else _Class.LONG, missing)
+        return _Classified(
+            demand,
+            _RequestClass.SHORT if short else _RequestClass.LONG,
+            missing,
+        )
 
-    def _has_room(self, service: _Service, kind: _Class) -> bool:
+    def _has_capacity(self, service: _Service, kind: _RequestClass) -> bool:
         capacity = service.capacity
-        wait = capacity.estimate_wait(short=kind is _Class.SHORT)
+        wait = capacity.estimate_wait(short=kind is _RequestClass.SHORT)
         target = self._settings.queue_target
-        if kind is not _Class.BACKGROUND:
-            return wait <= target and capacity.estimate_use() < 1.0
+        if kind is not _RequestClass.BACKGROUND:
+            return wait <= target and capacity.estimate_utilization() < 1.0
         share = self._settings.background_running_share
-        return wait <= target / 2 and capacity.estimate_use() < share
+        return wait <= target / 2 and capacity.estimate_utilization() < share
 
-    def _run(self, service: _Service, held: _Held) -> None:
-        self._running[held.demand.request] = held.demand
-        service.capacity.note_admitted(
-            held.missing, short=held.kind is _Class.SHORT
+    def _run(self, service: _Service, classified: _Classified) -> None:
+        self._running[classified.demand.request] = classified.demand
+        service.capacity.record_admitted(
+            classified.missing, short=classified.kind is _RequestClass.SHORT
         )
 
     def _refuse_or_queue(
-        self, service: _Service, held: _Held, now: Millis
+        self, service: _Service, classified: _Classified, now: Millis
     ) -> Queued | Refusal:
-        demand = held.demand
+        demand = classified.demand
         if len(self._waiting) >= self._settings.queued_limit:
-            return self._refuse(service, held, now, 'queue is full')
+            return self._refuse(service, classified, now, 'queue is full')
         weight = self._find_terms(demand.team).weight
-        drain = service.capacity.estimate_drain(service.mean_cost)
-        wait = service.count_ahead(held, weight) / drain
-        latest = demand.deadline - service.capacity.time
+        throughput = service.capacity.estimate_throughput(service.mean_cost)
+        wait = service.estimate_work_ahead(classified, weight) / throughput
+        latest = demand.deadline - service.capacity.duration
         if now + wait > latest:
-            return self._refuse(service, held, now, 'would be late')
-        waiting = QueuedRequest(demand, held.cost, now)
-        service.queues[held.kind].push(waiting, weight)
-        self._waiting[demand.request] = held, waiting
-        self._limits.note_started(demand, now)
-        heapq.heappush(self._latest, (latest, demand.request))
+            return self._refuse(service, classified, now, 'would be late')
+        waiting = QueuedRequest(demand, classified.cost, now)
+        service.queues[classified.kind].push(waiting, weight)
+        self._waiting[demand.request] = classified, waiting
+        self._limits.record_started(demand, now)
+        heapq.heappush(self._start_deadlines, (latest, demand.request))
         return _QUEUED
 
     def _refuse(
-        self, service: _Service, held: _Held, now: Millis, reason: str
+        self,
+        service: _Service,
+        classified: _Classified,
+        now: Millis,
+        reason: str,
     ) -> Refusal:
-        """Refuse, and reserve a later place for the caller's return.
+        """Refuse a request and schedule the caller's retry.
 
-        Those told to come back are spread so that they return no faster
-        than the service works.
+        The retry times of refused callers are spread so that they return no
+        faster than the service works off requests.
         """
-        drain = service.capacity.estimate_drain(service.mean_cost)
-        queued = sum(queue.cost for queue in service.queues[: held.kind + 1])
-        backlog = now + queued / drain
-        service.returning = max(service.returning, backlog) + held.cost / drain
+        throughput = service.capacity.estimate_throughput(service.mean_cost)
+        queued = sum(
+            queue.cost for queue in service.queues[: classified.kind + 1]
+        )
+        backlog = now + queued / throughput
+        service.return_at = (
+            max(service.return_at, backlog) + classified.cost / throughput
+        )
         ceiling = self._settings.retry_after_ceiling
-        after = min(ceiling, service.returning - now)
-        service.returning = min(service.returning, now + ceiling)
+        after = min(ceiling, service.return_at - now)
+        service.return_at = min(service.return_at, now + ceiling)
         after = max(self._settings.retry_after_floor, after)
-        after *= 1 + _JITTER * hash_to_fraction(held.demand.request)
+        after *= 1 + _JITTER * hash_to_fraction(classified.demand.request)
         return Refusal(ErrorKind.OVERLOADED, reason, after)
 
     def _expire(self, now: Millis) -> list[tuple[str, Admitted | Refusal]]:
         expired: list[tuple[str, Admitted | Refusal]] = []
-        while self._latest and self._latest[0][0] < now:
-            _, request = heapq.heappop(self._latest)
+        while self._start_deadlines and self._start_deadlines[0][0] < now:
+            _, request = heapq.heappop(self._start_deadlines)
             if request not in self._waiting:
                 continue
-            held = self._drop(request, now)
-            service = self._find_service(held.demand.service)
-            refusal = self._refuse(service, held, now, 'waited too long')
+            classified = self._drop(request, now)
+            service = self._find_service(classified.demand.service)
+            refusal = self._refuse(service, classified, now, 'waited too long')
             expired.append((request, refusal))
         return expired
 
-    def _drop(self, request: str, now: Millis) -> _Held:
-        held, waiting = self._waiting.pop(request)
-        service = self._find_service(held.demand.service)
-        service.queues[held.kind].remove(waiting)
-        self._limits.record_finished(held.demand.team, now)
-        return held
+    def _drop(self, request: str, now: Millis) -> _Classified:
+        classified, waiting = self._waiting.pop(request)
+        service = self._find_service(classified.demand.service)
+        service.queues[classified.kind].remove(waiting)
+        self._limits.record_finished(classified.demand.team, now)
+        return classified
 
     def _release(
         self, service: _Service
     ) -> list[tuple[str, Admitted | Refusal]]:
         released: list[tuple[str, Admitted | Refusal]] = []
-        for kind in _Class:
+        for kind in _RequestClass:
             queue = service.queues[kind]
-            if kind is _Class.BACKGROUND and service.has_ahead(_Class.LONG):
+            if kind is _RequestClass.BACKGROUND and service.has_waiting(
+                _RequestClass.LONG
+            ):
                 break
-            while queue and self._has_room(service, kind):
+            while queue and self._has_capacity(service, kind):
                 request = queue.pop().demand.request
-                held, _ = self._waiting.pop(request)
-                self._run(service, held)
+                classified, _ = self._waiting.pop(request)
+                self._run(service, classified)
                 released.append((request, _ADMITTED))
         return released
 
 
 class OpenAdmission:
-    """Admit everything at once."""
+    """Admit every request at once."""
 
     def admit(
         self, demand: Demand, fleet: Fleet, now: Millis
     ) -> Admitted | Queued | Refusal:
-        """Admit."""
+        """Return that the request may start."""
         return _ADMITTED
 
     def release(
         self, fleet: Fleet, now: Millis
     ) -> Sequence[tuple[str, Admitted | Refusal]]:
-        """Return nothing; nobody waits."""
+        """Return nothing, as no request is ever queued."""
         return ()
 
     def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
-        """Learn nothing."""
+        """Ignore the event, as no load is tracked."""
 
     def record_first_token(self, request: str, now: Millis) -> None:
-        """Learn nothing."""
+        """Ignore the event, as no load is tracked."""
 
     def record_finished(self, request: str, now: Millis) -> None:
-        """Give nothing back."""
+        """Ignore the event, as no load is tracked."""
 
 
 @ADMISSIONS.register('fair')
 def make_fair(settings: PolicySettings, find_terms: FindTerms) -> Admission:
-    """Build the admission that shares by weight."""
+    """Build the admission that shares services by team weight."""
     return FairAdmission(settings, find_terms)
 
 
--- a/src/oleanderdyke/policies/candidates.py
+++ b/src/oleanderdyke/policies/candidates.py
@@ -1,4 +1,4 @@
-"""Find the few replicas that are worth a prediction."""
+"""Selection of the few replicas to predict the cost for."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 )
 from oleanderdyke.links.messages import BackendKind
 from oleanderdyke.policies.settings import PolicySettings
-from oleanderdyke.policies.sources import SoonTable
+from oleanderdyke.policies.sources import PendingPrefixes
 
 _TRIES_PER_SAMPLE = 4
-_HOLDERS_SEEN = 8
+_MAX_HOLDERS_CHECKED = 8
 
 
 def is_eligible(
@@ -32,18 +32,24 @@
 def find_candidates(
     demand: Demand,
     fleet: Fleet,
-    soon: SoonTable,
+    pending: PendingPrefixes,
     random: Random,
     *,
     settings: PolicySettings,
     exclude: frozenset[str],
 ) -> Sequence[Replica]:
-    """Return every replica of a small fleet, else holders and samples."""
+    """Return all replicas of a small fleet, else holders and samples."""
     replicas = fleet.replicas(demand.service)
     if len(replicas) <= settings.scan_limit:
-        return [each for each in replicas if is_eligible(each, demand, exclude)]
+        return [
+            replica
+            for replica in replicas
+            if is_eligible(replica, demand, exclude)
+        ]
     chosen: dict[str, Replica] = {}
-    for agent in _find_holders(demand.segments, fleet, soon, random, settings):
+    for agent in _find_holders(
+        demand.segments, fleet, pending, random, settings
+    ):
         replica = fleet.find(agent)
         if replica is not None and is_eligible(replica, demand, exclude):
             chosen[agent] = replica
@@ -51,7 +57,9 @@
         chosen[replica.agent] = replica
     if chosen:
         return list(chosen.values())
-    return [each for each in replicas if is_eligible(each, demand, exclude)]
+    return [
+        replica for replica in replicas if is_eligible(replica, demand, exclude)
+    ]
 
 
 def _sample(
@@ -73,7 +81,7 @@
 
 
 def estimate_missing(demand: Demand, fleet: Fleet) -> int:
-    """Estimate the tokens that no engine holds of a prompt."""
+    """Estimate the prompt tokens that no engine holds."""
     low, high = 0, len(demand.segments)
     while low < high:
         middle = (low + high) // 2
@@ -85,7 +93,7 @@
 
 
 def _is_held(fleet: Fleet, segment: SegmentHint) -> bool:
-    for agent in fleet.holders(segment)[:_HOLDERS_SEEN]:
+    for agent in fleet.holders(segment)[:_MAX_HOLDERS_CHECKED]:
         replica = fleet.find(agent)
         if replica is not None and replica.backend is BackendKind.ENGINE:
             return True
@@ -95,21 +103,22 @@
 def _find_holders(
     segments: Sequence[SegmentHint],
     fleet: Fleet,
-    soon: SoonTable,
+    pending: PendingPrefixes,
     random: Random,
     settings: PolicySettings,
 ) -> Sequence[str]:
-    """Return some holders of the longest prefix that anybody holds.
+    """Return some holders of the longest prefix that any agent holds.
 
-    Holding is monotone along a prompt but for evictions under way, so a
-    binary search finds the depth; a wrong depth costs time only.
+    An agent that holds a segment holds all earlier ones, except for evictions
+    under way, so a binary search finds the depth. A wrong depth costs only
+    time.
     """
     low, high = 0, len(segments)
     best: list[str] = []
     while low < high:
         middle = (low + high) // 2
         holders = [*fleet.holders(segments[middle])]
-        holders += soon.holders(segments[middle])
+        holders += pending.holders(segments[middle])
         if holders:
             best = holders
             low = middle + 1
--- a/src/oleanderdyke/policies/pressure.py
+++ b/src/oleanderdyke/policies/pressure.py
@@ -1,4 +1,4 @@
-"""Know how fast each engine's cache is being turned over."""
+"""Estimates of how fast each engine's cache is replaced."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 
 
 class CachePressure:
-    """Count the tokens that dispatches bring into each cache, with decay."""
+    """Count the tokens added to each cache, with exponential decay."""
 
     def __init__(self, memory: Millis) -> None:
         self._memory = memory
-        self._sums: dict[str, float] = {}
-        self._read: dict[str, Millis] = {}
+        self._totals: dict[str, float] = {}
+        self._updated_at: dict[str, Millis] = {}
 
     def record_added(self, agent: str, tokens: float, now: Millis) -> None:
-        """Count tokens that were not cached at an agent before."""
-        self._sums[agent] = self.count_recent(agent, now) + tokens
-        self._read[agent] = now
+        """Count tokens that an agent did not have in its cache before."""
+        self._totals[agent] = self.count_recent(agent, now) + tokens
+        self._updated_at[agent] = now
 
     def estimate_displaced(
-        self, brought: Mapping[str, float], now: Millis
+        self, added: Mapping[str, float], now: Millis
     ) -> Mapping[str, float]:
-        """Return what bringing tokens to each agent would push out.
+        """Estimate the cost of what new tokens displace in each cache.
 
-        A cache that is turned over faster than the others loses more that
+        A cache with more additions than the others loses more context that
         would have been used again.
         """
-        read = {agent: self.count_recent(agent, now) for agent in brought}
-        mean = sum(read.values()) / max(1, len(read)) + 1.0
+        recent = {agent: self.count_recent(agent, now) for agent in added}
+        mean = sum(recent.values()) / max(1, len(recent)) + 1.0
         return {
-            agent: tokens * read[agent] / mean
-            for agent, tokens in brought.items()
+            agent: tokens * recent[agent] / mean
+            for agent, tokens in added.items()
         }
 
     def count_recent(self, agent: str, now: Millis) -> float:
-        """Return the tokens brought in lately."""
-        known = self._sums.get(agent)
+        """Return the decayed number of tokens added to a cache."""
+        known = self._totals.get(agent)
         if known is None:
             return 0.0
-        return known * math.exp((self._read[agent] - now) / self._memory)
+        return known * math.exp((self._updated_at[agent] - now) / self._memory)
--- a/src/oleanderdyke/policies/sources.py
+++ b/src/oleanderdyke/policies/sources.py
@@ -1,4 +1,4 @@
-"""Know where context is, will soon be, and what can carry it."""
+"""Sources of context: pending prefixes, stores and their links."""
 
 from __future__ import annotations
 
@@ -18,27 +18,31 @@
 from oleanderdyke.kernel.routing import LinkView
 from oleanderdyke.policies.settings import PolicySettings
 
-_SOON_KEPT = 5 * SECOND
-_SOON_LATE = 30 * SECOND
+_READY_RETENTION = 5 * SECOND
+_OVERDUE_RETENTION = 30 * SECOND
 
 
 @dataclass(slots=True)
-class _Coming:
-    """Hold what one dispatch brings; fetching ends at depth `fetched`."""
+class _PendingPrefix:
+    """Segments that one dispatch brings to an agent.
+
+    The segments up to depth `fetched` come from a store.
+    """
 
     agent: str
     segments: Sequence[SegmentHint]
     fetched: int
     ready: Millis
-    forget: Millis
+    expires_at: Millis
     done: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Reach:
-    """Say how far a prefix will reach, how soon, and what is joined.
+    """The length of the prefix that an agent holds or will soon hold.
 
-    The `joined` segments after those held come by a fetch under way.
+    It is available in `ready` milliseconds. `joined` segments after those held
+    arrive with a fetch under way.
     """
 
     cached: int
@@ -46,75 +50,79 @@
     joined: int = 0
 
 
-class SoonTable:
-    """Remember prefixes under way to an agent until its events show them."""
+class PendingPrefixes:
+    """Track prefixes on the way to an agent until its events show them."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
-        self._coming: OrderedDict[str, _Coming] = OrderedDict()
+        self._pending: OrderedDict[str, _PendingPrefix] = OrderedDict()
         self._agents: dict[SegmentHint, dict[str, str]] = {}
-        self._holed: set[str] = set()
+        self._agents_with_gaps: set[str] = set()
 
     def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Expect the missing segments of a prompt at the plan's agent."""
         segments = demand.segments[plan.cached + plan.joined :]
         if not segments:
             return
-        self._forget_old(now)
-        if demand.request in self._coming:
+        self._drop_expired(now)
+        if demand.request in self._pending:
             self._drop(demand.request)
         ready = now + plan.predicted
         depth = plan.cached + plan.fetched
-        forget = ready + _SOON_LATE
-        coming = _Coming(plan.agent, segments, depth, ready, forget)
-        self._coming[demand.request] = coming
+        expires_at = ready + _OVERDUE_RETENTION
+        pending = _PendingPrefix(plan.agent, segments, depth, ready, expires_at)
+        self._pending[demand.request] = pending
         for segment in segments:
             agents = self._agents.setdefault(segment, {})
             agents[plan.agent] = demand.request
 
-    def note_ready(self, request: str, now: Millis) -> None:
-        """Count the segments as there, though events may not show it yet."""
-        coming = self._coming.get(request)
-        if coming is None:
+    def mark_ready(self, request: str, now: Millis) -> None:
+        """Count the segments as held, before events of the agent show them."""
+        pending = self._pending.get(request)
+        if pending is None:
             return
-        coming.ready = now
-        coming.done = True
-        coming.forget = now + _SOON_KEPT
+        pending.ready = now
+        pending.done = True
+        pending.expires_at = now + _READY_RETENTION
 
     def record_finished(self, request: str) -> None:
-        """Drop what never became ready."""
-        coming = self._coming.get(request)
-        if coming is not None and not coming.done:
+        """Drop the segments of a request that ended before they were ready."""
+        pending = self._pending.get(request)
+        if pending is not None and not pending.done:
             self._drop(request)
 
     def record_segments_removed(
         self, agent: str, segments: Iterable[SegmentHint]
     ) -> None:
-        """Believe an agent that it lost segments after they were sent."""
+        """Drop segments that an agent reports as removed."""
         for segment in segments:
             agents = self._agents.get(segment, {})
             if agents.pop(agent, None) is None:
                 continue
-            self._holed.add(agent)
+            self._agents_with_gaps.add(agent)
             if not agents:
                 del self._agents[segment]
 
     def record_segments_listed(
         self, agent: str, segments: Iterable[SegmentHint]
     ) -> None:
-        """Believe an agent's full list, but wait for what is under way."""
+        """Drop ready segments that an agent's full list lacks.
+
+        Segments that are still on their way are kept.
+        """
         listed = set(segments)
-        lost = [
+        missing = [
             segment
-            for request, coming in self._coming.items()
-            if coming.done and coming.agent == agent
-            for segment in coming.segments
-            if segment not in listed and self._names(segment, agent, request)
+            for request, pending in self._pending.items()
+            if pending.done and pending.agent == agent
+            for segment in pending.segments
+            if segment not in listed
+            and self._is_expected(segment, agent, request)
         ]
-        self.record_segments_removed(agent, lost)
+        self.record_segments_removed(agent, missing)
 
     def holders(self, segment: SegmentHint) -> Iterable[str]:
-        """Return the agents that will hold a segment soon."""
+        """Return the agents that will soon hold a segment."""
         return self._agents.get(segment, ())
 
     def extend(
@@ -128,39 +136,42 @@
         low, high = held, len(segments)
         ready = 0.0
         joined = 0
-        # Where segments were removed, what comes behind proves nothing.
-        halves = agent not in self._holed
+        # Where segments were removed, a later segment does not imply that the
+        # earlier ones are held, so a binary search is not possible.
+        can_bisect = agent not in self._agents_with_gaps
         while low < high:
-            middle = (low + high) // 2 if halves and low > held else low
+            middle = (low + high) // 2 if can_bisect and low > held else low
             request = self._agents.get(segments[middle], {}).get(agent)
-            if request is None or self._coming[request].forget <= now:
+            if request is None or self._pending[request].expires_at <= now:
                 high = middle
                 continue
-            coming = self._coming[request]
+            pending = self._pending[request]
             low = middle + 1
-            ready = max(ready, coming.ready - now)
-            if not coming.done:
-                joined = max(joined, min(coming.fetched, low) - held)
+            ready = max(ready, pending.ready - now)
+            if not pending.done:
+                joined = max(joined, min(pending.fetched, low) - held)
         return Reach(held + joined if joined else low, ready, joined)
 
-    def _forget_old(self, now: Millis) -> None:
-        while self._coming:
-            request, coming = next(iter(self._coming.items()))
-            if coming.forget > now and len(self._agents) < self._limit:
+    def _drop_expired(self, now: Millis) -> None:
+        while self._pending:
+            request, pending = next(iter(self._pending.items()))
+            if pending.expires_at > now and len(self._agents) < self._limit:
                 return
             self._drop(request)
-        self._holed.clear()
+        self._agents_with_gaps.clear()
 
-    def _names(self, segment: SegmentHint, agent: str, request: str) -> bool:
+    def _is_expected(
+        self, segment: SegmentHint, agent: str, request: str
+    ) -> bool:
         return self._agents.get(segment, {}).get(agent) == request
 
     def _drop(self, request: str) -> None:
-        coming = self._coming.pop(request)
-        for segment in coming.segments:
+        pending = self._pending.pop(request)
+        for segment in pending.segments:
             agents = self._agents.get(segment)
-            if agents is None or agents.get(coming.agent) != request:
+            if agents is None or agents.get(pending.agent) != request:
                 continue
-            del agents[coming.agent]
+            del agents[pending.agent]
             if not agents:
                 del self._agents[segment]
 
@@ -168,12 +179,12 @@
 @dataclass(slots=True)
 class _Fetch:
     store: str
-    count: float
-    sent: Millis
+    byte_count: float
+    sent_at: Millis
 
 
 class LinkTracker:
-    """Correct reports of link use by own fetches since."""
+    """Correct reports of link use by own fetches since then."""
 
     def __init__(self, settings: PolicySettings) -> None:
         self._settings = settings
@@ -182,7 +193,7 @@
 
     def record_sent(self, request: str, plan: Plan, now: Millis) -> None:
         """Count the bytes of a plan that fetches."""
-        self.note_done(request)
+        self.remove(request)
         fetched = plan.fetched - plan.joined
         if not fetched:
             return
@@ -191,31 +202,35 @@
         self._fetches[request] = fetch
         self._stores.setdefault(plan.store, {})[request] = fetch
 
-    def note_done(self, request: str) -> None:
-        """Forget a fetch that is over."""
+    def remove(self, request: str) -> None:
+        """Remove a fetch that has ended."""
         fetch = self._fetches.pop(request, None)
         if fetch is not None:
             del self._stores[fetch.store][request]
 
     def view(self, store: Replica, now: Millis) -> LinkView:
-        """Estimate what is under way on a store's link now."""
+        """Estimate the current backlog of a store's link."""
         load = store.load
         rate = load.link_bytes_per_second
         rate = rate or self._settings.link_bytes_per_second
-        moment = store.heard - self._settings.report_lag
+        reported_at = store.heard - self._settings.report_lag
         own = self._stores.get(store.agent, {})
-        since = sum(each.count for each in own.values() if each.sent > moment)
-        # The other entries are taken to have fetched as much since.
-        since *= self._settings.entries
-        drained = max(0.0, now - moment) * rate / SECOND
-        left = max(0.0, load.link_bytes_in_flight + since - drained)
+        sent_bytes = sum(
+            each.byte_count
+            for each in own.values()
+            if each.sent_at > reported_at
+        )
+        # Assume that the other entries have fetched as much since then.
+        sent_bytes *= self._settings.entries
+        drained = max(0.0, now - reported_at) * rate / SECOND
+        left = max(0.0, load.link_bytes_in_flight + sent_bytes - drained)
         latency = self._settings.far_latency
         return LinkView(left, max(1.0, rate), latency)
 
 
 @dataclass(frozen=True, slots=True)
 class StoreView:
-    """Show the store that covers most of what a replica lacks."""
+    """The store that holds most of what a replica lacks."""
 
     agent: str
     covered: int
@@ -226,7 +241,7 @@
 
 
 class StoreViews:
-    """Look up the best store for each depth once in a decision."""
+    """Cache the best store for each depth during one decision."""
 
     def __init__(
         self, demand: Demand, fleet: Fleet, links: LinkTracker, now: Millis
--- a/tests/store_spaces.py
+++ b/tests/store_spaces.py
@@ -1,4 +1,4 @@
-"""Build small stores of context and what is written to them."""
+"""Builders of small store indexes and of writes to them."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 )
 
 
-class FlatKeeper:
-    """Find the worth in the gap that a write expects: short gaps first."""
+class GapPolicy:
+    """Value a segment by its expected gap; short gaps are worth more."""
 
     def estimate_value(self, segment, length, gap, now):
         return -gap
@@ -33,7 +33,7 @@
 
 
 def make_index(kind=StoreIndex, limits=LIMITS, incarnation='i1'):
-    return kind(limits, FlatKeeper(), incarnation, Random(7))
+    return kind(limits, GapPolicy(), incarnation, Random(7))
 
 
 def make_id(number):
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Backend servers in need name how many requests a second they accept."""
+"""Overloaded backend servers announce the request rate they accept."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from tests.test_send_limits import Entries
 
 LIMIT = 4.0
-# Beside the rate itself a server tolerates some requests at once.
+# Requests that a server tolerates at once beyond its rate.
 BURST = 5
 ANSWERED, REFUSED = 200, 503
 CLOCK = make_clock()
 
 
 class LimitedServer:
-    """Name a limit in each answer and note when requests came."""
+    """Announce a limit in each answer and record the arrivals."""
 
     def __init__(self, limit: float) -> None:
         self.limit: float | None = limit
@@ -39,7 +39,7 @@
 
 @contextlib.asynccontextmanager
 async def serving_entries(directory, count, *scripts):
-    """Run some entries before the same backend servers."""
+    """Run several entries with the same backend servers."""
     async with contextlib.AsyncExitStack() as stack:
         stages: list[Stage] = []
         for number in range(count):
@@ -54,12 +54,12 @@
             stages.append(await stack.enter_async_context(staged))
         for stage in stages:
             await wait_until(stage.is_ready)
-            settle(stage, stages)
+            set_known_entries(stage, stages)
         yield stages
 
 
-def settle(stage: Stage, others: Sequence[Stage] = ()) -> None:
-    """Have an entry know exactly who is there, as all do after a while."""
+def set_known_entries(stage: Stage, others: Sequence[Stage] = ()) -> None:
+    """Make the exact set of entries known, as it is after a while."""
     names = {each.core.settings.process for each in (stage, *others)}
     stage.core.limits.entries = Entries(tuple(names), spare=0)
 
@@ -71,7 +71,7 @@
 
 
 async def send_for(stage: Stage, seconds: float) -> list[int]:
-    """Send a request each 40 ms; return the statuses of the answers."""
+    """Send a request every 40 ms; return the statuses of the answers."""
     statuses: list[int] = []
 
     async def send() -> None:
@@ -84,10 +84,10 @@
     return statuses
 
 
-# Two servers that had named a limit got up to three times as much, as no entry
-# read what they named.
+# Entries that ignored announced limits sent two servers up to three times their
+# rate.
 @pytest.mark.anyio
-async def test_entries_together_keep_to_the_limit_that_a_server_names(tmp_path):
+async def test_entries_together_respect_an_announced_limit(tmp_path):
     limited = LimitedServer(LIMIT)
     async with serving_entries(tmp_path, 3, limited, answer_well) as stages:
         async with anyio.create_task_group() as tasks:
@@ -99,22 +99,22 @@
         assert limited.count_since(begun) <= LIMIT * seconds + BURST
 
 
-async def learn_limit(stage: Stage) -> None:
-    """Have an entry alone hear what its first server names."""
-    settle(stage)
+async def receive_limit(stage: Stage) -> None:
+    """Let a single entry receive the limit of its first server."""
+    set_known_entries(stage)
     assert (await stage.call('/safe/first')).status == ANSWERED
     backend = stage.core.backends.find('i-0')
-    assert backend.limit.is_named
+    assert backend.limit.is_set
 
 
 @pytest.mark.anyio
 async def test_a_call_beyond_all_limits_is_refused_at_once(tmp_path):
     async with staging(tmp_path, LimitedServer(2.0)) as stage:
-        await learn_limit(stage)
+        await receive_limit(stage)
         with anyio.fail_after(0.5):
             found = await stage.call('/once/x')
         assert found.status == REFUSED
-        # One of two requests a second has been sent just now.
+        # One of two requests per second has just been sent.
         assert 0.3 <= float(found.headers['retry-after']) <= 0.7
         assert len(stage.replicas[0].received) == 1
         assert 'got the requests that they accept' in stage.log.read_text()
@@ -125,16 +125,16 @@
     limited = LimitedServer(2.0)
     async with staging(tmp_path, limited, answer_well) as stage:
         prefer(stage, 0)
-        await learn_limit(stage)
+        await receive_limit(stage)
         assert (await stage.call('/once/x')).status == ANSWERED
         assert [len(each.received) for each in stage.replicas] == [1, 1]
 
 
 @pytest.mark.anyio
-async def test_a_server_that_names_no_limit_any_more_gets_requests(tmp_path):
+async def test_a_server_gets_requests_again_after_its_limit_ends(tmp_path):
     limited = LimitedServer(6.0)
     async with staging(tmp_path, limited) as stage:
-        await learn_limit(stage)
+        await receive_limit(stage)
         limited.limit = None
         await anyio.sleep(0.6)
         for _ in range(5):
@@ -155,7 +155,7 @@
 @pytest.mark.anyio
 @pytest.mark.parametrize('kind', naming())
 @pytest.mark.parametrize('path', ['/once/x', '/safe/x', '/stream/x'])
-async def test_any_answer_may_name_a_limit(tmp_path, kind, path):
+async def test_any_answer_may_announce_a_limit(tmp_path, kind, path):
     script = naming(server_limit='2.0')[kind]
     async with staging(tmp_path, script) as stage:
         await stage.call(path)
@@ -166,10 +166,10 @@
 @pytest.mark.parametrize(
     'header', ['oleanderdyke_request_id', 'oleanderdyke_instance_id']
 )
-async def test_what_is_no_answer_of_the_server_names_no_limit(tmp_path, header):
+async def test_answers_of_other_servers_set_no_limit(tmp_path, header):
     async def answer_for_another(peer):
         await peer.answer(server_limit='2.0', **{header: 'another'})
 
     async with staging(tmp_path, answer_for_another) as stage:
         await stage.call('/once/x')
-        assert not stage.core.backends.find('i-0').limit.is_named
+        assert not stage.core.backends.find('i-0').limit.is_set
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -10,7 +10,7 @@
 from machines import assert_caught, assert_holds
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 from oleanderdyke.kernel.stream_buffer import (
-    CHUNK_OVERHEAD,
+    CHUNK_OVERHEAD_BYTES,
     AnswerTotals,
     BufferBudget,
     Reader,
@@ -35,7 +35,7 @@
 )
 
 CHUNK = 36
-COST = CHUNK + CHUNK_OVERHEAD
+COST = CHUNK + CHUNK_OVERHEAD_BYTES
 LIMITS = StreamLimits(
     stream_bytes=4 * COST, total_bytes=8 * COST, streams=3, hold=100, credit=2
 )
@@ -211,7 +211,7 @@
     )
 
 
-def test_a_second_reader_takes_over_and_the_first_is_told():
+def test_a_second_reader_takes_over_and_the_first_is_notified():
     buffer = make_buffer()
     fill(buffer, 2)
     resumed = buffer.resume_from(1, Reader('other', 's', 2), 0)
@@ -225,7 +225,7 @@
 
 
 @pytest.mark.parametrize('sequence', [-1, 0, 7])
-def test_a_chunk_that_is_gone_or_never_was_is_not_resumed(sequence):
+def test_resume_at_a_dropped_or_future_chunk_is_refused(sequence):
     buffer = make_buffer(replace(LIMITS, credit=9))
     fill(buffer, 6)
     assert buffer.resume_from(sequence, READER, 0) is None
@@ -259,7 +259,7 @@
     assert isinstance(known, Resumed)
 
 
-def test_streams_expire_when_nobody_takes_from_them():
+def test_idle_streams_expire():
     table, buffer = open_table()
     table.open('team', make_head(token='b'), Reader('b', 'b', 1), 0)
     fill(buffer, 1)
@@ -272,7 +272,7 @@
     assert table.held_bytes == 0
 
 
-def test_a_sent_stream_makes_room_and_a_running_one_does_not():
+def test_only_a_sent_stream_is_evicted_from_a_full_table():
     table, buffer = open_table()
     for token in 'bc':
         table.open('team', make_head(token=token), READER, 0)
@@ -309,10 +309,10 @@
 
 
 class AnswerWorld(RuleBasedStateMachine):
-    """Send an answer over a network that reorders, repeats and breaks.
+    """Send an answer over a network that reorders, duplicates and drops.
 
-    Checks what the caller gets: `spliced` is not a prefix of one run,
-    `short` is called whole but isn't.
+    Assertions on the caller's side: `spliced` fails if the data is not a
+    prefix of one run, `short` if an incomplete answer is called complete.
     """
 
     make_assembler = AnswerAssembler
@@ -346,7 +346,7 @@
             mark = f'{self.runs}:{len(self.produced)};'.encode()
             self.produced.append(mark)
             self.wire += self.buffer.add(mark, 0)
-            cost = len(mark) + CHUNK_OVERHEAD
+            cost = len(mark) + CHUNK_OVERHEAD_BYTES
             bound = LIMITS.stream_bytes + cost
             assert self.buffer.held_bytes <= bound, 'memory'
 
@@ -427,7 +427,7 @@
 
 
 class TrustsEnds(AnswerAssembler):
-    def _judge(self, end):
+    def _check_end(self, end):
         self._is_over = self._has_head
         return Complete(end) if self._has_head else None
 
