--- a/src/oleanderdyke/agent/departure.py
+++ b/src/oleanderdyke/agent/drain_runner.py
@@ -1,4 +1,4 @@
-"""Leave without cutting off a request."""
+"""Graceful shutdown of an agent."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 from oleanderdyke.logs import EventLog
 
 
-class Departure:
-    """Carry out what the drain decides.
+class DrainRunner:
+    """Execute the actions of the drain and wait for its end.
 
-    An agent's streams end where it ends, so it hands none over.
+    Streams of an agent can't outlive its process, so none are handed over.
     """
 
     def __init__(
@@ -45,25 +45,25 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Return whether a stop has been announced."""
+        """Return whether the drain has started."""
         return self._drain.is_leaving
 
-    def start(self, work: str) -> None:
-        """Count a piece of work."""
-        self._drain.start_work(work, self._clock.now())
+    def start_work(self, work_id: str) -> None:
+        """Record the start of work that the drain waits for."""
+        self._drain.start_work(work_id, self._clock.now())
 
-    def end(self, work: str) -> None:
-        """Forget a piece of work."""
-        self._act(self._drain.end_work(work, self._clock.now()))
+    def end_work(self, work_id: str) -> None:
+        """Record the end of work, which may complete the drain."""
+        self._apply(self._drain.end_work(work_id, self._clock.now()))
 
     def signal(self) -> None:
-        """Start to leave; a second call hurries."""
+        """Start the drain; a second call cuts off the remaining work."""
         if not self.is_leaving:
             self._tasks.start_soon(self._run)
-        self._act(self._drain.signal(self._clock.now()))
+        self._apply(self._drain.signal(self._clock.now()))
 
     async def wait(self) -> None:
-        """Return once nothing is left to do."""
+        """Wait until the drain has finished."""
         await self._done.wait()
 
     async def _run(self) -> None:
@@ -72,10 +72,10 @@
             wait = due - self._clock.now()
             with anyio.move_on_after(max(wait, 0.0) / SECOND):
                 await self._done.wait()
-            self._act(self._drain.tick(self._clock.now()))
+            self._apply(self._drain.tick(self._clock.now()))
             due = self._drain.next_time()
 
-    def _act(self, actions: Iterable[DrainAction]) -> None:
+    def _apply(self, actions: Iterable[DrainAction]) -> None:
         for action in actions:
             if isinstance(action, Announce):
                 self._announce()
--- a/src/oleanderdyke/agent/forward.py
+++ b/src/oleanderdyke/agent/forward.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Iterator, Sequence
 from typing import Protocol
 
-from oleanderdyke.agent.backend import Backend, clean_answer_headers
+from oleanderdyke.agent.backend import Backend, filter_response_headers
 from oleanderdyke.agent.prepare import Preparer
 from oleanderdyke.agent.run import Run
 from oleanderdyke.clients.http import HttpAnswer
@@ -19,30 +19,30 @@
 from oleanderdyke.links.messages import AnswerHead, Message
 from oleanderdyke.logs import EventLog
 
-_TOKEN_BYTES = 16
+_RESUME_TOKEN_BYTES = 16
 
 
 class Delivery(Protocol):
-    """Hand messages to whoever reads a stream."""
+    """Deliver the messages of a run to the reader of its stream."""
 
-    def check(self, status: int) -> None:
-        """Raise HttpError where the server that answers isn't the one asked."""
+    def check_status(self, status: int) -> None:
+        """Raise HttpError if another server process has answered."""
 
-    def note_progress(self) -> None:
-        """Note that a run has begun to answer, whether it is read or not."""
+    def notify_progress(self) -> None:
+        """Wake waiters for the start of runs, also of runs without reader."""
 
     def attach(self, run: Run, buffer: StreamBuffer) -> None:
-        """Note the reader of a new stream."""
+        """Register the reader of a new stream."""
 
     def send(self, reader: Reader, messages: Iterable[Message]) -> None:
-        """Queue for a reader, if its link is there."""
+        """Queue messages for a reader; discard them if it is disconnected."""
 
     async def push(self, reader: Reader, messages: Sequence[Message]) -> None:
-        """Send to a reader, waiting while its link is slow."""
+        """Send messages to a reader and wait while its link is slow."""
 
 
 class Forwarder:
-    """Carry one attempt through the backend server."""
+    """Forward attempts to the backend server and stream back the responses."""
 
     def __init__(
         self,
@@ -64,11 +64,16 @@
         self._events = events
 
     async def forward(self, run: Run) -> RunAnswer | None:
-        """Return the recorded answer; raise OleanderError."""
+        """Forward a run and return its response if a claim requires a record.
+
+        Raises OleanderError.
+        """
         prepared = await self._preparer.prepare(run)
         if self._clock.now() >= run.deadline:
             raise OleanderError(
-                ErrorKind.DEADLINE, 'too late to start', ran=Ran.NO
+                ErrorKind.DEADLINE,
+                'the deadline passed before the request was forwarded',
+                ran=Ran.NO,
             )
         run.forwarded = True
         async with self._backend.open(
@@ -77,17 +82,17 @@
             prepared.headers,
             prepared.body,
         ) as answer:
-            self._delivery.check(answer.status)
+            self._delivery.check_status(answer.status)
             self._open(run, answer)
             async for data in answer.body:
                 for piece in self._split(data):
-                    await self._pass_on(run, piece)
-        self._preparer.note_whole(run)
+                    await self._forward_chunk(run, piece)
+        self._preparer.on_complete(run)
         return _make_record(run)
 
     def finish(self, run: Run) -> None:
-        """Close the stream of a run whose answer came whole."""
-        totals = run.sum_up()
+        """Close the stream of a run whose response is complete."""
+        totals = run.make_totals()
         if run.buffer is not None:
             messages = run.buffer.finish(totals, self._clock.now())
             self._delivery.send(run.reader, messages)
@@ -105,12 +110,12 @@
 
     def _open(self, run: Run, answer: HttpAnswer) -> None:
         run.status = answer.status
-        run.headers = clean_answer_headers(answer.headers)
+        run.headers = filter_response_headers(answer.headers)
         if run.dispatch.claim is not None:
             run.record = bytearray()
         run.started = True
         run.notify()
-        self._delivery.note_progress()
+        self._delivery.notify_progress()
         self._events.write(
             EventName.ANSWER_STARTED,
             request=run.dispatch.request,
@@ -124,7 +129,7 @@
             *run.key,
             status=answer.status,
             headers=run.headers,
-            resume=secrets.token_hex(_TOKEN_BYTES),
+            resume=secrets.token_hex(_RESUME_TOKEN_BYTES),
         )
         reader = Reader(run.outbox.name, *run.key)
         run.buffer = self._streams.open(
@@ -133,8 +138,8 @@
         self._delivery.attach(run, run.buffer)
         self._delivery.send(reader, (head,))
 
-    async def _pass_on(self, run: Run, data: bytes) -> None:
-        run.take(data)
+    async def _forward_chunk(self, run: Run, data: bytes) -> None:
+        run.add_data(data)
         while run.buffer is not None and _must_wait(run.buffer, data):
             await run.wait_changed()
         if run.buffer is None:
@@ -157,6 +162,6 @@
     if run.dispatch.claim is None:
         return None
     if run.record is None:
-        # Status 0 tells that it ended whole and is too long to be kept.
+        # Status 0 means that the response was complete but too long to keep.
         return RunAnswer(0, (), b'')
     return RunAnswer(run.status, run.headers, bytes(run.record))
--- a/src/oleanderdyke/agent/beats.py
+++ b/src/oleanderdyke/agent/heartbeats.py
@@ -1,4 +1,4 @@
-"""Tell every peer how an agent is."""
+"""Heartbeats of an agent to its peers."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 _NO_LOAD = Load()
 
 
-class Beats:
-    """Send heartbeats and the changes of the segments."""
+class HeartbeatSender:
+    """Send heartbeats and segment events to all connected peers."""
 
     def __init__(
         self,
@@ -41,44 +41,57 @@
         self._role = role
         self._clock = clock
         self._sequence = 0
-        self._told: WeakKeyDictionary[Outbox, Heartbeat] = WeakKeyDictionary()
+        self._last_sent: WeakKeyDictionary[Outbox, Heartbeat] = (
+            WeakKeyDictionary()
+        )
         self.phase = AgentPhase.STARTING
 
     def set_phase(self, phase: AgentPhase) -> None:
-        """Enter a phase; LEAVING is never left again."""
+        """Set the phase in heartbeats and in the gate.
+
+        The phase in heartbeats never changes again after LEAVING.
+        """
         if self.phase is not AgentPhase.LEAVING:
             self.phase = phase
         self._gate.set_phase(phase)
 
     def send(self) -> None:
-        """Send a heartbeat and the new segment events on every link."""
-        beat = self._make_beat()
+        """Queue a heartbeat for all peers and segment events for entries."""
+        heartbeat = self._make_heartbeat()
         events = self._role.segments.drain()
         for outbox in self._outboxes.values():
-            self._put_beat(outbox, beat)
+            self._put_heartbeat(outbox, heartbeat)
             if outbox.peer.role is PeerRole.ENTRY:
                 _put_all(outbox, events)
 
-    def greet(self, outbox: Outbox) -> None:
-        """Tell a new peer everything."""
-        self._put_beat(outbox, self._make_beat())
+    def send_initial_state(self, outbox: Outbox) -> None:
+        """Queue the first messages for a newly connected peer."""
+        self._put_heartbeat(outbox, self._make_heartbeat())
         if outbox.peer.role is PeerRole.ENTRY:
-            # A peer that lacks events asks for them.
+            # The entry compares this number with its own and requests the
+            # events that it is missing.
             outbox.put(SegmentEvents(self._role.segments.next_number))
 
-    def list_segments(self, outbox: Outbox, after: int = -1) -> None:
-        """Send the segment events from a number on, or the whole set."""
+    def send_segments(self, outbox: Outbox, after: int = -1) -> None:
+        """Queue the segment events from number `after` on.
+
+        Queues the complete set of segments if `after` is -1, or if those
+        events are no longer available.
+        """
         _put_all(outbox, self._role.segments.list_after(after))
 
-    def _put_beat(self, outbox: Outbox, beat: Heartbeat) -> None:
-        """Send a whole heartbeat, or what differs from the one before."""
-        before, self._told[outbox] = self._told.get(outbox), beat
-        if before is None or not outbox.peer.takes_short_beats:
-            outbox.put(beat)
+    def _put_heartbeat(self, outbox: Outbox, heartbeat: Heartbeat) -> None:
+        """Queue a heartbeat, without unchanged parts if the peer allows it."""
+        previous, self._last_sent[outbox] = (
+            self._last_sent.get(outbox),
+            heartbeat,
+        )
+        if previous is None or not outbox.peer.takes_short_beats:
+            outbox.put(heartbeat)
             return
-        outbox.put(shorten(beat, before))
+        outbox.put(omit_unchanged(heartbeat, previous))
 
-    def _make_beat(self) -> Heartbeat:
+    def _make_heartbeat(self) -> Heartbeat:
         self._sequence += 1
         self._gate.record_heartbeat(self._sequence)
         now = self._clock.now()
@@ -98,14 +111,17 @@
         )
 
 
-def shorten(beat: Heartbeat, before: Heartbeat) -> Heartbeat:
-    """Leave out the load and the weights where a peer knows them."""
-    if beat.load == before.load:
-        beat = replace(beat, load=_NO_LOAD, same_load=True)
-    if _list_weights(beat) != _list_weights(before):
-        return beat
+def omit_unchanged(heartbeat: Heartbeat, previous: Heartbeat) -> Heartbeat:
+    """Return the heartbeat without a load and weights equal to the previous.
+
+    The flags `same_load` and `same_weights` tell the peer to reuse them.
+    """
+    if heartbeat.load == previous.load:
+        heartbeat = replace(heartbeat, load=_NO_LOAD, same_load=True)
+    if _get_weights(heartbeat) != _get_weights(previous):
+        return heartbeat
     return replace(
-        beat,
+        heartbeat,
         model='',
         weight_version='',
         weight_digest='',
@@ -114,8 +130,13 @@
     )
 
 
-def _list_weights(beat: Heartbeat) -> tuple[str, ...]:
-    return beat.model, beat.weight_version, beat.weight_digest, beat.adapter
+def _get_weights(heartbeat: Heartbeat) -> tuple[str, ...]:
+    return (
+        heartbeat.model,
+        heartbeat.weight_version,
+        heartbeat.weight_digest,
+        heartbeat.adapter,
+    )
 
 
 def _put_all(outbox: Outbox, events: Iterable[SegmentEvents]) -> None:
--- a/src/oleanderdyke/agent/order_loop.py
+++ b/src/oleanderdyke/agent/order_loop.py
@@ -1,4 +1,4 @@
-"""Order the engine to load what the configuration asks for."""
+"""The loop that makes the engine load the configured weights."""
 
 from __future__ import annotations
 
@@ -29,17 +29,18 @@
 )
 from oleanderdyke.logs import EventLog
 
-_JSON = (('content-type', 'application/json'),)
+_JSON_HEADERS = (('content-type', 'application/json'),)
 _CONFLICT = 409
 _REDIRECT = 300
-_START_WAIT: Millis = 10 * SECOND
+_START_TIMEOUT: Millis = 10 * SECOND
 
 
 class OrderLoop:
     """Reconcile one engine with the configuration.
 
-    New runs are refused from before an order until the state is read back;
-    `wait_started` returns once no run may still meet the new weights.
+    The admission of runs is suspended before an order and resumed after the
+    state has been read back. `wait_started` waits until every admitted run has
+    begun to answer, so that none starts on the new weights.
     """
 
     def __init__(
@@ -62,8 +63,8 @@
         self._service = service
         self._checks_fencing = checks_fencing
         self._desired: DesiredState | None = None
-        self._changed_at = 0
-        self._refused = ''
+        self._changed_at_offset = 0
+        self._last_refusal = ''
         self._incarnation = incarnation
         self._clock = clock
         self._events = events
@@ -76,13 +77,16 @@
             try:
                 pause = await self.step()
             except OleanderError:
-                # The health probe tells whether the engine is lost.
+                # The health probe detects a lost engine.
                 pause = RECHECK_INTERVAL
             with anyio.move_on_after(max(pause, 0.0) / SECOND):
                 await self._configuration.wait_changed()
 
     async def step(self) -> Millis:
-        """Take one step and return the pause before the next."""
+        """Execute one step and return the pause before the next one.
+
+        Raises OleanderError.
+        """
         desired = self._find_desired()
         if desired is None:
             return RECHECK_INTERVAL
@@ -95,7 +99,7 @@
             return 0.0
         if isinstance(step, ConfirmValidity):
             return await self._confirm()
-        self._engine.release()
+        self._engine.resume_admission()
         if isinstance(step, StopOrdering):
             self._log_refused(step.reason.value)
             return RECHECK_INTERVAL
@@ -108,7 +112,7 @@
         desired = find_desired(service, self._configuration.list_versions())
         if desired != self._desired:
             self._desired = desired
-            self._changed_at = self._configuration.offset
+            self._changed_at_offset = self._configuration.offset
         return desired
 
     def _reconcile(self, desired: DesiredState) -> Step:
@@ -118,13 +122,13 @@
             Fence(self._configuration.offset, self._incarnation),
             Validity(
                 incarnation=self._incarnation,
-                offset=self._configuration.highest,
+                offset=self._configuration.highest_offset,
                 ended=self._is_superseded(),
                 read_at=self._configuration.confirmed_at,
             ),
             self._clock.now(),
             checks_fencing=self._checks_fencing,
-            changed_at=self._changed_at,
+            changed_at=self._changed_at_offset,
         )
 
     async def _confirm(self) -> Millis:
@@ -133,10 +137,10 @@
         return RECHECK_INTERVAL
 
     async def _order(self, order: Order) -> None:
-        if not self._engine.held:
-            # Nobody may start with the old weights while they are replaced.
-            self._engine.hold()
-            with anyio.move_on_after(_START_WAIT / SECOND):
+        if not self._engine.admission_suspended:
+            # No run may start on the old weights while they are replaced.
+            self._engine.suspend_admission()
+            with anyio.move_on_after(_START_TIMEOUT / SECOND):
                 await self._wait_started()
             return
         if self._is_superseded():
@@ -146,9 +150,9 @@
         self._engine.observed = None
 
     def _log_refused(self, reason: str) -> None:
-        if reason != self._refused:
+        if reason != self._last_refusal:
             self._events.write(EventName.ORDER_REFUSED, reason=reason)
-        self._refused = reason
+        self._last_refusal = reason
 
     async def _send(self, order: Order) -> None:
         desired = order.desired
@@ -160,11 +164,11 @@
             'POST',
             '/orders',
             body=_encode(order),
-            headers=_JSON,
+            headers=_JSON_HEADERS,
             timeout=ORDER_TIMEOUT,
         )
         if status < _REDIRECT:
-            self._refused = ''
+            self._last_refusal = ''
             self._events.write(EventName.ORDER_DONE, **keys)
             return
         reason = 'fence' if status == _CONFLICT else 'failed'
--- a/src/oleanderdyke/agent/prepare.py
+++ b/src/oleanderdyke/agent/prepare.py
@@ -1,4 +1,4 @@
-"""Turn a dispatch into the request that its backend server gets."""
+"""Preparation of requests for the backend server."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from oleanderdyke.agent.backend import clean_headers
+from oleanderdyke.agent.backend import filter_request_headers
 from oleanderdyke.agent.engine import EngineView
 from oleanderdyke.agent.export import Exporter
 from oleanderdyke.agent.fetch import Fetcher
@@ -21,47 +21,55 @@
 from oleanderdyke.kernel.routing import BACKGROUND_PRIORITY, lower_priority
 from oleanderdyke.links.messages import Dispatch, FetchPlan, Headers
 
-_REQUEST_ID = 'x-request-id'
-_LENGTH = 'content-length'
-_JSON = ('content-type', 'application/json')
+_REQUEST_ID_HEADER = 'x-request-id'
+_CONTENT_LENGTH = 'content-length'
+_JSON_CONTENT_TYPE = ('content-type', 'application/json')
 
 
 @dataclass(frozen=True, slots=True)
-class Prepared:
-    """Hold what is sent to the backend server."""
+class PreparedRequest:
+    """The headers and body to send to the backend server."""
 
     headers: Headers
     body: Body
 
 
 class Preparer(Protocol):
-    """Prepare runs for one kind of backend server."""
+    """Prepare requests for one kind of backend server."""
 
-    async def prepare(self, run: Run) -> Prepared:
-        """Return the request to send; raise OleanderError."""
+    async def prepare(self, run: Run) -> PreparedRequest:
+        """Return the request to forward for a run; raise OleanderError."""
 
-    def note_whole(self, run: Run) -> None:
-        """Learn that the answer of a run came whole."""
+    def on_complete(self, run: Run) -> None:
+        """Process a run whose response is complete."""
 
 
 class PlainPreparer:
-    """Pass requests of plain services on unchanged."""
+    """Forward requests of plain services unchanged."""
 
-    async def prepare(self, run: Run) -> Prepared:
-        """Stream a body that is still coming, unless a key claimed it."""
-        await run.body.wait_first()
+    async def prepare(self, run: Run) -> PreparedRequest:
+        """Return the request, with a body that may still be arriving.
+
+        The body of a run with a claim is collected completely first.
+        """
+        await run.body.wait_first_chunk()
         headers = _make_headers(run.dispatch)
         if run.dispatch.claim is None and not run.body.ended:
-            return Prepared(headers, run.body.stream())
+            return PreparedRequest(headers, run.body.stream())
         body = await run.body.collect()
-        return Prepared(_drop(headers, _LENGTH), body or None)
+        return PreparedRequest(
+            _remove_headers(headers, _CONTENT_LENGTH), body or None
+        )
 
-    def note_whole(self, run: Run) -> None:
-        """Learn nothing."""
+    def on_complete(self, run: Run) -> None:
+        """Do nothing: plain services have no segments."""
 
 
 class EnginePreparer:
-    """Bring kept context into the engine and name its namespace."""
+    """Fetch cached context into the engine before a run.
+
+    The request names the namespace of its team as the cache salt.
+    """
 
     def __init__(
         self,
@@ -80,8 +88,8 @@
         self._fetch_timeout = fetch_timeout
         self._short_tokens = short_tokens
 
-    async def prepare(self, run: Run) -> Prepared:
-        """Fetch first, then check the weights again."""
+    async def prepare(self, run: Run) -> PreparedRequest:
+        """Fetch context, then check that the weights are still loaded."""
         dispatch = run.dispatch
         body = await run.body.collect()
         namespace = _check_namespace(dispatch)
@@ -92,13 +100,16 @@
         if dispatch.background:
             priority = BACKGROUND_PRIORITY
         self._check_weights(dispatch)
-        headers = _drop(_make_headers(dispatch), _LENGTH, _JSON[0])
-        return Prepared(
-            (*headers, _JSON), _name_namespace(body, namespace, priority)
+        headers = _remove_headers(
+            _make_headers(dispatch), _CONTENT_LENGTH, _JSON_CONTENT_TYPE[0]
+        )
+        return PreparedRequest(
+            (*headers, _JSON_CONTENT_TYPE),
+            _set_cache_options(body, namespace, priority),
         )
 
-    def note_whole(self, run: Run) -> None:
-        """Offer the complete segments to the store that should keep them."""
+    def on_complete(self, run: Run) -> None:
+        """Export the computed segments to the store named in the dispatch."""
         dispatch = run.dispatch
         if self._engine.loaded.digest != dispatch.weight_digest:
             return
@@ -110,7 +121,7 @@
     async def _fetch(
         self, run: Run, plan: FetchPlan, namespace: Namespace
     ) -> int:
-        """Return how many segments of the plan came."""
+        """Fetch the segments of a plan and return how many were imported."""
         estimate = self._engine.estimate_prefill(1)
         step = self._fetch_timeout
         if estimate is not None:
@@ -118,13 +129,16 @@
         fetched = await self._fetcher.fetch(
             plan, namespace, step=step, request=run.dispatch.request
         )
-        run.link_bytes += fetched.length
+        run.link_bytes += fetched.link_bytes
         return fetched.segments
 
     def _find_priority(
         self, dispatch: Dispatch, plan: FetchPlan, fetched: int
     ) -> int:
-        """Lower the priority of a plan whose fetch was not whole."""
+        """Lower the priority if segments are left to be computed.
+
+        Long prefills must not delay short requests.
+        """
         missing = _count_missing(dispatch.segments, plan.segments[fetched:])
         return lower_priority(
             dispatch.priority,
@@ -133,22 +147,24 @@
         )
 
     def _check_weights(self, dispatch: Dispatch) -> None:
-        wanted = LoadedWeights(
+        expected = LoadedWeights(
             dispatch.model,
             dispatch.weight_version,
             dispatch.weight_digest,
             dispatch.adapter,
         )
-        if self._engine.loaded != wanted:
+        if self._engine.loaded != expected:
             raise OleanderError(
-                ErrorKind.WRONG_VERSION, 'the weights changed', ran=Ran.NO
+                ErrorKind.WRONG_VERSION,
+                'the loaded weights differ from those of the dispatch',
+                ran=Ran.NO,
             )
 
 
 def _count_missing(
     segments: Sequence[SegmentId], lost: Sequence[SegmentId]
 ) -> int:
-    """Count the segments from the first lost one to the prompt's end."""
+    """Count the segments of a prompt from the first lost one on."""
     if not lost or lost[0] not in segments:
         return 0
     return len(segments) - segments.index(lost[0])
@@ -157,7 +173,7 @@
 def _find_depth(
     segments: Sequence[SegmentId], kept: Sequence[SegmentId]
 ) -> int:
-    """Return where in a prompt the segments to keep begin."""
+    """Return the index in a prompt of the first segment to export."""
     if not kept or kept[0] not in segments:
         return 0
     return segments.index(kept[0])
@@ -173,13 +189,17 @@
     )
     if dispatch.namespace != namespace:
         raise OleanderError(
-            ErrorKind.PROTOCOL, "the namespace is not the team's", ran=Ran.NO
+            ErrorKind.PROTOCOL,
+            'the namespace does not match the team, service and weights',
+            ran=Ran.NO,
         )
     return namespace
 
 
-def _name_namespace(body: bytes, namespace: Namespace, priority: int) -> bytes:
-    payload = _parse(body)
+def _set_cache_options(
+    body: bytes, namespace: Namespace, priority: int
+) -> bytes:
+    payload = _parse_body(body)
     payload['cache_salt'] = namespace.hex()
     payload['priority'] = priority
     if payload.get('stream'):
@@ -189,16 +209,16 @@
     return json.dumps(payload).encode()
 
 
-def _parse(body: bytes) -> dict[str, Any]:
+def _parse_body(body: bytes) -> dict[str, Any]:
     try:
         payload = json.loads(body)
     except ValueError as error:
         raise OleanderError(
-            ErrorKind.BAD_REQUEST, 'the body is not JSON'
+            ErrorKind.BAD_REQUEST, 'the request body is not JSON'
         ) from error
     if not isinstance(payload, dict):
         raise OleanderError(
-            ErrorKind.BAD_REQUEST, 'the body is not a JSON object'
+            ErrorKind.BAD_REQUEST, 'the request body is not a JSON object'
         )
     return payload
 
@@ -206,11 +226,11 @@
 def _make_headers(dispatch: Dispatch) -> Headers:
     kept = (
         pair
-        for pair in clean_headers(dispatch.headers)
-        if pair[0].lower() != _REQUEST_ID
+        for pair in filter_request_headers(dispatch.headers)
+        if pair[0].lower() != _REQUEST_ID_HEADER
     )
-    return (*kept, (_REQUEST_ID, dispatch.request))
+    return (*kept, (_REQUEST_ID_HEADER, dispatch.request))
 
 
-def _drop(headers: Headers, *names: str) -> Headers:
+def _remove_headers(headers: Headers, *names: str) -> Headers:
     return tuple(pair for pair in headers if pair[0].lower() not in names)
--- a/src/oleanderdyke/agent/watch.py
+++ b/src/oleanderdyke/agent/process_watch.py
@@ -1,4 +1,4 @@
-"""Notice the end of a backend server's process between two probes."""
+"""Detection of a restart of the backend server between two probes."""
 
 from __future__ import annotations
 
@@ -12,71 +12,80 @@
 from oleanderdyke.clock import SECOND, Clock, Millis
 from oleanderdyke.links.messages import BackendKind
 
-_SETTLE: Millis = 250.0
+# For this long after its end, broken connections and refusals are attributed
+# to the ended process. Also the time to wait for the end to show.
+_END_WINDOW: Millis = 250.0
 _READ_BYTES = 1024
 
 
-class Ending(enum.StrEnum):
-    """Say what became of a process that broke off a connection."""
+class ProcessStatus(enum.StrEnum):
+    """The state of a server process after it has closed a connection."""
 
     ENDED = 'ended'
-    LIVES = 'lives'
+    ALIVE = 'lives'
     UNKNOWN = 'unknown'
 
 
 class ProcessWatch:
-    """Hold an idle connection, which ends where its process does.
+    """Hold an idle connection, which is closed when its process ends.
 
-    A process that restarts between two probes answers every probe, but can't
-    keep this connection. A plain service may serve one connection at a time,
-    so none is held there.
+    A process that restarts between two probes answers both of them, but closes
+    this connection. No connection is held to a plain service, as it may serve
+    only one at a time.
     """
 
     def __init__(self, settings: BackendSettings, *, clock: Clock) -> None:
         self._settings = settings
         self._clock = clock
-        self._held: anyio.CancelScope | None = None
+        self._held_scope: anyio.CancelScope | None = None
         self._ended_at: Millis | None = None
         self._changed = anyio.Event()
 
     async def run(self) -> None:
-        """Hold a connection until cancelled."""
+        """Hold a connection, and reconnect after its end, until cancelled."""
         if self._settings.kind is BackendKind.PLAIN:
             return
         while True:
-            await self._hold()
+            await self._hold_connection()
             await anyio.sleep(self._settings.probe_interval / SECOND)
 
     def has_ended(self) -> bool:
-        """Return whether the process ended just now."""
+        """Return whether the process ended within `_END_WINDOW`."""
         ended_at = self._ended_at
         return ended_at is not None and (
-            self._clock.now() - ended_at <= _SETTLE
+            self._clock.now() - ended_at <= _END_WINDOW
         )
 
-    async def judge(self) -> Ending:
-        """Tell, once a run's connection broke, whether the process ended."""
-        if self._held is not None and not self.has_ended():
-            with anyio.move_on_after(_SETTLE / SECOND):
+    async def diagnose(self) -> ProcessStatus:
+        """Determine whether the process ended, after a run's connection broke.
+
+        Waits briefly for the end of the held connection.
+        """
+        if self._held_scope is not None and not self.has_ended():
+            with anyio.move_on_after(_END_WINDOW / SECOND):
                 await self._changed.wait()
         if self.has_ended():
-            return Ending.ENDED
-        return Ending.UNKNOWN if self._held is None else Ending.LIVES
+            return ProcessStatus.ENDED
+        return (
+            ProcessStatus.UNKNOWN
+            if self._held_scope is None
+            else ProcessStatus.ALIVE
+        )
 
-    def renew(self) -> None:
-        """Forget what was held or ended; a server was lost."""
+    def reset(self) -> None:
+        """Discard all state of a lost server and close the connection."""
         self._ended_at = None
-        if self._held is not None:
-            self._held.cancel()
+        if self._held_scope is not None:
+            self._held_scope.cancel()
 
-    async def _hold(self) -> None:
+    async def _hold_connection(self) -> None:
         stream = await self._connect()
         if stream is None:
             return
-        with anyio.CancelScope() as self._held:
+        with anyio.CancelScope() as self._held_scope:
             await _wait_end(stream)
             self._ended_at = self._clock.now()
-        self._held = None
+        self._held_scope = None
         self._changed.set()
         self._changed = anyio.Event()
         await anyio.aclose_forcefully(stream)
--- a/src/oleanderdyke/agent/routing.py
+++ b/src/oleanderdyke/agent/routing.py
@@ -1,4 +1,4 @@
-"""Route each message of a peer to the part of an agent that takes it."""
+"""Routing of messages from peers to the parts of an agent."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from anyio.abc import TaskGroup
 
-from oleanderdyke.agent.beats import Beats
 from oleanderdyke.agent.configuration import Configuration
-from oleanderdyke.agent.leave_orders import LeaveOrders
+from oleanderdyke.agent.heartbeats import HeartbeatSender
 from oleanderdyke.agent.outbox import Outbox
 from oleanderdyke.agent.readers import Readers
 from oleanderdyke.agent.roles import Role
 from oleanderdyke.agent.runs import Runs
+from oleanderdyke.agent.stop_requests import StopRequests
 from oleanderdyke.clock import Clock
 from oleanderdyke.errors import ErrorKind
 from oleanderdyke.events import EventName
@@ -47,7 +47,7 @@
 
 
 class Router:
-    """Hand on what peers send; refuse what isn't for an agent."""
+    """Call the handler for each message; refuse types without a handler."""
 
     def __init__(
         self,
@@ -55,18 +55,18 @@
         runs: Runs,
         readers: Readers,
         role: Role,
-        beats: Beats,
+        heartbeats: HeartbeatSender,
         gate: Gate,
         configuration: Configuration,
         quarantine: Quarantine,
-        leave_orders: LeaveOrders,
+        stop_requests: StopRequests,
         clock: Clock,
         events: EventLog,
         tasks: TaskGroup,
     ) -> None:
         self._runs = runs
         self._role = role
-        self._beats = beats
+        self._heartbeats = heartbeats
         self._gate = gate
         self._configuration = configuration
         self._quarantine = quarantine
@@ -74,9 +74,9 @@
         self._events = events
         self._tasks = tasks
         self._handlers: dict[type[Any], _Handler] = {
-            EntryBeat: self._on_beat,
+            EntryBeat: self._on_entry_beat,
             ConfigurationRequest: self._on_configuration_request,
-            ConfigurationDifference: configuration.take,
+            ConfigurationDifference: configuration.on_difference,
             SegmentListRequest: self._on_list_request,
             Dispatch: runs.dispatch,
             BodyChunk: runs.add_body,
@@ -87,12 +87,12 @@
             SegmentRead: role.on_read,
             SegmentWrite: role.on_write,
             SegmentPart: role.on_part,
-            DrainRequest: leave_orders.drain,
-            Superseded: leave_orders.supersede,
+            DrainRequest: stop_requests.on_drain_request,
+            Superseded: stop_requests.on_superseded,
         }
 
     def route(self, outbox: Outbox, message: Message) -> None:
-        """Hand on a message that came over the link of an outbox."""
+        """Handle a message received on the link of an outbox."""
         handler = self._handlers.get(type(message))
         if handler is not None:
             handler(outbox, message)
@@ -104,10 +104,15 @@
             peer=outbox.peer.process,
             kind=type(message).__name__,
         )
-        outbox.put(Refused(ErrorKind.PROTOCOL, 'not for an agent'))
+        outbox.put(
+            Refused(
+                ErrorKind.PROTOCOL,
+                f'agents do not accept {type(message).__name__}',
+            )
+        )
 
-    def _on_beat(self, outbox: Outbox, message: EntryBeat) -> None:
-        self._configuration.hear(outbox, message.offset)
+    def _on_entry_beat(self, outbox: Outbox, message: EntryBeat) -> None:
+        self._configuration.on_peer_offset(outbox, message.offset)
         self._quarantine.merge(
             message.quarantined, message.suspects, self._clock.now()
         )
@@ -128,7 +133,7 @@
     def _on_list_request(
         self, outbox: Outbox, message: SegmentListRequest
     ) -> None:
-        self._beats.list_segments(outbox, message.after)
+        self._heartbeats.send_segments(outbox, message.after)
 
     def _on_cancel(self, outbox: Outbox, message: Cancel) -> None:
         self._role.stop_read(outbox, message.request)
--- a/src/oleanderdyke/agent/runs.py
+++ b/src/oleanderdyke/agent/runs.py
@@ -1,4 +1,4 @@
-"""Keep the attempts of an agent, from the gate to the delivered answer."""
+"""The attempts of an agent, from admission to the delivered response."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 from oleanderdyke.agent.body import RequestBody
 from oleanderdyke.agent.failures import (
-    address,
-    check_replaced,
-    find_ran,
-    make_broken,
-    make_late,
+    address_to_reader,
+    check_not_replaced,
+    classify_ran,
+    make_broken_answer_error,
+    make_deadline_error,
     may_have_run,
 )
 from oleanderdyke.agent.forward import Forwarder
 from oleanderdyke.agent.outbox import Outbox
+from oleanderdyke.agent.process_watch import ProcessStatus
 from oleanderdyke.agent.readers import Readers
 from oleanderdyke.agent.run import Run, RunKey
 from oleanderdyke.agent.settings import RunSettings
-from oleanderdyke.agent.watch import Ending
 from oleanderdyke.clients.http import HttpError
 from oleanderdyke.clock import SECOND, Clock
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
@@ -40,18 +40,23 @@
 from oleanderdyke.logs import EventLog
 
 
-class WorkLedger(Protocol):
-    """Count the work that a planned stop waits for."""
+class WorkTracker(Protocol):
+    """Track the work that a drain waits for."""
 
-    def start(self, work: str) -> None:
-        """Count a piece of work."""
+    def start_work(self, work_id: str) -> None:
+        """Record the start of work."""
 
-    def end(self, work: str) -> None:
-        """Forget a piece of work."""
+    def end_work(self, work_id: str) -> None:
+        """Record the end of work."""
 
 
 class Runs:
-    """Admit, run and deliver attempts; find them by message."""
+    """Admit attempts, execute them and deliver their responses.
+
+    `diagnose_loss` finds out, after a broken connection, whether the process
+    of the backend server has ended. `report_suspects` sends a heartbeat with
+    the current suspects.
+    """
 
     def __init__(
         self,
@@ -63,10 +68,10 @@
         clock: Clock,
         tasks: TaskGroup,
         events: EventLog,
-        ledger: WorkLedger,
-        judge_loss: Callable[[], Awaitable[Ending]],
+        work_tracker: WorkTracker,
+        diagnose_loss: Callable[[], Awaitable[ProcessStatus]],
         has_ended: Callable[[], bool],
-        tell_suspects: Callable[[], None],
+        report_suspects: Callable[[], None],
     ) -> None:
         self._gate = gate
         self._readers = readers
@@ -75,21 +80,21 @@
         self._clock = clock
         self._tasks = tasks
         self._events = events
-        self._ledger = ledger
-        self._judge_loss = judge_loss
+        self._work_tracker = work_tracker
+        self._diagnose_loss = diagnose_loss
         self._has_ended = has_ended
-        self._tell_suspects = tell_suspects
+        self._report_suspects = report_suspects
         self._forwarder: Forwarder | None = None
         self._runs: dict[RunKey, Run] = {}
         self._body_bytes = 0
         self._progress = anyio.Event()
 
     def set_forwarder(self, forwarder: Forwarder) -> None:
-        """Set what carries runs through the backend server."""
+        """Set the forwarder, which needs this object to be built first."""
         self._forwarder = forwarder
 
     def dispatch(self, outbox: Outbox, message: Dispatch) -> None:
-        """Start a run, or refuse it at once as not run."""
+        """Start a run, or refuse it and report that it did not run."""
         now = self._clock.now()
         self._events.write(
             EventName.DISPATCH_RECEIVED,
@@ -112,11 +117,11 @@
             record_limit=self._settings.record_bytes,
         )
         self._runs[run.key] = run
-        self._ledger.start(run.work)
+        self._work_tracker.start_work(run.work_id)
         self._tasks.start_soon(self._execute, run)
 
     def add_body(self, outbox: Outbox, chunk: BodyChunk) -> None:
-        """Take a part of a run's body."""
+        """Append a chunk to the body of a run; ignore it if the run is gone."""
         run = self._runs.get((chunk.request, chunk.attempt))
         if run is None or run.outbox is not outbox or run.stopped:
             return
@@ -128,7 +133,7 @@
             self._stop(run, error)
 
     def cancel(self, outbox: Outbox, message: Cancel) -> None:
-        """Stop a run whose caller has gone; a claimed one goes on unread."""
+        """Stop a run whose caller is gone; with a claim, complete it unread."""
         reader = Reader(outbox.name, message.request, message.attempt)
         run = self._readers.find_run(reader)
         if run is None:
@@ -144,69 +149,78 @@
         self._abandon(run, cancel=run.dispatch.claim is None)
 
     def drop_link(self, link: str) -> None:
-        """Keep the streams of a lost link for a while; end what has none."""
+        """Detach the streams of a closed link.
+
+        Cancels its runs without a stream that are safe to cancel.
+        """
         self._readers.drop_link(link)
         for run in tuple(self._runs.values()):
             if run.outbox.name != link:
                 continue
             run.body.fail()
-            if run.buffer is None and run.is_droppable:
+            if run.buffer is None and run.is_cancellable:
                 self._abandon(run, cancel=True)
 
     def expire(self) -> None:
-        """End the streams that nobody has come back for."""
+        """Close expired streams; cancel their runs where that is safe."""
         for run in self._readers.expire():
-            self._abandon(run, cancel=run.is_droppable)
+            self._abandon(run, cancel=run.is_cancellable)
 
-    def crash(self) -> tuple[tuple[Reader, Failed], ...]:
-        """End what ran on the lost backend server; return what to tell whom."""
-        told = []
+    def end_lost_runs(self) -> tuple[tuple[Reader, Failed], ...]:
+        """End all runs on a lost backend server.
+
+        Returns the failure to send to each reader.
+        """
+        failures = []
         for failed in self._gate.finish_crashed(self._clock.now()):
             run = self._runs.get((failed.request, failed.attempt))
             if run is None:
                 continue
-            told.append((run.reader, address(failed, run.reader)))
+            failures.append((run.reader, address_to_reader(failed, run.reader)))
             self._log_suspect(run)
-            self._end_unanswered(run, failed.kind)
-        return tuple(told)
+            self._break_stream(run, failed.kind)
+        return tuple(failures)
 
-    def cut(self, works: Iterable[str]) -> None:
-        """Cut off what a planned stop can't wait for."""
-        wanted = set(works)
+    def cut(self, work_ids: Iterable[str]) -> None:
+        """Cut off the runs that the drain waits for no longer."""
+        wanted = set(work_ids)
         for run in tuple(self._runs.values()):
-            if run.work in wanted:
+            if run.work_id in wanted:
                 self._events.write(
                     EventName.REQUEST_CUT,
                     request=run.dispatch.request,
                     attempt=run.dispatch.attempt,
                 )
-                error = OleanderError(ErrorKind.STOPPING, 'cut off')
+                error = OleanderError(
+                    ErrorKind.STOPPING,
+                    'the agent is stopping and cut off the run',
+                )
                 self._stop(run, error)
 
     async def wait_started(self) -> None:
-        """Return once every run has begun to answer or has ended."""
+        """Wait until every run has begun to answer or has ended."""
         while any(not run.started for run in self._runs.values()):
             await self._progress.wait()
 
-    def check(self, status: int) -> None:
-        """Raise HttpError for the refusal of a server that was replaced."""
-        check_replaced(status, ended=self._has_ended())
+    def check_status(self, status: int) -> None:
+        """Raise HttpError if another server process has answered."""
+        check_not_replaced(status, ended=self._has_ended())
 
-    def note_progress(self) -> None:
-        """Note that a run has begun to answer or has ended."""
+    def notify_progress(self) -> None:
+        """Wake `wait_started` after a run has begun to answer or has ended."""
         self._progress.set()
         self._progress = anyio.Event()
 
     def attach(self, run: Run, buffer: StreamBuffer) -> None:
-        """Note the reader of a new stream."""
+        """Register the reader of a new stream."""
         self._readers.attach(run, buffer)
 
     def send(self, reader: Reader, messages: Iterable[Message]) -> None:
-        """Queue messages for a reader whose link is there."""
+        """Queue messages for a reader; discard them if it is disconnected."""
         self._readers.send(reader, messages)
 
     async def push(self, reader: Reader, messages: Sequence[Message]) -> None:
-        """Send messages to a reader whose link is there."""
+        """Send messages to a reader; discard them if it is disconnected."""
         await self._readers.push(reader, messages)
 
     async def _execute(self, run: Run) -> None:
@@ -214,7 +228,7 @@
             await self._run(run)
             await self._deliver(run)
         finally:
-            self._forget(run)
+            self._remove(run)
 
     async def _run(self, run: Run) -> None:
         try:
@@ -226,10 +240,10 @@
                 self._finish(run, answer)
                 return
         except OleanderError as error:
-            await self._fail(run, error)
+            await self._handle_error(run, error)
             return
         if not run.stopped:
-            self._stop(run, make_late(run))
+            self._stop(run, make_deadline_error(run))
 
     def _find_deadline(self, run: Run) -> float:
         bound = self._settings.limit
@@ -245,26 +259,28 @@
         while run.buffer is not None and not run.buffer.is_sent:
             await run.wait_changed()
 
-    async def _fail(self, run: Run, error: OleanderError) -> None:
+    async def _handle_error(self, run: Run, error: OleanderError) -> None:
         if not isinstance(error, HttpError) or run.stopped:
             self._stop(run, error)
             return
-        # A crash ends the run with the others, as a suspect.
-        ending = await self._judge_loss()
+        # After a crash, `end_lost_runs` ends this run together with all
+        # others, as a suspect.
+        ending = await self._diagnose_loss()
         if not may_have_run(run, error):
             self._stop(run, error)
             return
-        if ending is Ending.LIVES:
-            self._stop(run, make_broken())
+        if ending is ProcessStatus.ALIVE:
+            self._stop(run, make_broken_answer_error())
             return
-        self._suspect(run)
+        self._mark_suspect(run)
         self._stop(run, error)
 
-    def _suspect(self, run: Run) -> None:
+    def _mark_suspect(self, run: Run) -> None:
         self._gate.finish_disconnected(*run.key, self._clock.now())
         self._log_suspect(run)
-        # Whoever learns of the lost run must know its suspect before.
-        self._tell_suspects()
+        # A peer may retry the request as soon as it is told of the lost run,
+        # so it must know the suspect before.
+        self._report_suspects()
 
     def _log_suspect(self, run: Run) -> None:
         dispatch = run.dispatch
@@ -284,17 +300,17 @@
         if run.stopped:
             return
         reader = run.reader
-        ran = find_ran(run, error)
+        ran = classify_ran(run, error)
         if ran is Ran.NO:
             self._gate.finish_unsent(*run.key)
         self._gate.finish(*run.key, None, served=False)
-        self._end_unanswered(run, error.kind)
+        self._break_stream(run, error.kind)
         failed = Failed(*run.key, error.kind, ran, error.message)
-        self.send(reader, (address(failed, reader),))
+        self.send(reader, (address_to_reader(failed, reader),))
 
-    def _end_unanswered(self, run: Run, kind: ErrorKind) -> None:
+    def _break_stream(self, run: Run, kind: ErrorKind) -> None:
         run.stopped = True
-        self._readers.drop_stream(run)
+        self._readers.close_stream(run)
         run.scope.cancel()
         self._events.write(
             EventName.ANSWER_BROKEN,
@@ -305,26 +321,32 @@
 
     def _abandon(self, run: Run, *, cancel: bool) -> None:
         run.discarded = True
-        self._readers.drop_stream(run)
+        self._readers.close_stream(run)
         if cancel and not run.stopped:
             run.stopped = True
             self._gate.finish(*run.key, None, served=False)
             run.scope.cancel()
 
-    def _forget(self, run: Run) -> None:
+    def _remove(self, run: Run) -> None:
         self._runs.pop(run.key, None)
         self._body_bytes -= run.body.received
-        self._readers.forget(run)
-        self._ledger.end(run.work)
-        self.note_progress()
+        self._readers.remove(run)
+        self._work_tracker.end_work(run.work_id)
+        self.notify_progress()
 
     def _check_body_bytes(self) -> None:
         if self._body_bytes > self._settings.body_bytes:
-            raise OleanderError(ErrorKind.OVERLOADED, 'too many bodies at once')
+            raise OleanderError(
+                ErrorKind.OVERLOADED,
+                f'request bodies exceed {self._settings.body_bytes} bytes',
+            )
 
     def _require_forwarder(self) -> Forwarder:
         if self._forwarder is None:
-            raise OleanderError(ErrorKind.NOT_READY, 'no forwarder')
+            raise OleanderError(
+                ErrorKind.NOT_READY,
+                'the agent is not initialized: no forwarder is set',
+            )
         return self._forwarder
 
     def _refuse(self, outbox: Outbox, failed: Failed) -> None:
--- a/src/oleanderdyke/agent/shell.py
+++ b/src/oleanderdyke/agent/shell.py
@@ -1,4 +1,4 @@
-"""Put the parts of an agent together and run it."""
+"""The main object of an agent, which builds and runs its parts."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from anyio.abc import TaskGroup
 
 from oleanderdyke.agent.backend import Backend
-from oleanderdyke.agent.beats import Beats
 from oleanderdyke.agent.configuration import Configuration
-from oleanderdyke.agent.departure import Departure
+from oleanderdyke.agent.drain_runner import DrainRunner
 from oleanderdyke.agent.forward import Forwarder
 from oleanderdyke.agent.health import Health
-from oleanderdyke.agent.leave_orders import LeaveOrders
+from oleanderdyke.agent.heartbeats import HeartbeatSender
 from oleanderdyke.agent.outbox import Outbox
+from oleanderdyke.agent.process_watch import ProcessStatus, ProcessWatch
 from oleanderdyke.agent.readers import Readers
-from oleanderdyke.agent.roles import Loop, RoleParts, make_role
+from oleanderdyke.agent.roles import BackgroundLoop, RoleDependencies, make_role
 from oleanderdyke.agent.roles import Role as AgentRole
 from oleanderdyke.agent.routing import Router
 from oleanderdyke.agent.runs import Runs
 from oleanderdyke.agent.settings import AgentSettings
-from oleanderdyke.agent.watch import Ending, ProcessWatch
+from oleanderdyke.agent.stop_requests import StopRequests
 from oleanderdyke.clock import SECOND, Clock, Millis
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.drain import make_agent_drain
@@ -46,11 +46,11 @@
 from oleanderdyke.logs import EventLog
 
 _INCARNATION_BYTES = 8
-_EXPIRY: Millis = SECOND
+_EXPIRY_INTERVAL: Millis = SECOND
 
 
 class AgentShell:
-    """Run one agent until it has left."""
+    """Run one agent until its drain has finished."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         self._outboxes: dict[str, Outbox] = {}
         self._link_numbers = count(1)
         self._backend = Backend(settings.backend)
-        self._watch = ProcessWatch(settings.backend, clock=clock)
+        self._process_watch = ProcessWatch(settings.backend, clock=clock)
         self._quarantine = make_quarantine(QuarantineSettings())
         self._configuration = Configuration(
             clock=clock, random=random, events=events
@@ -89,16 +89,19 @@
         self._readers = Readers(
             self._streams, self._outboxes, clock=clock, events=events
         )
-        self._departure = Departure(
+        self._drain_runner = DrainRunner(
             make_agent_drain(settings.drain),
             clock=clock,
             events=events,
             tasks=tasks,
             announce=self._announce,
-            cut=self._cut,
+            cut=self._cut_off,
         )
-        self._leave_orders = LeaveOrders(
-            settings.process, self.incarnation, self._departure, events=events
+        self._stop_requests = StopRequests(
+            settings.process,
+            self.incarnation,
+            self._drain_runner,
+            events=events,
         )
         self._runs = Runs(
             self._gate,
@@ -108,10 +111,10 @@
             clock=clock,
             tasks=tasks,
             events=events,
-            ledger=self._departure,
-            judge_loss=self._judge_loss,
-            has_ended=self._watch.has_ended,
-            tell_suspects=lambda: self._beats.send(),  # noqa: PLW0108 - made later
+            work_tracker=self._drain_runner,
+            diagnose_loss=self._diagnose_loss,
+            has_ended=self._process_watch.has_ended,
+            report_suspects=lambda: self._heartbeats.send(),  # noqa: PLW0108 - _heartbeats is set below
         )
         self._role = self._make_role(random, client_tls)
         self._runs.set_forwarder(
@@ -131,7 +134,7 @@
             on_up=self._on_up,
             on_lost=self._on_lost,
         )
-        self._beats = Beats(
+        self._heartbeats = HeartbeatSender(
             self.incarnation,
             self._outboxes,
             gate=self._gate,
@@ -144,11 +147,11 @@
             runs=self._runs,
             readers=self._readers,
             role=self._role,
-            beats=self._beats,
+            heartbeats=self._heartbeats,
             gate=self._gate,
             configuration=self._configuration,
             quarantine=self._quarantine,
-            leave_orders=self._leave_orders,
+            stop_requests=self._stop_requests,
             clock=clock,
             events=events,
             tasks=tasks,
@@ -156,15 +159,18 @@
         self.port = 0
 
     async def run(self, *, started: Callable[[], None] | None = None) -> None:
-        """Serve until the drain is over."""
-        loops: Sequence[Loop] = (
+        """Serve until the drain has finished.
+
+        Calls `started` once the listener accepts links.
+        """
+        background_loops: Sequence[BackgroundLoop] = (
             self._health.run,
-            self._watch.run,
-            self._run_beats,
+            self._process_watch.run,
+            self._run_heartbeats,
             self._run_expiry,
-            *self._role.loops,
+            *self._role.background_loops,
         )
-        for loop in loops:
+        for loop in background_loops:
             self._tasks.start_soon(loop)
         async with serve_links(
             self._settings.listen.host,
@@ -182,14 +188,14 @@
             )
             if started is not None:
                 started()
-            await self._departure.wait()
-            await self._say_farewell()
+            await self._drain_runner.wait()
+            await self._flush_outboxes()
         await self._backend.close()
 
     def stop(self, signal: str) -> None:
-        """Take a stop signal; the second one hurries."""
+        """Start the drain; a second signal cuts off the remaining work."""
         self._events.write(EventName.PROCESS_STOPPING, signal=signal)
-        self._departure.signal()
+        self._drain_runner.signal()
 
     def _make_hello(self) -> Hello:
         return Hello(
@@ -208,7 +214,7 @@
     ) -> AgentRole:
         return make_role(
             self._settings,
-            RoleParts(
+            RoleDependencies(
                 backend=self._backend,
                 configuration=self._configuration,
                 gate=self._gate,
@@ -219,7 +225,7 @@
                 tasks=self._tasks,
                 incarnation=self.incarnation,
                 make_hello=self._make_hello,
-                is_superseded=self._leave_orders.is_superseded,
+                is_superseded=self._stop_requests.is_superseded,
                 client_tls=client_tls,
             ),
         )
@@ -227,11 +233,11 @@
     async def _handle(self, link: Link) -> None:
         outbox = Outbox(f'{next(self._link_numbers)}', link)
         self._outboxes[outbox.name] = outbox
-        self._note_link(outbox, EventName.LINK_UP)
+        self._log_link(outbox, EventName.LINK_UP)
         if link.peer.role is Role.ENTRY:
             self._configuration.add_entry(outbox)
-        self._configuration.hear(outbox, link.peer.offset)
-        self._beats.greet(outbox)
+        self._configuration.on_peer_offset(outbox, link.peer.offset)
+        self._heartbeats.send_initial_state(outbox)
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(outbox.run)
@@ -253,57 +259,58 @@
         self._runs.drop_link(outbox.name)
         self._role.drop_link(outbox.name)
         self._configuration.drop_link(outbox.name)
-        self._note_link(outbox, EventName.LINK_DOWN)
+        self._log_link(outbox, EventName.LINK_DOWN)
 
-    def _note_link(self, outbox: Outbox, event: EventName) -> None:
+    def _log_link(self, outbox: Outbox, event: EventName) -> None:
         peer = outbox.peer
         self._events.write(
             event, peer=peer.process, incarnation=peer.incarnation
         )
 
-    async def _judge_loss(self) -> Ending:
-        ending = await self._watch.judge()
-        if ending is Ending.ENDED:
-            await self._health.lose()
+    async def _diagnose_loss(self) -> ProcessStatus:
+        ending = await self._process_watch.diagnose()
+        if ending is ProcessStatus.ENDED:
+            await self._health.mark_lost()
         await self._health.check()
         return ending
 
     async def _on_up(self) -> None:
         await self._role.open()
-        self._beats.set_phase(AgentPhase.SERVING)
+        self._heartbeats.set_phase(AgentPhase.SERVING)
         self._events.write(EventName.BACKEND_UP)
-        self._beats.send()
+        self._heartbeats.send()
 
     async def _on_lost(self) -> None:
         self._events.write(EventName.BACKEND_LOST)
-        self._beats.set_phase(AgentPhase.STARTING)
-        told = self._runs.crash()
-        self._watch.renew()
+        self._heartbeats.set_phase(AgentPhase.STARTING)
+        failures = self._runs.end_lost_runs()
+        self._process_watch.reset()
         self._role.close()
-        # Whoever learns of a lost run must know its suspects before.
-        self._beats.send()
-        for reader, failed in told:
+        # Peers may retry requests as soon as they are told of lost runs, so
+        # they must know the suspects before.
+        self._heartbeats.send()
+        for reader, failed in failures:
             self._runs.send(reader, (failed,))
 
-    async def _run_beats(self) -> None:
+    async def _run_heartbeats(self) -> None:
         while True:
             await anyio.sleep(self._settings.beat / SECOND)
-            self._beats.send()
+            self._heartbeats.send()
 
     async def _run_expiry(self) -> None:
         while True:
-            await anyio.sleep(_EXPIRY / SECOND)
+            await anyio.sleep(_EXPIRY_INTERVAL / SECOND)
             self._runs.expire()
 
     def _announce(self) -> None:
-        self._beats.set_phase(AgentPhase.LEAVING)
-        self._beats.send()
+        self._heartbeats.set_phase(AgentPhase.LEAVING)
+        self._heartbeats.send()
 
-    def _cut(self, works: Sequence[str]) -> None:
-        self._runs.cut(works)
+    def _cut_off(self, work_ids: Sequence[str]) -> None:
+        self._runs.cut(work_ids)
 
-    async def _say_farewell(self) -> None:
-        with anyio.move_on_after(_EXPIRY / SECOND):
+    async def _flush_outboxes(self) -> None:
+        with anyio.move_on_after(_EXPIRY_INTERVAL / SECOND):
             for outbox in tuple(self._outboxes.values()):
                 await outbox.flush()
         self._events.write(EventName.PROCESS_STOPPED)
--- a/tests/agents.py
+++ b/tests/agents.py
@@ -1,4 +1,4 @@
-"""Run an agent in this loop and speak to it as an entry does."""
+"""Helpers that run an agent in process and connect to it as an entry."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running(
+async def run_agent(
     settings: AgentSettings, stream: TextIO | None = None
 ) -> AsyncGenerator[AgentShell, None]:
     events = make_event_log(settings.process, stream=stream or io.StringIO())
@@ -88,8 +88,8 @@
         tasks.cancel_scope.cancel()
 
 
-class World:
-    """Hold the configuration that entries serve."""
+class ConfigurationSource:
+    """The configuration log that a fake entry serves."""
 
     def __init__(self, *specs: tuple[ObjectKind, str, Spec]) -> None:
         self.reader = ConfigurationReader(Random(1))
@@ -108,8 +108,8 @@
         self.reader.on_page(page, CLOCK.now())
 
 
-def make_world(digest: str, service: str = 'asistente') -> World:
-    return World(
+def make_source(digest: str, service: str = 'asistente') -> ConfigurationSource:
+    return ConfigurationSource(
         (ObjectKind.TEAM, TEAM, TeamSpec()),
         (
             ObjectKind.MODEL_VERSION,
@@ -141,11 +141,11 @@
 
 
 class FakeEntry:
-    """Send dispatches and collect what comes back."""
+    """An entry that sends dispatches and collects the responses."""
 
-    def __init__(self, link: Link, world: World) -> None:
+    def __init__(self, link: Link, source: ConfigurationSource) -> None:
         self.link = link
-        self.world = world
+        self.source = source
         self.beat: Heartbeat | None = None
         self.beats = 0
         self.messages: list[Message] = []
@@ -154,22 +154,22 @@
     async def read(self) -> None:
         with contextlib.suppress(LinkClosed):
             while True:
-                await self._take(await self.link.receive())
+                await self._receive(await self.link.receive())
 
-    async def _take(self, message: Message) -> None:
+    async def _receive(self, message: Message) -> None:
         if isinstance(message, Heartbeat):
             self.beat = message
             self.beats += 1
             return
         if isinstance(message, ConfigurationRequest):
-            for each in self.world.reader.answer(message):
+            for each in self.source.reader.answer(message):
                 await self.link.send(each)
             return
         self.messages.append(message)
         if isinstance(message, AnswerHead | AnswerChunk | AnswerEnd | Failed):
-            self._note(message)
+            self._record(message)
 
-    def _note(self, message: Any) -> None:
+    def _record(self, message: Any) -> None:
         key = (message.request, message.attempt)
         outcome = self.outcomes.setdefault(key, Outcome())
         if isinstance(message, AnswerHead):
@@ -181,8 +181,8 @@
         else:
             outcome.failed = message
 
-    async def tell_offset(self) -> None:
-        offset = self.world.reader.offset
+    async def send_offset(self) -> None:
+        offset = self.source.reader.offset
         await self.link.send(EntryBeat('e', 1, offset))
 
     async def wait_serving(self) -> None:
@@ -263,15 +263,17 @@
 
 
 @contextlib.asynccontextmanager
-async def dialing(
-    shell: AgentShell, world: World | None = None, name: str = 'e1'
+async def connect_entry(
+    shell: AgentShell,
+    source: ConfigurationSource | None = None,
+    name: str = 'e1',
 ) -> AsyncGenerator[FakeEntry, None]:
-    world = world or World()
-    hello = Hello(1, Role.ENTRY, name, f'{name}-i', 'dc', world.reader.offset)
+    source = source or ConfigurationSource()
+    hello = Hello(1, Role.ENTRY, name, f'{name}-i', 'dc', source.reader.offset)
     link = await dial(
         f'127.0.0.1:{shell.port}', hello, settings=LinkSettings(), clock=CLOCK
     )
-    entry = FakeEntry(link, world)
+    entry = FakeEntry(link, source)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(entry.read)
         await wait_until(lambda: entry.beat is not None)
--- a/tests/matrix/orders.py
+++ b/tests/matrix/orders.py
@@ -136,14 +136,14 @@
         before = configuration.confirmed_at
         for outbox in tuple(configuration._entries.values()):
             request = ConfigurationRequest(configuration.offset)
-            configuration._ask(outbox, request)
+            configuration._send_request(outbox, request)
         await _sleep(agent, _CONFIRM)
         return 0.0 if configuration.confirmed_at > before else RECHECK_INTERVAL
 
     async def _order(self, order: Order) -> None:
         agent = self._agent
-        if not self.engine.held:
-            self.engine.hold()
+        if not self.engine.admission_suspended:
+            self.engine.suspend_admission()
             await self._wait_runs()
             return
         agent.world.points.strike(Point.ORDER, agent)
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""Hold what one agent promises about its runs and its planned stop."""
+"""Runs, claims, streams, drain and orders of one agent."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 from agents import (
     TEAM,
+    ConfigurationSource,
     FakeEntry,
-    World,
-    dialing,
+    connect_entry,
     make_settings,
-    make_world,
-    running,
+    make_source,
+    run_agent,
     wait_until,
 )
 from oleanderdyke.agent import main as agent_main
-from oleanderdyke.agent.backend import Backend, Json
+from oleanderdyke.agent.backend import Backend, JsonObject
 from oleanderdyke.agent.configuration import Configuration
 from oleanderdyke.agent.engine import EngineView
 from oleanderdyke.agent.settings import BackendSettings, RunSettings
@@ -75,7 +75,7 @@
     app = plain.make_app(die=lambda: None)
     async with server.serving(app) as (address,):
         settings = make_settings(BackendKind.PLAIN, address, SERVICE, **more)
-        async with running(settings) as shell, dialing(shell) as entry:
+        async with run_agent(settings) as shell, connect_entry(shell) as entry:
             await entry.wait_serving()
             yield app, shell, entry
 
@@ -128,7 +128,7 @@
         assert len(outcome.body) == BIG
 
 
-async def test_hop_by_hop_headers_and_credentials_stay_here() -> None:
+async def test_hop_by_hop_headers_and_credentials_are_not_forwarded() -> None:
     seen: dict[str, str] = {}
 
     async def app(scope: Any, _receive: Any, send: Any) -> None:
@@ -141,7 +141,7 @@
 
     async with server.serving(app) as (address,):
         settings = make_settings(BackendKind.PLAIN, address, SERVICE)
-        async with running(settings) as shell, dialing(shell) as entry:
+        async with run_agent(settings) as shell, connect_entry(shell) as entry:
             await entry.wait_serving()
             headers = (
                 ('authorization', 'Bearer x'),
@@ -174,8 +174,8 @@
 async def test_keyed_run_with_too_long_an_answer_is_known_to_have_ended() -> (
     None
 ):
-    async with plain_agent(runs=RunSettings(record_bytes=10)) as world:
-        app, _, entry = world
+    async with plain_agent(runs=RunSettings(record_bytes=10)) as parts:
+        app, _, entry = parts
         set_faults(app, big=11)
         claim = entry.make_claim('k')
         outcome = await entry.call(
@@ -189,7 +189,7 @@
 async def test_claimed_run_goes_on_without_its_caller() -> None:
     async with plain_agent() as (app, shell, entry):
         set_faults(app, slow=200.0)
-        async with dialing(shell, name='e2') as other:
+        async with connect_entry(shell, name='e2') as other:
             claim = other.make_claim('k')
             await other.send(other.make_dispatch('r', claim=claim), b'x')
             await other.send(other.make_dispatch('r3', claim=None), b'y')
@@ -213,7 +213,7 @@
 
     async with server.serving(app) as (address,):
         settings = make_settings(BackendKind.PLAIN, address, SERVICE)
-        async with running(settings) as shell, dialing(shell) as entry:
+        async with run_agent(settings) as shell, connect_entry(shell) as entry:
             await entry.wait_serving()
             await entry.send(entry.make_dispatch('r'), b'x')
             await came.wait()
@@ -229,7 +229,7 @@
 async def test_unwanted_run_ends_with_the_link_of_its_entry() -> None:
     async with plain_agent() as (app, shell, entry):
         set_faults(app, silent=True)
-        async with dialing(shell, name='e2') as other:
+        async with connect_entry(shell, name='e2') as other:
             dispatch = other.make_dispatch('r', method='GET', idempotent=True)
             await other.send(dispatch, b'')
             await wait_until(lambda: shell._gate.running == 1)
@@ -240,7 +240,7 @@
 @pytest.mark.parametrize(
     ('deadline', 'ran'), [(300.0, Ran.MAYBE), (0.0, Ran.NO)]
 )
-async def test_deadline_tells_whether_it_may_have_run(
+async def test_deadline_error_says_whether_the_request_may_have_run(
     deadline: float, ran: Ran
 ) -> None:
     async with plain_agent() as (app, _, entry):
@@ -255,7 +255,7 @@
 @pytest.mark.parametrize('key', ['k', ''])
 async def test_body_that_is_cut_off_reaches_no_service(key: str) -> None:
     async with plain_agent() as (app, shell, entry):
-        async with dialing(shell, name='e2') as other:
+        async with connect_entry(shell, name='e2') as other:
             claim = other.make_claim(key) if key else None
             dispatch = other.make_dispatch('r', claim=claim)
             await other.link.send(dispatch)
@@ -278,11 +278,11 @@
         assert not app.runs
 
 
-async def test_stream_goes_on_through_another_entry() -> None:
+async def test_stream_resumes_through_another_entry() -> None:
     limits = StreamLimits(credit=4)
     async with plain_agent(streams=limits) as (app, shell, entry):
         set_faults(app, big=BIG)
-        async with dialing(shell, name='e2') as other:
+        async with connect_entry(shell, name='e2') as other:
             dispatch = other.make_dispatch('r', method='GET', idempotent=True)
             first = await other.send(dispatch, b'')
             await wait_until(lambda: len(first.chunks) == 4)
@@ -308,7 +308,7 @@
         assert refused.kind is ErrorKind.STREAM_GONE
 
 
-async def test_stream_that_nobody_takes_is_given_up() -> None:
+async def test_unread_stream_is_closed() -> None:
     limits = StreamLimits(credit=4, hold=300.0)
     async with plain_agent(streams=limits) as (app, shell, entry):
         set_faults(app, big=BIG)
@@ -320,7 +320,7 @@
 
 
 class CrashingService:
-    """Accept runs, then die with all of them."""
+    """A service that accepts runs and then crashes with all of them."""
 
     def __init__(self) -> None:
         self.accepted = 0
@@ -361,7 +361,10 @@
         group.start_soon(check, settings)
 
     async def check(settings: Any) -> None:
-        async with running(settings, logged) as shell, dialing(shell) as entry:
+        async with (
+            run_agent(settings, logged) as shell,
+            connect_entry(shell) as entry,
+        ):
             await entry.wait_serving()
             claim = entry.make_claim('k')
             one = await entry.send(entry.make_dispatch('r1', claim=claim), b'x')
@@ -408,7 +411,7 @@
     service = await asyncio.start_server(answer, '127.0.0.1', 0)
     port = service.sockets[0].getsockname()[1]
     settings = make_settings(BackendKind.PLAIN, f'127.0.0.1:{port}', SERVICE)
-    async with running(settings) as shell, dialing(shell) as entry:
+    async with run_agent(settings) as shell, connect_entry(shell) as entry:
         await entry.wait_serving()
         claim = entry.make_claim('k')
         await entry.send(entry.make_dispatch('r', claim=claim), b'x')
@@ -424,11 +427,11 @@
     service.close()
 
 
-async def test_leaving_refuses_new_work_and_ends_after_the_old() -> None:
+async def test_drain_refuses_new_runs_and_waits_for_running_ones() -> None:
     drain = DrainSettings(announce=100.0)
     async with plain_agent(drain=drain) as (app, shell, entry):
         set_faults(app, slow=600.0)
-        async with dialing(shell, name='e2') as other:
+        async with connect_entry(shell, name='e2') as other:
             running_one = await entry.send(entry.make_dispatch('r'), b'x')
             await wait_until(lambda: shell._gate.running == 1)
             await entry.link.send(DrainRequest('op'))
@@ -448,7 +451,7 @@
             await wait_until(lambda: entry.link.closed and other.link.closed)
 
 
-async def test_second_signal_cuts_what_still_runs() -> None:
+async def test_second_signal_cuts_off_remaining_runs() -> None:
     async with plain_agent() as (app, shell, entry):
         set_faults(app, silent=True)
         outcome = await entry.send(entry.make_dispatch('r'), b'x')
@@ -463,10 +466,10 @@
 
 
 async def test_configuration_passes_from_entry_to_entry() -> None:
-    world = World((ObjectKind.TEAM, TEAM, TeamSpec()))
+    source = ConfigurationSource((ObjectKind.TEAM, TEAM, TeamSpec()))
     async with plain_agent() as (_, shell, behind):
-        async with dialing(shell, world, name='e2') as ahead:
-            await ahead.tell_offset()
+        async with connect_entry(shell, source, name='e2') as ahead:
+            await ahead.send_offset()
             await wait_until(
                 lambda: behind.beat is not None and behind.beat.offset == 0
             )
@@ -480,16 +483,16 @@
 
 
 class SilentLink:
-    """Stand in for the link to an entry that the test answers for."""
+    """A link to an entry; the test supplies the answers."""
 
     name = 'entry-1'
 
     def put(self, message: Message) -> None:
-        """Send nothing."""
+        """Discard the message."""
 
 
 @pytest.mark.parametrize('unanswered', [1, 15, 16, 17, 40])
-def test_an_answer_confirms_no_later_question_than_its_own(
+def test_an_answer_confirms_no_request_after_its_own(
     unanswered: int,
 ) -> None:
     clock = ManualClock()
@@ -502,20 +505,21 @@
     configuration.add_entry(entry)
     asked = []
     for _ in range(unanswered):
-        # It is behind, and asks for what it lacks every two seconds.
-        configuration.hear(entry, 1)
+        # The copy is behind and requests the missing records every two
+        # seconds.
+        configuration.on_peer_offset(entry, 1)
         asked.append(clock.now())
         clock.advance(3_000.0)
     for at in asked:
-        configuration.take(entry, ConfigurationDifference(-1, -1))
+        configuration.on_difference(entry, ConfigurationDifference(-1, -1))
         assert configuration.confirmed_at <= at
     clock.advance(3_000.0)
-    configuration.hear(entry, 1)
-    configuration.take(entry, ConfigurationDifference(-1, -1))
+    configuration.on_peer_offset(entry, 1)
+    configuration.on_difference(entry, ConfigurationDifference(-1, -1))
     assert configuration.confirmed_at == clock.now()
 
 
-async def test_message_for_others_is_refused() -> None:
+async def test_message_not_for_an_agent_is_refused() -> None:
     async with plain_agent() as (_, _, entry):
         await entry.link.send(SegmentWritten('r', b'', sealed=True))
         await wait_until(
@@ -526,7 +530,7 @@
 @contextlib.asynccontextmanager
 async def engine_agent(
     **more: Any,
-) -> AsyncGenerator[tuple[engine.Engine, World, FakeEntry], None]:
+) -> AsyncGenerator[tuple[engine.Engine, ConfigurationSource, FakeEntry], None]:
     store = weights.make_app()
     async with server.serving(store) as (weight_address,):
         app = engine.make_app(
@@ -534,14 +538,14 @@
         )
         async with server.serving(app) as (address,):
             settings = make_settings(BackendKind.ENGINE, address, 'asistente')
-            world = make_world(find_digest('1'))
+            source = make_source(find_digest('1'))
             async with (
-                running(settings) as shell,
-                dialing(shell, world) as entry,
+                run_agent(settings) as shell,
+                connect_entry(shell, source) as entry,
             ):
-                await entry.tell_offset()
+                await entry.send_offset()
                 await entry.wait_weights(find_digest('1'))
-                yield app, world, entry
+                yield app, source, entry
 
 
 def find_digest(version: str) -> str:
@@ -553,14 +557,14 @@
     return json.dumps({'messages': messages} | more).encode()
 
 
-def publish_second(world: World) -> None:
-    world.publish(
+def publish_second(source: ConfigurationSource) -> None:
+    source.publish(
         ObjectKind.MODEL_VERSION,
         'v2',
         ModelVersionSpec('modelo', '2', find_digest('2')),
     )
     service = ServiceSpec(ServiceKind.MODEL, model='modelo', version='2')
-    world.publish(ObjectKind.SERVICE, 'asistente', service, expected=1)
+    source.publish(ObjectKind.SERVICE, 'asistente', service, expected=1)
 
 
 @pytest.mark.parametrize('options', [{'stream': True}, {'stream': False}])
@@ -589,10 +593,10 @@
 
 
 async def test_new_version_is_ordered_and_the_old_one_refused() -> None:
-    async with engine_agent() as (app, world, entry):
+    async with engine_agent() as (app, source, entry):
         old = entry.make_chat('old')
-        publish_second(world)
-        await entry.tell_offset()
+        publish_second(source)
+        await entry.send_offset()
         await entry.wait_weights(find_digest('2'))
         refused = await entry.call(old, make_chat())
         assert refused.failed is not None
@@ -603,8 +607,8 @@
         assert app.stats.orders_refused == 0
 
 
-async def test_superseded_agent_leaves_and_orders_nothing_more() -> None:
-    async with engine_agent(decode_ms=60.0) as (app, world, entry):
+async def test_superseded_agent_drains_and_sends_no_more_orders() -> None:
+    async with engine_agent(decode_ms=60.0) as (app, source, entry):
         chat = entry.make_chat('r')
         running_one = await entry.send(chat, make_chat(max_tokens=30))
         await wait_until(lambda: running_one.head is not None)
@@ -622,9 +626,9 @@
             )
         )
         taken = app.stats.orders_taken
-        publish_second(world)
-        await entry.tell_offset()
-        offset = world.reader.offset
+        publish_second(source)
+        await entry.send_offset()
+        offset = source.reader.offset
         await wait_until(
             lambda: entry.beat is not None and entry.beat.offset == offset
         )
@@ -634,15 +638,15 @@
 
 
 async def test_order_waits_for_runs_that_have_not_begun_to_answer() -> None:
-    async with engine_agent(decode_ms=60.0) as (app, world, entry):
+    async with engine_agent(decode_ms=60.0) as (app, source, entry):
         body = make_chat(stream=False)
         running_one = await entry.send(entry.make_chat('r'), body)
         await wait_until(lambda: bool(app.stats.runs))
         service = ServiceSpec(
             ServiceKind.MODEL, model='modelo', version='1', adapter='a'
         )
-        world.publish(ObjectKind.SERVICE, 'asistente', service, expected=1)
-        await entry.tell_offset()
+        source.publish(ObjectKind.SERVICE, 'asistente', service, expected=1)
+        await entry.send_offset()
         await wait_until(lambda: app.loaded.adapter == 'a')
         assert app.stats.finished == 1
         await wait_until(lambda: running_one.over)
@@ -654,7 +658,7 @@
     return {'first': 1, 'next': events[-1][0] + 1, 'events': rows}
 
 
-def test_lost_cache_events_cost_the_longest_unused_segments() -> None:
+def test_lost_cache_events_drop_the_least_recently_used_segments() -> None:
     log = make_event_log('a', stream=io.StringIO())
     view = EngineView(
         Backend(BackendSettings(BackendKind.ENGINE, '127.0.0.1:1', 's')),
@@ -669,20 +673,20 @@
         return sorted(seg[0] for each in listed for seg in each.added)
 
     stored = [(n, 'stored', n) for n in range(1, 6)]
-    view._take_events(make_page(*stored))
+    view._apply_events(make_page(*stored))
     assert list_known() == [1, 2, 3, 4, 5]
     view.record_use([bytes([1] * 32)])
-    view._take_events(make_page((8, 'removed', 4)))
+    view._apply_events(make_page((8, 'removed', 4)))
     assert list_known() == [1, 5]
-    view._take_events(make_page((1, 'stored', 9)))
+    view._apply_events(make_page((1, 'stored', 9)))
     assert list_known() == []
 
 
-async def test_a_state_is_as_old_as_the_question_for_it() -> None:
+async def test_engine_state_is_as_old_as_its_request() -> None:
     clock = ManualClock()
 
     class SlowEngine(Backend):
-        async def get_json(self, path: str) -> Json:
+        async def get_json(self, path: str) -> JsonObject:
             clock.advance(900.0)
             return {'model': 'm', 'version': '1', 'digest': 'd'}
 
--- a/tests/test_prepare.py
+++ b/tests/test_prepare.py
@@ -10,7 +10,7 @@
 
 from agents import wait_until
 from oleanderdyke.agent.body import RequestBody
-from oleanderdyke.agent.fetch import Fetched
+from oleanderdyke.agent.fetch import FetchResult
 from oleanderdyke.agent.prepare import EnginePreparer
 from oleanderdyke.agent.run import Run
 from oleanderdyke.kernel.blocks import make_namespace
@@ -41,8 +41,8 @@
     def __init__(self, whole: int) -> None:
         self._whole = whole
 
-    async def fetch(self, *_: Any, **__: Any) -> Fetched:
-        return Fetched(self._whole, 0)
+    async def fetch(self, *_: Any, **__: Any) -> FetchResult:
+        return FetchResult(self._whole, 0)
 
 
 async def prepare(dispatch: Dispatch, whole: int) -> int:
@@ -95,7 +95,7 @@
         keep = replace(plan, segments=segments)
         await place.entries[0].call(replace(chat, keep=keep), BODY)
         await wait_until(lambda: len(place.store.objects) == 2 * len(segments))
-        entries = place.keeper._role._store._index._entries
+        entries = place.store_agent._role._store._index._entries
         await wait_until(lambda: len(entries) == len(segments))
         depths = [entries.get(each).meta.depth for each in segments]
         assert depths == list(range(first, len(plan.segments)))
