--- a/src/oleanderdyke/agent/hosted/news.py
+++ b/src/oleanderdyke/agent/hosted/news.py
@@ -13,7 +13,7 @@
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.neighbours import RECORD_SOURCE, Neighbours
 from oleanderdyke.links.messages import PROTOCOL_VERSION, Hello, Role
-from oleanderdyke.links.news_reader import NewsReader
+from oleanderdyke.links.news_client import NewsClient
 from oleanderdyke.logs import EventLog
 from oleanderdyke.metrics import Metrics
 from oleanderdyke.platform.documents import MalformedRecord
@@ -47,7 +47,7 @@
         self._log = log
         self._clock = clock
         self._neighbours = Neighbours('', settings.data_centre)
-        self._reader = NewsReader(
+        self._reader = NewsClient(
             self._neighbours,
             clock,
             (RECORD_SOURCE,),
@@ -70,7 +70,7 @@
             tasks.start_soon(self._read_entries)
             await anyio.sleep(_LOAD_AFTER / SECOND)
             links = import_module('oleanderdyke.links.news_links')
-            await links.keep_links(
+            await links.maintain_links(
                 self._reader, self._make_hello, clock=self._clock, random=random
             )
 
--- a/src/oleanderdyke/agent/hosted/shell.py
+++ b/src/oleanderdyke/agent/hosted/shell.py
@@ -155,10 +155,10 @@
             try:
                 await read()
             except StoreUnavailable as error:
-                store.note_failed(error.message)
+                store.record_failure(error.message)
                 await anyio.sleep(_RETRY_PAUSE / SECOND)
             else:
-                store.note_good()
+                store.record_success()
 
     def _make_store_dependency(self, name: str) -> Dependency:
         return Dependency(
@@ -224,13 +224,13 @@
         try:
             await self._engine.step()
         except StoreUnavailable as error:
-            self._queue.note_failed(error.message)
+            self._queue.record_failure(error.message)
             return min(max(2 * pause, _RETRY_PAUSE), _LONGEST_PAUSE)
         except EngineUnavailable as error:
-            self._beside.note_failed(error.message)
+            self._beside.record_failure(error.message)
         else:
-            self._queue.note_good()
-            self._beside.note_good()
+            self._queue.record_success()
+            self._beside.record_success()
         return _ROLLOUT_PERIOD
 
     def _refuse(self, name: str, error: MalformedRecord) -> None:
--- a/src/oleanderdyke/dependencies.py
+++ b/src/oleanderdyke/dependencies.py
@@ -39,7 +39,7 @@
         """Return whether it failed last."""
         return self._lost_at is not None
 
-    def note_failed(self, detail: str) -> None:
+    def record_failure(self, detail: str) -> None:
         """Learn that it failed; the first failure is logged."""
         self._metrics.add(Count.DEPENDENCY_FAULTS, label=self._label)
         if self._lost_at is not None:
@@ -47,7 +47,7 @@
         self._lost_at = self._clock.now()
         self._log.write(self._lost, **self._keys, detail=detail)
 
-    def note_good(self) -> None:
+    def record_success(self) -> None:
         """Learn that it answered; the first answer after a loss is logged."""
         if self._lost_at is None:
             return
--- a/src/oleanderdyke/entry/hosted/call_log.py
+++ b/src/oleanderdyke/entry/hosted/call_log.py
@@ -83,7 +83,7 @@
 
     def tell_cancelled(self, progress: Progress) -> None:
         """Log that the caller has left before the end."""
-        self._core.log.write_urgent(
+        self._core.log.write_warning(
             EventName.REQUEST_CANCELLED,
             request=self._call.request,
             **self._describe_time(),
@@ -100,7 +100,7 @@
         is_bad = is_late or status >= _SERVER_ERROR
         if is_late:
             core.metrics.add(Count.MISSED_TARGETS, label=call.service)
-        write = core.log.write_urgent if is_bad else core.log.write
+        write = core.log.write_warning if is_bad else core.log.write
         write(
             EventName.REQUEST_FINISHED,
             request=call.request,
--- a/src/oleanderdyke/entry/hosted/contexts.py
+++ b/src/oleanderdyke/entry/hosted/contexts.py
@@ -19,8 +19,8 @@
 from oleanderdyke.kernel.outdated_context import OutdatedContext
 from oleanderdyke.kernel.read_backoff import ReadBackoff
 from oleanderdyke.links.messages.news import StorePosition
-from oleanderdyke.links.news_desk import encode_loads
-from oleanderdyke.links.news_reader import SharedEvents
+from oleanderdyke.links.news_client import SharedEvents
+from oleanderdyke.links.news_server import encode_loads
 from oleanderdyke.platform.contexts import ContextClient, ContextUnavailable
 from oleanderdyke.platform.documents import MalformedRecord
 
@@ -119,10 +119,10 @@
                     await self._read(client, view, turns.wait)
                 except ContextUnavailable as error:
                     pause = self._note_unavailable(error, view, turns)
-                    store.note_failed(error.message)
+                    store.record_failure(error.message)
                     await anyio.sleep(pause / SECOND)
                     continue
-                store.note_good()
+                store.record_success()
                 await self._free_outdated(client, view)
                 await anyio.sleep(turns.find_pause() / SECOND)
 
@@ -161,7 +161,7 @@
             found = await client.read_events(0, wait)
         since = view.position
         view.apply_events(found, asked_at, self._core.clock.now())
-        self._core.news.desk.keep_events(
+        self._core.news.desk.buffer_events(
             view.traits.address, since, found, asked_at
         )
 
@@ -169,7 +169,7 @@
         """Take what a neighbour reads of some stores, until cancelled."""
         core, told = self._core, 0
         while True:
-            board, now = core.news.desk.own_loads, core.clock.now()
+            board, now = core.news.desk.local_loads, core.clock.now()
             loads = encode_loads(board.list_after(told, now), now)
             told = board.last_number
             found = await core.news.reader.ask_events(
--- a/src/oleanderdyke/entry/hosted/core.py
+++ b/src/oleanderdyke/entry/hosted/core.py
@@ -111,7 +111,7 @@
         told = TimedLoad(start, load, self.clock.now(), rate_limit)
         self.backends.record_load(start, load, told.at)
         self.news.desk.loads.update(told)
-        self.news.desk.own_loads.update(told)
+        self.news.desk.local_loads.update(told)
 
     def take_shared_load(self, told: TimedLoad) -> None:
         """Take the load that a server told a neighbour."""
@@ -292,5 +292,5 @@
         limits=SendLimits(settings.process, entries, settings.regions),
         entries=entries,
     )
-    core.news.desk.note_urgent = core.want_servers
+    core.news.desk.on_urgent_request = core.want_servers
     return core
--- a/src/oleanderdyke/entry/hosted/news.py
+++ b/src/oleanderdyke/entry/hosted/news.py
@@ -20,8 +20,8 @@
     Neighbours,
 )
 from oleanderdyke.links.messages import PROTOCOL_VERSION, Hello, Role
-from oleanderdyke.links.news_desk import NewsDesk
-from oleanderdyke.links.news_reader import NewsReader
+from oleanderdyke.links.news_client import NewsClient
+from oleanderdyke.links.news_server import NewsServer
 from oleanderdyke.logs import EventLog
 from oleanderdyke.metrics import Metrics
 from oleanderdyke.platform.settings import HostSettings
@@ -46,8 +46,8 @@
             settings.process, settings.links, settings.data_centre
         )
         self.neighbours = Neighbours(settings.process, settings.data_centre)
-        self.desk = NewsDesk(self.neighbours, clock)
-        self.reader = NewsReader(
+        self.desk = NewsServer(self.neighbours, clock)
+        self.reader = NewsClient(
             self.neighbours,
             clock,
             (RECORD_SOURCE, *CONTEXT_SOURCES),
@@ -94,7 +94,7 @@
                         clock=self._clock,
                     )
                 )
-                await links.keep_links(
+                await links.maintain_links(
                     self.reader,
                     self._make_hello,
                     clock=self._clock,
--- a/src/oleanderdyke/entry/hosted/presence.py
+++ b/src/oleanderdyke/entry/hosted/presence.py
@@ -43,9 +43,9 @@
                 await self._announce()
                 await self._read()
             except StoreUnavailable as error:
-                store.note_failed(error.message)
+                store.record_failure(error.message)
             else:
-                store.note_good()
+                store.record_success()
             await anyio.sleep(next(pauses) / SECOND)
 
     def _refuse(self, name: str, error: MalformedRecord) -> None:
--- a/src/oleanderdyke/entry/hosted/watch.py
+++ b/src/oleanderdyke/entry/hosted/watch.py
@@ -168,11 +168,11 @@
             try:
                 await read()
             except StoreUnavailable as error:
-                store.note_failed(error.message)
+                store.record_failure(error.message)
                 await anyio.sleep(pause / SECOND)
                 pause = min(2 * pause, _LONGEST_PAUSE)
                 continue
-            store.note_good()
+            store.record_success()
             pause = _RETRY_PAUSE
             if period and not self._short.was_shared:
                 await self._pause(period)
--- a/src/oleanderdyke/entry/shell.py
+++ b/src/oleanderdyke/entry/shell.py
@@ -145,7 +145,7 @@
             core.make_hello,
             on_up=links.on_up,
             on_message=links.on_message,
-            take=links.take,
+            handle_inline=links.take,
             on_down=links.on_down,
             settings=core.settings.links,
             clock=core.clock,
--- a/src/oleanderdyke/links/link.py
+++ b/src/oleanderdyke/links/link.py
@@ -191,7 +191,7 @@
         self.counters.note_out(message, len(data))
         return True
 
-    def tap(self, take: Callable[[Message], None]) -> None:
+    def handle_inline(self, take: Callable[[Message], None]) -> None:
         """Give messages to `take` as they arrive, sparing `receive` a turn.
 
         Only while `receive` waits, so that the order stays. `receive` returns
--- a/src/oleanderdyke/links/news_reader.py
+++ b/src/oleanderdyke/links/news_client.py
@@ -26,7 +26,7 @@
     StoreNews,
     StorePosition,
 )
-from oleanderdyke.links.news_desk import decode_loads
+from oleanderdyke.links.news_server import decode_loads
 
 if TYPE_CHECKING:
     from oleanderdyke.links.link import Link
@@ -86,17 +86,17 @@
         """Return the open link to a neighbour."""
 
 
-class Health(Protocol):
+class HealthRecorder(Protocol):
     """Learn whether neighbours that are asked answer."""
 
-    def note_failed(self, detail: str) -> None:
+    def record_failure(self, detail: str) -> None:
         """Learn that one gave no news."""
 
-    def note_good(self) -> None:
+    def record_success(self) -> None:
         """Learn that one did."""
 
 
-class NewsReader:
+class NewsClient:
     """Ask those neighbours that read a source; bound how long that takes."""
 
     def __init__(
@@ -104,7 +104,7 @@
         neighbours: Neighbours,
         clock: Clock,
         sources: Iterable[str],
-        health: Health,
+        health: HealthRecorder,
     ) -> None:
         self.neighbours = neighbours
         self._health = health
@@ -116,11 +116,11 @@
         self._owners: dict[int, str] = {}
         self._wanted: dict[str, Millis] = {}
 
-    def use(self, pool: NeighbourLinks) -> None:
+    def set_pool(self, pool: NeighbourLinks) -> None:
         """Ask over these links from now on."""
         self._pool = pool
 
-    def connect(self) -> None:
+    def update_links(self) -> None:
         """Keep links to just those neighbours that are to be asked."""
         if self._pool is None:
             return
@@ -140,7 +140,7 @@
                 self._pass_over(name, 'no link')
                 del self._wanted[name]
 
-    async def take(self, _: Link, message: Message) -> None:
+    async def handle_answer(self, _: Link, message: Message) -> None:
         """Take an answer; one that nobody waits for any more is dropped."""
         if not isinstance(message, NewsAnswer | ContextAnswer):
             return
@@ -148,7 +148,7 @@
         if asked is not None and not asked.done():
             asked.set_result(message)
 
-    async def note_down(self, link: Link) -> None:
+    async def on_link_down(self, link: Link) -> None:
         """End what was asked over a link that has closed."""
         for number, owner in tuple(self._owners.items()):
             if owner == link.peer.process:
@@ -184,7 +184,7 @@
         if answer.age >= limit:
             self._pass_over(reader.name, f'{topic} is {answer.age:.0f} ms old')
             return None
-        self._health.note_good()
+        self._health.record_success()
         held = min(max(answer.held, 0.0), self._clock.now() - asked_at)
         return SharedRecords(
             answer.records,
@@ -250,7 +250,7 @@
 
     def _pass_over(self, name: str, reason: str) -> None:
         self.neighbours.record_failure(name, self._clock.now())
-        self._health.note_failed(f'{name}: {reason}')
+        self._health.record_failure(f'{name}: {reason}')
 
     def _find_link(self, name: str) -> Link | None:
         return None if self._pool is None else self._pool.find(name)
--- a/src/oleanderdyke/links/news_links.py
+++ b/src/oleanderdyke/links/news_links.py
@@ -12,8 +12,8 @@
 from oleanderdyke.links.link import Link, LinkSettings
 from oleanderdyke.links.listener import serve_links
 from oleanderdyke.links.messages import Hello
-from oleanderdyke.links.news_desk import NewsDesk
-from oleanderdyke.links.news_reader import NewsReader
+from oleanderdyke.links.news_client import NewsClient
+from oleanderdyke.links.news_server import NewsServer
 from oleanderdyke.links.pool import LinkPool, PoolSettings
 
 # How often the links are compared with who reads.
@@ -22,8 +22,8 @@
 _DIAL_LIMIT: Millis = 500.0
 
 
-async def keep_links(
-    reader: NewsReader,
+async def maintain_links(
+    reader: NewsClient,
     make_hello: Callable[[], Hello],
     *,
     clock: Clock,
@@ -33,8 +33,8 @@
     pool = LinkPool(
         make_hello,
         on_up=_note_up,
-        on_message=reader.take,
-        on_down=reader.note_down,
+        on_message=reader.handle_answer,
+        on_down=reader.on_link_down,
         settings=PoolSettings(
             link=LinkSettings(dial_timeout=_DIAL_LIMIT),
             last_backoff=1 * SECOND,
@@ -42,16 +42,16 @@
         clock=clock,
         random=random,
     )
-    reader.use(pool)
+    reader.set_pool(pool)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(pool.run)
         while True:
-            reader.connect()
+            reader.update_links()
             await anyio.sleep(_CONNECT_PERIOD / SECOND)
 
 
 async def serve_neighbours(
-    desk: NewsDesk,
+    desk: NewsServer,
     address: str,
     make_hello: Callable[[], Hello],
     *,
--- a/src/oleanderdyke/links/news_desk.py
+++ b/src/oleanderdyke/links/news_server.py
@@ -95,17 +95,17 @@
     return max(news.rate_limit, 0.0) if news.is_limited else math.inf
 
 
-class NewsDesk:
+class NewsServer:
     """Answer neighbours from what this process reads itself.
 
     `note_urgent` is called where a neighbour asks for a read right now.
     """
 
     def __init__(self, neighbours: Neighbours, clock: Clock) -> None:
-        self.note_urgent: Callable[[], None] = _ignore
+        self.on_urgent_request: Callable[[], None] = _ignore
         # What neighbours and this process were told of loads, and the latter.
         self.loads = LoadTable()
-        self.own_loads = LoadTable()
+        self.local_loads = LoadTable()
         self._neighbours = neighbours
         self._clock = clock
         self._records: defaultdict[str, RecordBuffer] = defaultdict(
@@ -114,7 +114,7 @@
         self._events: defaultdict[str, EventBuffer] = defaultdict(EventBuffer)
         self._changed = anyio.Event()
 
-    def keep_records(
+    def buffer_records(
         self,
         topic: str,
         start: int,
@@ -133,7 +133,7 @@
         )
         self._wake()
 
-    def keep_events(
+    def buffer_events(
         self, store: str, since: int, found: ContextEvents, asked_at: Millis
     ) -> None:
         """Keep what was read of a store of context."""
@@ -162,7 +162,7 @@
     async def _tell_records(self, link: Link, asked: NewsRequest) -> None:
         arrived = self._clock.now()
         if asked.is_urgent:
-            self.note_urgent()
+            self.on_urgent_request()
         tail = self._records.get(asked.topic)
         if tail is None or not self._is_read(tail.read_at, asked.limit):
             self._neighbours.record_request(RECORD_SOURCE, arrived)
--- a/src/oleanderdyke/links/pool.py
+++ b/src/oleanderdyke/links/pool.py
@@ -70,13 +70,13 @@
         clock: Clock,
         random: Random,
         tls: ssl.SSLContext | None = None,
-        take: Callable[[Link, Message], None] | None = None,
+        handle_inline: Callable[[Link, Message], None] | None = None,
     ) -> None:
         self._make_hello = make_hello
         self._on_up = on_up
         self._on_message = on_message
         self._on_down = on_down
-        self._take = take
+        self._handle_inline = handle_inline
         self._settings = settings
         self._clock = clock
         self._random = random
@@ -176,8 +176,8 @@
     async def _read(self, link: Link) -> None:
         try:
             await self._on_up(link)
-            if self._take is not None:
-                link.tap(partial(self._take, link))
+            if self._handle_inline is not None:
+                link.handle_inline(partial(self._handle_inline, link))
             while True:
                 await self._on_message(link, await link.receive())
         except OleanderError:
--- a/src/oleanderdyke/logs.py
+++ b/src/oleanderdyke/logs.py
@@ -67,7 +67,7 @@
         if beginning is not None:
             self._emit(beginning, values)
 
-    def write_urgent(self, event: EventName, **values: LogValue) -> None:
+    def write_warning(self, event: EventName, **values: LogValue) -> None:
         """Write one event as a warning, whatever the level of its kind.
 
         It finds room where lines of good requests are dropped.
--- a/src/oleanderdyke/platform/sharing.py
+++ b/src/oleanderdyke/platform/sharing.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from oleanderdyke.clock import Clock, Millis
-from oleanderdyke.links.news_desk import NewsDesk
-from oleanderdyke.links.news_reader import NewsReader
+from oleanderdyke.links.news_client import NewsClient
+from oleanderdyke.links.news_server import NewsServer
 from oleanderdyke.platform.store import RecordsRead
 
 
@@ -19,8 +19,8 @@
 
     def __init__(
         self,
-        reader: NewsReader,
-        desk: NewsDesk | None,
+        reader: NewsClient,
+        desk: NewsServer | None,
         clock: Clock,
         *,
         wait: Millis,
@@ -67,6 +67,6 @@
             return
         is_whole = start + len(found.records) >= found.end
         known_at = asked_at + found.waited if is_whole else None
-        self._desk.keep_records(
+        self._desk.buffer_records(
             topic, start, found.records, known_at, era=found.era
         )
--- a/tests/news_scene.py
+++ b/tests/news_scene.py
@@ -12,8 +12,8 @@
 from oleanderdyke.errors import ErrorKind, OleanderError
 from oleanderdyke.kernel.neighbours import RECORD_SOURCE, Neighbour, Neighbours
 from oleanderdyke.links.messages import Hello, Message, Role
-from oleanderdyke.links.news_desk import NewsDesk
-from oleanderdyke.links.news_reader import NewsReader
+from oleanderdyke.links.news_client import NewsClient
+from oleanderdyke.links.news_server import NewsServer
 from oleanderdyke.platform.sharing import TopicSharing
 from oleanderdyke.platform.store import (
     RecordsRead,
@@ -97,16 +97,16 @@
 
 
 @dataclass
-class Health:
+class HealthRecorder:
     """Count what neighbours told, and did not."""
 
     failures: list[str] = field(default_factory=list)
     good: int = 0
 
-    def note_failed(self, detail: str) -> None:
+    def record_failure(self, detail: str) -> None:
         self.failures.append(detail)
 
-    def note_good(self) -> None:
+    def record_success(self) -> None:
         self.good += 1
 
 
@@ -127,12 +127,12 @@
     def __post_init__(self) -> None:
         self.clock = VirtualClock(self.random.uniform(-1e6, 1e6))
         self.neighbours = Neighbours(self.name, self.data_centre)
-        self.desk = NewsDesk(self.neighbours, self.clock)
-        self.health = Health()
-        self.reader = NewsReader(
+        self.desk = NewsServer(self.neighbours, self.clock)
+        self.health = HealthRecorder()
+        self.reader = NewsClient(
             self.neighbours, self.clock, (RECORD_SOURCE,), self.health
         )
-        self.reader.use(self)
+        self.reader.set_pool(self)
         self._links: dict[str, FakeLink] = {}
 
     async def wait_thawed(self) -> None:
@@ -156,11 +156,11 @@
 
     async def _close(self, link: FakeLink) -> None:
         link.closed = True
-        await self.reader.note_down(link)
+        await self.reader.on_link_down(link)
 
     async def _take(self, link: FakeLink) -> None:
         while not link.closed:
-            await self.reader.take(link, await link.receive())
+            await self.reader.handle_answer(link, await link.receive())
 
     def make_client(self, wait, limit) -> StoreClient:
         sharing = TopicSharing(
@@ -212,7 +212,7 @@
         for number in range(entries):
             self.add(f'front-{number}', f'hall-{number % data_centres}')
         for process in self.processes.values():
-            process.reader.connect()
+            process.reader.update_links()
 
     def add(self, name: str, data_centre: str) -> Process:
         draw = Random(f'{self._seed}{name}')
@@ -233,7 +233,7 @@
         while True:
             self.meet()
             for process in self.processes.values():
-                process.reader.connect()
+                process.reader.update_links()
             await anyio.sleep(0.2)
 
     def list_readers(self, data_centre: str) -> Iterator[str]:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -545,7 +545,7 @@
     async with listening(partial(hold, links)) as address:
         link = await call(address)
         await wait_until(lambda: links)
-        link.tap(taken.append)
+        link.handle_inline(taken.append)
         sent = [Cancel('r', number) for number in range(200)]
         async with anyio.create_task_group() as group:
             # What came before anybody read is read and not tapped.
@@ -569,7 +569,7 @@
     async with listening(partial(hold, links)) as address:
         link = await call(address)
         await wait_until(lambda: links)
-        link.tap(refuse)
+        link.handle_inline(refuse)
         async with anyio.create_task_group() as group:
             group.start_soon(links[0].send, Cancel('r', 1))
             with pytest.raises(KeyError, match='fault'):
--- a/tests/test_load_board.py
+++ b/tests/test_load_board.py
@@ -15,7 +15,7 @@
 from oleanderdyke.kernel.servers import ServerLoad, ServerStart
 from oleanderdyke.links.codec import decode, encode
 from oleanderdyke.links.messages.news import ContextAnswer
-from oleanderdyke.links.news_desk import decode_loads, encode_loads
+from oleanderdyke.links.news_server import decode_loads, encode_loads
 
 A = ServerStart('a')
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -73,10 +73,10 @@
 def test_urgent_events_keep_to_the_level_of_the_log():
     stream = io.StringIO()
     log = make_event_log('entry-1', Level.ERROR, ManualClock(), stream)
-    log.write_urgent(EventName.REQUEST_FINISHED)
+    log.write_warning(EventName.REQUEST_FINISHED)
     assert not stream.getvalue()
     log = make_event_log('entry-1', Level.WARNING, ManualClock(), stream)
     log.write(EventName.REQUEST_FINISHED)
-    log.write_urgent(EventName.REQUEST_FINISHED)
+    log.write_warning(EventName.REQUEST_FINISHED)
     (line,) = stream.getvalue().splitlines()
     assert parse_line(line)['level'] == 'warning'
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -23,7 +23,7 @@
     NewsOutcome,
     NewsRequest,
 )
-from oleanderdyke.links.news_desk import NewsDesk
+from oleanderdyke.links.news_server import NewsServer
 from tests.news_scene import FakeLink, Scene
 from tests.virtual_time import run_virtually
 
@@ -182,7 +182,7 @@
 def test_news_that_is_told_younger_than_it_is_would_be_found(
     monkeypatch, unsafe
 ):
-    tell = NewsDesk._wait_records
+    tell = NewsServer._wait_records
 
     async def tell_wrongly(self, *arguments):
         answer = await tell(self, *arguments)
@@ -197,7 +197,7 @@
             answer.is_complete,
         )
 
-    monkeypatch.setattr(NewsDesk, '_wait_records', tell_wrongly)
+    monkeypatch.setattr(NewsServer, '_wait_records', tell_wrongly)
     with pytest.raises(ExceptionGroup) as caught:
         play(17, 60, freeze_and_thaw)
     assert caught.group_contains(AssertionError, match='younger')
