--- a/src/oleanderdyke/links/__init__.py
+++ b/src/oleanderdyke/links/__init__.py
@@ -1,1 +1,1 @@
-"""Carry typed messages between the system's own processes."""
+"""Typed messages between entries and agents over websocket links."""
--- a/src/oleanderdyke/links/codec.py
+++ b/src/oleanderdyke/links/codec.py
@@ -1,8 +1,8 @@
-"""Turn messages into CBOR and back.
+"""Encode messages as CBOR and decode them.
 
-A message is a map of its fields and, under `type` (two messages have a field
-`kind`), its class name. A field that equals its default is left out, so a
-default is part of the protocol.
+A message is a map of its fields, with its class name under `type` (`kind` is
+a field name of two messages). A field that equals its default is omitted, so
+defaults are part of the protocol.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 _TYPE = 'type'
 _MAX_SHOWN = 64
 
-# What an unknown value of a newer peer counts as.
+# The members that replace unknown values sent by a newer peer.
 _FALLBACKS: Mapping[type[enum.Enum], enum.Enum] = {
     ErrorKind: ErrorKind.INTERNAL,
 }
@@ -34,18 +34,18 @@
 
 
 class _Mismatch(Exception):
-    """A value has the wrong type."""
+    """Raised when a value does not match the type of its field."""
 
 
 class _Missing(enum.Enum):
-    """Mark what is not there."""
+    """Sentinel for an absent field or default, as None is a valid value."""
 
     MISSING = enum.auto()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _FieldCodec:
-    """Convert one field; None passes a value on unchanged."""
+    """Converters of one field; without `encode` the value is sent as it is."""
 
     name: str
     default: object
@@ -54,14 +54,18 @@
 
 
 class Codec:
-    """Encode and decode a closed set of message classes."""
+    """Encode and decode a fixed set of message classes."""
 
     def __init__(self, classes: Sequence[type]) -> None:
         self._encoders = {cls: _make_encoder(cls) for cls in classes}
         self._decoders = {cls.__name__: _make_decoder(cls) for cls in classes}
 
     def encode(self, message: object) -> bytes:
-        """Return the CBOR map; raise OleanderError(PROTOCOL)."""
+        """Return the CBOR map of a message.
+
+        Raises OleanderError(PROTOCOL) if it is too large or has a number that
+        is not finite.
+        """
         cls = type(message)
         fields = self._encoders[cls](message)
         data = dump_cbor({_TYPE: cls.__name__, **fields})
@@ -69,7 +73,7 @@
         return data
 
     def decode(self, data: bytes) -> Any:
-        """Return the message; raise OleanderError(PROTOCOL)."""
+        """Return the message; raise OleanderError(PROTOCOL) if invalid."""
         _check_length(data)
         value = load_cbor(data)
         if not isinstance(value, dict):
@@ -85,7 +89,11 @@
 
 
 def decode_version(data: bytes) -> int | None:
-    """Return the protocol version of a hello of any shape, if it has one."""
+    """Return the `version` of an encoded hello, or None if it has none.
+
+    The rest of the map is not checked, so that hellos of other protocol
+    versions can be read.
+    """
     value = load_cbor(data)
     version = value.get('version') if isinstance(value, dict) else None
     return version if type(version) is int else None
@@ -97,7 +105,10 @@
 
 def _check_length(data: bytes) -> None:
     if len(data) > MAX_MESSAGE:
-        raise _refuse(f'a message of {len(data)} bytes is too large')
+        raise _refuse(
+            f'a message of {len(data)} bytes is too large; '
+            f'allowed: {MAX_MESSAGE}'
+        )
 
 
 def _show_kind(kind: object) -> str:
@@ -110,7 +121,8 @@
 
 def _make_encoder(cls: type) -> Callable[[Any], dict[str, object]]:
     fields = _field_codecs(cls)
-    # Attribute access in a plain loop beats `dataclasses.asdict` tenfold.
+    # Reading attributes in a loop is ten times as fast as
+    # `dataclasses.asdict`.
     plan = tuple((each.name, each.default, each.encode) for each in fields)
 
     def encode(message: Any) -> dict[str, object]:
@@ -192,7 +204,7 @@
 
 def _require(convert: _Convert | None) -> _Convert:
     if convert is None:
-        raise TypeError('put the converted type first')
+        raise TypeError('the type that needs a converter must come first')
     return convert
 
 
@@ -227,7 +239,7 @@
 
 
 def _decode_plain(expected: type, value: Any) -> Any:
-    # By identity: a bool is no int here.
+    # Compared by identity because bool is a subclass of int.
     if type(value) is not expected:
         raise _Mismatch(f'expected {expected.__name__}')
     return value
@@ -287,12 +299,13 @@
 def encode(message: Message) -> bytes:
     """Return the CBOR map of a message.
 
-    Raise OleanderError(PROTOCOL) for one too large or a number not finite.
+    Raises OleanderError(PROTOCOL) if it is too large or has a number that is
+    not finite.
     """
     return _CODEC.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Return the message; raise OleanderError(PROTOCOL) for anything else."""
+    """Return the message; raise OleanderError(PROTOCOL) for invalid data."""
     message: Message = _CODEC.decode(data)
     return message
--- a/src/oleanderdyke/links/dialer.py
+++ b/src/oleanderdyke/links/dialer.py
@@ -1,4 +1,4 @@
-"""Open links to listening peers."""
+"""Outgoing links: connect to listening peers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class DialFailed(OleanderError):
-    """A peer could not be reached."""
+    """Raised when no connection to a peer can be opened."""
 
     def __init__(self, message: str) -> None:
         super().__init__(ErrorKind.BACKEND_LOST, message, ran=Ran.NO)
@@ -32,13 +32,14 @@
 ) -> Link:
     """Connect to `host:port` and exchange hellos.
 
-    Raise DialFailed or HandshakeFailed.
+    Raises DialFailed if the connection fails, HandshakeFailed if the peer is
+    refused or refuses.
     """
     socket = await _connect(address, settings, tls)
     try:
         peer = await exchange_hellos(socket, hello, settings)
     except HandshakeFailed:
-        # An orderly close lets the peer read why.
+        # The closing handshake lets the peer read the `Refused` message.
         await socket.close()
         raise
     except BaseException:
@@ -64,5 +65,5 @@
     except (OSError, WebSocketException) as error:
         reason = type(error).__name__
         raise DialFailed(f'cannot reach {address}: {reason}') from error
-    assert isinstance(socket, ClientSocket)  # noqa: S101 - as created above
+    assert isinstance(socket, ClientSocket)  # noqa: S101 - narrows the type
     return socket
--- a/src/oleanderdyke/links/handshake.py
+++ b/src/oleanderdyke/links/handshake.py
@@ -1,4 +1,4 @@
-"""Exchange hellos and check that both sides speak the same version."""
+"""Exchange of hellos and check of the protocol version."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class HandshakeFailed(OleanderError):
-    """No link came to be; nothing was sent over it."""
+    """Raised when a link is not set up; no request was sent over it."""
 
     def __init__(self, message: str) -> None:
         super().__init__(ErrorKind.PROTOCOL, message, ran=Ran.NO)
@@ -30,26 +30,39 @@
 async def exchange_hellos(
     socket: Socket, hello: Hello, settings: LinkSettings
 ) -> Hello:
-    """Send a hello and return the peer's; raise HandshakeFailed."""
+    """Send a hello and return the peer's.
+
+    Raises HandshakeFailed if either side refuses or the dial timeout expires.
+    """
     try:
         with anyio.fail_after(settings.dial_timeout / SECOND):
             await socket.send(encode(hello))
             data = await socket.recv()
             return await _read_hello(socket, data)
     except TimeoutError as error:
-        raise HandshakeFailed('the peer sent no hello in time') from error
+        raise HandshakeFailed(
+            'the peer sent no hello in time: '
+            f'waited {settings.dial_timeout:g} ms'
+        ) from error
     except ConnectionClosed as error:
-        raise HandshakeFailed('the peer closed before its hello') from error
+        raise HandshakeFailed(
+            'the peer closed the connection before it sent a hello'
+        ) from error
 
 
 async def _read_hello(socket: Socket, data: bytes | str) -> Hello:
     if isinstance(data, str):
-        await _refuse(socket, 'a hello must be binary')
+        await _refuse(
+            socket, 'a hello must be a binary frame; found a text frame'
+        )
     message = await _decode_opening(socket, data)
     if isinstance(message, Refused):
         raise HandshakeFailed(message.detail)
     if not isinstance(message, Hello):
-        await _refuse(socket, 'a link starts with a hello')
+        await _refuse(
+            socket,
+            f'the first message must be Hello; found {type(message).__name__}',
+        )
     return message
 
 
@@ -59,8 +72,8 @@
         if version not in {None, PROTOCOL_VERSION}:
             await _refuse(
                 socket,
-                f'protocol version {version} of the peer is not understood; '
-                f'this process speaks version {PROTOCOL_VERSION}',
+                f'protocol version {version} of the peer is not supported; '
+                f'this process supports version {PROTOCOL_VERSION}',
             )
         return decode(data)
     except HandshakeFailed:
--- a/src/oleanderdyke/links/link.py
+++ b/src/oleanderdyke/links/link.py
@@ -1,4 +1,4 @@
-"""Carry messages over one websocket and notice a silent peer."""
+"""Links: messages over one websocket, with keepalive pings."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 from oleanderdyke.clock import SECOND, Clock, Millis
 from oleanderdyke.errors import ErrorKind, OleanderError
 from oleanderdyke.links.codec import decode, encode
+from oleanderdyke.links.keepalive import KeepaliveMonitor
 from oleanderdyke.links.messages import (
     AnswerChunk,
     BodyChunk,
@@ -24,16 +25,15 @@
     Refused,
 )
 from oleanderdyke.links.messages.segments import SegmentPart
-from oleanderdyke.links.silence import SilenceWatch
 
-_DATA = frozenset({AnswerChunk, BodyChunk, SegmentPart})
-_OWN = frozenset({Ping, Pong})
+_DATA_TYPES = frozenset({AnswerChunk, BodyChunk, SegmentPart})
+_KEEPALIVE_TYPES = frozenset({Ping, Pong})
 _MAX_REFUSALS = 100
-_SILENT = 'the peer is silent'
+_SILENT_REASON = 'the peer is silent'
 
 
 class LinkClosed(OleanderError):
-    """A link carries no more messages."""
+    """Raised when a message is sent or received on a closed link."""
 
     def __init__(self, message: str) -> None:
         super().__init__(ErrorKind.BACKEND_LOST, message)
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkSettings:
-    """Bound silence, frames and waiting on a link."""
+    """Limits of a link: keepalive, frame size in bytes and timeouts."""
 
     ping_interval: Millis = SECOND
     missed_pings: int = 3
@@ -60,51 +60,54 @@
     data_in: int = 0
     data_out: int = 0
 
-    def note_in(self, message: Message, length: int) -> None:
+    def count_received(self, message: Message, length: int) -> None:
         """Count a received message."""
-        if type(message) in _DATA:
+        if type(message) in _DATA_TYPES:
             self.data_in += length
         else:
             self.control_in += length
 
-    def note_out(self, message: Message, length: int) -> None:
+    def count_sent(self, message: Message, length: int) -> None:
         """Count a sent message."""
-        if type(message) in _DATA:
+        if type(message) in _DATA_TYPES:
             self.data_out += length
         else:
             self.control_out += length
 
 
-class Offer(Protocol):
-    """Offer a frame; tell whether it was taken."""
+class FrameHandler(Protocol):
+    """Handle a data frame before it is queued for `recv`."""
 
     def __call__(self, data: bytes, *, whole: bool) -> bool:
-        """Take a binary message that is `whole`, or leave it to `recv`."""
+        """Return whether the frame was consumed; if not, `recv` returns it.
+
+        `whole` tells that the frame holds a complete binary message.
+        """
 
 
 class Socket(Protocol):
-    """Stand for the websocket below a link."""
+    """The websocket that a link is built on."""
 
-    def watch(self, watch: SilenceWatch) -> None:
-        """Report arriving bytes to a watch."""
+    def set_monitor(self, monitor: KeepaliveMonitor) -> None:
+        """Report each arrival of bytes to the monitor."""
 
-    def set_offer(self, offer: Offer) -> None:
-        """Offer each frame of data before it is queued for `recv`."""
+    def set_frame_handler(self, handler: FrameHandler) -> None:
+        """Pass each data frame to the handler before it is queued."""
 
     def is_reading(self) -> bool:
-        """Return whether bytes are taken from the socket."""
+        """Return whether the transport currently reads from the socket."""
 
     def is_open(self) -> bool:
         """Return whether frames can still be sent."""
 
     def is_writable(self) -> bool:
-        """Return whether a short frame goes out without waiting."""
+        """Return whether a short frame can be sent without blocking."""
 
     def write(self, message: bytes) -> None:
         """Send one binary frame; only while `is_open` and `is_writable`."""
 
     def abort(self) -> None:
-        """Drop the connection at once."""
+        """Close the connection immediately, without a closing handshake."""
 
     def send(self, message: bytes) -> Awaitable[None]:
         """Send one binary frame."""
@@ -113,13 +116,13 @@
         """Return the next frame."""
 
     def close(self) -> Awaitable[None]:
-        """Close with a handshake, bounded in time."""
+        """Close with a closing handshake, within the close timeout."""
 
 
 class Link:
-    """Send and receive messages to and from one peer.
+    """Send messages to one peer and receive its messages.
 
-    `receive` has one reader; `send` may have many.
+    One task at a time may call `receive`; any number may call `send`.
     """
 
     def __init__(
@@ -138,83 +141,88 @@
         self._settings = settings
         self._clock = clock
         self._reason = ''
-        self._sent = False
+        self._has_sent = False
         self._sending = 0
-        self._progress = clock.now()
+        self._progress_at = clock.now()
         self._refusals = 0
-        self._take: Callable[[Message], None] | None = None
-        self._waits = False
-        self._fault: Exception | None = None
-        self._watch = SilenceWatch(
+        self._handler: Callable[[Message], None] | None = None
+        self._is_receiving = False
+        self._handler_error: Exception | None = None
+        self._monitor = KeepaliveMonitor(
             interval=settings.ping_interval,
             allowed=settings.missed_pings,
             now=clock.now(),
         )
-        socket.watch(self._watch)
-        # The link outlives the call that dialed, so no task group fits.
-        self._keeper = asyncio.create_task(self._keep_alive())
+        socket.set_monitor(self._monitor)
+        # The link outlives the call that opened it, so this task can't belong
+        # to a task group of that call.
+        self._keepalive_task = asyncio.create_task(self._keep_alive())
 
     @property
     def closed(self) -> bool:
-        """Return whether the link carries no more messages."""
+        """Return whether the link can no longer send or receive."""
         return bool(self._reason) or not self._socket.is_open()
 
     @property
-    def fell_silent(self) -> bool:
-        """Return whether this side closed it since nothing was heard."""
-        return self._reason == _SILENT
+    def keepalive_expired(self) -> bool:
+        """Return whether this side closed the link to a silent peer."""
+        return self._reason == _SILENT_REASON
 
     async def send(self, message: Message) -> None:
-        """Send, waiting while the peer reads slowly; raise LinkClosed."""
+        """Send a message, waiting while the send buffer is full.
+
+        Raises LinkClosed.
+        """
         data = self._encode(message)
         self._check_open()
         if not self._sending:
-            self._progress = self._clock.now()
+            self._progress_at = self._clock.now()
         self._sending += 1
         try:
             await self._socket.send(data)
         except ConnectionClosed as error:
-            raise self._lose('connection lost') from error
+            raise self._abort('connection lost') from error
         finally:
             self._sending -= 1
-            self._progress = self._clock.now()
-        self._sent = True
-        self.counters.note_out(message, len(data))
+            self._progress_at = self._clock.now()
+        self._has_sent = True
+        self.counters.count_sent(message, len(data))
 
     def write(self, message: Message) -> bool:
-        """Send without a wait; False where only `send` can do it."""
+        """Send without blocking; return False if the send buffer is full."""
         if self.closed or not self._socket.is_writable():
             return False
         data = self._encode(message)
         self._socket.write(data)
-        self._sent = True
-        self.counters.note_out(message, len(data))
+        self._has_sent = True
+        self.counters.count_sent(message, len(data))
         return True
 
-    def handle_inline(self, take: Callable[[Message], None]) -> None:
-        """Give messages to `take` as they arrive, sparing `receive` a turn.
+    def handle_inline(self, handler: Callable[[Message], None]) -> None:
+        """Call `handler` with messages while their bytes are being read.
 
-        Only while `receive` waits, so that the order stays. `receive` returns
-        the others and raises what `take` raises.
+        This saves a turn of the event loop per message. To keep the order, it
+        applies only while a call of `receive` is waiting; `receive` returns all
+        other messages, and raises the exceptions of the handler.
         """
-        self._take = take
-        self._socket.set_offer(self._offer)
+        self._handler = handler
+        self._socket.set_frame_handler(self._handle_frame)
 
     async def receive(self) -> Message:
-        """Return the next message; raise LinkClosed."""
+        """Return the next message other than pings; raise LinkClosed."""
         while True:
             message = await self._receive_one()
             if isinstance(message, Ping):
-                await self._answer(Pong(message.nonce))
+                await self._try_send(Pong(message.nonce))
             elif message is not None and not isinstance(message, Pong):
                 return message
 
     async def close(self) -> None:
-        """Close the link; safe to repeat."""
+        """Close the link; does nothing if it is closed already."""
         if self._reason:
             return
-        self._reason = 'closed here'
-        self._keeper.cancel()
+        self._reason = 'closed by this process'
+        self._keepalive_task.cancel()
         with anyio.move_on_after(self._settings.close_timeout / SECOND):
             await self._socket.close()
         self._socket.abort()
@@ -222,53 +230,60 @@
     def _encode(self, message: Message) -> bytes:
         data = encode(message)
         if len(data) > self._settings.max_frame:
-            raise OleanderError(ErrorKind.PROTOCOL, 'message is too large')
+            raise OleanderError(
+                ErrorKind.PROTOCOL,
+                f'a message of {len(data)} bytes is too large; '
+                f'allowed: {self._settings.max_frame}',
+            )
         return data
 
     def _check_open(self) -> None:
         if self._reason:
             raise LinkClosed(self._reason)
 
-    def _lose(self, reason: str) -> LinkClosed:
+    def _abort(self, reason: str) -> LinkClosed:
         if not self._reason:
             self._reason = reason
-            self._keeper.cancel()
+            self._keepalive_task.cancel()
             self._socket.abort()
         return LinkClosed(self._reason)
 
     async def _receive_one(self) -> Message | None:
         self._check_open()
-        self._waits = True
+        self._is_receiving = True
         try:
             data = await self._socket.recv()
         except ConnectionClosed as error:
-            raise self._lose('connection lost') from error
+            raise self._abort('connection lost') from error
         finally:
-            self._waits = False
-        if self._fault is not None:
-            raise self._fault
+            self._is_receiving = False
+        if self._handler_error is not None:
+            raise self._handler_error
         if isinstance(data, str):
-            raise self._lose('the peer sent text')
+            raise self._abort('the peer sent a text frame; allowed: binary')
         return await self._decode(data)
 
-    def _offer(self, data: bytes, *, whole: bool) -> bool:
-        # A frame that is not taken wakes the reader, who then comes first.
-        self._waits = self._waits and whole and self._pass(data)
-        return self._waits
+    def _handle_frame(self, data: bytes, *, whole: bool) -> bool:
+        # A frame that is not consumed wakes the waiting `receive`. Later frames
+        # must queue behind it to keep the order.
+        self._is_receiving = (
+            self._is_receiving and whole and self._handle_message(data)
+        )
+        return self._is_receiving
 
-    def _pass(self, data: bytes) -> bool:
+    def _handle_message(self, data: bytes) -> bool:
         try:
             message = decode(data)
         except OleanderError:
             return False
-        if type(message) in _OWN or self._take is None:
+        if type(message) in _KEEPALIVE_TYPES or self._handler is None:
             return False
         self._refusals = 0
-        self.counters.note_in(message, len(data))
+        self.counters.count_received(message, len(data))
         try:
-            self._take(message)
-        except Exception as error:  # raised again where messages are read
-            self._fault = error
+            self._handler(message)
+        except Exception as error:  # raised again in `receive`
+            self._handler_error = error
             return False
         return True
 
@@ -280,19 +295,23 @@
             await self._refuse(error)
             return None
         self._refusals = 0
-        self.counters.note_in(message, len(data))
+        self.counters.count_received(message, len(data))
         return message
 
     async def _refuse(self, error: OleanderError) -> None:
-        # Two peers that don't understand each other's refusals must end.
+        # Two peers that refuse each other's `Refused` messages would otherwise
+        # exchange them forever.
         self._refusals += 1
         if self._refusals > _MAX_REFUSALS:
-            raise self._lose('the peer sent too much that is not understood')
-        await self._answer(Refused(error.kind, error.message))
-
-    async def _answer(self, message: Message) -> None:
-        # Never wait here: a reader that waits for the writer can deadlock,
-        # and a keeper that waits no longer notices silence.
+            raise self._abort(
+                f'the peer sent more than {_MAX_REFUSALS} '
+                'invalid messages in a row'
+            )
+        await self._try_send(Refused(error.kind, error.message))
+
+    async def _try_send(self, message: Message) -> None:
+        # Must not block: a reader that waits for the send buffer can deadlock,
+        # and the keepalive task would no longer check for silence.
         if self._socket.is_writable():
             with anyio.move_on_after(0):
                 await self.send(message)
@@ -303,18 +322,20 @@
             while True:
                 await anyio.sleep(self._settings.ping_interval / SECOND)
                 self._check_silence()
-                if self._watch.quiet or not self._sent:
+                if self._monitor.is_idle or not self._has_sent:
                     nonce += 1
-                    await self._answer(Ping(nonce))
-                # A ping does not spare the next one; the peer may not answer.
-                self._sent = False
+                    await self._try_send(Ping(nonce))
+                # A ping does not count as sent, as the peer may not answer it.
+                self._has_sent = False
 
     def _check_silence(self) -> None:
         now = self._clock.now()
-        if self._watch.is_late(now):
-            self._progress = now
-        if self._watch.tick(now, reading=self._socket.is_reading()):
-            raise self._lose(_SILENT)
-        waited = now - self._progress
+        if self._monitor.is_late(now):
+            self._progress_at = now
+        if self._monitor.tick(now, reading=self._socket.is_reading()):
+            raise self._abort(_SILENT_REASON)
+        waited = now - self._progress_at
         if self._sending and waited > self._settings.send_timeout:
-            raise self._lose('the peer takes no bytes')
+            raise self._abort(
+                f'the peer takes no bytes: no progress for {waited:.0f} ms'
+            )
--- a/src/oleanderdyke/links/listener.py
+++ b/src/oleanderdyke/links/listener.py
@@ -1,4 +1,4 @@
-"""Accept links from dialing peers."""
+"""Incoming links: listen and accept."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
     clock: Clock,
     tls: ssl.SSLContext | None = None,
 ) -> AsyncIterator[int]:
-    """Give the bound port; run `handle` for each link in its own task.
+    """Listen and run `handle` for each link in a task; yield the bound port.
 
     A link closes when its handler returns or raises OleanderError; any other
-    error ends the listener. Leaving the context closes every link.
+    exception stops the listener. Leaving the context closes every link.
     """
     acceptor = _Acceptor(make_hello, handle, settings, clock)
     async with anyio.create_task_group() as group:
@@ -56,7 +56,7 @@
 
 
 class _Acceptor:
-    """Turn accepted sockets into links."""
+    """Set up links on accepted sockets."""
 
     def __init__(
         self,
@@ -71,8 +71,8 @@
         self._clock = clock
 
     async def accept(self, group: TaskGroup, socket: ServerConnection) -> None:
-        """Run one link; returning lets the library close the socket."""
-        assert isinstance(socket, ServerSocket)  # noqa: S101 - as created
+        """Run one link until it ends, as the library then closes the socket."""
+        assert isinstance(socket, ServerSocket)  # noqa: S101 - narrows type
         try:
             peer = await exchange_hellos(
                 socket, self._make_hello(), self._settings
--- a/src/oleanderdyke/links/messages/__init__.py
+++ b/src/oleanderdyke/links/messages/__init__.py
@@ -1,7 +1,7 @@
-"""Define the messages between the system's own processes.
+"""Messages between entries and agents.
 
-A message travels as a CBOR map. Receivers ignore unknown fields, so a field
-may be added with a default; a message of unknown kind is answered by
+A message is sent as a CBOR map. Receivers ignore unknown fields, so a field
+with a default may be added. A message of unknown type is answered with
 `Refused`.
 """
 
@@ -37,14 +37,14 @@
 
 
 class Role(enum.StrEnum):
-    """Name what a process is to its peer."""
+    """The role of a process on a link."""
 
     ENTRY = 'entry'
     AGENT = 'agent'
 
 
 class BackendKind(enum.StrEnum):
-    """Name what an agent guards."""
+    """The kind of backend server that an agent runs beside."""
 
     ENGINE = 'engine'
     PLAIN = 'plain'
@@ -52,7 +52,7 @@
 
 
 class AgentPhase(enum.StrEnum):
-    """Name the phase of an agent's life."""
+    """The lifecycle phase of an agent."""
 
     STARTING = 'starting'
     SERVING = 'serving'
@@ -61,10 +61,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Open a link; both sides send it first.
+    """Open a link; the first message of both sides.
 
-    `takes_short_beats` tells that heartbeats may leave out what has not changed
-    since the one before on the same link.
+    `takes_short_beats` tells that heartbeats to this process may omit what has
+    not changed since the previous one on the same link.
     """
 
     version: int
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Refuse a message that the receiver can't take."""
+    """Refuse a message that is invalid or not supported."""
 
     kind: ErrorKind
     detail: str
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """Tell an agent that another incarnation took its name or address."""
+    """Tell an agent that a newer process has taken over its name or address."""
 
     process: str
     incarnation: str
@@ -96,21 +96,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Ask the peer to show that the link still carries messages."""
+    """Request a `Pong`, to check that the link still works."""
 
     nonce: int
 
 
 @dataclass(frozen=True, slots=True)
 class Pong:
-    """Answer a ping."""
+    """Answer a `Ping` with its nonce."""
 
     nonce: int
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Report the load of a backend server at a moment of its agent."""
+    """Load of a backend server as its agent last measured it."""
 
     running: int = 0
     waiting: int = 0
@@ -124,10 +124,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Show that an agent lives, its phase, load and loaded weights.
+    """Report that an agent is alive, with its phase, load and loaded weights.
 
-    With `same_load` the load is left out, with `same_weights` the model, the
-    adapter, the weights' version and digest: they are as told before.
+    With `same_load` the load is omitted, with `same_weights` the model, the
+    adapter and the version and digest of the weights, as they have not changed
+    since the previous heartbeat on the link.
     """
 
     incarnation: str
@@ -147,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryBeat:
-    """Show that an entry lives and how far its configuration is."""
+    """Report that an entry is alive, with its configuration offset."""
 
     incarnation: str
     sequence: int
@@ -158,17 +159,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRequest:
-    """Ask for the configuration after an offset."""
+    """Request the configuration changes after an offset."""
 
     after: int
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationDifference:
-    """Carry encoded log records, or a chunk of a snapshot, in order.
+    """Encoded log records, or a chunk of a snapshot, in order.
 
-    A snapshot starts with `snapshot=True`; `through` is the offset that holds
-    once `last` has been applied.
+    A snapshot starts with `snapshot=True`; `through` is the offset that the
+    receiver has reached after it has applied the chunk with `last`.
     """
 
     after: int
@@ -181,7 +182,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchPlan:
-    """Tell an engine's agent which kept segments to import first."""
+    """A store, and the segments to import from it or to write to it."""
 
     store: str
     address: str
@@ -190,14 +191,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """Hand one attempt of a request to an agent.
+    """Start one attempt of a request at an agent.
 
     The body follows in `BodyChunk` messages; `deadline` is a duration in
     milliseconds from receipt, `digest` identifies the request for the
-    quarantine. `keep` names the store that should keep the prompt's complete
-    segments, and those of them that it lacks. `incarnation` and `beat` name
-    the last heartbeat of the agent that the entry had heard; an agent starts
-    no work that is too old by them. The engine runs a lower `priority` first.
+    quarantine. `keep` names a store and the complete segments of the prompt
+    that it should store but lacks. `incarnation` and `beat` identify the last
+    heartbeat of the agent that the entry had received; the agent refuses
+    dispatches that are too old by them. The engine runs requests of lower
+    `priority` first.
     """
 
     request: str
@@ -229,7 +231,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyChunk:
-    """Carry a part of a request's body; `last` ends it."""
+    """A part of a request's body; `last` marks the final one."""
 
     request: str
     attempt: int
@@ -240,7 +242,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """Open the answer of an attempt."""
+    """Status and headers of an attempt's answer."""
 
     request: str
     attempt: int
@@ -251,7 +253,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerChunk:
-    """Carry a part of an answer, numbered from 0 within the attempt."""
+    """A part of an answer, numbered from 0 within the attempt."""
 
     request: str
     attempt: int
@@ -261,11 +263,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerEnd:
-    """Close an answer; count and digest prove that it is whole.
+    """End an answer; the chunk count and digest show that it is complete.
 
-    The digest is BLAKE2b-128 over the data of every chunk in order. To the
-    reader of a `Resume`, `resumed_digest` proves the chunks from its sequence
-    on, for a reader that never saw those before.
+    The digest is BLAKE2b-128 over the data of all chunks in order. After a
+    `Resume`, `resumed_digest` covers the chunks from its sequence on, for
+    readers that have not received the earlier ones.
     """
 
     request: str
@@ -280,7 +282,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Close an attempt without an answer."""
+    """End an attempt that failed; `ran` tells whether it may have run."""
 
     request: str
     attempt: int
@@ -292,7 +294,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop an attempt whose caller has gone."""
+    """Stop an attempt that the caller no longer waits for."""
 
     request: str
     attempt: int
@@ -300,7 +302,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Credit:
-    """Let the sender of an answer send further chunks."""
+    """Allow the sender of an answer to send `chunks` more (flow control)."""
 
     request: str
     attempt: int
@@ -309,10 +311,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Resume:
-    """Continue a stream of the given team after a numbered chunk.
+    """Continue a stream of a team from a numbered chunk on.
 
     The agent answers on this link with `AnswerHead` and the chunks from
-    `sequence` on, under the request id and attempt given here.
+    `sequence` on, with the request id and attempt of this message.
     """
 
     request: str
@@ -324,7 +326,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainRequest:
-    """Ask an agent to leave; used by operators through an entry."""
+    """Request that an agent drains; sent by an entry for an operator."""
 
     operator: str
 
--- a/src/oleanderdyke/links/messages/claims.py
+++ b/src/oleanderdyke/links/messages/claims.py
@@ -1,4 +1,4 @@
-"""Define the messages about claims of idempotency keys."""
+"""Messages about claims of idempotency keys."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Name the owner of an idempotency key, as the log ordered it.
+    """Ownership of an idempotency key by an agent, as ordered by the log.
 
-    `offset` and `index` place the claim in the claims log, `beat` is the last
-    heartbeat sequence of the agent that the claiming entry had seen.
+    `offset` and `index` are the position of the claim in the claims log, `beat`
+    is the sequence of the last heartbeat that the entry had received from the
+    agent when it wrote the claim.
     """
 
     offset: int
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimQuery:
-    """Ask what became of a claim, and bar it where it never started."""
+    """Request the state of a claim, and bar it if its request never started."""
 
     request: str
     team: str
@@ -32,7 +33,7 @@
 
 
 class ClaimState(enum.StrEnum):
-    """Name what an agent knows about a claim."""
+    """The state of a claim as its agent knows it."""
 
     BARRED = 'barred'
     RUNNING = 'running'
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimAnswer:
-    """Tell what became of a claim; a finished one carries its answer."""
+    """Report the state of a claim; a finished one includes its answer."""
 
     request: str
     claim: Claim
--- a/src/oleanderdyke/links/messages/news.py
+++ b/src/oleanderdyke/links/messages/news.py
@@ -1,8 +1,8 @@
-"""Define the messages by which neighbours pass on what one of them read.
+"""Messages by which neighbours share the data that one of them read.
 
-Ages are told, not moments: the clocks of two processes differ. `held` is how
-long a request waited at the neighbour, so that its asker can bound on its own
-clock when the answer was sent.
+They hold ages instead of timestamps because the clocks of two processes differ.
+`held` is how long a request waited at the neighbour; with it the requester can
+bound the time on its own clock at which the answer was sent.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 
 class NewsOutcome(enum.StrEnum):
-    """Say whether a neighbour can tell what it was asked for."""
+    """Whether a neighbour has the requested records."""
 
     TOLD = 'told'
-    # It reads this topic nowhere itself, or not lately.
+    # It does not read this topic itself, or has not done so recently.
     UNREAD = 'unread'
-    # It no longer keeps the records that were asked for.
+    # It no longer has the requested records.
     DROPPED = 'dropped'
 
 
 @dataclass(frozen=True, slots=True)
 class NewsRequest:
-    """Ask for the records of a topic from an offset on.
+    """Request the records of a topic from an offset on.
 
-    The answer comes with the first record, after `wait`, or as soon as what
-    is known gets older than `limit`. `is_urgent` asks for a read right now.
-    `start` is an offset of `era`, None while no era is known.
+    The answer is sent with the first record, after `wait`, or when the data of
+    the neighbour gets older than `limit`. `is_urgent` requests an immediate
+    read. `start` is an offset of `era`, which is None while it is unknown.
     """
 
     number: int
@@ -43,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True)
 class NewsAnswer:
-    """Records of `era`; `age` ago no others followed them.
+    """Records of `era`; they were the newest ones `age` ms ago.
 
-    `is_complete` tells that all that were known then are here.
+    `is_complete` tells that no record known at that time is missing.
     """
 
     number: int
@@ -59,9 +59,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StorePosition:
-    """Say up to which event a store of context is known.
+    """The number of the next event to read from a context store.
 
-    `boot` is None where nothing of it was read yet.
+    `boot` is None if nothing was read from the store yet.
     """
 
     store: str
@@ -71,10 +71,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadNews:
-    """Load that a start of a backend server reported `age` ago.
+    """Load that one start of a backend server reported `age` ms ago.
 
-    A server that has named a limit `is_limited` while that holds, and accepts
-    `rate_limit` requests a second.
+    While `is_limited`, the server accepts `rate_limit` requests per second;
+    None if the report says nothing about a limit.
     """
 
     age: Millis
@@ -89,9 +89,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ContextRequest:
-    """Ask what changed at stores of context; answered like NewsRequest.
+    """Request the changes of context stores; answered like NewsRequest.
 
-    `loads` are those that the asker was told since its last request.
+    `loads` are the loads reported to the requester since its last request.
     """
 
     number: int
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreEvent:
-    """A part was kept whole, or is gone from a store."""
+    """A complete part was added to a store or removed from it."""
 
     number: int
     is_added: bool
@@ -114,10 +114,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreNews:
-    """What follows a position at one start of a store.
+    """Events after a position, from one start of a store.
 
-    It was asked for `age` ago. `clock` is the least that the engines' clock
-    can show now, and `spread` how much more it may show, in ms.
+    They were requested `age` ms ago. The engines' clock now shows at least
+    `clock` and at most `spread` ms more.
     """
 
     store: str
@@ -131,9 +131,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ContextAnswer:
-    """What is new at the stores that the neighbour follows itself.
+    """Changes of the context stores that the neighbour reads itself.
 
-    `loads` are those that it has learned since its last answer on the link.
+    `loads` are those that it received since its last answer on the link.
     """
 
     number: int
--- a/src/oleanderdyke/links/messages/segments.py
+++ b/src/oleanderdyke/links/messages/segments.py
@@ -1,4 +1,4 @@
-"""Define the messages about segments of cached context."""
+"""Messages about segments of cached context."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SegmentEvents:
-    """Tell which cached segments an agent gained and lost.
+    """Report the cached segments that an agent added and removed.
 
-    `first` numbers the first event; a receiver that sees a gap asks for the
-    full list. Segments are hints: first 8 bytes of the segment's digest.
+    `first` is the number of the first event; a receiver that detects a gap
+    requests the full list. Segments are hints, given as the first 8
+    bytes of their digests.
     """
 
     first: int
@@ -23,9 +24,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SegmentListRequest:
-    """Ask for the segment events from the number `after` on.
+    """Request the segment events from the number `after` on.
 
-    The answer is the full list where those events are no longer kept, and
+    The answer is the full list if those events are no longer stored, and
     always for -1.
     """
 
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SegmentRead:
-    """Ask a store's agent for sealed segments; it pins each while sending."""
+    """Request sealed segments of a store; its agent pins each while sending."""
 
     request: str
     namespace: bytes
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SegmentPart:
-    """Carry a part of one segment; the last part closes it."""
+    """A part of one segment; `last` marks the final one."""
 
     request: str
     segment: bytes
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SegmentMissing:
-    """A segment is not here, not sealed, or was freed."""
+    """Report that a segment is absent, not sealed or was freed."""
 
     request: str
     segment: bytes
@@ -69,7 +70,7 @@
 
     The agent answers `SegmentWanted`, on which the parts follow as
     `SegmentPart`, or `SegmentWritten`. `depth` counts the segments that go
-    before this one in its prompt.
+    precede this one in its prompt.
     """
 
     request: str
@@ -83,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SegmentWanted:
-    """Ask for the parts of an offered segment."""
+    """Request the parts of an offered segment."""
 
     request: str
     segment: bytes
@@ -91,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SegmentWritten:
-    """Tell whether a segment is sealed in the store."""
+    """Report whether a segment is sealed in the store."""
 
     request: str
     segment: bytes
--- a/src/oleanderdyke/links/news_client.py
+++ b/src/oleanderdyke/links/news_client.py
@@ -1,4 +1,4 @@
-"""Ask neighbours for what they read."""
+"""Client side of news: request from neighbours what they read."""
 
 from __future__ import annotations
 
@@ -31,10 +31,12 @@
 if TYPE_CHECKING:
     from oleanderdyke.links.link import Link
 
-# An answer takes some milliseconds beyond the wait that was asked for. Who has
-# none by then reads for itself: a frozen neighbour must not make news old.
-_PATIENCE: Millis = 300.0
-# Without a link to it for so long, a neighbour is passed over.
+# An answer takes a few milliseconds beyond the requested wait. After this
+# extra time the process reads for itself, so that a frozen neighbour does not
+# make its data stale.
+_ANSWER_MARGIN: Millis = 300.0
+# A neighbour without a link for longer than this is recorded as failed, so
+# that another one is asked.
 _DIAL_LIMIT: Millis = 500.0
 
 _Answer: TypeAlias = NewsAnswer | ContextAnswer
@@ -42,10 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedRecords:
-    """Hold records that a neighbour read.
+    """Records that a neighbour read.
 
-    `waited` after they were asked for no others followed them; it is negative
-    where that was known only before. Their offsets hold for `era`.
+    They were the newest ones `waited` ms after the request; negative if that is
+    known only for a moment before it. Their offsets belong to `era`.
     """
 
     records: tuple[bytes, ...]
@@ -56,10 +58,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedEvents:
-    """Hold what a neighbour read of a store.
+    """Events that a neighbour read from a context store.
 
-    `asked_at` is when it did, at the latest, and `clock_from` when the clock
-    in it was read, at the earliest; both on the clock of this process.
+    `asked_at` is the latest time at which it can have sent its request to the
+    store, `clock_from` the earliest time at which the clock in `found` can have
+    been read; both are on the clock of this process.
     """
 
     store: str
@@ -70,34 +73,34 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedContexts:
-    """Hold what a neighbour told of stores of context, and of loads."""
+    """What a neighbour sent about context stores and loads."""
 
     stores: list[SharedEvents]
     loads: list[TimedLoad]
 
 
 class NeighbourLinks(Protocol):
-    """Keep a link to each of some neighbours."""
+    """Links to a changeable set of neighbours."""
 
     def set_addresses(self, addresses: Mapping[str, str]) -> None:
-        """Replace the wanted set, from name to `host:port`."""
+        """Replace the neighbours to connect to, from name to `host:port`."""
 
     def find(self, name: str) -> Link | None:
-        """Return the open link to a neighbour."""
+        """Return the open link to a neighbour, or None."""
 
 
 class HealthRecorder(Protocol):
-    """Learn whether neighbours that are asked answer."""
+    """Records whether requests to neighbours succeed."""
 
     def record_failure(self, detail: str) -> None:
-        """Learn that one gave no news."""
+        """Record that a request failed."""
 
     def record_success(self) -> None:
-        """Learn that one did."""
+        """Record that a request succeeded."""
 
 
 class NewsClient:
-    """Ask those neighbours that read a source; bound how long that takes."""
+    """Request data from the neighbours that read it, with a time limit."""
 
     def __init__(
         self,
@@ -112,16 +115,16 @@
         self._sources = tuple(sources)
         self._numbers = count()
         self._pool: NeighbourLinks | None = None
-        self._asked: dict[int, asyncio.Future[_Answer]] = {}
-        self._owners: dict[int, str] = {}
-        self._wanted: dict[str, Millis] = {}
+        self._pending: dict[int, asyncio.Future[_Answer]] = {}
+        self._peers: dict[int, str] = {}
+        self._connected_since: dict[str, Millis] = {}
 
     def set_pool(self, pool: NeighbourLinks) -> None:
-        """Ask over these links from now on."""
+        """Set the links over which requests are sent."""
         self._pool = pool
 
     def update_links(self) -> None:
-        """Keep links to just those neighbours that are to be asked."""
+        """Connect to the current reader of each source and drop other links."""
         if self._pool is None:
             return
         now = self._clock.now()
@@ -129,30 +132,32 @@
             self.neighbours.find_reader(source, now) for source in self._sources
         ]
         wanted = {each.name: each.address for each in found if each}
-        self._wanted = {name: self._wanted.get(name, now) for name in wanted}
+        self._connected_since = {
+            name: self._connected_since.get(name, now) for name in wanted
+        }
         self._pool.set_addresses(wanted)
-        self._note_unreached(now)
+        self._record_unreachable(now)
 
-    def _note_unreached(self, now: Millis) -> None:
-        """Pass over neighbours that no link can be had to."""
-        for name, since in tuple(self._wanted.items()):
+    def _record_unreachable(self, now: Millis) -> None:
+        """Record a failure of neighbours without a link after the limit."""
+        for name, since in tuple(self._connected_since.items()):
             if self._find_link(name) is None and now - since > _DIAL_LIMIT:
-                self._pass_over(name, 'no link')
-                del self._wanted[name]
+                self._record_failure(name, 'no link')
+                del self._connected_since[name]
 
     async def handle_answer(self, _: Link, message: Message) -> None:
-        """Take an answer; one that nobody waits for any more is dropped."""
+        """Complete the request of an answer; late answers are dropped."""
         if not isinstance(message, NewsAnswer | ContextAnswer):
             return
-        asked = self._asked.get(message.number)
-        if asked is not None and not asked.done():
-            asked.set_result(message)
+        pending = self._pending.get(message.number)
+        if pending is not None and not pending.done():
+            pending.set_result(message)
 
     async def on_link_down(self, link: Link) -> None:
-        """End what was asked over a link that has closed."""
-        for number, owner in tuple(self._owners.items()):
-            if owner == link.peer.process:
-                self._asked[number].cancel()
+        """Cancel the requests that were sent over a closed link."""
+        for number, peer in tuple(self._peers.items()):
+            if peer == link.peer.process:
+                self._pending[number].cancel()
 
     async def ask_records(
         self,
@@ -164,7 +169,7 @@
         limit: Millis,
         is_urgent: bool = False,
     ) -> SharedRecords | None:
-        """Return what a neighbour read, None to read for oneself."""
+        """Return data that a neighbour read, or None to read it here."""
         reader = self.neighbours.find_reader(RECORD_SOURCE, self._clock.now())
         if reader is None:
             return None
@@ -175,14 +180,16 @@
         answer = await self._ask(reader, request, request.number, wait)
         if not isinstance(answer, NewsAnswer):
             return None
-        is_other = era is not None and answer.era != era
-        if is_other or answer.outcome is NewsOutcome.DROPPED:
+        is_other_era = era is not None and answer.era != era
+        if is_other_era or answer.outcome is NewsOutcome.DROPPED:
             return None
         if answer.outcome is NewsOutcome.UNREAD:
-            self._pass_over(reader.name, f'does not read {topic}')
+            self._record_failure(reader.name, f'does not read {topic}')
             return None
         if answer.age >= limit:
-            self._pass_over(reader.name, f'{topic} is {answer.age:.0f} ms old')
+            self._record_failure(
+                reader.name, f'{topic} is {answer.age:.0f} ms old'
+            )
             return None
         self._health.record_success()
         held = min(max(answer.held, 0.0), self._clock.now() - asked_at)
@@ -202,7 +209,7 @@
         wait: Millis,
         limit: Millis,
     ) -> SharedContexts | None:
-        """Return what a neighbour read, None to read for oneself."""
+        """Return data that a neighbour read, or None to read it here."""
         reader = self.neighbours.find_reader(source, self._clock.now())
         if reader is None:
             return None
@@ -231,24 +238,25 @@
         if link is None:
             return None
         answer: asyncio.Future[_Answer] = asyncio.Future()
-        self._asked[number] = answer
-        self._owners[number] = link.peer.process
+        self._pending[number] = answer
+        self._peers[number] = link.peer.process
         try:
-            with anyio.fail_after((wait + _PATIENCE) / SECOND):
+            with anyio.fail_after((wait + _ANSWER_MARGIN) / SECOND):
                 await link.send(request)
                 found = await _wait_for(answer)
         except (TimeoutError, OleanderError):
             found = None
         finally:
-            del self._asked[number], self._owners[number]
+            del self._pending[number], self._peers[number]
         if found is not None:
             self.neighbours.record_success(reader.name, self._clock.now())
-        elif reader.name in self._wanted:
-            self._pass_over(reader.name, 'no answer')
-        # Else its link was closed here, for another that reads in its place.
+        elif reader.name in self._connected_since:
+            self._record_failure(reader.name, 'no answer')
+        # Otherwise this process closed the link, as another neighbour became
+        # the reader.
         return found
 
-    def _pass_over(self, name: str, reason: str) -> None:
+    def _record_failure(self, name: str, reason: str) -> None:
         self.neighbours.record_failure(name, self._clock.now())
         self._health.record_failure(f'{name}: {reason}')
 
@@ -257,7 +265,7 @@
 
 
 async def _wait_for(answer: asyncio.Future[_Answer]) -> _Answer | None:
-    """Return an answer, None where its link was closed first."""
+    """Return an answer, or None if its link closed first."""
     await asyncio.wait([answer])
     return None if answer.cancelled() else answer.result()
 
--- a/src/oleanderdyke/links/news_links.py
+++ b/src/oleanderdyke/links/news_links.py
@@ -1,4 +1,4 @@
-"""Keep the links over which neighbours pass on what they read."""
+"""Links between neighbours that share what they read."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from oleanderdyke.links.news_server import NewsServer
 from oleanderdyke.links.pool import LinkPool, PoolSettings
 
-# How often the links are compared with who reads.
+# Time between updates of the links to the current readers.
 _CONNECT_PERIOD: Millis = 200.0
-# A dial within a data centre takes some milliseconds.
+# Connecting within a data centre takes a few milliseconds.
 _DIAL_LIMIT: Millis = 500.0
 
 
@@ -29,10 +29,10 @@
     clock: Clock,
     random: Random,
 ) -> None:
-    """Keep links to the neighbours that read, until cancelled."""
+    """Maintain links to the neighbours that read, until cancelled."""
     pool = LinkPool(
         make_hello,
-        on_up=_note_up,
+        on_up=_ignore_link_up,
         on_message=reader.handle_answer,
         on_down=reader.on_link_down,
         settings=PoolSettings(
@@ -57,7 +57,7 @@
     *,
     clock: Clock,
 ) -> None:
-    """Answer neighbours until cancelled; raise OSError without the address."""
+    """Answer neighbours until cancelled; raise OSError if binding fails."""
     host, port = split_address(address)
     async with serve_links(
         host,
@@ -70,5 +70,5 @@
         await anyio.sleep_forever()
 
 
-async def _note_up(_: Link) -> None:
-    """Do nothing: a link is used once something is asked for."""
+async def _ignore_link_up(_: Link) -> None:
+    """Do nothing, as nothing is sent over a link before the first request."""
--- a/src/oleanderdyke/links/news_server.py
+++ b/src/oleanderdyke/links/news_server.py
@@ -1,4 +1,4 @@
-"""Pass on to neighbours what this process read."""
+"""Server side of news: answer neighbours from this process's reads."""
 
 from __future__ import annotations
 
@@ -37,40 +37,42 @@
 if TYPE_CHECKING:
     from oleanderdyke.links.link import Link
 
-# What was read so much longer ago than it may be old is read here no more.
+# A topic last read longer ago than the request's limit plus this margin is
+# taken to be no longer read by this process.
 _READ_MARGIN: Millis = 1.5 * SECOND
-# Changes of stores come in dozens a second; those of so long go out together.
-_EVENTS_HOLD: Millis = 250.0
+# Stores change dozens of times a second; the changes of this period are sent
+# together.
+_EVENTS_DELAY: Millis = 250.0
 
 
-def _ignore() -> None:
-    """Do nothing about an urgent request."""
+def _ignore_request() -> None:
+    """Do nothing, as no callback for urgent requests is set."""
 
 
 @dataclass
-class Told:
-    """Remember up to which number loads were told over a link."""
+class _SentPosition:
+    """The number of the last load sent over a link."""
 
-    loads: int = 0
+    load_number: int = 0
 
 
 def encode_loads(
     loads: Iterable[TimedLoad], now: Millis
 ) -> tuple[LoadNews, ...]:
-    """Return loads as they are passed on, with their ages."""
+    """Return messages with the ages of the loads at `now`."""
     return tuple(_encode_load(each, now) for each in loads)
 
 
-def _encode_load(told: TimedLoad, now: Millis) -> LoadNews:
-    rate = told.rate_limit
+def _encode_load(load: TimedLoad, now: Millis) -> LoadNews:
+    rate = load.rate_limit
     is_limited = None if rate is None else math.isfinite(rate)
     return LoadNews(
-        max(now - told.at, 0.0),
-        told.start.server,
-        told.load.running,
-        told.load.waiting,
-        told.load.slots,
-        told.start.born,
+        max(now - load.at, 0.0),
+        load.start.server,
+        load.load.running,
+        load.load.waiting,
+        load.load.slots,
+        load.start.born,
         is_limited,
         rate if rate is not None and is_limited else 0.0,
     )
@@ -79,7 +81,7 @@
 def decode_loads(
     loads: Iterable[LoadNews], sent_at: Millis
 ) -> Iterator[TimedLoad]:
-    """Yield loads that were sent at a moment, or a little before."""
+    """Yield the loads of messages sent at `sent_at` or just before."""
     for each in loads:
         yield TimedLoad(
             ServerStart(each.server, each.born),
@@ -98,12 +100,13 @@
 class NewsServer:
     """Answer neighbours from what this process reads itself.
 
-    `note_urgent` is called where a neighbour asks for a read right now.
+    `on_urgent_request` is called when a neighbour asks for an immediate read.
     """
 
     def __init__(self, neighbours: Neighbours, clock: Clock) -> None:
-        self.on_urgent_request: Callable[[], None] = _ignore
-        # What neighbours and this process were told of loads, and the latter.
+        self.on_urgent_request: Callable[[], None] = _ignore_request
+        # `loads` also holds reports to neighbours, `local_loads` only the ones
+        # to this process.
         self.loads = LoadTable()
         self.local_loads = LoadTable()
         self._neighbours = neighbours
@@ -123,7 +126,7 @@
         *,
         era: int | None = None,
     ) -> None:
-        """Keep what was read of a topic."""
+        """Buffer records that this process read from a topic."""
         self._records[topic].add(
             start,
             tuple(records),
@@ -136,22 +139,24 @@
     def buffer_events(
         self, store: str, since: int, found: ContextEvents, asked_at: Millis
     ) -> None:
-        """Keep what was read of a store of context."""
+        """Buffer events that this process read from a context store."""
         self._events[store].add(since, found, asked_at, self._clock.now())
         if found.events:
             self._wake()
 
     async def handle(self, link: Link) -> None:
-        """Answer the requests of one link, side by side, until it closes."""
-        told = Told()
+        """Answer the requests of one link concurrently until it closes."""
+        sent = _SentPosition()
         async with anyio.create_task_group() as tasks:
             try:
                 while True:
                     message = await link.receive()
                     if isinstance(message, NewsRequest):
-                        tasks.start_soon(self._tell_records, link, message)
+                        tasks.start_soon(self._answer_records, link, message)
                     elif isinstance(message, ContextRequest):
-                        tasks.start_soon(self._tell_events, link, message, told)
+                        tasks.start_soon(
+                            self._answer_events, link, message, sent
+                        )
             except OleanderError:
                 tasks.cancel_scope.cancel()
 
@@ -159,65 +164,65 @@
         self._changed.set()
         self._changed = anyio.Event()
 
-    async def _tell_records(self, link: Link, asked: NewsRequest) -> None:
+    async def _answer_records(self, link: Link, request: NewsRequest) -> None:
         arrived = self._clock.now()
-        if asked.is_urgent:
+        if request.is_urgent:
             self.on_urgent_request()
-        tail = self._records.get(asked.topic)
-        if tail is None or not self._is_read(tail.read_at, asked.limit):
+        buffer = self._records.get(request.topic)
+        if buffer is None or not self._is_recent(buffer.read_at, request.limit):
             self._neighbours.record_request(RECORD_SOURCE, arrived)
-            answer = NewsAnswer(asked.number, NewsOutcome.UNREAD)
+            answer = NewsAnswer(request.number, NewsOutcome.UNREAD)
         else:
-            answer = await self._wait_records(tail, asked, arrived)
+            answer = await self._wait_records(buffer, request, arrived)
         with suppress(OleanderError):
             await link.send(answer)
 
     async def _wait_records(
-        self, tail: RecordBuffer, asked: NewsRequest, arrived: Millis
+        self, buffer: RecordBuffer, request: NewsRequest, arrived: Millis
     ) -> NewsAnswer:
         while True:
             now = self._clock.now()
-            known_at = tail.known_at
-            age = asked.limit if known_at is None else now - known_at
-            left = min(arrived + asked.wait - now, asked.limit - age)
-            if left <= 0 or tail.end > asked.start:
+            known_at = buffer.known_at
+            age = request.limit if known_at is None else now - known_at
+            remaining = min(arrived + request.wait - now, request.limit - age)
+            if remaining <= 0 or buffer.end > request.start:
                 break
-            await self._wait_change(left)
-        records = tail.find(asked.start)
-        is_other = asked.era is not None and asked.era != tail.era
-        if records is None or known_at is None or is_other:
-            return NewsAnswer(asked.number, NewsOutcome.DROPPED)
+            await self._wait_change(remaining)
+        records = buffer.find(request.start)
+        is_other_era = request.era is not None and request.era != buffer.era
+        if records is None or known_at is None or is_other_era:
+            return NewsAnswer(request.number, NewsOutcome.DROPPED)
         return NewsAnswer(
-            asked.number,
+            request.number,
             NewsOutcome.TOLD,
             held=now - arrived,
             age=age,
             records=records,
-            is_complete=asked.start + len(records) >= tail.end,
-            era=tail.era,
+            is_complete=request.start + len(records) >= buffer.end,
+            era=buffer.era,
         )
 
-    async def _tell_events(
-        self, link: Link, asked: ContextRequest, told: Told
+    async def _answer_events(
+        self, link: Link, request: ContextRequest, sent: _SentPosition
     ) -> None:
         arrived = self._clock.now()
-        for each in decode_loads(asked.loads, arrived):
+        for each in decode_loads(request.loads, arrived):
             self.loads.update(each)
-        until = arrived + asked.wait
-        await anyio.sleep(min(_EVENTS_HOLD, asked.wait) / SECOND)
-        while not self._has_events(asked.positions):
-            if self.loads.last_number > told.loads:
+        until = arrived + request.wait
+        await anyio.sleep(min(_EVENTS_DELAY, request.wait) / SECOND)
+        while not self._has_events(request.positions):
+            if self.loads.last_number > sent.load_number:
                 break
             now = self._clock.now()
-            left = min(until - now, self._find_left(asked, now))
-            if left <= 0:
+            remaining = min(until - now, self._find_remaining(request, now))
+            if remaining <= 0:
                 break
-            await self._wait_change(left)
+            await self._wait_change(remaining)
         now = self._clock.now()
-        stores = tuple(self._list_news(asked.positions, asked.limit, now))
-        loads = encode_loads(self.loads.list_after(told.loads, now), now)
-        told.loads = self.loads.last_number
-        answer = ContextAnswer(asked.number, now - arrived, stores, loads)
+        stores = tuple(self._list_news(request.positions, request.limit, now))
+        loads = encode_loads(self.loads.list_after(sent.load_number, now), now)
+        sent.load_number = self.loads.last_number
+        answer = ContextAnswer(request.number, now - arrived, stores, loads)
         with suppress(OleanderError):
             await link.send(answer)
 
@@ -230,31 +235,34 @@
                 return True
         return False
 
-    def _find_left(self, asked: ContextRequest, now: Millis) -> Millis:
-        """Return for how long what is known of all stores is young enough."""
+    def _find_remaining(self, request: ContextRequest, now: Millis) -> Millis:
+        """Return how long the oldest read of the stores stays within the limit.
+
+        Zero or less means that a store is already older.
+        """
         asked_at = [
             self._find_events(position).requested_at
-            for position in asked.positions
+            for position in request.positions
         ]
-        return min(asked_at, default=now) + asked.limit - now
+        return min(asked_at, default=now) + request.limit - now
 
     def _list_news(
         self, positions: Iterable[StorePosition], limit: Millis, now: Millis
     ) -> Iterable[StoreNews]:
         for position in positions:
             source = find_context_source(position.store)
-            tail = self._find_events(position)
-            found = tail.latest
-            if found is None or not self._is_read(tail.answered_at, limit):
+            buffer = self._find_events(position)
+            found = buffer.latest
+            if found is None or not self._is_recent(buffer.answered_at, limit):
                 self._neighbours.record_request(source, now)
                 continue
             is_same = position.boot in {None, found.boot}
-            events = tail.find(position.next if is_same else 0)
+            events = buffer.find(position.next if is_same else 0)
             if events is not None:
-                yield _make_store_news(position, tail, found, events, now)
+                yield _make_store_news(position, buffer, found, events, now)
 
     def _find_events(self, position: StorePosition) -> EventBuffer:
-        """Return what was read of a store, nothing where none was."""
+        """Return the events read from a store, empty if it was not read."""
         return self._events.get(position.store, EventBuffer())
 
     async def _wait_change(self, within: Millis) -> None:
@@ -262,8 +270,8 @@
         with anyio.move_on_after(within / SECOND):
             await changed.wait()
 
-    def _is_read(self, read_at: Millis | None, limit: Millis) -> bool:
-        """Return whether this process reads what it read then."""
+    def _is_recent(self, read_at: Millis | None, limit: Millis) -> bool:
+        """Return whether a read at `read_at` is recent enough to be ongoing."""
         if read_at is None:
             return False
         return self._clock.now() - read_at < limit + _READ_MARGIN
@@ -271,19 +279,19 @@
 
 def _make_store_news(
     position: StorePosition,
-    tail: EventBuffer,
+    buffer: EventBuffer,
     found: ContextEvents,
     events: tuple[ContextEvent, ...],
     now: Millis,
 ) -> StoreNews:
-    is_cut = bool(events) and events[-1].number < found.next
+    is_partial = bool(events) and events[-1].number < found.next
     return StoreNews(
         store=position.store,
         boot=found.boot,
-        next=events[-1].number if is_cut else found.next,
-        clock=found.clock + now - tail.answered_at if found.clock else 0.0,
-        spread=tail.answered_at - tail.requested_at,
-        age=now - tail.requested_at,
+        next=events[-1].number if is_partial else found.next,
+        clock=found.clock + now - buffer.answered_at if found.clock else 0.0,
+        spread=buffer.answered_at - buffer.requested_at,
+        age=now - buffer.requested_at,
         events=tuple(
             StoreEvent(
                 each.number, each.is_added, each.salt, each.part, each.tokens
--- a/src/oleanderdyke/links/pool.py
+++ b/src/oleanderdyke/links/pool.py
@@ -1,4 +1,4 @@
-"""Keep one link to each address of a changing set."""
+"""Pool of links: one to each address of a changing set."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolSettings:
-    """Bound how a pool reconnects."""
+    """Limits of reconnection and of the links."""
 
     link: LinkSettings = field(default_factory=LinkSettings)
     first_backoff: Millis = 100.0
@@ -33,7 +33,7 @@
 def choose_backoff(
     settings: PoolSettings, failures: int, random: Random
 ) -> Millis:
-    """Choose a wait with full jitter, its bound doubling to a limit."""
+    """Return an exponential backoff with full jitter, in milliseconds."""
     doublings = min(failures, _MAX_DOUBLINGS)
     bound = min(settings.first_backoff * 2**doublings, settings.last_backoff)
     return random.uniform(0, bound)
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class _Target:
-    """Hold what is known about one wanted address."""
+    """State of one address of the pool."""
 
     name: str
     address: str
@@ -54,9 +54,10 @@
 class LinkPool:
     """Dial every address, reconnect with backoff, and find links by name.
 
-    `make_hello` is asked before each dial. The callbacks of one link run one
-    after the other, those of different links side by side. `take` spares
-    `on_message` a turn of the loop: it is called while bytes are read.
+    `make_hello` is called before each dial. The callbacks of one link run one
+    after the other, those of different links concurrently. `handle_inline` is
+    called while bytes are read, which saves a turn of the event loop compared
+    with `on_message`.
     """
 
     def __init__(
@@ -87,7 +88,7 @@
         self._group: TaskGroup | None = None
 
     def set_addresses(self, addresses: Mapping[str, str]) -> None:
-        """Replace the wanted set, from VM name to `host:port`."""
+        """Replace the addresses to connect to, from VM name to `host:port`."""
         for name, target in tuple(self._targets.items()):
             if addresses.get(name) != target.address:
                 self._drop(self._targets.pop(name))
@@ -101,18 +102,18 @@
         return None if link is None or link.closed else link
 
     def links(self) -> Sequence[Link]:
-        """Return every open link."""
+        """Return all open links."""
         targets = self._targets.values()
         links = (target.link for target in targets)
         return tuple(link for link in links if link and not link.closed)
 
     async def run(self) -> None:
-        """Dial and read until cancelled."""
+        """Connect and receive messages until cancelled."""
         async with anyio.create_task_group() as group:
             self._group = group
             try:
                 for target in tuple(self._targets.values()):
-                    group.start_soon(self._keep, target)
+                    group.start_soon(self._keep_connected, target)
                 await anyio.sleep_forever()
             finally:
                 self._group = None
@@ -120,23 +121,23 @@
     def _add(self, target: _Target) -> None:
         self._targets[target.name] = target
         if self._group is not None:
-            self._group.start_soon(self._keep, target)
+            self._group.start_soon(self._keep_connected, target)
 
     def _drop(self, target: _Target) -> None:
         target.wanted = False
         target.scope.cancel()
 
-    async def _keep(self, target: _Target) -> None:
+    async def _keep_connected(self, target: _Target) -> None:
         with target.scope:
             while target.wanted:
-                await self._wait(target)
+                await self._wait_backoff(target)
                 link = await self._dial(target)
                 if link is None:
                     target.failures += 1
                 else:
                     await self._serve(target, link)
 
-    async def _wait(self, target: _Target) -> None:
+    async def _wait_backoff(self, target: _Target) -> None:
         wait = choose_backoff(self._settings, target.failures, self._random)
         await anyio.sleep(wait / SECOND)
 
@@ -162,16 +163,19 @@
             await self._read(link)
         finally:
             target.link = None
-            self._forget(names, link)
+            self._remove_names(names, link)
             with anyio.CancelScope(shield=True):
                 await link.close()
                 await self._on_down(link)
-        # A peer that drops each link at once is dialed ever more rarely. One
-        # that fell silent was not: its streams wait 4 s for a new link, less
-        # than the backoff may be that dials before this link have earned.
-        lived = self._clock.now() - started
-        steady = link.fell_silent or lived > self._settings.last_backoff
-        target.failures = 0 if steady else target.failures + 1
+        # A peer that drops each link at once is dialed with growing backoff.
+        # The backoff is reset for a peer that fell silent, as its streams wait
+        # 4 s for a new link, which is less than the backoff can be after earlier
+        # failed dials.
+        duration = self._clock.now() - started
+        was_stable = (
+            link.keepalive_expired or duration > self._settings.last_backoff
+        )
+        target.failures = 0 if was_stable else target.failures + 1
 
     async def _read(self, link: Link) -> None:
         try:
@@ -183,7 +187,7 @@
         except OleanderError:
             return
 
-    def _forget(self, names: Sequence[str], link: Link) -> None:
+    def _remove_names(self, names: Sequence[str], link: Link) -> None:
         for name in names:
             if self._names.get(name) is link:
                 del self._names[name]
--- a/src/oleanderdyke/links/sockets.py
+++ b/src/oleanderdyke/links/sockets.py
@@ -1,4 +1,4 @@
-"""Fit the websockets library to the links."""
+"""Websocket connections of the `websockets` library, adapted to links."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 from websockets.protocol import Event, State
 
 from oleanderdyke.clock import SECOND
-from oleanderdyke.links.link import LinkSettings, Offer
-from oleanderdyke.links.silence import SilenceWatch
+from oleanderdyke.links.keepalive import KeepaliveMonitor
+from oleanderdyke.links.link import FrameHandler, LinkSettings
 
 _MAX_QUEUED_FRAMES = 8
 _WRITE_LIMIT = 256 * 1024
 
-# The library's own lines are not in the form of the event log.
+# The library's log lines do not have the format of the event log.
 _LOGGER = logging.getLogger('oleanderdyke.links')
 _LOGGER.addHandler(logging.NullHandler())
 _LOGGER.propagate = False
 
 
-class _WatchedConnection(Connection):
-    """Report each arrival of bytes, also within a long frame."""
+class _MonitoredConnection(Connection):
+    """Connection that reports each arrival of bytes, even within a frame."""
 
-    _watch: SilenceWatch | None = None
-    _offer: Offer | None = None
+    _monitor: KeepaliveMonitor | None = None
+    _frame_handler: FrameHandler | None = None
 
-    def watch(self, watch: SilenceWatch) -> None:
-        """Report arriving bytes to a watch."""
-        self._watch = watch
+    def set_monitor(self, monitor: KeepaliveMonitor) -> None:
+        """Report each arrival of bytes to the monitor."""
+        self._monitor = monitor
 
-    def set_offer(self, offer: Offer) -> None:
-        """Offer each frame of data before it is queued for `recv`."""
-        self._offer = offer
+    def set_frame_handler(self, handler: FrameHandler) -> None:
+        """Pass each data frame to the handler before it is queued."""
+        self._frame_handler = handler
 
     def is_reading(self) -> bool:
-        """Return whether bytes are taken from the socket."""
+        """Return whether the transport currently reads from the socket."""
         return self.transport.is_reading()
 
     def is_open(self) -> bool:
@@ -47,7 +47,7 @@
         return self.state is State.OPEN
 
     def is_writable(self) -> bool:
-        """Return whether a short frame goes out without waiting."""
+        """Return whether a short frame can be sent without blocking."""
         return not (self.paused or self.transport.is_closing())
 
     def write(self, message: bytes) -> None:
@@ -56,37 +56,37 @@
         self.send_data()
 
     def abort(self) -> None:
-        """Drop the connection at once."""
+        """Close the connection immediately, without a closing handshake."""
         self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes from the socket."""
-        if self._watch is not None:
-            self._watch.note_heard()
+        """Report the arrival to the monitor and parse the bytes."""
+        if self._monitor is not None:
+            self._monitor.record_activity()
         super().data_received(data)
 
     def process_event(self, event: Event) -> None:
-        """Queue a frame of data unless it is taken at once."""
-        offer = self._offer
-        if offer is not None and isinstance(event, Frame):
+        """Queue a data frame unless the frame handler consumes it."""
+        handler = self._frame_handler
+        if handler is not None and isinstance(event, Frame):
             whole = event.fin and event.opcode is Opcode.BINARY
-            if event.opcode in DATA_OPCODES and offer(
+            if event.opcode in DATA_OPCODES and handler(
                 bytes(event.data), whole=whole
             ):
                 return
         super().process_event(event)
 
 
-class ClientSocket(_WatchedConnection, ClientConnection):
-    """Be the websocket of a dialer."""
+class ClientSocket(_MonitoredConnection, ClientConnection):
+    """Websocket of an outgoing link."""
 
 
-class ServerSocket(_WatchedConnection, ServerConnection):
-    """Be the websocket of a listener."""
+class ServerSocket(_MonitoredConnection, ServerConnection):
+    """Websocket of an incoming link."""
 
 
 def socket_options(settings: LinkSettings) -> dict[str, Any]:
-    """Return the options of the library that both sides share."""
+    """Return the library options that both sides use."""
     return {
         'compression': None,
         'max_size': settings.max_frame,
--- a/src/oleanderdyke/links/tls.py
+++ b/src/oleanderdyke/links/tls.py
@@ -1,4 +1,4 @@
-"""Build the TLS contexts of links and of the caller side."""
+"""TLS contexts of links and of the public HTTP listener."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsPaths:
-    """Name the PEM files of one side; `ca` makes the peer prove itself."""
+    """PEM files of one side; with `ca`, the peer's certificate is checked."""
 
     certificate: str = ''
     key: str = ''
@@ -16,7 +16,7 @@
 
 
 def make_server_context(paths: TlsPaths) -> ssl.SSLContext:
-    """Build a context that asks clients for a certificate where a CA is set."""
+    """Build a context that requires client certificates if a CA is set."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     context.load_cert_chain(paths.certificate, paths.key or None)
@@ -27,9 +27,9 @@
 
 
 def make_client_context(paths: TlsPaths) -> ssl.SSLContext:
-    """Build a context that checks the server against the CA.
+    """Build a context that verifies the server certificate.
 
-    Without a CA the machine's own list of authorities counts.
+    Without a CA in `paths`, the authorities of the system are trusted.
     """
     context = ssl.create_default_context(cafile=paths.ca or None)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -18,6 +18,7 @@
 from oleanderdyke.links.codec import decode, encode
 from oleanderdyke.links.dialer import DialFailed, dial
 from oleanderdyke.links.handshake import HandshakeFailed
+from oleanderdyke.links.keepalive import KeepaliveMonitor
 from oleanderdyke.links.link import LinkClosed, LinkSettings
 from oleanderdyke.links.listener import serve_links
 from oleanderdyke.links.messages import (
@@ -31,7 +32,6 @@
     Refused,
     Role,
 )
-from oleanderdyke.links.silence import SilenceWatch
 from oleanderdyke.links.tls import (
     TlsPaths,
     make_client_context,
@@ -368,14 +368,14 @@
 )
 def test_silence_is_counted_only_while_the_peer_could_be_heard(ticks, silent):
     now = 0.0
-    watch = SilenceWatch(interval=10, allowed=3, now=now)
+    watch = KeepaliveMonitor(interval=10, allowed=3, now=now)
     now += 10
     watch.tick(now, reading=True)
     verdict = False
     for tick in ticks:
         now += 1000 if tick == LATE else 10
         if tick == HEARD:
-            watch.note_heard()
+            watch.record_activity()
         verdict = watch.tick(now, reading=tick != PAUSED)
     assert verdict is silent
 
