--- a/src/oleanderdyke/__init__.py
+++ b/src/oleanderdyke/__init__.py
@@ -1,4 +1,4 @@
-"""Serve prompts that come back after long gaps."""
+"""Serving system for LLM prompts that return after long gaps."""
 
 from __future__ import annotations
 
--- a/src/oleanderdyke/cbor.py
+++ b/src/oleanderdyke/cbor.py
@@ -1,4 +1,4 @@
-"""Read and write plain CBOR: no tags, no endless or very deep values."""
+"""Plain CBOR: no tags, no indefinite lengths and limited nesting."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 MAX_DEPTH = 8
 
-# Tags that the library would decode by itself; others reach the tag hook.
-# They make dates, big numbers, references, patterns, addresses and sets.
+# Tags that the library decodes itself, such as dates, big numbers, references,
+# patterns, addresses and sets. All others reach the tag hook.
 _BUILT_IN_TAGS = (
     *range(6),
     *(25, 28, 29, 30, 35, 36, 37, 52, 54, 100, 256, 258, 260, 261, 1004),
@@ -28,12 +28,12 @@
 
 
 def dump_cbor(value: object) -> bytes:
-    """Return the CBOR of a plain value."""
+    """Encode a plain value as CBOR."""
     return cbor2.dumps(value)
 
 
 def load_cbor(data: bytes) -> object:
-    """Return the one value in `data`; raise OleanderError(PROTOCOL)."""
+    """Decode one value; raise OleanderError(PROTOCOL) for any other data."""
     stream = io.BytesIO(data)
     try:
         value: object = cbor2.CBORDecoder(
@@ -45,7 +45,7 @@
             allow_duplicate_keys=False,
             strict_hashable_types=True,
         ).decode()
-    except Exception as error:  # the library leaks several types
+    except Exception as error:  # the library raises several types
         raise OleanderError(ErrorKind.PROTOCOL, 'invalid CBOR') from error
     if stream.tell() != len(data):
         raise OleanderError(ErrorKind.PROTOCOL, 'bytes after the CBOR value')
--- a/src/oleanderdyke/clock.py
+++ b/src/oleanderdyke/clock.py
@@ -1,4 +1,4 @@
-"""Tell time in milliseconds."""
+"""Clocks that read milliseconds."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 
 class Clock(Protocol):
-    """Read a monotonic clock and a wall clock."""
+    """A monotonic clock and a wall clock."""
 
     def now(self) -> Millis:
-        """Return monotonic milliseconds; only differences mean anything."""
+        """Return monotonic milliseconds; only differences have a meaning."""
 
     def wall(self) -> Millis:
         """Return milliseconds since the Unix epoch."""
 
 
-# A machine that is suspended for seconds stops its usual monotonic clock, but
-# what it has read gets older all the same: news, leases, views of stores.
-_STEADY = getattr(time, 'CLOCK_BOOTTIME', time.CLOCK_MONOTONIC)
+# The usual monotonic clock stops while the machine is suspended, but data that
+# was read before, such as news, leases and store views, ages all the same.
+_MONOTONIC_CLOCK = getattr(time, 'CLOCK_BOOTTIME', time.CLOCK_MONOTONIC)
 
 
 class SystemClock:
-    """Read the clocks of this machine."""
+    """The clocks of this machine."""
 
     def now(self) -> Millis:
-        """Return monotonic milliseconds, those of a suspension included."""
-        return time.clock_gettime_ns(_STEADY) / _NANOS_PER_MILLI
+        """Return monotonic milliseconds, including time spent suspended."""
+        return time.clock_gettime_ns(_MONOTONIC_CLOCK) / _NANOS_PER_MILLI
 
     def wall(self) -> Millis:
         """Return milliseconds since the Unix epoch."""
@@ -43,7 +43,7 @@
 
 @dataclass
 class ManualClock:
-    """Stand still until told to advance."""
+    """Clock for tests and simulations that moves only by `advance`."""
 
     current: Millis = 0.0
     epoch: Millis = 0.0
@@ -63,5 +63,5 @@
 
 
 def make_clock() -> Clock:
-    """Build the clock that the binaries use."""
+    """Create the clock that the daemons use."""
     return SystemClock()
--- a/src/oleanderdyke/daemon.py
+++ b/src/oleanderdyke/daemon.py
@@ -1,4 +1,4 @@
-"""Run a daemon from its command line: settings, failures, exit code."""
+"""Entry point of the daemons: command line, settings and exit code."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class NamedSettings(Protocol):
-    """Hold what every daemon's settings have."""
+    """Settings that all daemons have in common."""
 
     @property
     def process(self) -> str:
@@ -42,9 +42,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Mode(Generic[SettingsT]):
-    """Describe how a daemon runs in one of its modes.
+    """How a daemon runs in one of its modes.
 
-    `load` reads its settings from a file or from where the environment says.
+    `load` reads the settings from a file or from where the environment points.
     """
 
     load: Callable[[Path | None, Mapping[str, str]], SettingsT]
@@ -54,10 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Daemon:
-    """Describe a daemon by the modules whose `make_mode` builds its modes.
+    """A daemon, with the names of the modules that define its modes.
 
-    Only the module of the chosen mode is loaded: on the platform all daemons
-    start at once on small shares of a core, and serve nobody meanwhile.
+    Each of these modules has a function `make_mode`. Only the module of the
+    selected mode is imported: on the platform all daemons start at the same
+    time on small CPU shares and serve no requests until they are loaded.
     """
 
     name: str
@@ -66,7 +67,7 @@
     hosted: str
 
     def run(self, arguments: Sequence[str] | None = None) -> int:
-        """Run until the daemon is told to stop; return its exit code."""
+        """Run until the daemon is stopped; return its exit code."""
         parser = make_parser(self.name, self.description)
         options = parser.parse_args(arguments)
         if options.settings is None and not options.platform:
@@ -90,7 +91,7 @@
 
 
 def _load_mode(module: str) -> Mode[NamedSettings]:
-    """Import a mode; nothing of it is garbage, so none is looked for."""
+    """Import a mode without garbage collection, as all of it stays in use."""
     gc.disable()
     mode: Mode[NamedSettings] = import_module(module).make_mode()
     gc.freeze()
@@ -99,19 +100,19 @@
 
 
 def _show_settings(settings: NamedSettings) -> str:
-    """Render settings; what does so takes long to load and is rarely needed."""
+    """Render settings; imports lazily, as loading the module is slow."""
     return str(import_module('oleanderdyke.settings').show_settings(settings))
 
 
 def make_hosted_log(settings: NamedSettings) -> EventLog:
-    """Build the log of a daemon on the users' platform."""
+    """Create the event log of a daemon on the platform."""
     return make_pipe_log(settings.process, make_clock(), sys.stdout.fileno())
 
 
 def _run(
     log: EventLog, serve: Callable[..., Awaitable[None]], *arguments: object
 ) -> int:
-    """Run on one loop; the one place where groups of exceptions end."""
+    """Run an event loop and log the exceptions that end it."""
     code = 0
     try:
         anyio.run(serve, *arguments)
@@ -120,14 +121,14 @@
         for error in _flatten(group):
             log.write(
                 EventName.PROCESS_FAILED,
-                reason=_name_reason(error),
+                reason=_find_reason(error),
                 detail=_describe(error),
             )
     return code
 
 
 def make_parser(name: str, description: str) -> argparse.ArgumentParser:
-    """Build the parser of a daemon's command line."""
+    """Create the command line parser of a daemon."""
     parser = argparse.ArgumentParser(prog=name, description=description)
     parser.add_argument('--version', action='version', version=__version__)
     parser.add_argument(
@@ -160,20 +161,20 @@
             yield error
 
 
-def _name_reason(error: Exception) -> str:
+def _find_reason(error: Exception) -> str:
     if isinstance(error, OleanderError):
         return error.kind.value
     return type(error).__name__
 
 
 def _describe(error: Exception) -> str:
-    # Other messages may hold what callers sent, so only the place is told.
+    # Other messages may contain request data, so only the position is logged.
     if isinstance(error, OleanderError | OSError):
         return str(error)
-    return _find_place(error)
+    return _find_position(error)
 
 
-def _find_place(error: Exception) -> str:
+def _find_position(error: Exception) -> str:
     place = error.__traceback__
     while place is not None and place.tb_next is not None:
         place = place.tb_next
--- a/src/oleanderdyke/dependencies.py
+++ b/src/oleanderdyke/dependencies.py
@@ -1,4 +1,4 @@
-"""Tell once that what a process needs is lost, and once that it is back."""
+"""Availability of the services that a process depends on."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 
 class Dependency:
-    """Follow whether something answers, and count each time that it didn't.
+    """Availability of one service, as log events and as a metric.
 
-    `keys` name it in the log; `label` names it in the metrics.
+    Logs the first failure and the first success after it; counts every failure.
+    `keys` identify the service in the log, `label` in the metrics.
     """
 
     def __init__(
@@ -36,11 +37,11 @@
 
     @property
     def is_lost(self) -> bool:
-        """Return whether it failed last."""
+        """Return whether the last call failed."""
         return self._lost_at is not None
 
     def record_failure(self, detail: str) -> None:
-        """Learn that it failed; the first failure is logged."""
+        """Count a failed call; log it if the call before succeeded."""
         self._metrics.add(Count.DEPENDENCY_FAULTS, label=self._label)
         if self._lost_at is not None:
             return
@@ -48,18 +49,18 @@
         self._log.write(self._lost, **self._keys, detail=detail)
 
     def record_success(self) -> None:
-        """Learn that it answered; the first answer after a loss is logged."""
+        """Record a successful call; log it if the call before failed."""
         if self._lost_at is None:
             return
-        away = self._clock.now() - self._lost_at
+        outage = self._clock.now() - self._lost_at
         self._lost_at = None
-        self._log.write(self._regained, **self._keys, duration=round(away))
+        self._log.write(self._regained, **self._keys, duration=round(outage))
 
 
 def make_news_dependency(
     log: EventLog, metrics: Metrics, clock: Clock
 ) -> Dependency:
-    """Follow whether neighbours tell what they read."""
+    """Create the dependency on the neighbours that share their reads."""
     return Dependency(
         log,
         metrics,
--- a/src/oleanderdyke/errors.py
+++ b/src/oleanderdyke/errors.py
@@ -1,4 +1,4 @@
-"""List every kind of error and the answer it gets."""
+"""Error kinds and the responses that they map to."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Ran(enum.StrEnum):
-    """Say whether the refused request may have run."""
+    """Whether the failed request may have been executed."""
 
     NO = 'no'
     MAYBE = 'maybe'
@@ -19,7 +19,7 @@
 
 
 class ErrorKind(enum.StrEnum):
-    """Name one kind of error; the list is closed."""
+    """The kind of an error; a fixed list."""
 
     BAD_REQUEST = 'bad_request'
     UNAUTHENTICATED = 'unauthenticated'
@@ -54,14 +54,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Hold the answer that belongs to an error kind."""
+    """The HTTP status and retry advice of an error kind."""
 
     status: int
     ran: Ran
     retry_after: Millis | None = None
 
 
-# The entry may only weaken `ran` from no to maybe, never the other way.
+# An entry may change `ran` from no to maybe, but never from maybe to no.
 REPLIES: dict[ErrorKind, Reply] = {
     ErrorKind.BAD_REQUEST: Reply(400, Ran.NO),
     ErrorKind.UNAUTHENTICATED: Reply(401, Ran.NO),
@@ -96,7 +96,7 @@
 
 
 class OleanderError(Exception):
-    """Carry one error kind to the place that answers."""
+    """Base class of errors that are reported to callers."""
 
     exit_code = 1
 
@@ -119,12 +119,12 @@
         )
 
     def show(self, file: TextIO | None = None) -> None:
-        """Print the error for a person at a terminal."""
+        """Print the error message to a terminal, by default standard error."""
         print(f'error: {self.message}', file=file or sys.stderr)
 
 
 class SettingsError(OleanderError):
-    """Report every fault of a settings file at once."""
+    """Raised with all faults found in settings or in a document."""
 
     exit_code = 2
 
--- a/src/oleanderdyke/events.py
+++ b/src/oleanderdyke/events.py
@@ -1,4 +1,4 @@
-"""List every event that a process may log, with its keys."""
+"""The events and keys that may be logged."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Level(enum.StrEnum):
-    """Name how important an event is."""
+    """Severity of an event."""
 
     DEBUG = 'debug'
     INFO = 'info'
@@ -16,7 +16,7 @@
 
 
 class EventName(enum.StrEnum):
-    """Name one kind of event; the list is closed."""
+    """The name of an event; a fixed list."""
 
     PROCESS_STARTED = 'process_started'
     PROCESS_READY = 'process_ready'
@@ -91,9 +91,9 @@
     SETTINGS_RELOADED = 'settings_reloaded'
 
 
-# Every event carries time, level, event, process and sequence. Sent and
-# received events carry `request`, `attempt` and `peer`, by which the time
-# line pairs them.
+# Every event has the time, level, event, process and sequence. Events of sent
+# and received messages also have `request`, `attempt` and `peer`, by which the
+# timeline tool pairs them.
 COMMON_KEYS = ('at', 'level', 'event', 'process', 'sequence')
 
 LEVELS: Mapping[EventName, Level] = {
@@ -124,7 +124,7 @@
 
 
 class Key(enum.StrEnum):
-    """Name a key that an event may carry; the list is closed."""
+    """The key of a value in an event; a fixed list."""
 
     REQUEST = 'request'
     ATTEMPT = 'attempt'
--- a/src/oleanderdyke/exposition.py
+++ b/src/oleanderdyke/exposition.py
@@ -1,4 +1,4 @@
-"""Show metrics in the Prometheus text format."""
+"""Metrics in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 
 def render_metrics(metrics: Metrics) -> bytes:
-    """Return all metrics in the text format."""
+    """Return all metrics in the Prometheus text format."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(_Families(metrics))
     return generate_latest(registry)
 
 
 class _Families(Collector):
-    """Offer metrics to a Prometheus registry."""
+    """Collector that converts metrics to Prometheus families."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
     def collect(self) -> Iterator[Metric]:
-        """Yield the metric families."""
+        """Yield the families of all timings, counters and gauges."""
         for timing in Timing:
             yield from self._collect_timing(timing)
         for count in Count:
--- a/src/oleanderdyke/links/pool.py
+++ b/src/oleanderdyke/links/pool.py
@@ -169,7 +169,7 @@
                 await self._on_down(link)
         # A peer that drops each link at once is dialed with growing backoff.
         # The backoff is reset for a peer that fell silent, as its streams wait
-        # 4 s for a new link, which is less than the backoff can be after earlier
+        # 4 s for a new link, which can be less than the backoff after earlier
         # failed dials.
         duration = self._clock.now() - started
         was_stable = (
--- a/src/oleanderdyke/logpipe.py
+++ b/src/oleanderdyke/logpipe.py
@@ -1,4 +1,4 @@
-"""Write log lines to a pipe within a budget, and never wait for its reader."""
+"""Non-blocking log handler for pipes, with a rate limit."""
 
 from __future__ import annotations
 
@@ -13,21 +13,24 @@
 
 @dataclass(frozen=True, slots=True)
 class LogBudget:
-    """Bound what is written in a second; urgent lines may use all of it.
+    """Limit of the lines and bytes written per second.
 
-    A request takes some five lines of 250 bytes; this leaves room for a burst
-    over fifty of them a second.
+    Warnings and errors may use all of it. A request takes about five lines of
+    250 bytes, so this allows for a burst above fifty requests per second.
     """
 
     lines: int = 600
     bytes: int = 160 * 1024
-    # What lines of good requests may use, so that those of failed and slow
-    # ones still find room.
-    usual_share: float = 0.75
+    # The share that lines below warning may use, so that lines about failed
+    # and slow requests are still written.
+    normal_share: float = 0.75
 
 
 class PipeHandler:
-    """Drop and count what the budget or the reader doesn't take."""
+    """Write lines without blocking; drop and count those that do not fit.
+
+    `make_notice` renders a line that reports a number of dropped lines.
+    """
 
     def __init__(
         self,
@@ -42,17 +45,17 @@
         self._clock = clock
         self._budget = budget or LogBudget()
         self._make_notice = make_notice
-        self._since: Millis = clock.now()
+        self._second_start: Millis = clock.now()
         self._lines = 0
         self._bytes = 0
-        self._dropped = 0
-        # Since the start; the count above is what was not told yet.
+        self._unreported = 0
+        # Total since the start; `_unreported` has not been logged yet.
         self.dropped = 0
-        # The rest of a line that the pipe took only in part.
+        # The unwritten rest of a line that was written only in part.
         self._rest = b''
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write a record's line, or count it."""
+        """Write the line of a record, or count it as dropped."""
         self._start_second()
         line = f'{record.msg}\n'.encode()
         if not self._has_room(len(line), record.level):
@@ -64,29 +67,32 @@
             self._drop()
 
     def _drop(self) -> None:
-        self._dropped += 1
+        self._unreported += 1
         self.dropped += 1
 
     def _start_second(self) -> None:
         now = self._clock.now()
-        if now - self._since < SECOND:
+        if now - self._second_start < SECOND:
             return
-        self._since, self._lines, self._bytes = now, 0, 0
-        if not self._dropped or self._make_notice is None:
+        self._second_start, self._lines, self._bytes = now, 0, 0
+        if not self._unreported or self._make_notice is None:
             return
-        notice = f'{self._make_notice(self._dropped)}\n'.encode()
+        notice = f'{self._make_notice(self._unreported)}\n'.encode()
         if self._write(notice):
-            self._dropped = 0
+            self._unreported = 0
 
     def _has_room(self, length: int, level: int) -> bool:
-        share = 1.0 if level >= logbook.WARNING else self._budget.usual_share
+        share = 1.0 if level >= logbook.WARNING else self._budget.normal_share
         return (
             self._lines < self._budget.lines * share
             and self._bytes + length <= self._budget.bytes * share
         )
 
     def _write(self, line: bytes) -> bool:
-        """Write a whole line; False where nothing of it was taken."""
+        """Write a line; return False if nothing of it was written.
+
+        A rest that does not fit is written before the next line.
+        """
         if self._rest and not self._flush_rest():
             return False
         taken = self._try_write(line)
@@ -104,5 +110,5 @@
         try:
             return os.write(self._descriptor, data)
         except OSError:
-            # Nobody reads, or nobody will: the lines are counted as dropped.
+            # The pipe is full or closed; the caller counts the line as dropped.
             return 0
--- a/src/oleanderdyke/logs.py
+++ b/src/oleanderdyke/logs.py
@@ -1,4 +1,4 @@
-"""Write one line of key=value pairs for each event."""
+"""Event log: one line of key=value pairs per event."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 
 
 class LineHandler(Protocol):
-    """Take the lines of a process."""
+    """Destination of log lines."""
 
     def emit(self, record: logbook.LogRecord) -> None:
         """Write the message of a record as one line."""
 
 
 class EventLog:
-    """Write the events of one process.
+    """The event log of one process.
 
-    `count_dropped` tells how many lines found no room since the start.
+    `count_dropped` returns the number of lines dropped since the start.
     """
 
     def __init__(
@@ -53,32 +53,32 @@
         self._handler = handler
         self.count_dropped = count_dropped
         self._sequence = 0
-        self._beginnings = {
-            event: (_LEVELS[found], _begin_line(event, found, process))
+        self._prefixes = {
+            event: (_LEVELS[found], _format_prefix(event, found, process))
             for event in EventName
             if _LEVELS[found := find_level(event)] >= _LEVELS[level]
         }
         self._has_warnings = _LEVELS[Level.WARNING] >= _LEVELS[level]
-        self._urgent: dict[EventName, tuple[int, str]] = {}
+        self._warnings: dict[EventName, tuple[int, str]] = {}
 
     def write(self, event: EventName, **values: LogValue) -> None:
         """Write one event; the keys must be members of `events.Key`."""
-        beginning = self._beginnings.get(event)
-        if beginning is not None:
-            self._emit(beginning, values)
+        prefix = self._prefixes.get(event)
+        if prefix is not None:
+            self._emit(prefix, values)
 
     def write_warning(self, event: EventName, **values: LogValue) -> None:
-        """Write one event as a warning, whatever the level of its kind.
+        """Write one event at level warning, whatever the level of its name.
 
-        It finds room where lines of good requests are dropped.
+        The line is written even when lines below warning are dropped.
         """
         if self._has_warnings:
-            self._emit(self._find_urgent(event), values)
+            self._emit(self._find_warning(event), values)
 
     def _emit(
-        self, beginning: tuple[int, str], values: Mapping[str, LogValue]
+        self, prefix: tuple[int, str], values: Mapping[str, LogValue]
     ) -> None:
-        level, text = beginning
+        level, text = prefix
         self._sequence += 1
         line = (
             f'at={round(self._clock.wall(), 3)} {text}'
@@ -86,16 +86,16 @@
         )
         self._handler.emit(logbook.LogRecord(self._process, level, line))
 
-    def _find_urgent(self, event: EventName) -> tuple[int, str]:
-        beginning = self._urgent.get(event)
-        if beginning is None:
-            line = _begin_line(event, Level.WARNING, self._process)
-            beginning = self._urgent[event] = (logbook.WARNING, line)
-        return beginning
+    def _find_warning(self, event: EventName) -> tuple[int, str]:
+        prefix = self._warnings.get(event)
+        if prefix is None:
+            line = _format_prefix(event, Level.WARNING, self._process)
+            prefix = self._warnings[event] = (logbook.WARNING, line)
+        return prefix
 
 
-def _begin_line(event: EventName, level: Level, process: str) -> str:
-    """Render the pairs that are the same in each line of an event."""
+def _format_prefix(event: EventName, level: Level, process: str) -> str:
+    """Render the pairs that are the same in all lines of an event."""
     return format_line(
         {'level': level.value, 'event': event.value, 'process': process}
     )
@@ -105,14 +105,14 @@
     line = ''
     for key, found in values.items():
         if key not in _KEYS:
-            raise ValueError(f'{key!r} is not a key of the log')
+            raise ValueError(f'unknown log key {key!r}; add it to events.Key')
         if found is not None:
             line += f' {key}={_quote(found)}'
     return line
 
 
 def format_line(pairs: Mapping[str, LogValue]) -> str:
-    """Render pairs so that `parse_line` gives them back as text."""
+    """Render pairs in the format that `parse_line` reads."""
     return ' '.join(
         f'{key}={_quote(found)}'
         for key, found in pairs.items()
@@ -121,7 +121,7 @@
 
 
 def parse_line(line: str) -> dict[str, str]:
-    """Read the pairs of one log line; return none for any other text."""
+    """Return the pairs of one log line, empty for any other text."""
     pairs: dict[str, str] = {}
     position = 0
     text = line.rstrip('\n')
@@ -143,14 +143,14 @@
     clock: Clock | None = None,
     stream: TextIO | None = None,
 ) -> EventLog:
-    """Build the log of a process, on standard error unless told otherwise."""
+    """Create the event log of a process, by default on standard error."""
     handler = logbook.StreamHandler(stream or sys.stderr)
     handler.formatter = _show_message
     return EventLog(process, level, clock or make_clock(), handler)
 
 
 def make_pipe_log(process: str, clock: Clock, descriptor: int) -> EventLog:
-    """Build a log that never waits for whoever reads it."""
+    """Create an event log that writes to a pipe without blocking."""
     notice = {
         'level': Level.WARNING.value,
         'event': EventName.LINES_DROPPED.value,
@@ -168,7 +168,7 @@
 
 
 def _show_message(record: logbook.LogRecord, _: logbook.Handler) -> str:
-    """Return the line as it is; the library's templates are slow."""
+    """Return the line unchanged, as the library's templates are slow."""
     return str(record.msg)
 
 
@@ -187,5 +187,5 @@
     try:
         return str(json.loads(text))
     except ValueError:
-        # The line of a killed process may end anywhere.
+        # The last line of a killed process may be cut off.
         return None
--- a/src/oleanderdyke/metrics.py
+++ b/src/oleanderdyke/metrics.py
@@ -1,4 +1,4 @@
-"""Count and time what a process does, with bounded label sets."""
+"""Counters, gauges and timings with a bounded number of labels."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 from oleanderdyke.clock import Millis
 
-# What `render` returns.
+# The content type of the text that `render` returns.
 RENDERED_TYPE = 'text/plain; version=0.0.4; charset=utf-8'
 _MICROS_PER_MILLI = 1_000
 _LOWEST_MICROS = 1
 _HIGHEST_MICROS = 3_600_000_000
 _DIGITS = 2
-_LABEL_BOUND = 200
+_MAX_LABELS = 200
 _OTHER = 'other'
 
 
@@ -25,7 +25,7 @@
 
 
 class Timing(enum.StrEnum):
-    """Name a measured duration; all are in milliseconds."""
+    """The name of a measured duration in milliseconds."""
 
     FIRST_TOKEN = 'first_token'
     BETWEEN_TOKENS = 'between_tokens'
@@ -38,7 +38,7 @@
 
 
 class Count(enum.StrEnum):
-    """Name something counted."""
+    """The name of a counter."""
 
     REQUESTS = 'requests'
     PROMPT_TOKENS = 'prompt_tokens'
@@ -56,7 +56,7 @@
 
 
 class Gauge(enum.StrEnum):
-    """Name a level that rises and falls."""
+    """The name of a gauge."""
 
     RUNNING = 'running'
     LINKS = 'links'
@@ -69,7 +69,7 @@
 _SERVICE = 'service'
 _MODEL = 'model'
 _NONE = '-'
-# What the label of each metric names; `tools.reference` shows it.
+# The meaning of the label of each metric, as shown by `tools.reference`.
 LABELS: Mapping[Timing | Count | Gauge, str] = {
     Timing.FIRST_TOKEN: _SERVICE,
     Timing.BETWEEN_TOKENS: _SERVICE,
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimingSummary:
-    """Sum up the durations of one timing under one label."""
+    """The number and sum of the durations of a timing with one label."""
 
     label: str
     count: int
@@ -111,10 +111,10 @@
 
 
 class Metrics:
-    """Hold the histograms, counters and gauges of one process.
+    """The timings, counters and gauges of one process.
 
     Labels are services, models, dependencies, outcomes or error kinds, never
-    teams; past a bound they are counted as `other`.
+    teams. Above a limit, values of new labels are counted under `other`.
     """
 
     def __init__(self) -> None:
@@ -124,8 +124,8 @@
         self._gauges: dict[tuple[Gauge, str], float] = {}
 
     def time(self, timing: Timing, duration: Millis, label: str = '') -> None:
-        """Record one duration."""
-        key = (timing, _bound(self._timings, timing, label))
+        """Record a duration of a timing."""
+        key = (timing, _limit_label(self._timings, timing, label))
         histogram = self._timings.get(key)
         if histogram is None:
             histogram = _make_histogram()
@@ -137,26 +137,26 @@
         self._sums[key] = self._sums.get(key, 0.0) + duration
 
     def add(self, count: Count, amount: float = 1, label: str = '') -> None:
-        """Raise a counter."""
-        key = (count, _bound(self._counts, count, label))
+        """Increase a counter."""
+        key = (count, _limit_label(self._counts, count, label))
         self._counts[key] = self._counts.get(key, 0.0) + amount
 
     def set_gauge(self, gauge: Gauge, level: float, label: str = '') -> None:
-        """Set a gauge."""
-        self._gauges[gauge, _bound(self._gauges, gauge, label)] = level
+        """Set the value of a gauge."""
+        self._gauges[gauge, _limit_label(self._gauges, gauge, label)] = level
 
     def set_count(self, count: Count, total: float, label: str = '') -> None:
-        """Take the total of something that is counted elsewhere."""
-        self._counts[count, _bound(self._counts, count, label)] = total
+        """Set a counter to a total that is counted elsewhere."""
+        self._counts[count, _limit_label(self._counts, count, label)] = total
 
     def read_count(self, count: Count, label: str = '') -> float:
-        """Return a counter."""
+        """Return the total of a counter, 0 if nothing was counted."""
         return self._counts.get((count, label), 0.0)
 
     def read_quantile(
         self, timing: Timing, quantile: float, label: str = ''
     ) -> Millis:
-        """Return a quantile (0 to 100) of a timing, 0 where none was taken."""
+        """Return a percentile (0 to 100) of a timing, 0 without durations."""
         histogram = self._timings.get((timing, label))
         if histogram is None:
             return 0.0
@@ -164,19 +164,19 @@
         return micros / _MICROS_PER_MILLI
 
     def encode_timing(self, timing: Timing, label: str = '') -> str:
-        """Return a timing for `MergedTiming`, empty where none was taken."""
+        """Return a timing encoded for `MergedTiming`, empty if unused."""
         histogram = self._timings.get((timing, label))
         return '' if histogram is None else str(histogram.encode(), 'ascii')
 
     def render(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
-        # The client library costs 2 MiB, which an idle process does without.
+        # The client library takes 2 MiB, so it is imported on first use.
         from oleanderdyke import exposition  # noqa: PLC0415 - see above
 
         return exposition.render_metrics(self)
 
     def list_timings(self, timing: Timing) -> Iterator[TimingSummary]:
-        """Yield what was taken of a timing."""
+        """Yield a summary of a timing for each label."""
         for (known, label), histogram in self._timings.items():
             if known is timing:
                 yield TimingSummary(
@@ -186,20 +186,20 @@
                 )
 
     def list_counts(self, count: Count) -> Iterator[tuple[str, float]]:
-        """Yield the labels of a counter and their totals."""
+        """Yield each label of a counter with its total."""
         for (known, label), total in self._counts.items():
             if known is count:
                 yield label, total
 
     def list_gauges(self, gauge: Gauge) -> Iterator[tuple[str, float]]:
-        """Yield the labels of a gauge and their levels."""
+        """Yield each label of a gauge with its value."""
         for (known, label), level in self._gauges.items():
             if known is gauge:
                 yield label, level
 
 
 class MergedTiming:
-    """Answer the quantiles of one timing over several processes."""
+    """One timing merged from several processes."""
 
     def __init__(self, encoded: Iterable[str]) -> None:
         self._histogram = _make_histogram()
@@ -209,11 +209,11 @@
 
     @property
     def count(self) -> int:
-        """Return how many durations were taken."""
+        """Return the number of durations."""
         return int(self._histogram.total_count)
 
     def read_quantile(self, quantile: float) -> Millis:
-        """Return a quantile (0 to 100), 0 where none was taken."""
+        """Return a percentile (0 to 100), 0 without durations."""
         micros = float(self._histogram.get_value_at_percentile(quantile))
         return micros / _MICROS_PER_MILLI
 
@@ -222,9 +222,9 @@
     return HdrHistogram(_LOWEST_MICROS, _HIGHEST_MICROS, _DIGITS)
 
 
-def _bound(
+def _limit_label(
     known: Mapping[tuple[_NameT, str], object], name: _NameT, label: str
 ) -> str:
-    if len(known) < _LABEL_BOUND or (name, label) in known:
+    if len(known) < _MAX_LABELS or (name, label) in known:
         return label
     return _OTHER
--- a/src/oleanderdyke/registry.py
+++ b/src/oleanderdyke/registry.py
@@ -1,4 +1,4 @@
-"""Let plug-ins register themselves by kind and name."""
+"""Registry of plug-ins by name."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class Registry(Generic[PluginT]):
-    """Find the factory of a plug-in by its name."""
+    """The factories of one kind of plug-in, by name."""
 
     def __init__(self, kind: str) -> None:
         self._kind = kind
         self._factories: dict[str, PluginT] = {}
 
     def register(self, name: str) -> Callable[[PluginT], PluginT]:
-        """Return a decorator that adds a factory under a name."""
+        """Return a decorator that registers a factory under a name."""
 
         def add(factory: PluginT) -> PluginT:
             self._factories[name] = factory
@@ -28,7 +28,7 @@
         return add
 
     def names(self) -> tuple[str, ...]:
-        """List the known names."""
+        """Return the registered names in alphabetical order."""
         return tuple(sorted(self._factories))
 
     def find(self, name: str) -> PluginT:
--- a/src/oleanderdyke/scrape.py
+++ b/src/oleanderdyke/scrape.py
@@ -1,4 +1,4 @@
-"""Serve the metrics of a process to whoever collects them."""
+"""HTTP server for metrics collectors such as Prometheus."""
 
 from __future__ import annotations
 
@@ -13,24 +13,26 @@
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.metrics import RENDERED_TYPE, Metrics
 
-# The deploy file names both for each role: the platform fetches from there.
+# The deploy file sets the same values for each role, and the platform collects
+# the metrics from there.
 METRICS_PORT = 7590
 METRICS_PATH = '/metrics'
 _OK = 200
 _NOT_FOUND = 404
 _BACKLOG = 8
-# One collector asks every five seconds; a second one and a hand find room.
-_CONNECTIONS = 4
-# A connection that asks nothing for so long is closed.
-_PATIENCE: Millis = 2 * SECOND
-_HEAD_LIMIT = 8 * 1024
-_CHUNK = 4 * 1024
+# Enough for a collector that requests every five seconds, a second collector
+# and manual requests.
+_MAX_CONNECTIONS = 4
+# A connection whose request is not answered within this time is closed.
+_REQUEST_TIMEOUT: Millis = 2 * SECOND
+_MAX_HEAD_BYTES = 8 * 1024
+_CHUNK_BYTES = 4 * 1024
 
 
 class MetricsServer:
-    """Answer each connection once, with the metrics of now.
+    """HTTP server that answers one request per connection with the metrics.
 
-    `refresh` sets the levels that are not kept up to date by themselves.
+    `refresh` is called first, to set the gauges that are not updated otherwise.
     """
 
     def __init__(
@@ -41,14 +43,14 @@
         self._open = 0
 
     async def serve(self, host: str, port: int = METRICS_PORT) -> None:
-        """Serve until cancelled; raise OSError where the port can't be had."""
+        """Serve until cancelled; raise OSError if binding fails."""
         bound = _bind(host, port)
         async with await SocketListener.from_socket(bound) as listener:
-            await listener.serve(self._take)
+            await listener.serve(self._accept)
 
-    async def _take(self, stream: SocketStream) -> None:
+    async def _accept(self, stream: SocketStream) -> None:
         async with stream:
-            if self._open >= _CONNECTIONS:
+            if self._open >= _MAX_CONNECTIONS:
                 return
             self._open += 1
             try:
@@ -57,18 +59,18 @@
                 self._open -= 1
 
     async def _answer_in_time(self, stream: SocketStream) -> None:
-        # Who asks badly, or leaves, gets no answer; the next one does.
-        # Anything that the protocol forbids would otherwise end the daemon.
+        # Invalid requests and closed connections get no answer. Their
+        # exceptions are suppressed as they would stop the daemon.
         ended = (h11.ProtocolError, anyio.BrokenResourceError)
         with (
             contextlib.suppress(*ended),
-            anyio.move_on_after(_PATIENCE / SECOND),
+            anyio.move_on_after(_REQUEST_TIMEOUT / SECOND),
         ):
             await self._answer(stream)
 
     async def _answer(self, stream: SocketStream) -> None:
         protocol = h11.Connection(
-            h11.SERVER, max_incomplete_event_size=_HEAD_LIMIT
+            h11.SERVER, max_incomplete_event_size=_MAX_HEAD_BYTES
         )
         request = await _read_request(stream, protocol)
         if request is None:
@@ -98,7 +100,7 @@
 async def _read_request(
     stream: SocketStream, protocol: h11.Connection
 ) -> h11.Request | None:
-    """Return the request; None where the caller left before its end."""
+    """Return the request, or None if it is incomplete."""
     while True:
         event = protocol.next_event()
         if isinstance(event, h11.Request):
@@ -106,13 +108,13 @@
         if event is not h11.NEED_DATA:
             return None
         try:
-            protocol.receive_data(await stream.receive(_CHUNK))
+            protocol.receive_data(await stream.receive(_CHUNK_BYTES))
         except anyio.EndOfStream:
             return None
 
 
 def _bind(host: str, port: int) -> socket.socket:
-    """Listen at an address, which is never looked up."""
+    """Return a listening socket, without resolving the host name."""
     bound = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/src/oleanderdyke/settings.py
+++ b/src/oleanderdyke/settings.py
@@ -1,4 +1,4 @@
-"""Load YAML settings into frozen data classes and report every fault."""
+"""YAML settings, loaded into frozen data classes with all faults reported."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 _HIDDEN = '(hidden)'
 _UNKNOWN_KEY = 'unknown key '
 _SECRET = 'secret'
-# A token put in the place of its hash must not be repeated.
+# A token given in place of its hash must not be shown in a fault.
 _TOKEN = 'token'
 _FOUND = re.compile('found .*; (?=allowed: )', re.DOTALL)
 _PATH_PART = re.compile(r"\.(\w+)|\[(\d+)\]|\['([^']*)'\]")
 
-_BAD_SCALARS = (ValueError, TypeError, AttributeError, RecursionError)
+_SCALAR_ERRORS = (ValueError, TypeError, AttributeError, RecursionError)
 _KEY = re.compile(r'[\w.]+')
 
 SettingsT = TypeVar('SettingsT')
@@ -39,7 +39,7 @@
 
 
 def hide_field(**options: Any) -> Any:
-    """Declare a data class field whose value is never printed."""
+    """Declare a data class field whose value `show_settings` hides."""
     return dataclasses.field(metadata={_SECRET: True}, **options)
 
 
@@ -56,11 +56,11 @@
     environ: Mapping[str, str] | None = None,
     check: FindFaults[SettingsT] | None = None,
 ) -> SettingsT:
-    """Read a settings file; raise SettingsError with every fault in it.
+    """Load a settings file; raise SettingsError with all its faults.
 
     A variable such as `OLEANDER__LOG__ADDRESS` overrides the key
-    `log.address`; its value is read as YAML. `check` names what contradicts
-    itself, each fault beginning with its key.
+    `log.address`; its value is read as YAML. `check` returns the
+    contradictions between settings, each starting with a key.
     """
     try:
         text = path.read_text(encoding='utf-8')
@@ -76,7 +76,7 @@
     environ: Mapping[str, str],
     check: FindFaults[SettingsT] | None = None,
 ) -> SettingsT:
-    """Read settings from a text; `source` names it in faults."""
+    """Load settings from YAML text; faults start with `source`."""
     node = _compose(text, source)
     raw = _construct(node, source)
     _override(raw, environ)
@@ -86,7 +86,7 @@
         faults += check(settings)
     if faults:
         raise SettingsError(
-            tuple(_put_line(fault, source, node) for fault in faults)
+            tuple(_add_line(fault, source, node) for fault in faults)
         )
     return settings
 
@@ -99,14 +99,14 @@
     node: yaml.Node | None = None,
     prefix: _Path = (),
 ) -> SettingsT:
-    """Turn parsed YAML into a data class; raise SettingsError with all faults.
+    """Convert parsed YAML to a data class; raise SettingsError with all faults.
 
-    `node` is the composed YAML that `raw` came from; it gives the lines.
+    `node` is the composed YAML of `raw`, which gives the line numbers.
     """
     try:
         return _CONVERTER.structure(raw, target)
     except Exception as error:
-        found = transform_error(error, '$', _describe)
+        found = transform_error(error, '$', _describe_fault)
         faults = tuple(
             _locate(text, source, node, prefix) for text in _split_faults(found)
         )
@@ -115,7 +115,7 @@
 
 def show_settings(settings: Any) -> str:
     """Render settings as YAML with secrets hidden."""
-    return yaml.safe_dump(_plain(settings), sort_keys=False)
+    return yaml.safe_dump(_make_plain(settings), sort_keys=False)
 
 
 def _compose(text: str, source: str) -> yaml.Node | None:
@@ -126,7 +126,7 @@
 
 
 def check_repeated(node: yaml.Node | None, source: str) -> None:
-    """Raise SettingsError where a key stands twice in one mapping."""
+    """Raise SettingsError if a key is repeated within one mapping."""
     faults = tuple(
         f'{source}:{line}: {key}: found this key again; allowed: once'
         for line, key in find_repeated_keys(node)
@@ -135,7 +135,7 @@
         raise SettingsError(faults)
 
 
-def _put_line(fault: str, source: str, node: yaml.Node | None) -> str:
+def _add_line(fault: str, source: str, node: yaml.Node | None) -> str:
     key = _KEY.match(fault)
     line = find_line(node, tuple(key[0].split('.'))) if key else 0
     return f'{source}:{line}: {fault}' if line else f'{source}: {fault}'
@@ -148,8 +148,8 @@
         return yaml.SafeLoader('').construct_document(node)
     except yaml.YAMLError as error:
         raise SettingsError((f'{source}: not valid YAML: {error}',)) from error
-    except _BAD_SCALARS as error:
-        # The library lets these through, without a line.
+    except _SCALAR_ERRORS as error:
+        # The library raises these as they are, without a line number.
         fault = f'{source}: a value does not fit its YAML tag or is too long'
         raise SettingsError((fault,)) from error
 
@@ -168,18 +168,18 @@
     for name, text in environ.items():
         if name.startswith(ENVIRONMENT_PREFIX):
             parts = name.removeprefix(ENVIRONMENT_PREFIX).lower().split('__')
-            _set(raw, parts, _read_variable(name, text))
+            _set_key(raw, parts, _read_variable(name, text))
 
 
 def _read_variable(name: str, text: str) -> Any:
     try:
         return yaml.safe_load(text)
-    except (yaml.YAMLError, *_BAD_SCALARS):
-        # The value may be a secret, and so may what the library tells of it.
+    except (yaml.YAMLError, *_SCALAR_ERRORS):
+        # The value may be a secret, and the library's message may contain it.
         raise SettingsError((f'{name}: not valid YAML',)) from None
 
 
-def _set(raw: dict[str, Any], parts: list[str], value: Any) -> None:
+def _set_key(raw: dict[str, Any], parts: list[str], value: Any) -> None:
     place = raw
     for part in parts[:-1]:
         inner = place.setdefault(part, {})
@@ -190,7 +190,7 @@
 
 
 def _check_str(found: object, target: type) -> object:
-    # An enumeration of strings is a kind of string to the converter.
+    # The converter treats a string enum as a string.
     if issubclass(target, enum.Enum):
         return _check_enum(found, target)
     if isinstance(found, str):
@@ -229,7 +229,7 @@
 
 
 class _WrongValue(ValueError):
-    """Tell what a value was and what is allowed."""
+    """Raised with the value that was found and what is allowed."""
 
     def __init__(self, found: object, allowed: str) -> None:
         super().__init__(f'found {found!r}; allowed: {allowed}')
@@ -241,7 +241,7 @@
 
 
 def _check_list(found: object, target: Any) -> Any:
-    # The library would take a text for a list of its characters.
+    # The library would convert a string to a list of its characters.
     if not isinstance(found, list | tuple):
         raise _WrongValue(found, 'a list')
     return _BASE.structure(found, target)
@@ -277,7 +277,7 @@
 _CONVERTER = _make_converter(_BASE)
 
 
-def _describe(error: BaseException, _: type | None) -> str:
+def _describe_fault(error: BaseException, _: type | None) -> str:
     if isinstance(error, ForbiddenExtraKeysError):
         return '; '.join(_describe_extra(error))
     if isinstance(error, KeyError):
@@ -324,7 +324,7 @@
 
 
 def find_line(node: yaml.Node | None, path: tuple[str, ...]) -> int:
-    """Return the line of a key, that of the nearest one above, or 0."""
+    """Return the line of a key or of its nearest known parent, or 0."""
     if node is None:
         return 0
     line = node.start_mark.line + 1
@@ -347,18 +347,18 @@
     return None
 
 
-def _plain(settings: Any) -> Any:
+def _make_plain(settings: Any) -> Any:
     if dataclasses.is_dataclass(settings):
         return {
             item.name: _HIDDEN
             if item.metadata.get(_SECRET)
-            else _plain(getattr(settings, item.name))
+            else _make_plain(getattr(settings, item.name))
             for item in dataclasses.fields(settings)
         }
     if isinstance(settings, enum.Enum):
         return settings.value
     if isinstance(settings, Mapping):
-        return {str(key): _plain(inner) for key, inner in settings.items()}
+        return {str(key): _make_plain(inner) for key, inner in settings.items()}
     if isinstance(settings, list | tuple | frozenset | set):
-        return [_plain(inner) for inner in settings]
+        return [_make_plain(inner) for inner in settings]
     return str(settings) if isinstance(settings, Path) else settings
--- a/src/oleanderdyke/settings_checks.py
+++ b/src/oleanderdyke/settings_checks.py
@@ -1,4 +1,4 @@
-"""Find the faults that any settings may have, whatever they are for."""
+"""Checks that apply to all settings."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 def find_common_faults(settings: Any, prefix: str = '') -> Iterator[str]:
-    """Yield numbers below 0, impossible ports and incomplete addresses."""
+    """Yield a fault for each invalid number, port or address."""
     for item in dataclasses.fields(settings):
         found = getattr(settings, item.name)
         yield from _check(f'{prefix}{item.name}', item.name, found)
 
 
 def find_repeated_keys(node: yaml.Node | None) -> Iterator[tuple[int, str]]:
-    """Yield the line and the name of each key that stands there again."""
+    """Yield the line and name of each key repeated in its mapping."""
     waiting = [] if node is None else [node]
-    # An anchor may lead back to a node above it.
+    # An alias may refer to a node that contains it.
     seen: set[int] = set()
     while waiting:
         current = waiting.pop()
@@ -40,7 +40,7 @@
 
 
 def is_loopback(host: str) -> bool:
-    """Return whether an address never leaves this VM."""
+    """Return whether a host is a loopback address or `localhost`."""
     try:
         return ipaddress.ip_address(host).is_loopback
     except ValueError:
