--- a/src/oleanderdyke/kernel/admission.py
+++ b/src/oleanderdyke/kernel/admission.py
@@ -1,4 +1,4 @@
-"""Share out a service between teams by weight."""
+"""Queue and rate-limit requests, sharing a service between teams."""
 
 from __future__ import annotations
 
@@ -11,12 +11,15 @@
 from oleanderdyke.kernel.demand import Demand
 
 _BURST: Millis = SECOND
-_SPREAD_STEPS = 1024
+_HASH_STEPS = 1024
 _SLACK_TEAMS = 64
 
 
 class TokenBucket:
-    """Allow a rate with a burst of one second; the balance may go negative."""
+    """Limit a rate, with a burst of one second.
+
+    The balance may become negative, which delays later requests.
+    """
 
     __slots__ = ('_balance', '_burst', '_rate', '_read')
 
@@ -27,19 +30,19 @@
         self._read = now
 
     def wait(self, now: Millis) -> Millis:
-        """Return how long until the next take is allowed."""
+        """Return the time until the next request is allowed."""
         self._fill(now)
         if self._balance > 0:
             return 0.0
         return (1.0 - self._balance) * SECOND / self._rate
 
     def take(self, count: float, now: Millis) -> None:
-        """Use up a part of the rate."""
+        """Consume tokens from the bucket, possibly more than it holds."""
         self._fill(now)
         self._balance -= count
 
     def is_full(self, now: Millis) -> bool:
-        """Return whether forgetting this bucket changes nothing."""
+        """Return whether the bucket is full, so that it may be discarded."""
         self._fill(now)
         return self._balance >= self._burst
 
@@ -51,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedRequest:
-    """Hold one request in a fair queue."""
+    """Hold one request of a fair queue with its cost and arrival time."""
 
     demand: Demand
     cost: float
@@ -68,16 +71,17 @@
 
 
 class FairQueue:
-    """Order requests by start tags, so that teams share by weight.
+    """Order requests by start-time fair queueing, weighted by team.
 
-    Only teams with work, or with a debt, take any memory.
+    Only teams with queued requests, or whose finish tag is ahead of the virtual
+    time, take memory.
     """
 
     def __init__(self) -> None:
         self._teams: dict[str, _TeamQueue] = {}
-        self._finish: dict[str, float] = {}
+        self._finish_tags: dict[str, float] = {}
         self._heap: list[tuple[float, int, str]] = []
-        self._virtual = 0.0
+        self._virtual_time = 0.0
         self._sequence = 0
         self._length = 0
         self.cost = 0.0
@@ -91,45 +95,45 @@
         queue = self._teams.get(team)
         if queue is None:
             queue = self._teams[team] = _TeamQueue(weight)
-            self._enter(team)
+            self._schedule(team)
         queue.items.append(waiting)
         queue.cost += waiting.cost
         self.cost += waiting.cost
         self._length += 1
 
     def pop(self) -> QueuedRequest:
-        """Take the request whose turn it is; the queue must not be empty."""
+        """Remove and return the next request; the queue must not be empty."""
         start, _, team = heapq.heappop(self._heap)
-        self._virtual = max(self._virtual, start)
+        self._virtual_time = max(self._virtual_time, start)
         queue = self._teams[team]
         waiting = queue.items.popleft()
-        self._finish[team] = start + waiting.cost / queue.weight
-        self._leave(team, queue, waiting)
+        self._finish_tags[team] = start + waiting.cost / queue.weight
+        self._remove(team, queue, waiting)
         if team in self._teams:
-            self._enter(team)
+            self._schedule(team)
         return waiting
 
     def remove(self, waiting: QueuedRequest) -> None:
-        """Take one request out, wherever it stands."""
+        """Remove one request from any position."""
         team = waiting.demand.team
         queue = self._teams[team]
         queue.items.remove(waiting)
-        self._leave(team, queue, waiting)
+        self._remove(team, queue, waiting)
         if team not in self._teams:
             self._heap = [entry for entry in self._heap if entry[2] != team]
             heapq.heapify(self._heap)
 
     def charge(self, team: str, cost: float, weight: float) -> None:
-        """Count work that needed no queueing."""
-        start = max(self._virtual, self._finish.get(team, 0.0))
-        self._finish[team] = start + cost / weight
-        self._forget_idle()
+        """Charge a team for a request that was not queued."""
+        start = max(self._virtual_time, self._finish_tags.get(team, 0.0))
+        self._finish_tags[team] = start + cost / weight
+        self._drop_idle_teams()
 
     def estimate_ahead(self, team: str, cost: float, weight: float) -> float:
-        """Estimate the work that is served before a new request ends.
+        """Estimate the cost that is served until a new request ends.
 
-        Each other team gets at most its share while this team's own queue is
-        worked off, and no more than it has asked for.
+        While this team's queue is served, each other team gets at most its
+        weighted share, and at most the cost of its own queue.
         """
         queue = self._teams.get(team)
         own = cost + (queue.cost if queue else 0.0)
@@ -140,12 +144,12 @@
                 ahead += min(other.cost, rounds * other.weight)
         return ahead
 
-    def _enter(self, team: str) -> None:
-        start = max(self._virtual, self._finish.get(team, 0.0))
+    def _schedule(self, team: str) -> None:
+        start = max(self._virtual_time, self._finish_tags.get(team, 0.0))
         self._sequence += 1
         heapq.heappush(self._heap, (start, self._sequence, team))
 
-    def _leave(
+    def _remove(
         self, team: str, queue: _TeamQueue, waiting: QueuedRequest
     ) -> None:
         queue.cost -= waiting.cost
@@ -154,23 +158,23 @@
         if queue.items:
             return
         del self._teams[team]
-        self._forget_idle()
+        self._drop_idle_teams()
 
-    def _forget_idle(self) -> None:
+    def _drop_idle_teams(self) -> None:
         if not self._teams:
-            self._virtual = 0.0
+            self._virtual_time = 0.0
             self.cost = 0.0
-            self._finish.clear()
+            self._finish_tags.clear()
             return
-        if len(self._finish) <= 2 * len(self._teams) + _SLACK_TEAMS:
+        if len(self._finish_tags) <= 2 * len(self._teams) + _SLACK_TEAMS:
             return
-        self._finish = {
+        self._finish_tags = {
             team: tag
-            for team, tag in self._finish.items()
-            if tag > self._virtual or team in self._teams
+            for team, tag in self._finish_tags.items()
+            if tag > self._virtual_time or team in self._teams
         }
 
 
 def hash_to_fraction(request: str) -> float:
-    """Return a number in [0, 1) that differs between requests."""
-    return zlib.crc32(request.encode()) % _SPREAD_STEPS / _SPREAD_STEPS
+    """Return a number in [0, 1), derived from the request, for jitter."""
+    return zlib.crc32(request.encode()) % _HASH_STEPS / _HASH_STEPS
--- a/src/oleanderdyke/kernel/claim_runs.py
+++ b/src/oleanderdyke/kernel/claim_runs.py
@@ -1,4 +1,4 @@
-"""Remember at an agent which claims were used, barred and answered."""
+"""Track the claims that ran, were barred or were answered at an agent."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunAnswer:
-    """Hold the answer of a run."""
+    """Hold the complete answer of a run."""
 
     status: int
     headers: Headers
@@ -26,7 +26,7 @@
 
 
 class RunState(enum.Enum):
-    """Name what became of a claim at its agent."""
+    """Identify the state of a claim at its agent."""
 
     BARRED = enum.auto()
     RUNNING = enum.auto()
@@ -46,11 +46,11 @@
 
 
 class ClaimRuns:
-    """Remember claims in bounded memory and say truthfully what it forgot.
+    """Track claims in bounded memory.
 
-    A claim may start only within `max_age` heartbeats, so a claim that can
-    still start is never forgotten. Of older ones the oldest go first; a claim
-    as old as a forgotten one is answered by UNKNOWN.
+    A claim may start only within `max_age` heartbeats; claims are not evicted
+    before that. Older claims are evicted oldest first. Queries for an unknown
+    claim that is no newer than an evicted one are answered with UNKNOWN.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
     ) -> None:
         self._max_age = max_age
         self._capacity = capacity
-        self._free_bytes = answer_bytes
+        self._free_answer_bytes = answer_bytes
         self._runs: OrderedDict[_RunKey, _Run] = OrderedDict()
         self._answered: OrderedDict[_RunKey, int] = OrderedDict()
         self._complete_from = 0
@@ -68,15 +68,15 @@
         return len(self._runs)
 
     def record_heartbeat(self, sequence: int) -> None:
-        """Learn the sequence number of the agent's latest heartbeat."""
+        """Record the sequence number of the agent's latest heartbeat."""
         self._beat = max(self._beat, sequence)
 
     def is_known(self, claim: Claim) -> bool:
-        """Return whether a claim was used or barred."""
+        """Return whether a claim has started or was barred."""
         return _make_key(claim) in self._runs
 
     def make_room(self) -> bool:
-        """Make room for one claim, or tell that there is none."""
+        """Evict the oldest claim if needed; return whether one more fits."""
         if len(self._runs) < self._capacity:
             return True
         key, run = next(iter(self._runs.items()))
@@ -88,15 +88,15 @@
         return True
 
     def is_too_old(self, beat: int) -> bool:
-        """Return whether a claim of this heartbeat may no longer start."""
+        """Return whether a claim made at this heartbeat may no longer start."""
         return beat < self._beat - self._max_age
 
     def add(self, claim: Claim, team: str, state: RunState) -> None:
-        """Remember a claim; call `make_room` first."""
+        """Add a claim; call `make_room` first."""
         self._runs[_make_key(claim)] = _Run(claim.beat, team, state)
 
     def finish(self, claim: Claim, answer: RunAnswer | None) -> None:
-        """Keep the answer of a run; None tells that it is not known whole."""
+        """Store the answer of a run; None if the answer is incomplete."""
         key = _make_key(claim)
         run = self._runs.get(key)
         if run is None or run.state is not RunState.RUNNING:
@@ -108,13 +108,13 @@
         self._keep_answer(key, run, answer)
 
     def bar(self, claim: Claim) -> None:
-        """Note that an admitted claim never reached the backend server."""
+        """Bar an admitted claim that never reached the backend server."""
         run = self._runs.get(_make_key(claim))
         if run is not None and run.state is RunState.RUNNING:
             run.state = RunState.BARRED
 
     def answer(self, query: ClaimQuery) -> ClaimAnswer:
-        """Tell what became of a claim; bar it where it never started."""
+        """Return the state of a claim, and bar it if it never started."""
         run = self._runs.get(_make_key(query.claim))
         if run is None:
             return ClaimAnswer(query.request, query.claim, self._bar(query))
@@ -138,19 +138,19 @@
         return ClaimState.BARRED
 
     def _keep_answer(self, key: _RunKey, run: _Run, answer: RunAnswer) -> None:
-        size = _measure(answer)
-        while self._free_bytes < size and self._answered:
+        size = _measure_bytes(answer)
+        while self._free_answer_bytes < size and self._answered:
             self._drop_answer(next(iter(self._answered)))
-        if self._free_bytes < size:
+        if self._free_answer_bytes < size:
             return
         run.answer = answer
         self._answered[key] = size
-        self._free_bytes -= size
+        self._free_answer_bytes -= size
 
     def _drop_answer(self, key: _RunKey) -> None:
         size = self._answered.pop(key, None)
         if size is not None:
-            self._free_bytes += size
+            self._free_answer_bytes += size
             self._runs[key].answer = None
 
 
@@ -158,13 +158,13 @@
     return claim.offset, claim.index, claim.key
 
 
-def _measure(answer: RunAnswer) -> int:
+def _measure_bytes(answer: RunAnswer) -> int:
     names = sum(len(name) + len(value) for name, value in answer.headers)
     return len(answer.body) + names
 
 
 def _make_finished(query: ClaimQuery, answer: RunAnswer | None) -> ClaimAnswer:
-    """Return a finished run's answer; status 0 where it is not kept."""
+    """Return a finished run's answer; status 0 if it is no longer stored."""
     if answer is None:
         return ClaimAnswer(query.request, query.claim, ClaimState.FINISHED)
     return ClaimAnswer(
--- a/src/oleanderdyke/kernel/context_stores.py
+++ b/src/oleanderdyke/kernel/context_stores.py
@@ -1,4 +1,4 @@
-"""Know what the stores of kept context hold, and plan its use."""
+"""Views of the context stores, and plans to fetch and save context."""
 
 from __future__ import annotations
 
@@ -18,24 +18,26 @@
 from oleanderdyke.kernel.deployment import StoreTraits
 from oleanderdyke.kernel.servers import PromptPart
 
-# A fetch under a view of a store must end so long after that view was read.
-# Whoever writes to a store that came back empty, or frees parts, waits as
-# long, so that no fetch meets a part that is being written or freed. The view
-# is read every second; this bears two failed reads.
+# A fetch must end within this time after the view of the store that it is based
+# on was read. Writes to a store that restarted empty, and frees of parts, are
+# delayed by the same time, so that no fetch meets a part that is being written
+# or freed. Views are read every second; this tolerates two failed reads.
 VIEW_MAX_AGE: Millis = 4 * SECOND
-# A fetch of the longest prompts takes some 20 ms, queued behind others.
-_SHORTEST_FETCH: Millis = 500.0
-# A save that has not been told as complete by then has failed.
-_SAVE_LIMIT: Millis = 5 * SECOND
-# A version of weights as this system writes it into a salt.
-_VERSION = re.compile('0|[1-9][0-9]{0,15}')
-# Space is given out in blocks, and other entries save at the same time.
-_FILL_SHARE = 0.97
+# Time that a fetch needs at least. Fetching the longest prompts takes about
+# 20 ms, after waiting in a queue behind others.
+_MIN_FETCH_TIME: Millis = 500.0
+# A save that the store has not reported as complete by then has failed.
+_SAVE_TIMEOUT: Millis = 5 * SECOND
+# A weight version in a salt.
+_VERSION_PATTERN = re.compile('0|[1-9][0-9]{0,15}')
+# Stores are filled to this fraction at most: they allocate space in blocks, and
+# other entries save at the same time.
+_MAX_FILL_SHARE = 0.97
 
 
 @dataclass(frozen=True, slots=True)
 class Salt:
-    """Name under which context is kept: never shared across any of these.
+    """Identify the scope within which stored context may be shared.
 
     `team` is empty for teams that share context with others.
     """
@@ -45,23 +47,23 @@
     team: str = ''
 
     def encode(self) -> str:
-        """Return the text that engines and stores get."""
+        """Return the text form that engines and stores use."""
         return f'{self.version}/{self.model}/{self.team}'
 
 
 def decode_salt(text: str) -> Salt | None:
-    """Read a salt that this system made, None for any other text."""
+    """Parse the text form of a salt, None if it has another form."""
     version, *rest = text.split('/', 2)
-    if len(rest) != 2 or not _VERSION.fullmatch(version):
+    if len(rest) != 2 or not _VERSION_PATTERN.fullmatch(version):
         return None
     return Salt(rest[0], int(version), rest[1])
 
 
 @dataclass(frozen=True, slots=True)
 class ContextEvent:
-    """A part was kept whole, or is gone from a store.
+    """Report that a part was saved completely or removed from a store.
 
-    `number` is its place among the events of one start of the store.
+    `number` counts the events of one start of the store.
     """
 
     is_added: bool
@@ -73,10 +75,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ContextEvents:
-    """Hold what changed at a store; `clock` is the engines' in ms.
+    """Hold a page of a store's events.
 
-    `boot` changes when the store restarts, empty. `has_gap` tells that events
-    before these were lost.
+    `boot` changes when the store restarts, empty. `next` is the position to
+    read from next. `has_gap` is set if events before these were lost. `clock`
+    is a reading of the engines' clock in ms.
     """
 
     boot: int
@@ -88,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Source:
-    """Fetch so many tokens of a part from an address."""
+    """Name the store to fetch a part from, and how many of its tokens."""
 
     address: str
     tokens: int
@@ -96,9 +99,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ContextPlan:
-    """Say for each part of a prompt where it comes from and is kept at.
+    """Hold for each part of a prompt its source and where to save it.
 
-    `until` is when a fetch must have ended, on the engines' clock in ms.
+    `sinks` are addresses of stores, '' for parts that are not saved. `until` is
+    the deadline of the fetches on the engines' clock in ms.
     """
 
     sources: tuple[Source | None, ...] = ()
@@ -107,7 +111,7 @@
 
     @property
     def fetched_tokens(self) -> int:
-        """Count the tokens that are to be fetched."""
+        """Return the number of tokens to fetch."""
         return sum(source.tokens for source in self.sources if source)
 
 
@@ -115,101 +119,102 @@
 
 
 class StoreView:
-    """Follow one store by its events."""
+    """Track the content of one store by its events."""
 
     def __init__(self, traits: StoreTraits) -> None:
         self.traits = traits
         self.position = 0
         self.parts: dict[tuple[str, str], int] = {}
         self._boot: int | None = None
-        self._saving_tokens = 0
-        self._used = 0
+        self._pending_tokens = 0
+        self._used_tokens = 0
         self._asked_at: Millis | None = None
-        self._clock: Millis = 0.0
-        self._save_from: Millis = 0.0
-        self._saving: dict[tuple[str, str], _Save] = {}
+        self._clock_offset: Millis = 0.0
+        self._saves_allowed_from: Millis = 0.0
+        self._pending_saves: dict[tuple[str, str], _PendingSave] = {}
 
     def apply_events(
-        self, found: ContextEvents, asked_at: Millis, now: Millis
+        self, page: ContextEvents, asked_at: Millis, now: Millis
     ) -> None:
-        """Take events that were asked for at a moment of our clock."""
-        if found.boot != self._boot:
-            self._restart(found.boot, now)
-        for event in found.events:
+        """Apply events that were requested at `asked_at` (local clock)."""
+        if page.boot != self._boot:
+            self._restart(page.boot, now)
+        for event in page.events:
             self._apply(event)
-        self.position = found.next
+        self.position = page.next
         self._asked_at = asked_at
-        # The engines' clock was at least this when the answer came.
-        self._clock = found.clock - now
+        # A lower bound, as the reading is older than the arrival of the page.
+        self._clock_offset = page.clock - now
 
     def apply_shared_events(
-        self, found: ContextEvents, asked_at: Millis, now: Millis
+        self, page: ContextEvents, asked_at: Millis, now: Millis
     ) -> bool:
-        """Take what a neighbour read, unless more is known here already.
+        """Apply events that a neighbour read; return whether they were newer.
 
-        `asked_at` is when it asked, or earlier. What it read of another start
-        of the store counts only where it surely asked later.
+        `asked_at` is at most the time of the neighbour's read. Events of
+        another start of the store are applied only if that read was certainly
+        later than the one here.
         """
         known_at = self._asked_at
         is_later = known_at is None or asked_at > known_at
-        if found.boot != self._boot:
+        if page.boot != self._boot:
             if self._boot is not None and not is_later:
                 return False
-        elif found.next < self.position:
+        elif page.next < self.position:
             return False
         if known_at is not None and not is_later:
             asked_at = known_at
-        self.apply_events(found, asked_at, now)
+        self.apply_events(page, asked_at, now)
         return True
 
     def invalidate(self) -> None:
-        """Trust nothing until the store has been read again."""
+        """Use nothing of this view until the store has been read again."""
         self._asked_at = None
 
     def find(self, salt: str, part: PromptPart, now: Millis) -> int:
-        """Return how many tokens of a part can be fetched."""
+        """Return how many tokens of a part can be fetched, 0 if none."""
         if not self.is_fresh(now):
             return 0
         return min(self.parts.get((salt, part.name), 0), part.tokens)
 
     def is_fresh(self, now: Millis) -> bool:
-        """Return whether a fetch under the present view has time to end."""
+        """Return whether a fetch based on this view has enough time."""
         asked_at = self._asked_at
         if asked_at is None:
             return False
-        return asked_at + VIEW_MAX_AGE - now > _SHORTEST_FETCH
+        return asked_at + VIEW_MAX_AGE - now > _MIN_FETCH_TIME
 
-    def find_deadline(self, other: Millis) -> Millis:
-        """Return when a fetch has to end, on the engines' clock.
+    def find_deadline(self, other_read_at: Millis) -> Millis:
+        """Return the deadline of a fetch on the engines' clock.
 
-        `other` is when what else the fetch relies on was asked for.
+        `other_read_at` is when the other data that the fetch needs was read.
         """
         asked_at = self._asked_at
         if asked_at is None:
             return 0.0
-        return min(asked_at, other) + VIEW_MAX_AGE + self._clock
+        return min(asked_at, other_read_at) + VIEW_MAX_AGE + self._clock_offset
 
     def can_save(self, salt: str, part: PromptPart, now: Millis) -> bool:
-        """Return whether a part has room and is not being saved."""
-        if not self.is_fresh(now) or now < self._save_from:
+        """Return whether a part fits and is neither stored nor being saved."""
+        if not self.is_fresh(now) or now < self._saves_allowed_from:
             return False
         key = (salt, part.name)
-        self._drop_failed(now)
-        if key in self.parts or key in self._saving:
+        self._expire_saves(now)
+        if key in self.parts or key in self._pending_saves:
             return False
-        room = self.traits.capacity_tokens * _FILL_SHARE - self._used
-        return part.tokens + self._saving_tokens < room
+        room = self.traits.capacity_tokens * _MAX_FILL_SHARE - self._used_tokens
+        return part.tokens + self._pending_tokens < room
 
     def record_save(self, salt: str, part: PromptPart, now: Millis) -> None:
-        """Learn that a save was asked for."""
-        save = _Save(part.tokens, now + _SAVE_LIMIT)
-        self._saving[(salt, part.name)] = save
-        self._saving_tokens += save.tokens
+        """Record that an engine was asked to save a part here."""
+        save = _PendingSave(part.tokens, now + _SAVE_TIMEOUT)
+        self._pending_saves[(salt, part.name)] = save
+        self._pending_tokens += save.tokens
 
     def list_outdated(
         self, versions: Mapping[str, int]
     ) -> Iterator[tuple[str, str]]:
-        """Yield the parts of weights older than those given by model."""
+        """Yield the parts of weights older than `versions` has by model."""
         for salt_text, part in self.parts:
             salt = decode_salt(salt_text)
             if salt is not None and salt.version < versions.get(salt.model, 0):
@@ -217,47 +222,50 @@
 
     @property
     def boot(self) -> int | None:
-        """Return which start of the store the view belongs to."""
+        """Return the store start that this view shows, None before a read."""
         return self._boot
 
     def find_clock(self, now: Millis) -> Millis:
-        """Return the engines' clock, or a little less."""
-        return now + self._clock
+        """Convert a local time to a lower bound on the engines' clock."""
+        return now + self._clock_offset
 
     def _restart(self, boot: int, now: Millis) -> None:
-        """Begin with an empty store that others may still think full."""
-        self._save_from = now + VIEW_MAX_AGE
+        """Reset the view of a store that restarted empty.
+
+        Other entries may still fetch by views of the previous start.
+        """
+        self._saves_allowed_from = now + VIEW_MAX_AGE
         self._boot = boot
         self.parts.clear()
-        self._saving.clear()
-        self._saving_tokens = 0
-        self._used = 0
+        self._pending_saves.clear()
+        self._pending_tokens = 0
+        self._used_tokens = 0
 
     def _apply(self, event: ContextEvent) -> None:
         key = (event.salt, event.part)
-        self._used -= self.parts.pop(key, 0)
-        self._end_save(key)
+        self._used_tokens -= self.parts.pop(key, 0)
+        self._remove_save(key)
         if event.is_added:
             self.parts[key] = event.tokens
-            self._used += event.tokens
+            self._used_tokens += event.tokens
 
-    def _drop_failed(self, now: Millis) -> None:
-        """Forget saves that were never told as complete, oldest first."""
-        while self._saving:
-            key, save = next(iter(self._saving.items()))
+    def _expire_saves(self, now: Millis) -> None:
+        """Drop saves that timed out; the oldest come first."""
+        while self._pending_saves:
+            key, save = next(iter(self._pending_saves.items()))
             if save.until > now:
                 return
-            self._end_save(key)
+            self._remove_save(key)
 
-    def _end_save(self, key: tuple[str, str]) -> None:
-        save = self._saving.pop(key, None)
+    def _remove_save(self, key: tuple[str, str]) -> None:
+        save = self._pending_saves.pop(key, None)
         if save is not None:
-            self._saving_tokens -= save.tokens
+            self._pending_tokens -= save.tokens
 
 
 @dataclass(frozen=True, slots=True)
-class _Save:
-    """Hold how much room a save takes, and when it must be complete."""
+class _PendingSave:
+    """Hold the size of a save and the time at which it counts as failed."""
 
     tokens: int
     until: Millis
@@ -265,12 +273,12 @@
 
 @dataclass
 class ContextStores:
-    """Hold the views of all stores by their addresses."""
+    """Hold the views of the configured stores by address."""
 
     views: dict[str, StoreView] = field(default_factory=dict)
 
     def configure(self, stores: Iterable[StoreTraits]) -> None:
-        """Follow just these stores."""
+        """Track these stores alone; keep the views of known ones."""
         listed = {traits.address: traits for traits in stores}
         for address in set(self.views) - set(listed):
             del self.views[address]
@@ -279,12 +287,12 @@
                 self.views[address] = StoreView(traits)
 
     def are_read(self, stores: Iterable[StoreTraits]) -> bool:
-        """Return whether all these stores have told what they hold."""
+        """Return whether each of these stores has been read once."""
         views = (self.views.get(traits.address) for traits in stores)
         return all(view is not None and view.boot is not None for view in views)
 
     def restrict(self, data_centres: Collection[str]) -> ContextStores:
-        """Return the views of the stores in some data centres."""
+        """Return the views of the stores in the given data centres."""
         found = {
             address: view
             for address, view in self.views.items()
@@ -295,7 +303,7 @@
     def count_available(
         self, salt: str, parts: Sequence[PromptPart], now: Millis
     ) -> int:
-        """Count the leading tokens of a prompt that stores hold."""
+        """Count the leading tokens of a prompt that can be fetched."""
         count = 0
         for part in parts:
             found = max(
@@ -319,9 +327,10 @@
     ) -> ContextPlan:
         """Plan the fetches and saves of one run.
 
-        `versions_read_at` is when the newest versions were asked for. The last
-        part belongs to the request alone and is not kept. An engine fetches
-        only what it lacks, and can't use a part that lacks one before it.
+        `versions_read_at` is when the read of the newest versions was
+        requested. The last part belongs to the request alone and is not saved.
+        An engine fetches only what it lacks, and can't use a part that follows
+        a missing one.
         """
         shared = parts[:-1]
         sources: list[Source | None] = []
@@ -329,8 +338,10 @@
         until = float('inf')
         for part in shared:
             found = self._find_source(salt, part, data_centre, now)
-            is_wanted = may_save and found is None
-            sinks.append(self._find_sink(salt, part, now) if is_wanted else '')
+            should_save = may_save and found is None
+            sinks.append(
+                self._find_sink(salt, part, now) if should_save else ''
+            )
             if found is None:
                 sources.append(None)
                 continue
@@ -350,7 +361,7 @@
         plan: ContextPlan,
         now: Millis,
     ) -> None:
-        """Learn that a run was asked to save parts."""
+        """Record the saves that an engine was asked for by a plan."""
         for part, sink in zip(parts, plan.sinks, strict=False):
             if sink in self.views:
                 self.views[sink].record_save(salt, part, now)
@@ -374,10 +385,10 @@
         )
 
     def _find_sink(self, salt: str, part: PromptPart, now: Millis) -> str:
-        """Return the first store with room, in an order all entries share."""
+        """Return the first store with room, in the order all entries use."""
         ranked = sorted(
             self.views.values(),
-            key=lambda view: _rank(salt, part.name, view.traits),
+            key=lambda view: _score_store(salt, part.name, view.traits),
         )
         for view in ranked:
             if view.can_save(salt, part, now):
@@ -387,8 +398,8 @@
         return ''
 
 
-def _rank(salt: str, part: str, traits: StoreTraits) -> float:
-    """Order the stores of a part; larger ones come first more often."""
+def _score_store(salt: str, part: str, traits: StoreTraits) -> float:
+    """Return a sort key by weighted rendezvous hashing on the capacity."""
     text = f'{salt}/{part}/{traits.address}'.encode()
-    drawn = int.from_bytes(hashlib.blake2b(text, digest_size=6).digest())
-    return -math.log((drawn + 1) / 2**48) / max(traits.capacity_tokens, 1)
+    hashed = int.from_bytes(hashlib.blake2b(text, digest_size=6).digest())
+    return -math.log((hashed + 1) / 2**48) / max(traits.capacity_tokens, 1)
--- a/src/oleanderdyke/kernel/reuse_model.py
+++ b/src/oleanderdyke/kernel/reuse_model.py
@@ -1,4 +1,4 @@
-"""Learn when kept context is wanted again."""
+"""Estimates of how soon stored segments are used again."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 _SMOOTHING = 0.3
 _MIN_GAP = MINUTE
-# Two days in the middle of the gaps from minutes to days: what was used once
-# must not push out what returns daily.
-_FIRST_GAP = 48 * HOUR
+# Expected time to the second use. Gaps range from minutes to days; 2 days keep
+# a segment that was used once from displacing one that is used daily.
+_DEFAULT_GAP = 48 * HOUR
 
 
 @dataclass(slots=True)
-class _Returns:
-    """Hold what is known about the uses of one segment."""
+class _UseHistory:
+    """Hold the last use of a segment and the mean gap between uses."""
 
     last: Millis
     gap: Millis
@@ -25,43 +25,49 @@
 
 
 class ReuseModel:
-    """Estimate the rate of return from the gaps between uses."""
+    """Estimate the rate of reuse from the gaps between uses."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
-        self._returns: OrderedDict[bytes, _Returns] = OrderedDict()
+        self._returns: OrderedDict[bytes, _UseHistory] = OrderedDict()
 
     def record_use(self, segment: bytes, now: Millis) -> None:
-        """Learn one use."""
-        known = self._returns.get(segment)
-        if known is None:
-            self._returns[segment] = _Returns(now, 0.0)
+        """Record a use of a segment.
+
+        Uses within `_MIN_GAP` of the last one count as the same use.
+        """
+        history = self._returns.get(segment)
+        if history is None:
+            self._returns[segment] = _UseHistory(now, 0.0)
             if len(self._returns) > self._limit:
                 self._returns.popitem(last=False)
             return
         self._returns.move_to_end(segment)
-        gap = now - known.last
+        gap = now - history.last
         if gap < _MIN_GAP:
-            known.last = now
+            history.last = now
             return
-        known.gap = _smooth(known.gap, gap)
-        known.last = now
-        known.uses += 1
+        history.gap = _smooth(history.gap, gap)
+        history.last = now
+        history.uses += 1
 
     def estimate_rate(
         self, segment: bytes, expected_gap: Millis, now: Millis
     ) -> float:
-        """Estimate the uses per millisecond from now on."""
-        known = self._returns.get(segment)
-        if known is None:
-            return 1.0 / max(_MIN_GAP, expected_gap or _FIRST_GAP)
-        gap = known.gap or expected_gap or _FIRST_GAP
-        age = now - known.last
+        """Estimate the future uses per millisecond.
+
+        `expected_gap` is used until a gap was measured; 0 means unknown.
+        """
+        history = self._returns.get(segment)
+        if history is None:
+            return 1.0 / max(_MIN_GAP, expected_gap or _DEFAULT_GAP)
+        gap = history.gap or expected_gap or _DEFAULT_GAP
+        age = now - history.last
         return 1.0 / max(_MIN_GAP, gap, age)
 
 
 def _smooth(old: Millis, new: Millis) -> Millis:
     if not old:
         return new
-    mixed = (1 - _SMOOTHING) * math.log(old) + _SMOOTHING * math.log(new)
-    return math.exp(mixed)
+    log_gap = (1 - _SMOOTHING) * math.log(old) + _SMOOTHING * math.log(new)
+    return math.exp(log_gap)
--- a/src/oleanderdyke/kernel/specs.py
+++ b/src/oleanderdyke/kernel/specs.py
@@ -1,4 +1,4 @@
-"""Check specs, and pack them for the log and for memory."""
+"""Validate specs, and encode them for the log and for memory."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 )
 
 PACKED_LIMIT = 16 * 1024
-_DEPTH = 16
+_MAX_DEPTH = 16
 _INT_LIMIT = 2**63
-_LABEL_COUNT = 32
-_HASH_COUNT = 64
+_MAX_LABELS = 32
+_MAX_HASHES = 64
 _HASH_FIELDS = ('token_hashes', 'admin_token_hashes')
 _HASH_FORM = 'hex SHA-256 digests of tokens, 64 lower-case characters'
 _NAME = re.compile(r'[a-z0-9]([a-z0-9._-]{0,61}[a-z0-9])?')
@@ -40,15 +40,18 @@
 
 
 class InvalidSpec(ValueError):
-    """A packed spec can't be read."""
+    """Raised for data that is not valid CBOR or not a valid spec."""
 
 
 def load_cbor(data: bytes) -> Any:
-    """Decode untrusted CBOR with the same limits everywhere."""
+    """Decode untrusted CBOR; raise InvalidSpec.
+
+    Every reader must use the same limits, so that all skip the same records.
+    """
     try:
         return cbor2.loads(
             data,
-            max_depth=_DEPTH,
+            max_depth=_MAX_DEPTH,
             allow_duplicate_keys=False,
             strict_hashable_types=True,
             semantic_decoders={},
@@ -58,7 +61,7 @@
 
 
 def pack_spec(spec: Spec) -> bytes:
-    """Encode what differs from the defaults, in canonical CBOR."""
+    """Encode the fields that differ from the defaults in canonical CBOR."""
     return cbor2.dumps(_to_plain(spec), canonical=True)
 
 
@@ -84,7 +87,7 @@
 
 
 def list_hashes(packed: bytes, name: str) -> tuple[bytes, ...]:
-    """Return the digests in one field of a packed, valid team."""
+    """Return the token digests in one field of a valid, packed team."""
     return tuple(
         item if isinstance(item, bytes) else bytes.fromhex(item)
         for item in load_cbor(packed).get(name, ())
@@ -92,7 +95,7 @@
 
 
 def describe_spec(spec: Spec) -> dict[str, Any]:
-    """Return the fields that differ from the defaults, for reading."""
+    """Return the fields that differ from the defaults, in readable form."""
     plain = _to_plain(spec)
     for name in _HASH_FIELDS:
         if name in plain:
@@ -101,7 +104,10 @@
 
 
 def find_faults(name: str, spec: Spec | None) -> tuple[str, ...]:
-    """Return everything wrong with an object, each with the key's name."""
+    """Return a message for each invalid field, naming field and value.
+
+    Catalogs store the messages, so they must be the same in every version.
+    """
     faults: list[str] = []
     if not _NAME.fullmatch(name):
         faults.append(
@@ -129,16 +135,16 @@
     yield from _check_labels('teams', spec.teams)
     yield from _check_labels('stores', spec.stores)
     if spec.kind is ServiceKind.MODEL:
-        yield from _check_filled(spec, ('model', 'version'))
+        yield from _check_not_empty(spec, ('model', 'version'))
     yield from _check_methods('methods', spec.methods)
     yield from _check_methods('idempotent_methods', spec.idempotent_methods)
-    yield from _check_above(spec, ('body_limit', 'deadline', 'horizon'))
+    yield from _check_positive(spec, ('body_limit', 'deadline', 'horizon'))
     yield from _check_targets(spec.targets)
 
 
 def _check_targets(targets: Targets) -> Iterator[str]:
     names = ('first_token', 'between_tokens')
-    yield from _check_above(targets, names, 'targets.')
+    yield from _check_positive(targets, names, 'targets.')
     share = targets.recomputed_share
     if not 0 <= share <= 1:
         yield f'targets.recomputed_share: found {share}; allowed: 0 to 1'
@@ -147,23 +153,23 @@
 def _check_team(spec: TeamSpec) -> Iterator[str]:
     for name in _HASH_FIELDS:
         yield from _check_hashes(name, getattr(spec, name))
-    yield from _check_above(spec, ('weight',))
+    yield from _check_positive(spec, ('weight',))
     names = tuple(item.name for item in dataclasses.fields(Limits))
-    yield from _check_not_below(spec.limits, names, 'limits.')
+    yield from _check_not_negative(spec.limits, names, 'limits.')
 
 
 def _check_model_version(spec: ModelVersionSpec) -> Iterator[str]:
-    yield from _check_filled(spec, ('model', 'version', 'digest'))
+    yield from _check_not_empty(spec, ('model', 'version', 'digest'))
 
 
 def _check_store(spec: StoreSpec) -> Iterator[str]:
     names = ('capacity_bytes', 'link_bytes_per_second')
-    yield from _check_not_below(spec, names)
+    yield from _check_not_negative(spec, names)
 
 
 def _check_labels(key: str, labels: Labels) -> Iterator[str]:
-    if len(labels) > _LABEL_COUNT:
-        yield f'{key}: found {len(labels)} pairs; allowed: {_LABEL_COUNT}'
+    if len(labels) > _MAX_LABELS:
+        yield f'{key}: found {len(labels)} pairs; allowed: {_MAX_LABELS}'
     for name, value in labels.items():
         if not (_LABEL.fullmatch(name) and _LABEL.fullmatch(value)):
             yield (
@@ -179,22 +185,22 @@
 
 
 def _check_hashes(key: str, hashes: tuple[str, ...]) -> Iterator[str]:
-    if len(hashes) > _HASH_COUNT:
-        yield f'{key}: found {len(hashes)} entries; allowed: {_HASH_COUNT}'
+    if len(hashes) > _MAX_HASHES:
+        yield f'{key}: found {len(hashes)} entries; allowed: {_MAX_HASHES}'
     if len(set(hashes)) != len(hashes):
         yield f'{key}: found one entry twice; allowed: different ones'
     if not all(_HASH.fullmatch(item) for item in hashes):
-        # A token put here by mistake must not be repeated in a message.
+        # The value may be a token entered by mistake, so it is not shown.
         yield f'{key}: found something else; allowed: {_HASH_FORM}'
 
 
-def _check_filled(spec: object, names: Iterable[str]) -> Iterator[str]:
+def _check_not_empty(spec: object, names: Iterable[str]) -> Iterator[str]:
     for name in names:
         if not getattr(spec, name):
             yield f'{name}: found nothing; allowed: a filled string'
 
 
-def _check_above(
+def _check_positive(
     spec: object, names: Iterable[str], prefix: str = ''
 ) -> Iterator[str]:
     for name in names:
@@ -203,7 +209,7 @@
             yield f'{prefix}{name}: found {value}; allowed: above 0'
 
 
-def _check_not_below(
+def _check_not_negative(
     spec: object, names: Iterable[str], prefix: str = ''
 ) -> Iterator[str]:
     for name in names:
@@ -251,11 +257,11 @@
     )
 
 
-def _check_exactly(target: type) -> Any:
+def _make_type_check(target: type) -> Any:
     def check(found: object, _: object) -> object:
         if type(found) is target:
             return found
-        raise ValueError(f'not {target.__name__}')
+        raise ValueError(f'expected {target.__name__}')
 
     return check
 
@@ -263,31 +269,32 @@
 def _check_int(found: object, _: object) -> int:
     if type(found) is int and abs(found) < _INT_LIMIT:
         return found
-    raise ValueError('not a whole number of 64 bits')
+    raise ValueError('expected a signed 64-bit integer')
 
 
 def _check_number(found: object, _: object) -> float:
     if type(found) in {int, float}:
         return float(found)  # type: ignore[arg-type]  # just checked
-    raise ValueError('not a number')
+    raise ValueError('expected a number')
 
 
 def _check_mapping(found: object, _: object) -> Mapping[str, str]:
     if not isinstance(found, dict):
-        raise TypeError('not a map')
+        raise TypeError('expected a map')
     if all(type(x) is str for pair in found.items() for x in pair):
         return found
-    raise ValueError('not strings')
+    raise ValueError('expected string keys and values')
 
 
 def _make_converter() -> cattrs.Converter:
     converter = cattrs.Converter(detailed_validation=False)
     checks = {
-        str: _check_exactly(str),
-        bool: _check_exactly(bool),
+        str: _make_type_check(str),
+        bool: _make_type_check(bool),
         int: _check_int,
         float: _check_number,
-        # Without its own hook the one for `str` would take it.
+        # ServiceKind is a `str`, so without its own hook it would get that of
+        # `str`, which accepts no other type.
         ServiceKind: lambda found, _: ServiceKind(found),
     }
     for target, check in checks.items():
--- a/src/oleanderdyke/policies/routing.py
+++ b/src/oleanderdyke/policies/routing.py
@@ -1,4 +1,4 @@
-"""Choose a replica and where its context comes from."""
+"""Routers, which choose a replica and the source of its context."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 from oleanderdyke.policies.settings import PolicySettings
 from oleanderdyke.policies.sources import (
     LinkTracker,
+    PendingPrefixes,
     Reach,
-    SoonTable,
     StoreViews,
 )
 
@@ -47,7 +47,7 @@
     replica: Replica
     store: str
     reach: Reach
-    source: PrefillPlan
+    prefill: PrefillPlan
 
 
 class PredictedRouter:
@@ -60,7 +60,7 @@
             settings.report_lag, settings.prefill_tokens_per_second
         )
         self._links = LinkTracker(settings)
-        self._soon = SoonTable(settings.soon_limit)
+        self._pending = PendingPrefixes(settings.soon_limit)
         self._pressure = CachePressure(settings.pressure_memory)
 
     def choose(
@@ -76,7 +76,7 @@
         candidates = find_candidates(
             demand,
             fleet,
-            self._soon,
+            self._pending,
             random,
             settings=self._settings,
             exclude=exclude,
@@ -85,17 +85,18 @@
             return _NO_REPLICA
         stores = StoreViews(demand, fleet, self._links, now)
         choices = [
-            self._weigh(demand, fleet, each, stores, now) for each in candidates
+            self._evaluate(demand, fleet, each, stores, now)
+            for each in candidates
         ]
-        best = self._weigh_pressure(demand, choices, now)
+        best = self._choose_cheapest(demand, choices, now)
         return _make_plan(best, self._settings)
 
     def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
-        """Count the prefill, the fetch and the prefixes soon to be there."""
+        """Record the prefill, the fetch and the prefix of a dispatch."""
         present = (plan.cached + plan.fetched) * SEGMENT_TOKENS
         tokens = max(0, demand.tokens - present)
-        brought = demand.tokens - plan.cached * SEGMENT_TOKENS
-        self._pressure.record_added(plan.agent, brought, now)
+        added = demand.tokens - plan.cached * SEGMENT_TOKENS
+        self._pressure.record_added(plan.agent, added, now)
         self._backlog.record_sent(
             demand.request,
             plan.agent,
@@ -104,33 +105,33 @@
             short=plan.priority == SHORT_PRIORITY,
         )
         self._links.record_sent(demand.request, plan, now)
-        self._soon.record_sent(demand, plan, now)
+        self._pending.record_sent(demand, plan, now)
 
     def record_first_token(self, request: str, now: Millis) -> None:
-        """Learn that a request's context is there."""
+        """Record that the context of a request is in place."""
         self._backlog.record_first_token(request, now)
-        self._links.note_done(request)
-        self._soon.note_ready(request, now)
+        self._links.remove(request)
+        self._pending.mark_ready(request, now)
 
     def record_finished(self, request: str, now: Millis) -> None:
-        """Forget a request."""
+        """Remove a request that has ended."""
         self._backlog.record_finished(request, now)
-        self._links.note_done(request)
-        self._soon.record_finished(request)
+        self._links.remove(request)
+        self._pending.record_finished(request)
 
     def record_segments_removed(
         self, agent: str, segments: Sequence[SegmentHint]
     ) -> None:
-        """Stop counting on what an agent no longer holds."""
-        self._soon.record_segments_removed(agent, segments)
+        """Drop expected segments that an agent has removed."""
+        self._pending.record_segments_removed(agent, segments)
 
     def record_segments_listed(
         self, agent: str, segments: Sequence[SegmentHint]
     ) -> None:
-        """Stop counting on what an agent doesn't list."""
-        self._soon.record_segments_listed(agent, segments)
+        """Drop expected segments that an agent's full list lacks."""
+        self._pending.record_segments_listed(agent, segments)
 
-    def _weigh(
+    def _evaluate(
         self,
         demand: Demand,
         fleet: Fleet,
@@ -139,9 +140,9 @@
         now: Millis,
     ) -> _Choice:
         held = fleet.count_leading(replica.agent, demand.segments)
-        reach = self._soon.extend(replica.agent, demand.segments, held, now)
+        reach = self._pending.extend(replica.agent, demand.segments, held, now)
         store = stores.find(reach.cached)
-        standing = ReplicaEstimate(
+        estimate = ReplicaEstimate(
             wait=self._backlog.estimate_wait(replica, now),
             short_wait=self._backlog.estimate_short_wait(replica, now),
             tokens_per_second=self._backlog.find_rate(replica),
@@ -152,13 +153,13 @@
             link=store.link,
             latency=self._find_latency(demand, replica),
         )
-        source = plan_prefill(self._costs, standing)
-        return _Choice(replica, store.agent, reach, source)
+        prefill = plan_prefill(self._costs, estimate)
+        return _Choice(replica, store.agent, reach, prefill)
 
-    def _weigh_pressure(
+    def _choose_cheapest(
         self, demand: Demand, choices: Sequence[_Choice], now: Millis
     ) -> _Choice:
-        pushed = self._pressure.estimate_displaced(
+        displaced = self._pressure.estimate_displaced(
             {
                 each.replica.agent: demand.tokens
                 - each.reach.cached * SEGMENT_TOKENS
@@ -167,17 +168,17 @@
             now,
         )
         weight = self._settings.w_pressure
-        home = find_home(demand, choices)
-        away = self._settings.w_home
+        home = find_home_agent(demand, choices)
+        home_weight = self._settings.w_home
 
-        def weigh(each: _Choice) -> float:
-            cost = each.source.cost + weight * pushed[each.replica.agent]
+        def find_cost(each: _Choice) -> float:
+            cost = each.prefill.cost + weight * displaced[each.replica.agent]
             if each.replica.agent != home:
-                brought = demand.tokens - each.reach.cached * SEGMENT_TOKENS
-                cost += away * brought
+                added = demand.tokens - each.reach.cached * SEGMENT_TOKENS
+                cost += home_weight * added
             return cost
 
-        return min(choices, key=weigh)
+        return min(choices, key=find_cost)
 
     def _find_latency(self, demand: Demand, replica: Replica) -> Millis:
         near = demand.data_centre in {'', replica.data_centre}
@@ -201,7 +202,7 @@
         *,
         exclude: frozenset[str] = frozenset(),
     ) -> Plan | Refusal:
-        """Return the replica with the fewest requests as known here."""
+        """Return the plan for the replica with the fewest known requests."""
         replicas = [
             each
             for each in fleet.replicas(demand.service)
@@ -217,33 +218,33 @@
         return Plan(least.agent, 'least outstanding', cached=held)
 
     def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
-        """Count a dispatch."""
+        """Count a dispatched request."""
         self._backlog.record_sent(demand.request, plan.agent, 0, now)
 
     def record_first_token(self, request: str, now: Millis) -> None:
-        """Learn nothing."""
+        """Ignore the event: only whole requests are counted."""
 
     def record_finished(self, request: str, now: Millis) -> None:
-        """Forget a request."""
+        """Remove a request that has ended."""
         self._backlog.record_finished(request, now)
 
     def record_segments_removed(
         self, agent: str, segments: Sequence[SegmentHint]
     ) -> None:
-        """Learn nothing."""
+        """Ignore the event: no prefixes are tracked."""
 
     def record_segments_listed(
         self, agent: str, segments: Sequence[SegmentHint]
     ) -> None:
-        """Learn nothing."""
+        """Ignore the event: no prefixes are tracked."""
 
     def _count(self, replica: Replica) -> int:
         reported = replica.load.running + replica.load.waiting
         return max(reported, self._backlog.count_outstanding(replica.agent))
 
 
-def find_home(demand: Demand, choices: Sequence[_Choice]) -> str:
-    """Return the replica where every entry would put what nobody holds."""
+def find_home_agent(demand: Demand, choices: Sequence[_Choice]) -> str:
+    """Return the agent that every entry prefers for uncached context."""
     depth = max(each.reach.cached for each in choices)
     if depth >= len(demand.segments):
         return ''
@@ -255,7 +256,7 @@
 
 
 def make_costs(settings: PolicySettings) -> Costs:
-    """Take the weights of the cost function from settings."""
+    """Build the cost weights from settings."""
     return Costs(
         w_ttft=settings.w_ttft,
         w_recompute=settings.w_recompute,
@@ -268,20 +269,20 @@
 
 
 def _make_plan(choice: _Choice, settings: PolicySettings) -> Plan:
-    source = choice.source
+    prefill = choice.prefill
     reach = choice.reach
-    short = source.rest <= settings.short_tokens
+    short = prefill.rest <= settings.short_tokens
     reason = (
-        f'cached {reach.cached} fetch {source.fetched} '
-        f'recompute {source.rest} tokens in {source.time:.0f} ms'
+        f'cached {reach.cached} fetch {prefill.fetched} '
+        f'recompute {prefill.rest} tokens in {prefill.time:.0f} ms'
     )
     return Plan(
         choice.replica.agent,
         reason,
-        store=choice.store if source.fetched or reach.joined else '',
+        store=choice.store if prefill.fetched or reach.joined else '',
         cached=reach.cached - reach.joined,
-        fetched=source.fetched + reach.joined,
-        predicted=source.time,
+        fetched=prefill.fetched + reach.joined,
+        predicted=prefill.time,
         joined=reach.joined,
         priority=SHORT_PRIORITY if short else LONG_PRIORITY,
     )
--- a/tests/test_choice_cost.py
+++ b/tests/test_choice_cost.py
@@ -1,4 +1,4 @@
-"""Choosing a server costs work for each engine, and no more than that."""
+"""The cost of choosing a server grows linearly with the engines."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 
 
 def make_engines(count: int) -> BackendRegistry:
-    book = BackendRegistry()
-    book.replace(
+    registry = BackendRegistry()
+    registry.replace(
         [
             ServerRecord(
                 f'i-{number}',
@@ -50,54 +50,56 @@
         ],
         0.0,
     )
-    book.complete_read(0.0)
-    for backend in book.list_known():
+    registry.complete_read(0.0)
+    for backend in registry.list_known():
         start = backend.record.start
-        book.record_sent(start, 'one', PendingAttempt(NOW - 30, 500, 2, 900))
-        book.record_load(start, ServerLoad(5, 1, 16), NOW)
+        registry.record_sent(
+            start, 'one', PendingAttempt(NOW - 30, 500, 2, 900)
+        )
+        registry.record_load(start, ServerLoad(5, 1, 16), NOW)
         backend.last_heard_at = NOW - 20
-    return book
+    return registry
 
 
-def choose(book: BackendRegistry) -> None:
-    """Choose as for each request of a model."""
+def choose(registry: BackendRegistry) -> None:
+    """Choose a server as for each model request."""
     limits = make_limits(entries=Entries(('front-1',)), cold_limits={})
-    listed = book.list_service('desk', NOW)
+    listed = registry.list_service('desk', NOW)
     blocked = limits.find_blocked(listed, (), NOW)
     demand = CallDemand('desk', 'hall', model=MODEL, blocked=blocked)
     assert choose_among(demand, listed, NOW) is not None
 
 
-def count_calls(act: Callable[[], None]) -> Counter[str]:
-    """Count the calls of functions, by the file that defines them."""
+def count_calls(call: Callable[[], None]) -> Counter[str]:
+    """Count the function calls by the file that defines the function."""
     calls: Counter[str] = Counter()
 
-    def note(frame, event, _argument) -> None:
+    def count_call(frame, event, _argument) -> None:
         if event in {'call', 'c_call'}:
             calls[frame.f_code.co_filename] += 1
 
-    act()
-    sys.setprofile(note)
+    call()
+    sys.setprofile(count_call)
     try:
-        act()
+        call()
     finally:
         sys.setprofile(None)
     return calls
 
 
 @pytest.mark.parametrize('engines', [48, 200])
-def test_the_cost_of_a_choice_grows_with_the_engines_alone(engines):
+def test_the_cost_of_a_choice_is_linear_in_the_engines(engines):
     few, many = make_engines(25), make_engines(engines)
     least = count_calls(lambda: choose(few)).total() / 25
     assert count_calls(lambda: choose(many)).total() / engines <= 1.1 * least
 
 
-def test_a_limit_that_no_server_names_costs_one_look_at_each():
-    book = make_engines(48)
-    calls = count_calls(lambda: choose(book))
+def test_unset_rate_limits_cost_one_check_per_server():
+    registry = make_engines(48)
+    calls = count_calls(lambda: choose(registry))
     assert calls[rate_limits.__file__] <= 48
-    assert book.record_rate_limit(ServerStart('i-0'), 2.0, NOW, NOW)
-    assert count_calls(lambda: choose(book)).total() > calls.total()
+    assert registry.record_rate_limit(ServerStart('i-0'), 2.0, NOW, NOW)
+    assert count_calls(lambda: choose(registry)).total() > calls.total()
 
 
 @given(
@@ -105,13 +107,13 @@
     sent=st.lists(st.floats(0.0, 3_000.0), max_size=3),
     tokens=st.integers(0, 60_000),
 )
-def test_a_server_is_left_out_only_once_it_is_silent(heard, sent, tokens):
-    book = make_engines(1)
-    backend = book.find('i-0')
+def test_a_server_is_unusable_only_when_silent(heard, sent, tokens):
+    registry = make_engines(1)
+    backend = registry.find('i-0')
     backend.last_heard_at = NOW - heard
     backend.waiting.clear()
     for number, ago in enumerate(sent):
-        owed = PendingAttempt(NOW - ago, tokens, 2, 900)
-        book.record_sent(ServerStart('i-0'), f'{number}', owed)
+        pending = PendingAttempt(NOW - ago, tokens, 2, 900)
+        registry.record_sent(ServerStart('i-0'), f'{number}', pending)
     is_silent = backend.find_overdue_time(NOW) >= SILENCE_LIMIT
     assert is_usable(backend, NOW) is not is_silent
--- a/tests/test_store_index_safety.py
+++ b/tests/test_store_index_safety.py
@@ -31,7 +31,7 @@
     make_write,
 )
 
-# Segment ids are chained from their namespace: 10 and 11 are of the second.
+# Segment ids are chained from their namespace: 10 and 11 belong to the second.
 NUMBERS = st.sampled_from([0, 1, 10, 11])
 
 
@@ -41,8 +41,8 @@
 class StoreWorld(RuleBasedStateMachine):
     """Write, read and free with interleaved copies and a failing store.
 
-    Checks what may be used after a copy: `torn` bytes are not the sealed
-    ones, `foreign` ones belong to another namespace.
+    Checks the bytes that may be used after a copy: `torn` bytes differ from the
+    sealed ones, `foreign` ones belong to another namespace.
     """
 
     make_kind = StoreIndex
@@ -62,7 +62,7 @@
         data = bytes([content]) * SIZE
         request = f'w{next(self.numbers)}'
         space = SPACES[number // 10]
-        # Each newcomer is worth more than what is there.
+        # Each new segment is more valuable than the stored ones.
         gap = -float(next(self.numbers))
         write = make_write(request, number, data, space=space, gap=gap)
         outcome = self.index.begin(write, self.now)
@@ -74,7 +74,7 @@
             self.send_part(request, is_bad=False)
 
     @rule(pick=st.integers(0, 2), is_bad=st.booleans())
-    def go_on(self, pick, is_bad):
+    def send_next(self, pick, is_bad):
         if self.writes:
             request = sorted(self.writes)[pick % len(self.writes)]
             self.send_part(request, is_bad=is_bad)
@@ -133,12 +133,12 @@
         if is_replaced:
             self.begin(number, content=3, parts=2)
 
-    @rule(upset=st.sampled_from(['pause', 'pause', 'timeout', 'restart']))
-    def upset(self, upset):
-        if upset == 'restart':
+    @rule(disturb=st.sampled_from(['pause', 'pause', 'timeout', 'restart']))
+    def disturb(self, disturb):
+        if disturb == 'restart':
             self.restart()
             return
-        self.now += 5.0 if upset == 'pause' else 60.0
+        self.now += 5.0 if disturb == 'pause' else 60.0
         for failed in self.index.expire(self.now):
             for request in failed.requests:
                 self.writes.pop(request, None)
@@ -147,7 +147,7 @@
     def restart(self):
         names = sorted(self.objects)
         if names:
-            # The store loses the end of one object, record or not.
+            # The store truncates one object or record.
             name = names[next(self.numbers) % len(names)]
             self.objects[name] = self.objects[name][:-1]
         incarnation = f'i{next(self.incarnations)}'
@@ -186,14 +186,14 @@
 
 
 class ReusesUnderPin(StoreIndex):
-    def _describe(self, write, generation):
-        meta = super()._describe(write, generation)
+    def _make_meta(self, write, generation):
+        meta = super()._make_meta(write, generation)
         return replace(meta, object_name=write.segment.hex())
 
     def free(self, segment):
         super().free(segment)
-        for name in tuple(self._doomed):
-            self._delete_doomed(name)
+        for name in tuple(self._pending_deletions):
+            self._delete_pending(name)
 
     def is_pin_valid(self, pinned, now):
         return self._entries.get(pinned.segment) is not None
