--- a/src/oleanderdyke/agent/hosted/shell.py
+++ b/src/oleanderdyke/agent/hosted/shell.py
@@ -161,10 +161,10 @@
             try:
                 await read()
             except StoreUnavailable as error:
-                store.note_failed(error.message)
+                store.record_failure(error.message)
                 await anyio.sleep(_RETRY_PAUSE / SECOND)
             else:
-                store.note_good()
+                store.record_success()
 
     def _make_store_dependency(self, name: str) -> Dependency:
         return Dependency(
@@ -233,13 +233,13 @@
         try:
             await self._engine_loader.step()
         except StoreUnavailable as error:
-            self._queue_dependency.note_failed(error.message)
+            self._queue_dependency.record_failure(error.message)
             return min(max(2 * pause, _RETRY_PAUSE), _MAX_RETRY_PAUSE)
         except EngineUnavailable as error:
-            self._engine_dependency.note_failed(error.message)
+            self._engine_dependency.record_failure(error.message)
         else:
-            self._queue_dependency.note_good()
-            self._engine_dependency.note_good()
+            self._queue_dependency.record_success()
+            self._engine_dependency.record_success()
         return _ROLLOUT_INTERVAL
 
     def _log_refused_record(self, name: str, error: MalformedRecord) -> None:
--- a/src/oleanderdyke/entry/hosted/contexts.py
+++ b/src/oleanderdyke/entry/hosted/contexts.py
@@ -19,8 +19,8 @@
 from oleanderdyke.kernel.outdated_context import OutdatedContext
 from oleanderdyke.kernel.read_backoff import ReadBackoff
 from oleanderdyke.links.messages.news import StorePosition
-from oleanderdyke.links.news_desk import encode_loads
-from oleanderdyke.links.news_reader import SharedEvents
+from oleanderdyke.links.news_client import SharedEvents
+from oleanderdyke.links.news_server import encode_loads
 from oleanderdyke.platform.contexts import ContextClient, ContextUnavailable
 from oleanderdyke.platform.documents import MalformedRecord
 
@@ -120,10 +120,10 @@
                     await self._read(client, view, turns.wait)
                 except ContextUnavailable as error:
                     pause = self._handle_unavailable(error, view, turns)
-                    store.note_failed(error.message)
+                    store.record_failure(error.message)
                     await anyio.sleep(pause / SECOND)
                     continue
-                store.note_good()
+                store.record_success()
                 await self._free_outdated(client, view)
                 await anyio.sleep(turns.find_pause() / SECOND)
 
@@ -164,7 +164,7 @@
             found = await client.read_events(0, wait)
         since = view.position
         view.apply_events(found, asked_at, self._core.clock.now())
-        self._core.peers.desk.keep_events(
+        self._core.peers.desk.buffer_events(
             view.traits.address, since, found, asked_at
         )
 
@@ -172,7 +172,7 @@
         """Apply store changes that a peer entry reads, until cancelled."""
         core, sent = self._core, 0
         while True:
-            board, now = core.peers.desk.own_loads, core.clock.now()
+            board, now = core.peers.desk.local_loads, core.clock.now()
             loads = encode_loads(board.list_after(sent, now), now)
             sent = board.last_number
             found = await core.peers.reader.ask_events(
--- a/src/oleanderdyke/entry/hosted/core.py
+++ b/src/oleanderdyke/entry/hosted/core.py
@@ -111,7 +111,7 @@
         timed_load = TimedLoad(start, load, self.clock.now(), rate_limit)
         self.backends.record_load(start, load, timed_load.at)
         self.peers.desk.loads.update(timed_load)
-        self.peers.desk.own_loads.update(timed_load)
+        self.peers.desk.local_loads.update(timed_load)
 
     def apply_shared_load(self, timed_load: TimedLoad) -> None:
         """Record a load that a server reported to a peer entry."""
@@ -303,5 +303,5 @@
         limits=SendLimits(settings.process, entries, settings.regions),
         entries=entries,
     )
-    core.peers.desk.note_urgent = core.request_servers
+    core.peers.desk.on_urgent_request = core.request_servers
     return core
--- a/src/oleanderdyke/links/news_links.py
+++ b/src/oleanderdyke/links/news_links.py
@@ -1,4 +1,4 @@
-"""Keep the links over which neighbours pass on what they read."""
+"""Links between neighbours that share what they read."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 from oleanderdyke.links.link import Link, LinkSettings
 from oleanderdyke.links.listener import serve_links
 from oleanderdyke.links.messages import Hello
-from oleanderdyke.links.news_desk import NewsDesk
-from oleanderdyke.links.news_reader import NewsReader
+from oleanderdyke.links.news_client import NewsClient
+from oleanderdyke.links.news_server import NewsServer
 from oleanderdyke.links.pool import LinkPool, PoolSettings
 
-# How often the links are compared with who reads.
+# Time between updates of the links to the current readers.
 _CONNECT_PERIOD: Millis = 200.0
-# A dial within a data centre takes some milliseconds.
+# Connecting within a data centre takes a few milliseconds.
 _DIAL_LIMIT: Millis = 500.0
 
 
-async def keep_links(
-    reader: NewsReader,
+async def maintain_links(
+    reader: NewsClient,
     make_hello: Callable[[], Hello],
     *,
     clock: Clock,
     random: Random,
 ) -> None:
-    """Keep links to the neighbours that read, until cancelled."""
+    """Maintain links to the neighbours that read, until cancelled."""
     pool = LinkPool(
         make_hello,
-        on_up=_note_up,
-        on_message=reader.take,
-        on_down=reader.note_down,
+        on_up=_ignore_link_up,
+        on_message=reader.handle_answer,
+        on_down=reader.on_link_down,
         settings=PoolSettings(
             link=LinkSettings(dial_timeout=_DIAL_LIMIT),
             last_backoff=1 * SECOND,
@@ -42,22 +42,22 @@
         clock=clock,
         random=random,
     )
-    reader.use(pool)
+    reader.set_pool(pool)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(pool.run)
         while True:
-            reader.connect()
+            reader.update_links()
             await anyio.sleep(_CONNECT_PERIOD / SECOND)
 
 
 async def serve_neighbours(
-    desk: NewsDesk,
+    desk: NewsServer,
     address: str,
     make_hello: Callable[[], Hello],
     *,
     clock: Clock,
 ) -> None:
-    """Answer neighbours until cancelled; raise OSError without the address."""
+    """Answer neighbours until cancelled; raise OSError if binding fails."""
     host, port = split_address(address)
     async with serve_links(
         host,
@@ -70,5 +70,5 @@
         await anyio.sleep_forever()
 
 
-async def _note_up(_: Link) -> None:
-    """Do nothing: a link is used once something is asked for."""
+async def _ignore_link_up(_: Link) -> None:
+    """Do nothing, as nothing is sent over a link before the first request."""
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -18,6 +18,7 @@
 from oleanderdyke.links.codec import decode, encode
 from oleanderdyke.links.dialer import DialFailed, dial
 from oleanderdyke.links.handshake import HandshakeFailed
+from oleanderdyke.links.keepalive import KeepaliveMonitor
 from oleanderdyke.links.link import LinkClosed, LinkSettings
 from oleanderdyke.links.listener import serve_links
 from oleanderdyke.links.messages import (
@@ -31,7 +32,6 @@
     Refused,
     Role,
 )
-from oleanderdyke.links.silence import SilenceWatch
 from oleanderdyke.links.tls import (
     TlsPaths,
     make_client_context,
@@ -368,14 +368,14 @@
 )
 def test_silence_is_counted_only_while_the_peer_could_be_heard(ticks, silent):
     now = 0.0
-    watch = SilenceWatch(interval=10, allowed=3, now=now)
+    watch = KeepaliveMonitor(interval=10, allowed=3, now=now)
     now += 10
     watch.tick(now, reading=True)
     verdict = False
     for tick in ticks:
         now += 1000 if tick == LATE else 10
         if tick == HEARD:
-            watch.note_heard()
+            watch.record_activity()
         verdict = watch.tick(now, reading=tick != PAUSED)
     assert verdict is silent
 
@@ -545,7 +545,7 @@
     async with listening(partial(hold, links)) as address:
         link = await call(address)
         await wait_until(lambda: links)
-        link.tap(taken.append)
+        link.handle_inline(taken.append)
         sent = [Cancel('r', number) for number in range(200)]
         async with anyio.create_task_group() as group:
             # What came before anybody read is read and not tapped.
@@ -569,7 +569,7 @@
     async with listening(partial(hold, links)) as address:
         link = await call(address)
         await wait_until(lambda: links)
-        link.tap(refuse)
+        link.handle_inline(refuse)
         async with anyio.create_task_group() as group:
             group.start_soon(links[0].send, Cancel('r', 1))
             with pytest.raises(KeyError, match='fault'):
