--- a/src/oleanderdyke/agent/backend.py
+++ b/src/oleanderdyke/agent/backend.py
@@ -19,7 +19,7 @@
     HttpError,
     HttpSettings,
 )
-from oleanderdyke.clients.kept import KeptHttp, KeptSettings
+from oleanderdyke.clients.keep_alive import KeepAliveHttp, KeepAliveSettings
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 from oleanderdyke.links.messages import Headers
@@ -44,8 +44,9 @@
             settings.address,
             settings=HttpSettings(connect=settings.connect_timeout, read=None),
         )
-        self.kept = KeptHttp(
-            settings.address, KeptSettings(connect=settings.connect_timeout)
+        self.kept = KeepAliveHttp(
+            settings.address,
+            KeepAliveSettings(connect=settings.connect_timeout),
         )
 
     @asynccontextmanager
--- a/src/oleanderdyke/clients/whole.py
+++ b/src/oleanderdyke/clients/buffered.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class BufferedAnswer:
     """An answer whose body has been read."""
 
     status: int
@@ -35,7 +35,7 @@
     body: bytes
 
 
-async def read_whole(
+async def fetch_body(
     client: Requester[BodyT],
     method: str,
     path: str,
@@ -49,7 +49,7 @@
 
     Raise HttpError, also where that takes longer than `within`.
     """
-    found = await read_answer(
+    found = await fetch_answer(
         client,
         method,
         path,
@@ -61,7 +61,7 @@
     return found.status, found.body
 
 
-async def read_answer(
+async def fetch_answer(
     client: Requester[BodyT],
     method: str,
     path: str,
@@ -70,7 +70,7 @@
     body: BodyT,
     within: Millis,
     limit: int,
-) -> WholeAnswer:
+) -> BufferedAnswer:
     """Return the whole answer, its body of `limit` bytes at most.
 
     Raise HttpError, also where that takes longer than `within`.
@@ -81,6 +81,6 @@
                 method, path, headers=headers, body=body
             ) as answer:
                 found = await answer.read(limit)
-                return WholeAnswer(answer.status, answer.headers, found)
+                return BufferedAnswer(answer.status, answer.headers, found)
     except TimeoutError as error:
         raise HttpError('no answer in time', ran=Ran.MAYBE) from error
--- a/src/oleanderdyke/clients/direct.py
+++ b/src/oleanderdyke/clients/direct.py
@@ -30,7 +30,7 @@
 
 
 class AnswerListener(Protocol):
-    """Take an answer as it comes; one of `take_end` and `lose` is last."""
+    """Receive one answer; `take_end` or `take_failure` is the last call."""
 
     def take_head(self, status: int, headers: Headers) -> None:
         """Take the head."""
@@ -41,7 +41,7 @@
     def take_end(self) -> None:
         """Learn that the answer is whole."""
 
-    def lose(self, reason: str) -> None:
+    def take_failure(self, reason: str) -> None:
         """Learn that nothing more will come."""
 
 
@@ -171,7 +171,7 @@
         listener = self._listener
         self.close()
         if listener is not None:
-            listener.lose(reason)
+            listener.take_failure(reason)
 
 
 @dataclass(slots=True)
--- a/src/oleanderdyke/clients/documents.py
+++ b/src/oleanderdyke/clients/documents.py
@@ -6,8 +6,8 @@
 import ssl
 from typing import Any
 
+from oleanderdyke.clients.buffered import fetch_body
 from oleanderdyke.clients.http import HttpBackend, HttpError, HttpSettings
-from oleanderdyke.clients.whole import read_whole
 from oleanderdyke.clock import Millis
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 
@@ -50,7 +50,7 @@
 
     async def _exchange(self, path: str, timeout: Millis) -> tuple[int, bytes]:
         try:
-            return await read_whole(
+            return await fetch_body(
                 self._http,
                 'GET',
                 path,
--- a/src/oleanderdyke/clients/kept.py
+++ b/src/oleanderdyke/clients/keep_alive.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptSettings:
+class KeepAliveSettings:
     """Bound the connections that are kept and the waits on them.
 
     A kept connection that gives no answer within `patience` counts as gone
@@ -39,20 +39,20 @@
 
     connections: int = 8
     connect: Millis = SECOND
-    patience: Millis = 250.0
-    silence: Millis = 10 * SECOND
-    idle: Millis = 4 * SECOND
+    reuse_timeout: Millis = 250.0
+    read_timeout: Millis = 10 * SECOND
+    idle_limit: Millis = 4 * SECOND
 
 
-class KeptHttp:
+class KeepAliveHttp:
     """Exchange with one server; leaving an answer early costs a connection."""
 
     def __init__(
-        self, address: str, settings: KeptSettings | None = None
+        self, address: str, settings: KeepAliveSettings | None = None
     ) -> None:
         self._address = address
         self._host, self._port = split_address(address)
-        self._settings = settings or KeptSettings()
+        self._settings = settings or KeepAliveSettings()
         self._kept: list[_Kept] = []
         self._used: set[Exchange] = set()
 
@@ -70,7 +70,7 @@
         sent = [('host', self._address), *headers, length]
         head = h11.Request(method=method, target=path, headers=sent)
         exchange, answer = await self._begin(head, body)
-        pieces = _iterate(exchange, self._settings.silence)
+        pieces = _iterate(exchange, self._settings.read_timeout)
         try:
             async with aclosing(pieces):
                 found = decode_headers(answer.headers)
@@ -90,7 +90,7 @@
         ran = Ran.NO
         kept = self._take_kept()
         if kept is not None:
-            bound = self._settings.patience
+            bound = self._settings.reuse_timeout
             try:
                 return kept, await self._ask(kept, head, body, bound)
             except HttpError as error:
@@ -98,7 +98,9 @@
                 # What is kept besides may be as dead as this one.
                 self._drop_kept()
         fresh = await self._connect(ran)
-        return fresh, await self._ask(fresh, head, body, self._settings.silence)
+        return fresh, await self._ask(
+            fresh, head, body, self._settings.read_timeout
+        )
 
     async def _ask(
         self, exchange: Exchange, head: h11.Request, body: bytes, bound: Millis
@@ -123,7 +125,7 @@
                 self._port,
                 tls=None,
                 connect=settings.connect / SECOND,
-                write=settings.silence / SECOND,
+                write=settings.read_timeout / SECOND,
                 # Each wait for the server has its bound where it begins.
                 read=None,
                 piece=_PIECE,
@@ -133,7 +135,7 @@
 
     def _take_kept(self) -> Exchange | None:
         before = asyncio.get_running_loop().time()
-        before -= self._settings.idle / SECOND
+        before -= self._settings.idle_limit / SECOND
         while self._kept:
             kept = self._kept.pop()
             if kept.exchange.is_sound and kept.since >= before:
@@ -168,11 +170,11 @@
 
 
 async def _iterate(
-    exchange: Exchange, silence: Millis
+    exchange: Exchange, read_timeout: Millis
 ) -> AsyncGenerator[bytes, None]:
     while True:
         try:
-            with anyio.fail_after(silence / SECOND):
+            with anyio.fail_after(read_timeout / SECOND):
                 part = await exchange.read_part()
         except FAILURES as error:
             raise make_lost(exchange, error) from error
--- a/src/oleanderdyke/clients/log.py
+++ b/src/oleanderdyke/clients/log.py
@@ -9,8 +9,8 @@
 from urllib.parse import quote
 
 from oleanderdyke.cbor import dump_cbor, load_cbor
+from oleanderdyke.clients.buffered import fetch_body
 from oleanderdyke.clients.http import HttpBackend, HttpError, HttpSettings
-from oleanderdyke.clients.whole import read_whole
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 
@@ -106,7 +106,7 @@
     ) -> dict[object, object]:
         reached = Ran.NO if body is None else Ran.MAYBE
         try:
-            status, data = await read_whole(
+            status, data = await fetch_body(
                 self._http,
                 method,
                 path,
--- a/src/oleanderdyke/entry/hosted/answers.py
+++ b/src/oleanderdyke/entry/hosted/answers.py
@@ -4,7 +4,7 @@
 
 from oleanderdyke.kernel.servers import AnswerMetadata
 from oleanderdyke.links.messages import Headers
-from oleanderdyke.platform.requests import PROMISES
+from oleanderdyke.platform.requests import NOT_RUN_STATUSES
 
 _EVENT_STREAM = 'text/event-stream'
 _SUCCESS = range(200, 300)
@@ -20,7 +20,7 @@
         return ''
     if status in _SUCCESS and not facts.is_sealed:
         return 'a success without the mark of a server'
-    if status in PROMISES:
+    if status in NOT_RUN_STATUSES:
         return f'{status} without the promise that it has not run'
     return ''
 
--- a/src/oleanderdyke/entry/hosted/attempt.py
+++ b/src/oleanderdyke/entry/hosted/attempt.py
@@ -229,7 +229,7 @@
         )
         self._inbox.put(MessageReceived(end))
 
-    def lose(self, reason: str) -> None:
+    def take_failure(self, reason: str) -> None:
         """Report that the answer broke off."""
         if not self._done:
             self._note_lost()
--- a/src/oleanderdyke/entry/hosted/contexts.py
+++ b/src/oleanderdyke/entry/hosted/contexts.py
@@ -134,7 +134,7 @@
         What is known of it serves for as long as it would after any read that
         fails: without it, what others have saved would be read again.
         """
-        if error.is_crowded:
+        if error.is_overloaded:
             return turns.record_rejection()
         view.invalidate()
         return _RETRY_PAUSE
--- a/src/oleanderdyke/entry/hosted/reply.py
+++ b/src/oleanderdyke/entry/hosted/reply.py
@@ -11,7 +11,7 @@
 from oleanderdyke.entry.edge import Send
 from oleanderdyke.errors import REPLIES, ErrorKind, Ran
 from oleanderdyke.links.messages import Headers
-from oleanderdyke.platform.requests import PROMISES, encode_refusal
+from oleanderdyke.platform.requests import NOT_RUN_STATUSES, encode_refusal
 
 _BAD_GATEWAY = 502
 _UNAVAILABLE = 503
@@ -59,7 +59,7 @@
     ) -> None:
         """Send a final answer of our own."""
         self.status = find_status(kind, ran)
-        if self.status not in PROMISES:
+        if self.status not in NOT_RUN_STATUSES:
             retry_after = None
         body = json.dumps(
             {'kind': kind.value, 'detail': detail, 'ran': ran.value}
@@ -94,7 +94,7 @@
         return _UNAVAILABLE
     if status in _NOT_TOLD:
         return _BAD_GATEWAY
-    if status in PROMISES and ran is not Ran.NO:
+    if status in NOT_RUN_STATUSES and ran is not Ran.NO:
         return _BAD_GATEWAY
     return status
 
--- a/src/oleanderdyke/entry/hosted/watch.py
+++ b/src/oleanderdyke/entry/hosted/watch.py
@@ -16,9 +16,9 @@
 from oleanderdyke.platform.feed import (
     EvacuationOrder,
     OperatorFeed,
-    OperatorNews,
+    OperatorUpdate,
     ServerFeed,
-    ServerNews,
+    ServerUpdate,
 )
 from oleanderdyke.platform.loads import LoadFeed
 from oleanderdyke.platform.store import StoreClient, StoreUnavailable
@@ -193,7 +193,7 @@
             EventName.VERSION_NAMED, model=named.model, version=named.version
         )
 
-    def _take_evacuations(self, news: OperatorNews) -> None:
+    def _take_evacuations(self, news: OperatorUpdate) -> None:
         """Stop new work where operators say so, until they take it back."""
         now, evacuations = self._core.clock.now(), self._core.limits.evacuations
         orders = tuple(news.list_evacuations())
@@ -234,15 +234,17 @@
         )
 
 
-def _take_servers(book: BackendRegistry, news: ServerNews, now: Millis) -> None:
+def _take_servers(
+    book: BackendRegistry, news: ServerUpdate, now: Millis
+) -> None:
     """Take the whole list, or what has changed in it."""
     if news.is_restored:
         book.record_restore(now)
     if news.is_whole:
-        book.replace(news.listed, now, unread=news.unread)
+        book.replace(news.records, now, unread=news.unreadable)
         return
-    for server in news.gone:
+    for server in news.removed:
         book.remove(server, now)
-    for record in news.listed:
+    for record in news.records:
         book.put(record, now)
-    book.mark_unreadable(news.unread)
+    book.mark_unreadable(news.unreadable)
--- a/src/oleanderdyke/platform/contexts.py
+++ b/src/oleanderdyke/platform/contexts.py
@@ -6,14 +6,14 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
+from oleanderdyke.clients.buffered import fetch_body
 from oleanderdyke.clients.http import HttpError
-from oleanderdyke.clients.kept import KeptHttp, KeptSettings
-from oleanderdyke.clients.whole import read_whole
+from oleanderdyke.clients.keep_alive import KeepAliveHttp, KeepAliveSettings
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 from oleanderdyke.kernel.context_stores import ContextEvent, ContextEvents
 from oleanderdyke.platform.documents import MalformedRecord
-from oleanderdyke.platform.feed import Refuse, tell_refused
+from oleanderdyke.platform.feed import Refuse, report_refused
 from oleanderdyke.platform.fields import (
     MALFORMED,
     FieldError,
@@ -42,9 +42,9 @@
 class ContextUnavailable(OleanderError):
     """A store gave no proper answer, or has too many readers."""
 
-    def __init__(self, message: str, *, is_crowded: bool = False) -> None:
+    def __init__(self, message: str, *, is_overloaded: bool = False) -> None:
         super().__init__(ErrorKind.NOT_READY, message, ran=Ran.MAYBE)
-        self.is_crowded = is_crowded
+        self.is_overloaded = is_overloaded
 
 
 class ContextClient:
@@ -57,14 +57,14 @@
         self._address = address
         self._refuse = refuse
         bound = _LONGEST_WAIT + _PATIENCE
-        settings = KeptSettings(
+        settings = KeepAliveSettings(
             connections=1,
             connect=_PATIENCE,
-            patience=bound,
-            silence=bound,
-            idle=10 * SECOND,
+            reuse_timeout=bound,
+            read_timeout=bound,
+            idle_limit=10 * SECOND,
         )
-        self._http = KeptHttp(address, settings)
+        self._http = KeepAliveHttp(address, settings)
 
     async def read_events(
         self, since: int, wait: Millis = _LONGEST_WAIT
@@ -76,7 +76,7 @@
         )
         if status != _OK:
             raise ContextUnavailable(
-                f'answered with {status}', is_crowded=status == _CROWDED
+                f'answered with {status}', is_overloaded=status == _CROWDED
             )
         try:
             found = load_object(data)
@@ -98,7 +98,7 @@
             except MALFORMED as error:
                 fault = MalformedRecord(f'event: {error!r}')
                 refused.append((self._address, fault))
-        tell_refused(refused, self._refuse)
+        report_refused(refused, self._refuse)
         return events
 
     async def free(
@@ -128,7 +128,7 @@
         body: bytes = b'',
     ) -> tuple[int, bytes]:
         try:
-            return await read_whole(
+            return await fetch_body(
                 self._http,
                 method,
                 path,
--- a/src/oleanderdyke/platform/engines.py
+++ b/src/oleanderdyke/platform/engines.py
@@ -6,8 +6,8 @@
 import json
 from dataclasses import dataclass
 
+from oleanderdyke.clients.buffered import fetch_body
 from oleanderdyke.clients.http import HttpBackend, HttpError, HttpSettings
-from oleanderdyke.clients.whole import read_whole
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 from oleanderdyke.kernel.rollout import EngineState
@@ -123,7 +123,7 @@
         body: bytes | None = None,
     ) -> tuple[int, bytes]:
         try:
-            return await read_whole(
+            return await fetch_body(
                 self._http,
                 method,
                 path,
--- a/src/oleanderdyke/platform/entries.py
+++ b/src/oleanderdyke/platform/entries.py
@@ -6,7 +6,7 @@
 from oleanderdyke.kernel.neighbours import Neighbour
 from oleanderdyke.platform import names
 from oleanderdyke.platform.documents import MalformedRecord
-from oleanderdyke.platform.feed import Refuse, tell_refused
+from oleanderdyke.platform.feed import Refuse, report_refused
 from oleanderdyke.platform.store import (
     RecordsExpired,
     StoreClient,
@@ -62,7 +62,7 @@
         entries = tuple(filter(None, map(_decode_entry, told)))
         fault = MalformedRecord('no name of an entry')
         others = len(told) - len(entries)
-        tell_refused([('entries', fault)] * others, self._refuse)
+        report_refused([('entries', fault)] * others, self._refuse)
         return entries
 
 
--- a/src/oleanderdyke/platform/feed.py
+++ b/src/oleanderdyke/platform/feed.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OperatorNews:
+class OperatorUpdate:
     """Hold what operators have written; it is decoded as it is listed.
 
     `is_complete` tells that nothing more was written when it was asked for,
@@ -84,18 +84,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerNews:
+class ServerUpdate:
     """Hold what servers wrote, in its order, and whose entries are gone.
 
-    `is_whole` tells that `listed` has every server, not just changed ones.
-    `unread` are keys whose newest record can't be read. Nothing else was
+    `is_whole` tells that `records` has every server, not just changed ones.
+    `unreadable` are keys whose newest record can't be read. Nothing else was
     written until `waited` after it was asked for. `is_restored` tells that the
     store was restored before, and may lack servers that write again soon.
     """
 
-    listed: list[ServerRecord]
-    unread: list[str]
-    gone: list[str]
+    records: list[ServerRecord]
+    unreadable: list[str]
+    removed: list[str]
     is_whole: bool
     waited: Millis = 0.0
     is_restored: bool = False
@@ -108,7 +108,7 @@
         self._feed = _KeyedFeed(client, names.OPERATOR_TOPIC)
         self._refuse = refuse
 
-    async def read(self) -> OperatorNews | None:
+    async def read(self) -> OperatorUpdate | None:
         """Return what is new; None where it has to be read anew.
 
         Raise StoreUnavailable.
@@ -119,7 +119,7 @@
             return None
         others = [each for each in page.records if not _is_known(each)]
         _decode(others, _refuse_key, self._refuse)
-        return OperatorNews(
+        return OperatorUpdate(
             page.records,
             self._refuse,
             is_complete=page.is_complete,
@@ -136,7 +136,7 @@
         self._feed = _KeyedFeed(client, names.SERVER_TOPIC)
         self._refuse = refuse
 
-    async def read(self) -> ServerNews | None:
+    async def read(self) -> ServerUpdate | None:
         """Return the whole list, later what has changed.
 
         None where it has to be read anew. Raise StoreUnavailable.
@@ -146,10 +146,10 @@
         if page is None:
             return None
         decoded = _decode(page.records, decode_server, self._refuse)
-        return ServerNews(
-            listed=decoded.found,
-            unread=decoded.unread,
-            gone=[each.key for each in page.records if each.is_dropped],
+        return ServerUpdate(
+            records=decoded.found,
+            unreadable=decoded.unreadable,
+            removed=[each.key for each in page.records if each.is_dropped],
             is_whole=is_whole,
             waited=page.waited,
             is_restored=self._feed.was_restored,
@@ -205,10 +205,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _Decoded(Generic[FoundT]):
-    """Hold what records tell; `unread` are keys with a bad newest one."""
+    """Hold what records tell; `unreadable` are keys with a bad newest one."""
 
     found: list[FoundT]
-    unread: list[str]
+    unreadable: list[str]
 
 
 def _decode(
@@ -229,7 +229,7 @@
         except MalformedRecord as error:
             refused.append((record.key, error))
             unread[record.key] = None
-    tell_refused(refused, refuse)
+    report_refused(refused, refuse)
     return _Decoded(found, list(unread))
 
 
@@ -241,7 +241,7 @@
     return decode(record.key, record.value)
 
 
-def tell_refused(
+def report_refused(
     refused: Sequence[tuple[str, MalformedRecord]], refuse: Refuse
 ) -> None:
     """Report some of the records that can't be read, and count the rest."""
--- a/src/oleanderdyke/platform/loads.py
+++ b/src/oleanderdyke/platform/loads.py
@@ -9,7 +9,7 @@
 from oleanderdyke.kernel.load_queue import LoadNotice, LoadStep
 from oleanderdyke.platform import names
 from oleanderdyke.platform.documents import MalformedRecord
-from oleanderdyke.platform.feed import Refuse, tell_refused
+from oleanderdyke.platform.feed import Refuse, report_refused
 from oleanderdyke.platform.fields import (
     MALFORMED,
     load_object,
@@ -67,7 +67,7 @@
             except MALFORMED as error:
                 message = f'load notice: {type(error).__name__}: {error}'
                 refused.append(('loads', MalformedRecord(message)))
-        tell_refused(refused, self._refuse)
+        report_refused(refused, self._refuse)
         return notices
 
 
--- a/src/oleanderdyke/platform/requests.py
+++ b/src/oleanderdyke/platform/requests.py
@@ -22,7 +22,7 @@
 from oleanderdyke.platform import names
 
 # With these a final answer promises that the request has not run.
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 # Whole numbers up to here are read; more digits than that mean nothing, and
 # thousands of them raise an error.
 _MOST_DIGITS = 15
--- a/src/oleanderdyke/platform/store.py
+++ b/src/oleanderdyke/platform/store.py
@@ -10,9 +10,9 @@
 
 import anyio
 
+from oleanderdyke.clients.buffered import fetch_answer
 from oleanderdyke.clients.http import HttpError
-from oleanderdyke.clients.kept import KeptHttp, KeptSettings
-from oleanderdyke.clients.whole import read_answer
+from oleanderdyke.clients.keep_alive import KeepAliveHttp, KeepAliveSettings
 from oleanderdyke.clock import SECOND, Clock, Millis, make_clock
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 from oleanderdyke.links.messages import Headers
@@ -132,14 +132,14 @@
         # The era in which the positions hold that reads go on from.
         self._read_era: int | None = None
         self._bound = wait + _PATIENCE
-        settings = KeptSettings(
+        settings = KeepAliveSettings(
             connections=1,
             connect=_PATIENCE,
-            patience=self._bound,
-            silence=self._bound,
-            idle=60 * SECOND,
+            reuse_timeout=self._bound,
+            read_timeout=self._bound,
+            idle_limit=60 * SECOND,
         )
-        self._http = KeptHttp(address, settings)
+        self._http = KeepAliveHttp(address, settings)
 
     async def list_newest(self, topic: str) -> KeyedPage:
         """Return the newest record of each key.
@@ -292,7 +292,7 @@
     ) -> tuple[int, bytes]:
         target = f'{path}?{urlencode(query)}'
         try:
-            found = await read_answer(
+            found = await fetch_answer(
                 self._http,
                 method,
                 target,
--- a/tests/test_decoders.py
+++ b/tests/test_decoders.py
@@ -164,9 +164,9 @@
         return news
 
     news = anyio.run(read)
-    found = [each.server for each in news.listed]
+    found = [each.server for each in news.records]
     assert [name for name in found if name.startswith('g')] == good
-    assert not {name for name in news.gone if name in good}
+    assert not {name for name in news.removed if name in good}
     assert client.asked[-1]['from'] == len(history)
     assert told.count <= 4
 
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -11,7 +11,7 @@
 from anyio.abc import SocketStream
 
 from oleanderdyke.clients.http import HttpError
-from oleanderdyke.clients.kept import KeptHttp, KeptSettings
+from oleanderdyke.clients.keep_alive import KeepAliveHttp, KeepAliveSettings
 from oleanderdyke.errors import Ran
 
 pytestmark = pytest.mark.anyio
@@ -45,17 +45,17 @@
 
 @contextlib.asynccontextmanager
 async def serving(
-    script: Script, settings: KeptSettings | None = None
-) -> AsyncGenerator[KeptHttp, None]:
+    script: Script, settings: KeepAliveSettings | None = None
+) -> AsyncGenerator[KeepAliveHttp, None]:
     listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
     port = listener.extra(anyio.abc.SocketAttribute.local_port)
     async with listener, anyio.create_task_group() as tasks:
         tasks.start_soon(listener.serve, script.handle)
-        yield KeptHttp(f'127.0.0.1:{port}', settings)
+        yield KeepAliveHttp(f'127.0.0.1:{port}', settings)
         tasks.cancel_scope.cancel()
 
 
-async def ask(http: KeptHttp) -> bytes:
+async def ask(http: KeepAliveHttp) -> bytes:
     async with http.request('PUT', '/kv/1', body=b'kv') as answer:
         return await answer.read(100)
 
@@ -80,7 +80,7 @@
     first: list[bytes | None],
 ) -> None:
     script = Script(first, [ANSWER])
-    async with serving(script, KeptSettings(patience=50.0)) as http:
+    async with serving(script, KeepAliveSettings(reuse_timeout=50.0)) as http:
         assert await ask(http) == b'good'
         assert await ask(http) == b'good'
     assert script.opened == 2
@@ -93,7 +93,7 @@
     answer: bytes | None,
 ) -> None:
     script = Script([answer], [ANSWER])
-    async with serving(script, KeptSettings(silence=50.0)) as http:
+    async with serving(script, KeepAliveSettings(read_timeout=50.0)) as http:
         with pytest.raises(HttpError) as caught:
             await ask(http)
         assert caught.value.ran is Ran.MAYBE
@@ -113,7 +113,7 @@
 
 async def test_only_so_many_connections_are_kept() -> None:
     script = Script(*([ANSWER, ANSWER] for _ in range(6)))
-    async with serving(script, KeptSettings(connections=2)) as http:
+    async with serving(script, KeepAliveSettings(connections=2)) as http:
         for opened in (4, 6):
             async with anyio.create_task_group() as tasks:
                 for _ in range(4):
@@ -123,7 +123,7 @@
 
 async def test_unreachable_server_ran_nothing() -> None:
     with pytest.raises(HttpError) as caught:
-        await ask(KeptHttp('127.0.0.1:1'))
+        await ask(KeepAliveHttp('127.0.0.1:1'))
     assert caught.value.ran is Ran.NO
 
 
@@ -136,7 +136,9 @@
 
     server = await asyncio.start_server(answer_once, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
-    http = KeptHttp(f'127.0.0.1:{port}', KeptSettings(patience=50.0))
+    http = KeepAliveHttp(
+        f'127.0.0.1:{port}', KeepAliveSettings(reuse_timeout=50.0)
+    )
     assert await ask(http) == b'good'
     server.close()
     with pytest.raises(HttpError) as caught:
--- a/tests/test_other_writers.py
+++ b/tests/test_other_writers.py
@@ -91,7 +91,7 @@
 
 
 def list_names(news) -> list[str]:
-    return [record.server for record in news.listed]
+    return [record.server for record in news.records]
 
 
 async def read_list(items, told) -> list[str]:
@@ -144,7 +144,7 @@
         told, make_good('a'), foreign.make_keyed(b'b', broken), make_good('c')
     )
     assert list_names(news) == ['a', 'c']
-    assert (news.gone, position) == ([], 3)
+    assert (news.removed, position) == ([], 3)
     assert told.names == ['b']
     told.check_bounded()
 
@@ -156,7 +156,7 @@
         told, make_good('a'), broken, make_good('c')
     )
     assert list_names(news) == ['a', 'c']
-    assert (news.gone, position) == ([], 3)
+    assert (news.removed, position) == ([], 3)
     assert len(told.details) == 1
 
 
@@ -280,7 +280,7 @@
     told = Told()
     keyed = [foreign.make_keyed(b'b', value) for value in records]
     news, _ = await read_history(told, make_good('a'), *keyed)
-    assert news.unread == unread
+    assert news.unreadable == unread
     assert len(told.names) == 1
 
 
@@ -290,7 +290,7 @@
         foreign.CannedStore(foreign.make_page([*items, 7])), Told()
     )
     news = await feed.read()
-    assert (list_names(news), 'b' in news.unread) == (['a'], True)
+    assert (list_names(news), 'b' in news.unreadable) == (['a'], True)
 
 
 VERSION = {'model': 'm', 'version': 4}
@@ -501,7 +501,7 @@
     began = time.process_time()
     news = await feed.read()
     took = time.process_time() - began
-    return took, len(news.listed), len(told.getvalue().splitlines())
+    return took, len(news.records), len(told.getvalue().splitlines())
 
 
 @pytest.mark.parametrize('is_whole', [True, False])
