--- a/src/oleanderdyke/platform/__init__.py
+++ b/src/oleanderdyke/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Hold the names, formats and calls of the users' platform."""
+"""Header names, record formats and clients of the hosting platform."""
--- a/src/oleanderdyke/platform/contexts.py
+++ b/src/oleanderdyke/platform/contexts.py
@@ -1,4 +1,4 @@
-"""Ask stores of kept context what they hold, and free parts."""
+"""Client for the stores that hold the cached context of model engines."""
 
 from __future__ import annotations
 
@@ -22,25 +22,29 @@
     read_integer,
     read_number,
     read_text,
+    show_value,
 )
 
-# The longest wait that a store allows; shorter ones are dear.
-_LONGEST_WAIT: Millis = 1 * SECOND
-# Beyond the wait; the view of the store has to stay fresh.
-_PATIENCE: Millis = 500.0
-_MAX_ANSWER = 16 * 1024 * 1024
+# The longest wait that a store allows; shorter waits mean more requests.
+_MAX_WAIT: Millis = 1 * SECOND
+# Time for an answer beyond the wait; short, to keep the view of a store fresh.
+_ANSWER_TIMEOUT: Millis = 500.0
+_MAX_ANSWER_BYTES = 16 * 1024 * 1024
 _OK = 200
-_CROWDED = 429
+_TOO_MANY_REQUESTS = 429
 _ADDED = '+'
 _REMOVED = '-'
-# The places of an event that are read.
+# Names of the items of an event, in the order in which they are sent.
 _EVENT_FIELDS = ('number', 'sign', 'salt', 'part', 'tokens')
-# What stands in an answer that can't be read may be long.
-_MOST_DETAIL = 200
+# Bounds error messages, which may quote a malformed answer.
+_MAX_DETAIL_LENGTH = 200
 
 
 class ContextUnavailable(OleanderError):
-    """A store gave no proper answer, or has too many readers."""
+    """A store could not be reached, refused the call or answered wrongly.
+
+    `is_overloaded` is set where the store refused one more reader.
+    """
 
     def __init__(self, message: str, *, is_overloaded: bool = False) -> None:
         super().__init__(ErrorKind.NOT_READY, message, ran=Ran.MAYBE)
@@ -48,18 +52,18 @@
 
 
 class ContextClient:
-    """Call the store at `host:port`.
+    """Client for the context store at `host:port`.
 
-    Events that can't be read are passed to `refuse` and left out.
+    Malformed events are reported to `refuse` and skipped.
     """
 
     def __init__(self, address: str, refuse: Refuse) -> None:
         self._address = address
         self._refuse = refuse
-        bound = _LONGEST_WAIT + _PATIENCE
+        bound = _MAX_WAIT + _ANSWER_TIMEOUT
         settings = KeepAliveSettings(
             connections=1,
-            connect=_PATIENCE,
+            connect=_ANSWER_TIMEOUT,
             reuse_timeout=bound,
             read_timeout=bound,
             idle_limit=10 * SECOND,
@@ -67,34 +71,40 @@
         self._http = KeepAliveHttp(address, settings)
 
     async def read_events(
-        self, since: int, wait: Millis = _LONGEST_WAIT
+        self, since: int, wait: Millis = _MAX_WAIT
     ) -> ContextEvents:
-        """Return what changed, waiting for some; raise ContextUnavailable."""
-        headers = (('wait-ms', str(int(min(wait, _LONGEST_WAIT)))),)
+        """Return the events from number `since` on.
+
+        Wait up to `wait` for the first one. Raise ContextUnavailable.
+        """
+        headers = (('wait-ms', str(int(min(wait, _MAX_WAIT)))),)
         status, data = await self._call(
             'GET', f'/api/kv-events?since={since}', headers
         )
         if status != _OK:
             raise ContextUnavailable(
-                f'answered with {status}', is_overloaded=status == _CROWDED
+                f'GET /api/kv-events: found status {status}; expected {_OK}',
+                is_overloaded=status == _TOO_MANY_REQUESTS,
             )
         try:
             found = load_object(data)
             return _decode(found, tuple(self._decode_events(found)))
         except MALFORMED as error:
-            detail = f'malformed events: {error!r}'[:_MOST_DETAIL]
+            detail = f'malformed events: {error!r}'[:_MAX_DETAIL_LENGTH]
             raise ContextUnavailable(detail) from error
 
     def _decode_events(self, found: Mapping[str, Any]) -> list[ContextEvent]:
-        """Leave one out as if it had never come, which a few never do."""
-        told = found['events']
-        if not isinstance(told, list):
-            raise FieldError('events: is no list')
+        """Decode the events, skipping malformed ones as if lost on the way."""
+        items = found['events']
+        if not isinstance(items, list):
+            raise FieldError(
+                f'events: found {show_value(items)}; allowed: a list'
+            )
         events: list[ContextEvent] = []
         refused: list[tuple[str, MalformedRecord]] = []
-        for each in told:
+        for item in items:
             try:
-                events.append(_decode_event(each))
+                events.append(_decode_event(item))
             except MALFORMED as error:
                 fault = MalformedRecord(f'event: {error!r}')
                 refused.append((self._address, fault))
@@ -104,7 +114,12 @@
     async def free(
         self, parts: Sequence[tuple[str, str]], boot: int, until: Millis
     ) -> bool:
-        """Free parts of just this start of the store, before a moment."""
+        """Free prompt parts, given as pairs of salt and part.
+
+        The store does so only if its current boot is `boot` and its clock has
+        not passed `until`. Return whether it accepted the call. Raise
+        ContextUnavailable.
+        """
         body = json.dumps(
             {
                 'parts': [list(part) for part in parts],
@@ -134,8 +149,8 @@
                 path,
                 headers=headers,
                 body=body,
-                within=_LONGEST_WAIT + 2 * _PATIENCE,
-                limit=_MAX_ANSWER,
+                within=_MAX_WAIT + 2 * _ANSWER_TIMEOUT,
+                limit=_MAX_ANSWER_BYTES,
             )
         except HttpError as error:
             raise ContextUnavailable(error.message) from error
@@ -153,14 +168,16 @@
     )
 
 
-def _decode_event(told: Any) -> ContextEvent:
-    found = dict(zip(_EVENT_FIELDS, told, strict=False))
+def _decode_event(item: Any) -> ContextEvent:
+    found = dict(zip(_EVENT_FIELDS, item, strict=False))
     sign, salt = found['sign'], found['salt']
     if sign not in {_ADDED, _REMOVED}:
-        raise FieldError('the sign is not named')
-    # Whoever saves without a salt has an empty one.
+        raise FieldError(
+            f'sign: found {show_value(sign)}; allowed: {_ADDED!r}, {_REMOVED!r}'
+        )
+    # An empty salt is allowed: it stands for context saved without one.
     if not isinstance(salt, str):
-        raise FieldError('the salt is no text')
+        raise FieldError(f'salt: found {show_value(salt)}; allowed: text')
     return ContextEvent(
         is_added=sign == _ADDED,
         salt=salt,
--- a/src/oleanderdyke/platform/documents.py
+++ b/src/oleanderdyke/platform/documents.py
@@ -1,4 +1,4 @@
-"""Decode what operators and backend servers write to the platform's store."""
+"""Decode records of operators and backend servers in the platform's store."""
 
 from __future__ import annotations
 
@@ -30,50 +30,52 @@
     read_number,
     read_objects,
     read_text,
+    show_value,
 )
 
-_KINDS = {
+_CALL_KINDS = {
     'idempotent': CallKind.IDEMPOTENT,
     'non_idempotent': CallKind.ONCE,
     'streaming': CallKind.STREAM,
 }
 _READY = 'ready'
 _LEAVING = 'draining'
-# A server's id is sent in a header, and a path would be another kind of key.
+# An id is sent as a header value. A key with a slash is not that of a server.
 _SERVER_ID = re.compile('[!-.0-~]+')
-# An entry has some 250 bytes, and more with many models and adapters. Larger
-# ones would hold up the requests of whoever reads them.
-_MOST_SERVER_BYTES = 16_384
-# Lists and objects in an entry, which bound its depth too: parsing a thousand
-# levels takes as long as reading six good entries, counting them less than one.
-_MOST_SERVER_PARTS = 256
-# Operators number the weights that they name from here on.
+# A typical record has 250 bytes, and more with many models and adapters.
+# Parsing larger ones would delay the requests of the reading process.
+_MAX_SERVER_BYTES = 16_384
+# Limits the lists and objects in a record, and with them its nesting depth:
+# parsing 1000 levels takes as long as reading six valid records, counting the
+# brackets less than reading one.
+_MAX_SERVER_CONTAINERS = 256
+# Operators number versions of weights from here on.
 _FIRST_VERSION = 1
-# A record of another writer may have any text in its place of a field.
-_MOST_MESSAGE = 200
-# A start lies in the past by any clock that is near right. The margin leaves
-# room for clocks that are hours off, as one set to another time zone is: such a
-# server is sound. What lies further ahead would outrank all later starts.
-_BORN_AHEAD: Millis = 24 * HOUR
+# Bounds error messages: they may quote text of an unknown writer.
+_MAX_MESSAGE_LENGTH = 200
+# How far a server's start time may be ahead of the local clock. The margin
+# accepts servers whose clock is hours off, for example set to another time
+# zone. A start time further ahead would rank above all later starts.
+_MAX_BORN_SKEW: Millis = 24 * HOUR
 
 
 class MalformedRecord(OleanderError):
-    """A record of the platform's store can't be read."""
+    """A record of the platform's store is malformed."""
 
     def __init__(self, message: str) -> None:
-        super().__init__(ErrorKind.PROTOCOL, message[:_MOST_MESSAGE])
+        super().__init__(ErrorKind.PROTOCOL, message[:_MAX_MESSAGE_LENGTH])
 
 
 @dataclass(frozen=True, slots=True)
 class NamedVersion:
-    """Hold the newest weights that operators have named for a model."""
+    """Hold the version of weights that operators have published for a model."""
 
     model: str
     version: int
 
 
 def decode_configuration(data: bytes) -> Deployment:
-    """Read the operators' whole configuration; raise MalformedRecord."""
+    """Decode the operators' configuration; raise MalformedRecord."""
     try:
         return _make_deployment(load_object(data))
     except MALFORMED as error:
@@ -81,7 +83,7 @@
 
 
 def decode_server(server: str, data: bytes) -> ServerRecord:
-    """Read what one backend server wrote; raise MalformedRecord."""
+    """Decode the record of a backend server; raise MalformedRecord."""
     try:
         _check_server(server, data)
         return _make_server(server, load_object(data))
@@ -90,20 +92,23 @@
 
 
 def decode_born(found: Mapping[str, Any]) -> int | None:
-    """Return when a backend server started, None where it isn't told.
+    """Return when a backend server started in Unix ms, None if unknown.
 
-    Raise one of MALFORMED where it can't be a Unix millisecond of the past.
+    Raise one of MALFORMED if the time is malformed or too far in the future.
     """
     if 'born' not in found:
         return None
     born = read_integer(found, 'born')
-    if born > make_clock().wall() + _BORN_AHEAD:
-        raise FieldError('born: is far ahead of the clock')
+    if born > make_clock().wall() + _MAX_BORN_SKEW:
+        raise FieldError(
+            f'born: found {born}; '
+            f'allowed: at most {_MAX_BORN_SKEW / HOUR:g} hours in the future'
+        )
     return born
 
 
 def decode_version(data: bytes) -> NamedVersion:
-    """Read which weights are named; raise MalformedRecord."""
+    """Decode a published version of weights; raise MalformedRecord."""
     try:
         found = load_object(data)
         version = read_integer(found, 'version', _FIRST_VERSION)
@@ -123,12 +128,12 @@
         routes=tuple(_make_route(each) for each in found.get('routes', ())),
         services={service.name: service for service in services},
         limits=_make_limits(found.get('limits', {})),
-        key_owners=dict(_list_keys(found.get('tenants', ()))),
+        key_owners=dict(_list_key_owners(found.get('tenants', ()))),
     )
 
 
 def _make_route(found: Mapping[str, Any]) -> Route:
-    kind = _KINDS[found['kind']]
+    kind = _CALL_KINDS[found['kind']]
     return Route(
         name=str(found['name']),
         host=str(found['host']).lower(),
@@ -144,15 +149,17 @@
         is_resumable=(
             kind is CallKind.STREAM and bool(found.get('resumable', False))
         ),
-        allowed_regions=_read_homes(found),
+        allowed_regions=_read_allowed_regions(found),
     )
 
 
-def _read_homes(found: Mapping[str, Any]) -> frozenset[str]:
-    homes = found.get('allowedRegions') or ()
-    if isinstance(homes, str):
-        raise FieldError('allowedRegions: is no list')
-    return frozenset(map(str, homes))
+def _read_allowed_regions(found: Mapping[str, Any]) -> frozenset[str]:
+    regions = found.get('allowedRegions') or ()
+    if isinstance(regions, str):
+        raise FieldError(
+            f'allowedRegions: found {show_value(regions)}; allowed: a list'
+        )
+    return frozenset(map(str, regions))
 
 
 def _make_shares(found: Mapping[str, Any]) -> tuple[Share, ...]:
@@ -177,7 +184,8 @@
 
 def _make_engine(found: Mapping[str, Any]) -> EngineTraits:
     return EngineTraits(
-        # Of an engine this is its memory, of a store its room; both in tokens.
+        # The wire's `kvCapacity` is the memory of an engine or the capacity of
+        # a store, in tokens.
         memory_tokens=int(found.get('kvCapacity', 0)),
     )
 
@@ -193,14 +201,14 @@
 
 
 def _make_limits(found: Mapping[str, Any]) -> CallerLimits:
-    standard = CallerLimits()
+    defaults = CallerLimits()
     return CallerLimits(
-        body_bytes=int(found.get('maxBodyBytes', standard.body_bytes)),
-        idle_timeout=float(found.get('idleTimeoutMs', standard.idle_timeout)),
+        body_bytes=int(found.get('maxBodyBytes', defaults.body_bytes)),
+        idle_timeout=float(found.get('idleTimeoutMs', defaults.idle_timeout)),
     )
 
 
-def _list_keys(
+def _list_key_owners(
     teams: Iterable[Mapping[str, Any]],
 ) -> Iterable[tuple[str, KeyOwner]]:
     for team in teams:
@@ -209,25 +217,36 @@
             team=str(team['name']),
             is_isolated=bool(team.get('isolated', False)),
             priority=None if priority is None else int(priority),
-            allowed_regions=_read_homes(team),
+            allowed_regions=_read_allowed_regions(team),
         )
         for key in team.get('apiKeys', ()):
             yield str(key), owner
 
 
 def _check_server(server: str, data: bytes) -> None:
+    """Check the key, size and nesting before the record is parsed."""
     if not _SERVER_ID.fullmatch(server):
-        raise FieldError('the key is no id')
-    if len(data) > _MOST_SERVER_BYTES:
-        raise FieldError(f'{len(data)} bytes')
-    if data.count(b'[') + data.count(b'{') > _MOST_SERVER_PARTS:
-        raise FieldError('too many lists and objects')
+        raise FieldError(
+            f'key: found {show_value(server)}; '
+            'allowed: printable ASCII without spaces and slashes'
+        )
+    if len(data) > _MAX_SERVER_BYTES:
+        raise FieldError(
+            f'found {len(data)} bytes; allowed: at most {_MAX_SERVER_BYTES}'
+        )
+    containers = data.count(b'[') + data.count(b'{')
+    if containers > _MAX_SERVER_CONTAINERS:
+        raise FieldError(
+            f'found {containers} lists and objects; '
+            f'allowed: at most {_MAX_SERVER_CONTAINERS}'
+        )
 
 
 def _make_server(server: str, found: Mapping[str, Any]) -> ServerRecord:
-    """Read every field that an entry has, also those without use here.
+    """Read every field of a server's record, also those not used here.
 
-    Who leaves one out, or writes another type, is no backend server.
+    A record with a missing or mistyped field was not written by a backend
+    server.
     """
     read_text(found, 'version')
     return ServerRecord(
@@ -238,7 +257,7 @@
         is_leaving=_read_leaving(found),
         slots=read_integer(found, 'slots'),
         versions=_read_versions(found),
-        # The wire's `seq` counts what this start of a server has written.
+        # The wire's `seq` counts the records written since the server's start.
         revision=read_integer(found, 'seq'),
         born=decode_born(found),
         cold_remaining=read_number(found, 'coldRemainingMs'),
@@ -248,14 +267,18 @@
 def _read_leaving(found: Mapping[str, Any]) -> bool:
     state = found['state']
     if state not in {_READY, _LEAVING}:
-        raise FieldError('state: is not named')
+        raise FieldError(
+            f'state: found {show_value(state)}; '
+            f'allowed: {_READY!r}, {_LEAVING!r}'
+        )
     return bool(state == _LEAVING)
 
 
 def _read_versions(found: Mapping[str, Any]) -> dict[str, int]:
-    """Return the weights that an engine holds; other servers have none.
+    """Return the version of each model that an engine holds.
 
-    An engine that told none would get requests for any weights.
+    Other servers hold none. For an engine the list is required: without it,
+    the engine would get requests for any version.
     """
     if 'models' not in found and 'stage' not in found:
         return {}
--- a/src/oleanderdyke/platform/engines.py
+++ b/src/oleanderdyke/platform/engines.py
@@ -1,4 +1,4 @@
-"""Ask a model engine for its state and give it orders."""
+"""Client for the state and the weight orders of a model engine."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 # The engine runs on the same machine.
 _TIMEOUT: Millis = 1 * SECOND
-_MAX_ANSWER = 4 * 1024 * 1024
+_MAX_ANSWER_BYTES = 4 * 1024 * 1024
 _OK = 200
 
 
 class OrderOutcome(enum.StrEnum):
-    """Say what became of an order."""
+    """Name the result of an order; UNKNOWN if no answer tells."""
 
     ACCEPTED = 'accepted'
     HOLDS = 'holds'
@@ -52,7 +52,7 @@
 
 
 class EngineUnavailable(OleanderError):
-    """The engine gave no proper answer."""
+    """The engine could not be reached or gave an invalid answer."""
 
     def __init__(self, message: str) -> None:
         super().__init__(ErrorKind.BACKEND_LOST, message, ran=Ran.MAYBE)
@@ -60,11 +60,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightOrder:
-    """Ask one start of an engine to take weights once its runs have ended.
+    """Order an engine to load weights once its running requests have ended.
 
-    It is carried out only while the engine has accepted `after` orders, so
-    that one which arrives late has no effect. `holder` and `fence` say who
-    gives it.
+    `server` identifies the start of the engine. The engine executes an order
+    only while the number of orders that it has accepted is `after`, so that a
+    late order has no effect. `holder` and `fence` identify the sender.
     """
 
     server: str
@@ -76,24 +76,30 @@
 
 
 class EngineClient:
-    """Call the engine at `host:port`."""
+    """Client for the engine at `host:port`."""
 
     def __init__(self, address: str) -> None:
         settings = HttpSettings(connect=_TIMEOUT, read=_TIMEOUT)
         self._http = HttpBackend(address, settings=settings)
 
     async def read_state(self) -> EngineState:
-        """Return what the engine holds; raise EngineUnavailable."""
+        """Return the versions and the state of the engine.
+
+        Raise EngineUnavailable.
+        """
         status, data = await self._call('GET', names.REPORT_PATH)
         if status != _OK:
-            raise EngineUnavailable(f'answered with {status}')
+            raise EngineUnavailable(
+                f'GET {names.REPORT_PATH}: found status {status}; '
+                f'expected {_OK}'
+            )
         try:
             return _decode_state(data)
         except MALFORMED as error:
             raise EngineUnavailable(f'malformed report: {error!r}') from error
 
     async def give_order(self, order: WeightOrder) -> OrderOutcome:
-        """Give an order; one without an answer may be carried out later."""
+        """Send an order; after UNKNOWN it may still be executed later."""
         body = {
             'op': 'version',
             'model': order.model,
@@ -130,7 +136,7 @@
                 headers=headers,
                 body=body,
                 within=_TIMEOUT,
-                limit=_MAX_ANSWER,
+                limit=_MAX_ANSWER_BYTES,
             )
         except HttpError as error:
             raise EngineUnavailable(error.message) from error
@@ -145,7 +151,7 @@
             for each in models
         },
         is_busy=read_flag(found, 'busy') if 'busy' in found else False,
-        # The wire's `seq` counts the orders that were accepted.
+        # The wire's `seq` is the number of orders that were accepted.
         orders=read_integer(found, 'seq') if 'seq' in found else 0,
         clock=read_number(found, 'clock_ms') if 'clock_ms' in found else 0.0,
         born=decode_born(found),
--- a/src/oleanderdyke/platform/entries.py
+++ b/src/oleanderdyke/platform/entries.py
@@ -1,4 +1,4 @@
-"""Announce entries through the store: which are alive, where they listen."""
+"""Announce live entries and their addresses through the store."""
 
 from __future__ import annotations
 
@@ -13,25 +13,26 @@
     StoreRestored,
 )
 
-# Names of processes are a few words long.
-_MOST_NAME = 255
-# Names have no spaces in them.
+# Bounds the length of a whole announcement.
+_MAX_ANNOUNCEMENT_LENGTH = 255
+# Process names contain no spaces.
 _SEPARATOR = ' '
-_MORE_FIELDS = 2
+_ADDRESS_FIELDS = 2
 
 
 class EntryFeed:
-    """Announce one entry, and read the announcements of all.
+    """Announce one entry and read the announcements of all entries.
 
-    What is no name is passed to `refuse` and left out: each name takes a part
-    of what may be sent again.
+    Malformed announcements are reported to `refuse` and skipped: each entry
+    counted reduces the retries that the others may make.
     """
 
     def __init__(self, client: StoreClient, refuse: Refuse) -> None:
         self._client = client
         self._refuse = refuse
         self._position = 0
-        # Whether the last read found that notices have to be told again.
+        # Whether the last read found that the store was restored, so that
+        # entries have to announce themselves again.
         self.was_restored = False
 
     async def announce(self, entry: Neighbour) -> None:
@@ -41,9 +42,10 @@
         await self._client.append(names.ENTRY_TOPIC, record.encode())
 
     async def read(self) -> tuple[Neighbour, ...] | None:
-        """Return announced entries; None where they have to be read anew.
+        """Return newly announced entries, None if earlier ones have expired.
 
-        One that takes no links has no address. Raise StoreUnavailable.
+        After None, reading goes on from the oldest record. An entry that
+        accepts no links has an empty address. Raise StoreUnavailable.
         """
         self.was_restored = False
         try:
@@ -58,28 +60,36 @@
         return self._decode(records)
 
     def _decode(self, records: tuple[bytes, ...]) -> tuple[Neighbour, ...]:
-        told = [record.decode('utf-8', 'replace') for record in records]
-        entries = tuple(filter(None, map(_decode_entry, told)))
-        fault = MalformedRecord('no name of an entry')
-        others = len(told) - len(entries)
-        report_refused([('entries', fault)] * others, self._refuse)
+        texts = [record.decode('utf-8', 'replace') for record in records]
+        entries = tuple(filter(None, map(_decode_entry, texts)))
+        fault = MalformedRecord('announcement: malformed name or address')
+        malformed = len(texts) - len(entries)
+        report_refused([('entries', fault)] * malformed, self._refuse)
         return entries
 
 
 def _decode_entry(text: str) -> Neighbour | None:
-    """Read a notice: a name, and where links are taken an address and place."""
+    """Decode `name` or `name address data_centre`; None if malformed."""
     name, *rest = text.split(_SEPARATOR)
-    if not _is_name(text) or not name:
+    if not _is_printable(text) or not name:
         return None
     if not rest:
         return Neighbour(name, '', '')
-    if len(rest) != _MORE_FIELDS or not all(rest) or not _is_address(rest[0]):
+    if (
+        len(rest) != _ADDRESS_FIELDS
+        or not all(rest)
+        or not _is_address(rest[0])
+    ):
         return None
     return Neighbour(name, *rest)
 
 
-def _is_name(text: str) -> bool:
-    return text.isascii() and text.isprintable() and 0 < len(text) <= _MOST_NAME
+def _is_printable(text: str) -> bool:
+    return (
+        text.isascii()
+        and text.isprintable()
+        and 0 < len(text) <= _MAX_ANNOUNCEMENT_LENGTH
+    )
 
 
 def _is_address(text: str) -> bool:
--- a/src/oleanderdyke/platform/feed.py
+++ b/src/oleanderdyke/platform/feed.py
@@ -1,4 +1,4 @@
-"""Follow what operators and backend servers write to the platform's store."""
+"""Follow the records of operators and backend servers in the store."""
 
 from __future__ import annotations
 
@@ -17,6 +17,7 @@
     decode_server,
     decode_version,
 )
+from oleanderdyke.platform.fields import show_value
 from oleanderdyke.platform.records import KeyedPage, KeyedRecord
 from oleanderdyke.platform.store import (
     RecordsExpired,
@@ -24,21 +25,21 @@
     StoreRestored,
 )
 
-# Gets the key of a record that can't be read, and why; the record is left out.
+# Reports a malformed record by its key and fault; the record is skipped.
 Refuse: TypeAlias = Callable[[str, MalformedRecord], None]
 
-# Records that are told one by one of those that came together; the others are
-# counted. A line costs about as much as reading a good record.
-_TOLD = 3
-# A key has up to 255 bytes of any kind.
-_MOST_KEY = 64
+# Malformed records of one read that are reported one by one; the others are
+# only counted. A log line costs about as much as decoding a valid record.
+_MAX_REPORTED = 3
+# Bounds the key in a report; a key has up to 255 arbitrary bytes.
+_MAX_KEY_LENGTH = 64
 
-FoundT = TypeVar('FoundT')
+ItemT = TypeVar('ItemT')
 
 
 @dataclass(frozen=True, slots=True)
 class EvacuationOrder:
-    """Whether a data centre is being evacuated."""
+    """Begin or end the evacuation of a data centre."""
 
     data_centre: str
     is_active: bool
@@ -46,12 +47,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorUpdate:
-    """Hold what operators have written; it is decoded as it is listed.
+    """Hold records of operators; the `list_` methods decode them.
 
-    `is_complete` tells that nothing more was written when it was asked for,
-    nor for `waited` after that. `is_whole` tells that the newest record of
-    every key is among them, `is_restored` that they follow a restore of the
-    store, which may lack what was written last.
+    `is_complete` is set if no further records existed at the time of the read
+    nor within `waited` after it. `is_whole` is set if the newest record of
+    every key is included. `is_restored` is set if the store was restored before
+    this read: it may lack the latest records.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -62,20 +63,19 @@
     waited: Millis = 0.0
 
     def list_configurations(self) -> Iterator[Deployment]:
-        """Yield the configurations that can be read."""
+        """Yield the valid configurations; report the malformed ones."""
         records = [each for each in self.records if _is_configuration(each)]
-        yield from _decode(records, _read_configuration, self.refuse).found
+        yield from _decode(records, _read_configuration, self.refuse).items
 
     def list_versions(self) -> Iterator[NamedVersion]:
-        """Yield the weights that were named."""
+        """Yield the published versions of weights; report malformed ones."""
         records = [each for each in self.records if _is_version(each)]
-        yield from _decode(records, _read_version, self.refuse).found
+        yield from _decode(records, _read_version, self.refuse).items
 
     def list_evacuations(self) -> Iterator[EvacuationOrder]:
-        """Yield the data centres whose evacuation begins or ends.
+        """Yield orders to begin or end the evacuation of a data centre.
 
-        The key alone is the order, so that one whose value can't be read
-        still counts.
+        Only the key matters: an order with a malformed value is valid.
         """
         for record in self.records:
             if _is_evacuation(record):
@@ -85,12 +85,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerUpdate:
-    """Hold what servers wrote, in its order, and whose entries are gone.
+    """Hold server records in the order of writing, and the removed servers.
 
-    `is_whole` tells that `records` has every server, not just changed ones.
-    `unreadable` are keys whose newest record can't be read. Nothing else was
-    written until `waited` after it was asked for. `is_restored` tells that the
-    store was restored before, and may lack servers that write again soon.
+    `is_whole` is set if `records` includes every server, not only changed
+    ones. `unreadable` holds the keys whose newest record is malformed. No other
+    record was written until `waited` after the read began. `is_restored` is set
+    if the store was restored before this read: it may lack servers that have
+    not written again yet.
     """
 
     records: list[ServerRecord]
@@ -102,23 +103,24 @@
 
 
 class OperatorFeed:
-    """Follow what operators write."""
+    """Follow the records of operators."""
 
     def __init__(self, client: StoreClient, refuse: Refuse) -> None:
         self._feed = _KeyedFeed(client, names.OPERATOR_TOPIC)
         self._refuse = refuse
 
     async def read(self) -> OperatorUpdate | None:
-        """Return what is new; None where it has to be read anew.
+        """Return new records, None if the position has expired.
 
-        Raise StoreUnavailable.
+        After None, the next call reads the newest record of every key. Raise
+        StoreUnavailable.
         """
         is_whole = not self._feed.has_begun
         page = await self._feed.read()
         if page is None:
             return None
         others = [each for each in page.records if not _is_known(each)]
-        _decode(others, _refuse_key, self._refuse)
+        _decode(others, _raise_unknown_key, self._refuse)
         return OperatorUpdate(
             page.records,
             self._refuse,
@@ -130,16 +132,17 @@
 
 
 class ServerFeed:
-    """Follow the list of backend servers."""
+    """Follow the records of backend servers."""
 
     def __init__(self, client: StoreClient, refuse: Refuse) -> None:
         self._feed = _KeyedFeed(client, names.SERVER_TOPIC)
         self._refuse = refuse
 
     async def read(self) -> ServerUpdate | None:
-        """Return the whole list, later what has changed.
+        """Return all servers at the first call, then only changes.
 
-        None where it has to be read anew. Raise StoreUnavailable.
+        None means that the position has expired: the next call returns all
+        servers again. Raise StoreUnavailable.
         """
         is_whole = not self._feed.has_begun
         page = await self._feed.read()
@@ -147,7 +150,7 @@
             return None
         decoded = _decode(page.records, decode_server, self._refuse)
         return ServerUpdate(
-            records=decoded.found,
+            records=decoded.items,
             unreadable=decoded.unreadable,
             removed=[each.key for each in page.records if each.is_dropped],
             is_whole=is_whole,
@@ -159,7 +162,7 @@
 async def list_servers(
     client: StoreClient, refuse: Refuse
 ) -> list[ServerRecord]:
-    """Return all servers, those that wrote last at the end.
+    """Return all servers, ordered by the time of their last record.
 
     Raise StoreUnavailable.
     """
@@ -167,19 +170,19 @@
         page = await client.list_newest(names.SERVER_TOPIC)
     except StoreRestored:
         page = await client.list_newest(names.SERVER_TOPIC)
-    return _decode(page.records, decode_server, refuse).found
+    return _decode(page.records, decode_server, refuse).items
 
 
 class _KeyedFeed:
-    """Read the newest records once, then what follows them."""
+    """Read the newest record of each key, then the records after them."""
 
     def __init__(self, client: StoreClient, topic: str) -> None:
         self._client = client
         self._topic = topic
         self._position: int | None = None
-        # Whether the last page is the first since the store was restored.
+        # Whether the last page was the first after a restore of the store.
         self.was_restored = False
-        self._is_void = False
+        self._is_restored = False
 
     @property
     def has_begun(self) -> bool:
@@ -189,12 +192,14 @@
         try:
             page = await self._read_page()
         except RecordsExpired as error:
-            # What is gone may have held a change: begin with the newest.
+            # Expired records may include changes: list the newest again.
             self._position = None
-            self._is_void = self._is_void or isinstance(error, StoreRestored)
+            self._is_restored = self._is_restored or isinstance(
+                error, StoreRestored
+            )
             return None
         self._position = page.end
-        self.was_restored, self._is_void = self._is_void, False
+        self.was_restored, self._is_restored = self._is_restored, False
         return page
 
     async def _read_page(self) -> KeyedPage:
@@ -204,38 +209,38 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Decoded(Generic[FoundT]):
-    """Hold what records tell; `unreadable` are keys with a bad newest one."""
+class _Decoded(Generic[ItemT]):
+    """Hold decoded records and the keys with a malformed newest record."""
 
-    found: list[FoundT]
+    items: list[ItemT]
     unreadable: list[str]
 
 
 def _decode(
     records: Iterable[KeyedRecord],
-    decode: Callable[[str, bytes], FoundT],
+    decode: Callable[[str, bytes], ItemT],
     refuse: Refuse,
-) -> _Decoded[FoundT]:
-    """Read records in their order, but for those whose key was dropped."""
-    found: list[FoundT] = []
+) -> _Decoded[ItemT]:
+    """Decode records in order, skipping and reporting malformed ones."""
+    items: list[ItemT] = []
     refused: list[tuple[str, MalformedRecord]] = []
-    unread: dict[str, None] = {}
+    unreadable: dict[str, None] = {}
     for record in records:
-        unread.pop(record.key, None)
+        unreadable.pop(record.key, None)
         if record.is_dropped:
             continue
         try:
-            found.append(_decode_one(record, decode))
+            items.append(_decode_one(record, decode))
         except MalformedRecord as error:
             refused.append((record.key, error))
-            unread[record.key] = None
+            unreadable[record.key] = None
     report_refused(refused, refuse)
-    return _Decoded(found, list(unread))
+    return _Decoded(items, list(unreadable))
 
 
 def _decode_one(
-    record: KeyedRecord, decode: Callable[[str, bytes], FoundT]
-) -> FoundT:
+    record: KeyedRecord, decode: Callable[[str, bytes], ItemT]
+) -> ItemT:
     if record.value is None:
         raise MalformedRecord(record.fault)
     return decode(record.key, record.value)
@@ -244,12 +249,12 @@
 def report_refused(
     refused: Sequence[tuple[str, MalformedRecord]], refuse: Refuse
 ) -> None:
-    """Report some of the records that can't be read, and count the rest."""
-    for key, error in refused[:_TOLD]:
-        refuse(key[:_MOST_KEY], error)
-    more = len(refused) - _TOLD
+    """Report the first few malformed records and the number of the others."""
+    for key, error in refused[:_MAX_REPORTED]:
+        refuse(key[:_MAX_KEY_LENGTH], error)
+    more = len(refused) - _MAX_REPORTED
     if more > 0:
-        refuse('', MalformedRecord(f"{more} more records can't be read"))
+        refuse('', MalformedRecord(f'{more} more malformed records'))
 
 
 def _is_configuration(record: KeyedRecord) -> bool:
@@ -280,9 +285,12 @@
 def _read_version(key: str, data: bytes) -> NamedVersion:
     named = decode_version(data)
     if key != f'{names.VERSION_KEY_PREFIX}{named.model}':
-        raise MalformedRecord('version: the key names another model')
+        raise MalformedRecord(
+            f'version: found model {show_value(named.model)}; '
+            f'expected that of key {show_value(key)}'
+        )
     return named
 
 
-def _refuse_key(_: str, _data: bytes) -> NoReturn:
-    raise MalformedRecord('the key is not known')
+def _raise_unknown_key(key: str, _data: bytes) -> NoReturn:
+    raise MalformedRecord(f'key: found {show_value(key)}; no such key is known')
--- a/src/oleanderdyke/platform/fields.py
+++ b/src/oleanderdyke/platform/fields.py
@@ -1,4 +1,4 @@
-"""Read typed fields of documents that anyone may have written."""
+"""Read typed fields of untrusted JSON documents."""
 
 from __future__ import annotations
 
@@ -7,14 +7,16 @@
 from collections.abc import Mapping
 from typing import Any, NoReturn
 
-# Up to here all readers of JSON agree on whole numbers (RFC 8259, section 6).
-_MOST_WHOLE = 2**53 - 1
-_MOST_PORT = 65_535
+# All JSON parsers agree on integers up to this bound (RFC 8259, section 6).
+_MAX_INTEGER = 2**53 - 1
+_MAX_PORT = 65_535
+# Bounds the part of a text value that an error message shows.
+_SHOWN_LENGTH = 40
 _ADDRESS = re.compile(
     r'(?:[0-9A-Za-z._-]+|\[[0-9A-Fa-f:.]+\]):([0-9]{1,5})', re.ASCII
 )
-# What reading numbers, text and documents of any shape may raise; a document
-# that is nested too deep raises RecursionError.
+# What reading fields of malformed documents may raise. A document that is
+# nested too deeply raises RecursionError.
 MALFORMED = (
     ArithmeticError,
     AttributeError,
@@ -26,73 +28,96 @@
 
 
 class FieldError(ValueError):
-    """A field is missing or of another type."""
+    """A field has the wrong type or a value that is not allowed."""
 
 
 def load_object(data: bytes) -> Mapping[str, Any]:
-    """Read one JSON object; raise one of MALFORMED."""
+    """Parse one JSON object; raise one of MALFORMED."""
     found = _DECODER.decode(data.decode())
     if not isinstance(found, dict):
-        raise FieldError('is no object')
+        raise FieldError(
+            f'document: found {show_value(found)}; allowed: an object'
+        )
     return found
 
 
 def read_text(found: Mapping[str, Any], name: str) -> str:
-    """Return printable text; raise one of MALFORMED."""
+    """Return non-empty printable text; raise one of MALFORMED."""
     text = found[name]
     if isinstance(text, str) and text and text.isprintable():
         return text
-    raise FieldError(f'{name}: is no text')
+    raise FieldError(
+        f'{name}: found {show_value(text)}; allowed: printable text'
+    )
 
 
-def read_integer(found: Mapping[str, Any], name: str, least: int = 0) -> int:
-    """Return a whole number within bounds; raise one of MALFORMED."""
+def read_integer(found: Mapping[str, Any], name: str, minimum: int = 0) -> int:
+    """Return an integer of at least `minimum`; raise one of MALFORMED."""
     number = found[name]
-    # A flag is a number to Python, and 1.0 is one to JSON.
-    if type(number) is int and least <= number <= _MOST_WHOLE:
+    # Python's bool is an int, and JSON's 1.0 is a float.
+    if type(number) is int and minimum <= number <= _MAX_INTEGER:
         return number
-    raise FieldError(f'{name}: is no whole number within bounds')
+    raise FieldError(
+        f'{name}: found {show_value(number)}; '
+        f'allowed: an integer from {minimum} to {_MAX_INTEGER}'
+    )
 
 
 def read_number(found: Mapping[str, Any], name: str) -> float:
-    """Return a number that isn't negative; raise one of MALFORMED."""
+    """Return a non-negative number; raise one of MALFORMED."""
     number = found[name]
-    if type(number) in {int, float} and 0 <= number <= _MOST_WHOLE:
+    if type(number) in {int, float} and 0 <= number <= _MAX_INTEGER:
         return float(number)
-    raise FieldError(f'{name}: is no number within bounds')
+    raise FieldError(
+        f'{name}: found {show_value(number)}; '
+        f'allowed: a number from 0 to {_MAX_INTEGER}'
+    )
 
 
 def read_flag(found: Mapping[str, Any], name: str) -> bool:
-    """Return true or false; raise one of MALFORMED."""
+    """Return a boolean; raise one of MALFORMED."""
     flag = found[name]
     if isinstance(flag, bool):
         return flag
-    raise FieldError(f'{name}: is neither true nor false')
+    raise FieldError(f'{name}: found {show_value(flag)}; allowed: true, false')
 
 
 def read_address(found: Mapping[str, Any], name: str) -> str:
     """Return `host:port`; raise one of MALFORMED."""
     address = read_text(found, name)
     match = _ADDRESS.fullmatch(address)
-    if match is not None and 0 < int(match[1]) <= _MOST_PORT:
+    if match is not None and 0 < int(match[1]) <= _MAX_PORT:
         return address
-    raise FieldError(f'{name}: is no address')
+    raise FieldError(f'{name}: found {show_value(address)}; allowed: host:port')
 
 
 def read_objects(
     found: Mapping[str, Any], name: str
 ) -> list[Mapping[str, Any]]:
     """Return a list of objects; raise one of MALFORMED."""
-    listed = found[name]
-    if isinstance(listed, list) and all(
-        isinstance(each, dict) for each in listed
+    items = found[name]
+    if isinstance(items, list) and all(
+        isinstance(each, dict) for each in items
     ):
-        return listed
-    raise FieldError(f'{name}: is no list of objects')
+        return items
+    raise FieldError(
+        f'{name}: found {show_value(items)}; allowed: a list of objects'
+    )
+
+
+def show_value(value: Any) -> str:
+    """Return a short text of a JSON value for an error message."""
+    if isinstance(value, dict):
+        return 'an object'
+    if isinstance(value, list):
+        return 'a list'
+    if isinstance(value, str):
+        return repr(value[:_SHOWN_LENGTH])
+    return repr(value)[:_SHOWN_LENGTH]
 
 
 def _refuse_constant(name: str) -> NoReturn:
-    raise FieldError(f'{name} is no JSON')
+    raise FieldError(f'found {name}; allowed: a finite JSON number')
 
 
 _DECODER = json.JSONDecoder(parse_constant=_refuse_constant)
--- a/src/oleanderdyke/platform/loads.py
+++ b/src/oleanderdyke/platform/loads.py
@@ -1,4 +1,4 @@
-"""Exchange notices of loads of weights through the store."""
+"""Exchange notices about loading of weights through the store."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
     StoreRestored,
 )
 
-# Names of processes and of servers' starts are some tens of letters long.
-_MOST_NAME = 256
-# More than the store keeps in one era: each agent takes a few.
-_FENCES_OF_AN_ERA = 2**32
+# Names of processes and ids of servers have some tens of characters.
+_MAX_NAME_LENGTH = 256
+# More than the fences of one era: each agent appends only a few.
+_FENCES_PER_ERA = 2**32
 
 
 class LoadFeed:
-    """Read notices of loads in the order in which they were appended.
+    """Read load notices in the order in which they were appended.
 
-    What can't be read is passed to `refuse` and left out.
+    Malformed notices are reported to `refuse` and skipped.
     """
 
     def __init__(self, client: StoreClient, refuse: Refuse) -> None:
@@ -41,9 +41,10 @@
         self._position = 0
 
     async def read(self) -> tuple[LoadNotice, ...] | None:
-        """Return the next notices, waiting for some.
+        """Return the next notices, waiting for the first.
 
-        None where all that were read before are void. Raise StoreUnavailable.
+        None means that the store was restored: all notices read before are
+        void. Raise StoreUnavailable.
         """
         try:
             records = await self._client.read_plain(
@@ -72,14 +73,17 @@
 
 
 async def append_fence(client: StoreClient, process: str) -> int:
-    """Return a fence above all before it; raise StoreUnavailable."""
+    """Append a fence and return its number; raise StoreUnavailable.
+
+    The number is higher than that of every fence before it.
+    """
     appended = await client.append(names.FENCE_TOPIC, process.encode())
-    # Offsets are given out again after a restore, and fences must rise.
-    return appended.era * _FENCES_OF_AN_ERA + appended.offset + 1
+    # A restored store assigns offsets again, but fences must keep rising.
+    return appended.era * _FENCES_PER_ERA + appended.offset + 1
 
 
 async def append_notice(client: StoreClient, notice: LoadNotice) -> None:
-    """Append a notice; raise StoreUnavailable."""
+    """Append a load notice; raise StoreUnavailable."""
     record = {
         'server': notice.server,
         'step': notice.step.value,
@@ -108,6 +112,9 @@
     if found.get(name, '') == '':
         return ''
     text = read_text(found, name)
-    if len(text) > _MOST_NAME:
-        raise ValueError(f'{name}: has {len(text)} letters')
+    if len(text) > _MAX_NAME_LENGTH:
+        raise ValueError(
+            f'{name}: found {len(text)} characters; '
+            f'allowed: at most {_MAX_NAME_LENGTH}'
+        )
     return text
--- a/src/oleanderdyke/platform/names.py
+++ b/src/oleanderdyke/platform/names.py
@@ -1,4 +1,4 @@
-"""Name what the platform calls its headers, topics and paths."""
+"""Names of the platform's headers, topics, keys and paths."""
 
 from __future__ import annotations
 
@@ -35,7 +35,8 @@
 RATE_LIMIT = 'server-limit'
 LEAVING = 'server-leaving'
 
-# Headers that only the system may set towards a backend server.
+# Headers to backend servers that only the system may set; those of callers are
+# dropped.
 OWN_HEADERS = frozenset(
     {
         DEADLINE,
@@ -61,15 +62,15 @@
     }
 )
 
-# The topics whose newest record of each key the platform retains.
+# Topics of the platform, for which it retains the newest record of each key.
 OPERATOR_TOPIC = 'keyed.op'
 SERVER_TOPIC = 'keyed.servers'
 CONFIGURATION_KEY = 'config'
 VERSION_KEY_PREFIX = 'version/'
 EVACUATION_KEY_PREFIX = 'evacuate/'
-# A topic of ours: an agent appends to it at its start, for its fence.
+# Topic of the system: an agent appends a record at its start, to get a fence.
 FENCE_TOPIC = 'oleander-fences'
-# A topic of ours: agents tell there who takes new weights.
+# Topic of the system: agents announce which of them loads new weights.
 LOAD_TOPIC = 'oleander-loads'
-# A topic of ours: entries tell there that they are alive.
+# Topic of the system: entries announce that they are alive.
 ENTRY_TOPIC = 'oleander-entries'
--- a/src/oleanderdyke/platform/records.py
+++ b/src/oleanderdyke/platform/records.py
@@ -1,4 +1,4 @@
-"""Split what the platform's store answers into records."""
+"""Split answers of the platform's store into records."""
 
 from __future__ import annotations
 
@@ -9,11 +9,16 @@
 from typing import Any
 
 from oleanderdyke.clock import Millis
-from oleanderdyke.platform.fields import MALFORMED, FieldError, read_integer
+from oleanderdyke.platform.fields import (
+    MALFORMED,
+    FieldError,
+    read_integer,
+    show_value,
+)
 
 _LENGTH = struct.Struct('>I')
-# What `decode` puts in place of bytes that are no text.
-_NO_TEXT = '\ufffd'
+# Replaces bytes that are not valid UTF-8.
+_REPLACEMENT_CHARACTER = '\ufffd'
 
 
 class CutShort(Exception):
@@ -22,10 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """Hold one record; without a value its key is dropped.
+    """Hold one record; a record without a value removes its key.
 
-    `fault` tells why the record can't be split; its key may be empty then,
-    and it drops nothing.
+    A malformed record has a `fault` and no value. It removes nothing, and its
+    key may be empty.
     """
 
     key: str
@@ -34,17 +39,17 @@
 
     @property
     def is_dropped(self) -> bool:
-        """Return whether the record drops its key."""
+        """Return whether the record removes its key."""
         return self.value is None and not self.fault
 
 
 @dataclass(frozen=True, slots=True)
 class KeyedPage:
-    """Hold records in their order; `end` is where to read on.
+    """Hold records in order; the next read starts at `end`.
 
-    `is_complete` tells that there were no more when they were read. For
-    `waited` after the call there surely were none: a read that waits answers
-    with the first. It is negative where they were read before the call.
+    `is_complete` is set if there were no further records at the time of the
+    read, nor within `waited` after the call: a waiting read returns at the
+    first record. `waited` is negative if the read was before the call.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -54,12 +59,12 @@
 
 
 def join_record(record: bytes) -> bytes:
-    """Return a record with its length in front."""
+    """Return a record with its length prefix."""
     return _LENGTH.pack(len(record)) + record
 
 
 def split_records(data: bytes) -> Iterator[bytes]:
-    """Yield records that have their lengths in front; raise CutShort."""
+    """Yield length-prefixed records; raise CutShort."""
     position = 0
     while position + _LENGTH.size <= len(data):
         (length,) = _LENGTH.unpack_from(data, position)
@@ -71,50 +76,52 @@
 
 
 def split_keyed(record: bytes) -> KeyedRecord:
-    """Split a record: one byte for the key's length, the key, the value."""
+    """Split a record into key and value; its first byte is the key's length."""
     if not record or len(record) < 1 + record[0]:
-        return KeyedRecord('', None, 'the record has no key')
+        return KeyedRecord(
+            '', None, f'record: found {len(record)} bytes; too few for its key'
+        )
     split = 1 + record[0]
     try:
         key = record[1:split].decode()
     except UnicodeDecodeError:
-        return KeyedRecord('', None, 'the key is no text')
+        return KeyedRecord('', None, 'key: found invalid UTF-8; allowed: text')
     return KeyedRecord(key, record[split:] or None)
 
 
 def sort_items(items: list[Any]) -> tuple[KeyedRecord, ...]:
-    """Return the newest records in the order in which they were written.
+    """Return the newest records in the order of writing.
 
-    Those that can't be read come first.
+    Malformed records come first.
     """
-    placed = sorted(map(_place_item, items), key=_get_place)
+    placed = sorted(map(_decode_item, items), key=_get_offset)
     return tuple(record for _, record in placed)
 
 
 def find_last_key(items: list[Any]) -> str:
-    """Return the key after which a list of newest records goes on.
+    """Return the key after which the next page of newest records starts.
 
-    It is empty where there is none. A key that the store itself could not
-    read is told with marks in it and would skip those after it.
+    It is empty if there is none. The store returns a key that is not valid
+    UTF-8 with replacement characters; starting after it would skip other keys.
     """
     keys = [item['key'] for item in items if _has_key(item)]
-    clean = [key for key in keys if _NO_TEXT not in key]
-    return str((clean or keys or [''])[-1])
+    valid = [key for key in keys if _REPLACEMENT_CHARACTER not in key]
+    return str((valid or keys or [''])[-1])
 
 
 def _has_key(item: Any) -> bool:
-    """Return whether a key can be sent: half a surrogate pair can't."""
+    """Return whether a key can be sent: a lone surrogate can't be encoded."""
     if not isinstance(item, dict):
         return False
     key = item.get('key')
     return isinstance(key, str) and not any(map(_is_surrogate, key))
 
 
-def _is_surrogate(letter: str) -> bool:
-    return '\ud800' <= letter <= '\udfff'
+def _is_surrogate(character: str) -> bool:
+    return '\ud800' <= character <= '\udfff'
 
 
-def _place_item(item: Any) -> tuple[int, KeyedRecord]:
+def _decode_item(item: Any) -> tuple[int, KeyedRecord]:
     key = ''
     try:
         key = _read_key(item)
@@ -125,12 +132,12 @@
 
 
 def _read_key(item: Any) -> str:
-    """Return a key of any shape; whoever reads the record judges it."""
+    """Return a key as text; the record's decoder checks its format."""
     key = item['key']
     if not isinstance(key, str):
-        raise FieldError('the key is no text')
+        raise FieldError(f'key: found {show_value(key)}; allowed: text')
     return str(key)
 
 
-def _get_place(placed: tuple[int, KeyedRecord]) -> int:
+def _get_offset(placed: tuple[int, KeyedRecord]) -> int:
     return placed[0]
--- a/src/oleanderdyke/platform/requests.py
+++ b/src/oleanderdyke/platform/requests.py
@@ -1,4 +1,4 @@
-"""Translate the heads of requests and answers."""
+"""Encode and decode the heads of requests and answers."""
 
 from __future__ import annotations
 
@@ -21,33 +21,33 @@
 from oleanderdyke.links.messages import Headers
 from oleanderdyke.platform import names
 
-# With these a final answer promises that the request has not run.
+# Statuses that, in a final answer, guarantee that the request has not run.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-# Whole numbers up to here are read; more digits than that mean nothing, and
-# thousands of them raise an error.
-_MOST_DIGITS = 15
+# Longer numbers are rejected: int() raises an error at thousands of digits.
+_MAX_DIGITS = 15
 _KEEP_ALIVE = re.compile(r'timeout=([0-9]{1,15})(?![0-9])')
-# Servers that share their machines add how slow those are at the moment, which
-# changes before anything can be sent by it.
-_LOAD_PARTS = frozenset({3, 4})
-# How much of a malformed value is shown.
+# Servers on a shared machine add its current slowdown as a fourth number. It
+# is ignored: it changes before another request could be routed by it.
+_LOAD_LENGTHS = frozenset({3, 4})
+# Bounds the part of a malformed value that is reported.
 _SHOWN_LENGTH = 40
-_NOWHERE = '-'
-# Any other value counts: a server that leaves must get no new work.
+_NO_STORE = '-'
+# Any other value means that the server is leaving and must get no new requests.
 _NOT_LEAVING = frozenset({'', '0'})
 _MISDIRECTED = 421
-# Refusals with which a server may ask to retry later.
-_DEFERRING = frozenset({429, 503})
+# Statuses whose answers may have a `retry-after` header.
+_RETRY_LATER = frozenset({429, 503})
 _FRAMING = frozenset({'content-length', 'host', 'expect'})
 _NEVER_FORWARDED = HOP_BY_HOP | _FRAMING | names.OWN_HEADERS
 
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """Hold what a caller's head asks for; `wait` is how long it will wait.
+    """Hold the fields of a caller's request head.
 
-    `request` is the caller's id of this try, the same at the backend server.
-    `last_event` is the event after which a stream goes on.
+    `request` is the caller's id of this attempt, which is also sent to the
+    backend server. `wait` is the time for which the caller waits. `last_event`
+    is the id of the event after which a stream resumes.
     """
 
     request: str
@@ -59,11 +59,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """Hold what the system tells a backend server beside the request.
+    """Hold the fields that the system adds to a request to a backend server.
 
-    `server` is the only one that may run it; `version` the only version of
-    the weights. Context is shared only under the same `salt`; `contexts` says
-    where each part of the prompt comes from and is kept at.
+    Only `server` may run the request, and only with this `version` of the
+    weights. Cached context is shared only between requests with the same
+    `salt`. `contexts` names the store to read each part of the prompt from, and
+    that to save it to.
     """
 
     server: str
@@ -77,7 +78,7 @@
 
 
 def decode_request(headers: Headers) -> CallerRequest:
-    """Read the head of a caller's request; what is malformed is left out."""
+    """Decode the head of a caller's request, ignoring malformed fields."""
     found = dict(headers)
     model = found.get(names.MODEL, '')
     return CallerRequest(
@@ -90,18 +91,18 @@
 
 
 def encode_request(headers: Headers, dispatch: Dispatch) -> Headers:
-    """Return the head for a backend server, without its framing."""
-    return (*_keep(headers, dispatch), *_encode_dispatch(dispatch))
+    """Return the headers for a backend server, without those of framing."""
+    return (*_filter_headers(headers, dispatch), *_encode_dispatch(dispatch))
 
 
 def decode_answer(status: int, headers: Headers) -> AnswerMetadata:
-    """Read the head of a backend server's answer."""
+    """Decode the head of a backend server's answer."""
     found = dict(headers)
     is_misdirected = status == _MISDIRECTED
     limit = found.get(names.RATE_LIMIT)
-    rate_limit = math.inf if limit is None else _read_amount(limit)
-    pause = found.get('retry-after') if status in _DEFERRING else None
-    retry_after = None if pause is None else _read_amount(pause)
+    rate_limit = math.inf if limit is None else _read_non_negative(limit)
+    pause = found.get('retry-after') if status in _RETRY_LATER else None
+    retry_after = None if pause is None else _read_non_negative(pause)
     return AnswerMetadata(
         request=found.get(names.REQUEST_ID, ''),
         is_not_executed=names.NOT_RUN in found or is_misdirected,
@@ -109,7 +110,7 @@
         is_sealed=names.SEAL in found,
         server=found.get(names.INSTANCE, ''),
         load=_decode_load(found.get(names.LOAD, '')),
-        weight_version=_read_whole(found.get(names.WEIGHT_VERSION, '')),
+        weight_version=_read_integer(found.get(names.WEIGHT_VERSION, '')),
         idle_timeout=_decode_keep_alive(found.get('keep-alive', '')),
         rate_limit=rate_limit,
         is_leaving=found.get(names.LEAVING, '').strip() not in _NOT_LEAVING,
@@ -122,21 +123,23 @@
 
 
 def encode_refusal(request: str, retry_after: Millis | None) -> Headers:
-    """Return the headers of a final answer of our own."""
+    """Return the headers of a final answer that the system itself gives."""
     headers = [(names.REQUEST_ID, request)] if request else []
     if retry_after is not None:
         headers.append(('retry-after', f'{retry_after / SECOND:.3f}'))
     return tuple(headers)
 
 
-def _keep(headers: Headers, dispatch: Dispatch) -> Iterable[tuple[str, str]]:
-    named = frozenset(
+def _filter_headers(
+    headers: Headers, dispatch: Dispatch
+) -> Iterable[tuple[str, str]]:
+    connection_options = frozenset(
         part.strip().lower()
         for name, content in headers
         if name == 'connection'
         for part in content.split(',')
     )
-    dropped = _NEVER_FORWARDED | named
+    dropped = _NEVER_FORWARDED | connection_options
     for name, content in headers:
         if name == names.LAST_EVENT and dispatch.last_event:
             continue
@@ -162,25 +165,25 @@
 
 def _encode_contexts(plan: ContextPlan) -> Iterable[tuple[str, str]]:
     if any(plan.sources):
-        # An address and how many tokens of the part are read from there.
+        # Each source is an address and the number of tokens to read from it.
         sources = (
-            f'{source.address}/{source.tokens}' if source else _NOWHERE
+            f'{source.address}/{source.tokens}' if source else _NO_STORE
             for source in plan.sources
         )
         yield names.CONTEXT_SOURCE, ','.join(sources)
         yield names.CONTEXT_UNTIL, str(int(plan.until))
     if any(plan.sinks):
-        sinks = (sink or _NOWHERE for sink in plan.sinks)
+        sinks = (sink or _NO_STORE for sink in plan.sinks)
         yield names.CONTEXT_SINK, ','.join(sinks)
 
 
 def _decode_demand(model: str, found: dict[str, str]) -> ModelDemand:
-    # The header gives the prompt's tokens and the most that may be generated.
+    # The header holds the prompt's tokens and the maximum to generate.
     prompt, _, output = found.get(names.TOKENS, '').partition(',')
     return ModelDemand(
         model=model,
-        prompt_tokens=_read_whole(prompt) or 0,
-        output_tokens=_read_whole(output) or 0,
+        prompt_tokens=_read_integer(prompt) or 0,
+        output_tokens=_read_integer(output) or 0,
         parts=tuple(_decode_parts(found.get(names.PROMPT_PARTS, ''))),
     )
 
@@ -188,14 +191,14 @@
 def _decode_parts(text: str) -> Iterable[PromptPart]:
     for entry in text.split(','):
         name, _, tokens = entry.strip().partition(':')
-        length = _read_whole(tokens)
+        length = _read_integer(tokens)
         if name and length is not None:
             yield PromptPart(name, length)
 
 
 def _decode_load(text: str) -> ServerLoad | None:
-    parts = [_read_whole(part) for part in text.split(',')]
-    if len(parts) not in _LOAD_PARTS:
+    parts = [_read_integer(part) for part in text.split(',')]
+    if len(parts) not in _LOAD_LENGTHS:
         return None
     running, waiting, slots = parts[:3]
     if running is None or waiting is None or slots is None:
@@ -208,9 +211,9 @@
     return None if match is None else int(match[1]) * SECOND
 
 
-def _read_whole(text: str) -> int | None:
+def _read_integer(text: str) -> int | None:
     text = text.strip()
-    if len(text) > _MOST_DIGITS or not (text.isascii() and text.isdigit()):
+    if len(text) > _MAX_DIGITS or not (text.isascii() and text.isdigit()):
         return None
     return int(text)
 
@@ -218,13 +221,13 @@
 def _find_malformed(
     field: AnswerField, text: str | None, number: float | None
 ) -> tuple[MalformedField, ...]:
-    """Return a field that is there and isn't a number that can be used."""
+    """Return the field if it is present but its number was rejected."""
     if text is None or number is not None:
         return ()
     return (MalformedField(field, text[:_SHOWN_LENGTH]),)
 
 
-def _read_amount(text: str) -> float | None:
+def _read_non_negative(text: str) -> float | None:
     number = _read_number(text)
     return None if number is None or number < 0 else number
 
--- a/src/oleanderdyke/platform/settings.py
+++ b/src/oleanderdyke/platform/settings.py
@@ -17,18 +17,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HostSettings:
-    """Hold what the platform tells a process; unknown fields are ignored.
-
-    `callers` and `readiness` are addresses to listen on, `links` that for other
-    processes of the system, `server` that of the backend server beside an
-    agent; each is empty where the process has none.
-    `is_first_start` tells that the system has not run before.
-    `source` is the file that they were read from. `retry_share` and
-    `retry_slack` bound what all entries together may send again to a service.
-    `version_limit` is how long after newer weights were named older ones may
-    still begin requests. `regions` gives the region of each data centre.
-    A cold server tolerates its service's rate times `cold_share` and
-    `cold_slack` requests more in a second.
+    """Hold the settings of a process; unknown fields of the file are ignored.
+
+    `callers`, `readiness` and `links` are the addresses to listen on for
+    callers, readiness probes and other processes of the system. `server` is the
+    address of the backend server beside an agent. Each is empty if not used.
+    `is_first_start` is set if the system has not run before.
+    `source` is the path of the settings file. `retry_share` and `retry_slack`
+    limit the retries of all entries together to a service. Requests may start
+    with older weights for `version_limit` after newer ones were published.
+    `regions` maps each data centre to its region.
+    A cold server accepts up to its service's rate times `cold_share` plus
+    `cold_slack` requests a second.
     """
 
     process: str
@@ -53,13 +53,16 @@
 def find_host_settings(
     path: Path | None, environ: Mapping[str, str]
 ) -> HostSettings:
-    """Read a file, or that which the platform names; raise SettingsError."""
+    """Load `path`, or else the file that the environment names.
+
+    Raise SettingsError.
+    """
     named = environ.get(SETTINGS_VARIABLE) or _DEFAULT_PATH
     return load_host_settings(path or Path(named))
 
 
 def load_host_settings(path: Path) -> HostSettings:
-    """Read the file; raise SettingsError with every fault in it."""
+    """Load a settings file; raise SettingsError that lists every fault."""
     try:
         text = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
@@ -68,7 +71,7 @@
 
 
 def parse_host_settings(text: str, source: str) -> HostSettings:
-    """Read lines of `a.b=value`; raise SettingsError."""
+    """Parse lines of `a.b=value`; raise SettingsError."""
     fields, faults = _split_lines(text, source)
     reader = _Reader(fields, source, faults)
     settings = HostSettings(
@@ -82,13 +85,13 @@
         readiness=fields.get('listen.ready', ''),
         links=reader.find_links(),
         server=fields.get('app', ''),
-        grace=reader.number('bounds.graceS', 8.0) * SECOND,
-        retry_share=reader.number('bounds.retryBudgetRatio', 0.2),
-        retry_slack=reader.number('bounds.retrySlack', 50.0),
-        version_limit=reader.number('bounds.versionMs', math.inf),
+        grace=reader.read_number('bounds.graceS', 8.0) * SECOND,
+        retry_share=reader.read_number('bounds.retryBudgetRatio', 0.2),
+        retry_slack=reader.read_number('bounds.retrySlack', 50.0),
+        version_limit=reader.read_number('bounds.versionMs', math.inf),
         regions=reader.find_regions(),
-        cold_share=reader.number('bounds.coldOverage', 1.0),
-        cold_slack=reader.number('bounds.coldSlack', 0.0),
+        cold_share=reader.read_number('bounds.coldOverage', 1.0),
+        cold_slack=reader.read_number('bounds.coldSlack', 0.0),
     )
     if faults:
         raise SettingsError(tuple(faults))
@@ -96,7 +99,7 @@
 
 
 class _Reader:
-    """Read typed fields and collect the faults."""
+    """Read typed fields, adding a line for each fault to `faults`."""
 
     def __init__(
         self, fields: Mapping[str, str], source: str, faults: list[str]
@@ -112,13 +115,13 @@
         return found
 
     def find_links(self) -> str:
-        """Return the address for links, on the first port that is allowed."""
+        """Return the address for links: the first port of `portRange`."""
         first, _, _ = self._fields.get('portRange', '').partition(',')
         ip = self._fields.get('ip', '')
         return f'{ip}:{first.strip()}' if ip and first.strip().isdigit() else ''
 
     def find_regions(self) -> dict[str, str]:
-        """Return the region of each data centre that is told."""
+        """Return the regions by data centre, this process's own included."""
         found = {
             name.removeprefix(_REGION_PREFIX): region
             for name, region in self._fields.items()
@@ -127,7 +130,7 @@
         own, region = self._fields.get('zone'), self._fields.get('region')
         return {own: region, **found} if own and region else found
 
-    def number(self, name: str, default: float) -> float:
+    def read_number(self, name: str, default: float) -> float:
         found = self._fields.get(name, '')
         if not found:
             return default
--- a/src/oleanderdyke/platform/sharing.py
+++ b/src/oleanderdyke/platform/sharing.py
@@ -1,4 +1,4 @@
-"""Read the platform's topics together with neighbours."""
+"""Share reads of the platform's topics between neighbouring processes."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 
 
 class TopicSharing:
-    """Ask a neighbour for records, and keep own reads for others.
+    """Ask a neighbour for records, and keep own reads for neighbours.
 
-    An answer comes within `wait`; news that is `limit` old is read anew. An
-    agent has no `desk`: nobody asks it.
+    A neighbour is asked for at most `wait`, and records older than `limit` are
+    read from the store instead. An agent has no `desk`, since no process asks
+    it for records.
     """
 
     def __init__(
@@ -37,7 +38,7 @@
     async def ask(
         self, topic: str, start: int, era: int | None
     ) -> RecordsRead | None:
-        """Return what a neighbour read, None to read for oneself."""
+        """Return records that a neighbour has read, None if there are none."""
         found = await self._reader.ask_records(
             topic,
             start,
@@ -54,14 +55,14 @@
     async def ask_other(
         self, topic: str, start: int, era: int | None
     ) -> RecordsRead | None:
-        """Return the same where this process can't read for itself."""
+        """Ask a neighbour after a failed read of this process."""
         self._reader.neighbours.record_own_failure(self._clock.now())
         return await self.ask(topic, start, era)
 
     def keep(
         self, topic: str, start: int, found: RecordsRead, asked_at: Millis
     ) -> None:
-        """Keep what this process read, for its neighbours."""
+        """Keep records that this process has read, for its neighbours."""
         self._reader.neighbours.record_own_success(self._clock.now())
         if self._desk is None:
             return
--- a/src/oleanderdyke/platform/store.py
+++ b/src/oleanderdyke/platform/store.py
@@ -1,4 +1,4 @@
-"""Call the platform's store of records."""
+"""Client for the platform's store of records."""
 
 from __future__ import annotations
 
@@ -17,7 +17,12 @@
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 from oleanderdyke.links.messages import Headers
 from oleanderdyke.platform.eras import EraFault, StoreEra
-from oleanderdyke.platform.fields import MALFORMED, load_object, read_integer
+from oleanderdyke.platform.fields import (
+    MALFORMED,
+    load_object,
+    read_integer,
+    show_value,
+)
 from oleanderdyke.platform.records import (
     CutShort,
     KeyedPage,
@@ -28,33 +33,33 @@
     split_records,
 )
 
-# The whole answer of a call, beyond the time that it was asked to wait. The
-# platform states 4 ms an answer; this leaves room for a lost packet, and with
-# the wait of a long read it stays under the bound for a new configuration.
-_PATIENCE: Millis = 700.0
-_MAX_ANSWER = 64 * 1024 * 1024
+# Time for a complete answer, beyond the wait of the call. The platform states
+# 4 ms per answer. This leaves time to resend a lost packet, and together with
+# the wait of a long read it is below the limit for applying a configuration.
+_ANSWER_TIMEOUT: Millis = 700.0
+_MAX_ANSWER_BYTES = 64 * 1024 * 1024
 _MAX_READ_KB = 1024
 _PARTITION = 0
 _OK = 200
 _EXPIRED = 410
 _NOT_FOUND = 404
-# Answers of the store itself, which tell its era; others may be of whatever
-# turns a process away before it.
-_JUDGED = frozenset({_OK, _EXPIRED, _NOT_FOUND})
+# Statuses of the store itself, whose answers carry its era. Others may come
+# from a proxy or limiter in front of it.
+_STORE_STATUSES = frozenset({_OK, _EXPIRED, _NOT_FOUND})
 _ENDS = struct.Struct('>QQ')
 
 
 class StoreUnavailable(OleanderError):
-    """A call to the store gave no proper answer."""
+    """A call to the store failed or returned an invalid answer."""
 
     def __init__(self, message: str, *, ran: Ran = Ran.MAYBE) -> None:
         super().__init__(ErrorKind.LOG_UNAVAILABLE, message, ran=ran)
 
 
 class RecordsExpired(OleanderError):
-    """The store no longer has the records that were asked for.
+    """The requested records have expired.
 
-    `first` is the oldest offset that it has, where it told so.
+    `first` is the oldest offset that the store keeps, None if unknown.
     """
 
     def __init__(self, first: int | None = None) -> None:
@@ -63,15 +68,15 @@
 
 
 class StoreRestored(RecordsExpired):
-    """The store came back from a copy: offsets that it gave before are void."""
+    """The store was restored from a backup: earlier offsets are void."""
 
 
 @dataclass(frozen=True, slots=True)
 class RecordsRead:
-    """Hold records as they were read; `end` is where their topic ended.
+    """Hold records of one read and the end offset of their topic.
 
-    For `waited` after they were asked for there surely were no others; it is
-    negative where a neighbour had read them before. Offsets hold for `era`.
+    No further records were written within `waited` after the call; it is
+    negative if a neighbour read the records before. Offsets are valid in `era`.
     """
 
     records: Sequence[bytes]
@@ -82,38 +87,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """Where a record was appended; an offset is unique within its era."""
+    """Locate an appended record; offsets are unique within an era."""
 
     offset: int
     era: int
 
 
 class Sharing(Protocol):
-    """Read topics together with the neighbours of this process."""
+    """Share reads of topics with the neighbours of this process."""
 
     async def ask(
         self, topic: str, start: int, era: int | None
     ) -> RecordsRead | None:
-        """Return what a neighbour read, None to read for oneself.
+        """Return records that a neighbour has read, None if there are none.
 
-        Records of another era than the one given are left out.
+        Records of an era other than `era` are not returned.
         """
 
     async def ask_other(
         self, topic: str, start: int, era: int | None
     ) -> RecordsRead | None:
-        """Return the same where this process can't read for itself."""
+        """Ask a neighbour after a failed read of this process."""
 
     def keep(
         self, topic: str, start: int, found: RecordsRead, asked_at: Millis
     ) -> None:
-        """Keep what this process read, for its neighbours."""
+        """Keep records that this process has read, for its neighbours."""
 
 
 class StoreClient:
-    """Call the store at `host:port`; `wait` is that of every long read.
+    """Client for the store at `host:port`.
 
-    Records are read by a neighbour where `sharing` has one that does.
+    `wait` is the time for which a read waits for the first record. With
+    `sharing`, records come from a neighbour that has read them, if any.
     """
 
     def __init__(
@@ -126,17 +132,17 @@
         self._wait = wait
         self._clock = clock or make_clock()
         self._sharing = sharing
-        # Whether a neighbour made the last read.
+        # Whether the last read was answered by a neighbour.
         self.was_shared = False
         self._era = StoreEra()
-        # The era in which the positions hold that reads go on from.
+        # The era in which the offsets of earlier reads are valid.
         self._read_era: int | None = None
-        self._bound = wait + _PATIENCE
+        self._call_timeout = wait + _ANSWER_TIMEOUT
         settings = KeepAliveSettings(
             connections=1,
-            connect=_PATIENCE,
-            reuse_timeout=self._bound,
-            read_timeout=self._bound,
+            connect=_ANSWER_TIMEOUT,
+            reuse_timeout=self._call_timeout,
+            read_timeout=self._call_timeout,
             idle_limit=60 * SECOND,
         )
         self._http = KeepAliveHttp(address, settings)
@@ -144,8 +150,8 @@
     async def list_newest(self, topic: str) -> KeyedPage:
         """Return the newest record of each key.
 
-        They are in the order in which they were written. Pages are no
-        snapshot: reading on goes from the end of the first. Raise
+        They are in the order of writing. The pages are no snapshot, so that the
+        next read starts at the end offset of the first page. Raise
         StoreUnavailable or StoreRestored.
         """
         items: list[Any] = []
@@ -156,7 +162,7 @@
             items += found
             end = _read_offset(page, 'end') if end is None else end
             before, after = after, find_last_key(found)
-            # Without a later key the same page would come for ever.
+            # Without a later key the same page would be returned forever.
             is_last = not page.get('more') or after in {'', before}
         return KeyedPage(sort_items(items), end or 0)
 
@@ -166,7 +172,7 @@
         Raise StoreUnavailable or RecordsExpired.
         """
         found = await self._read(topic, start)
-        # Also records that can't be split count for where to read on.
+        # Malformed records count for the position too.
         keyed = tuple(map(split_keyed, found.records))
         end = start + len(keyed)
         return KeyedPage(
@@ -174,7 +180,7 @@
         )
 
     async def read_plain(self, topic: str, start: int) -> tuple[bytes, ...]:
-        """Return the records of a topic of ours from `start` on.
+        """Return unkeyed records from `start` on, waiting for the first.
 
         Raise StoreUnavailable or RecordsExpired.
         """
@@ -182,7 +188,7 @@
         return tuple(found.records)
 
     async def _read(self, topic: str, start: int) -> RecordsRead:
-        """Return records from `start` on, a neighbour's where it has them."""
+        """Return records from `start` on, from a neighbour if it has them."""
         sharing = self._sharing
         self.was_shared = False
         if sharing is None:
@@ -211,12 +217,13 @@
             raise StoreRestored
 
     async def _read_waiting(self, topic: str, start: int) -> RecordsRead:
-        """Read from the store, and tell for how long nothing else came."""
+        """Read from the store, measuring how long no further record came."""
         asked_at = anyio.current_time()
         records, end = await self._read_once(topic, start)
         self._check_restored(self._era.highest)
-        # What comes before the wait is over tells nothing of the rest of it:
-        # counted as waited, it made news up to the whole wait too young.
+        # An answer before the end of the wait proves nothing about the rest of
+        # the wait. Counting all of it would make records seem up to the whole
+        # wait fresher than they are.
         is_early = anyio.current_time() - asked_at < self._wait / SECOND
         waited = 0.0 if records or is_early else self._wait
         return RecordsRead(records, end, waited, self._read_era)
@@ -224,7 +231,7 @@
     async def _read_once(
         self, topic: str, start: int
     ) -> tuple[list[bytes], int]:
-        """Return records from `start` on, and where the topic ends."""
+        """Return records from `start` on and the end offset of the topic."""
         query = {
             'topic': topic,
             'part': _PARTITION,
@@ -237,16 +244,18 @@
             self._check_restored(self._era.highest)
             raise RecordsExpired(_read_offset(_load(data), 'first'))
         if status == _NOT_FOUND and not start:
-            # A topic comes to be with its first record. What is appended
-            # during the pause is not seen, so that one is told to be missing.
+            # A topic is created with its first record. A record appended during
+            # the pause is missed, so the end offset is given as 1: the read
+            # doesn't count as complete.
             await anyio.sleep(self._wait / SECOND)
             return [], 1
         _check(status)
         if len(data) < _ENDS.size:
             raise StoreUnavailable(
-                f'log read of {topic!r}: the answer has no end offset'
+                f'log read of {topic!r}: found {len(data)} bytes; '
+                f'expected at least the {_ENDS.size} of the offsets'
             )
-        # Then the oldest offset that is kept, and the records.
+        # The header holds the end offset and the oldest offset; records follow.
         end, _ = _ENDS.unpack_from(data)
         if end < start:
             self._check_restored(self._era.highest)
@@ -255,11 +264,12 @@
             return list(split_records(data[_ENDS.size :])), end
         except CutShort as error:
             raise StoreUnavailable(
-                f'log read of {topic!r}: a record is cut short'
+                f'log read of {topic!r}: '
+                f'found {len(data)} bytes that end within a record'
             ) from error
 
     async def append(self, topic: str, record: bytes) -> Appended:
-        """Append one record; raise StoreUnavailable."""
+        """Append one record and return its offset; raise StoreUnavailable."""
         query = {'topic': topic, 'part': _PARTITION}
         status, data = await self._call(
             'POST', '/api/log-append', query, join_record(record)
@@ -275,7 +285,7 @@
     async def _list_page(
         self, topic: str, after: str
     ) -> tuple[list[Any], Mapping[str, Any]]:
-        """Return some of the newest records and the answer they came with."""
+        """Return one page of the newest records, and its whole document."""
         query = {'topic': topic, 'part': _PARTITION}
         if after:
             query['after'] = after
@@ -284,7 +294,9 @@
         page = _load(data)
         found = page.get('items') or []
         if not isinstance(found, list):
-            raise StoreUnavailable('the answer has no list of records')
+            raise StoreUnavailable(
+                f'items: found {show_value(found)}; allowed: a list'
+            )
         return found, page
 
     async def _call(
@@ -297,36 +309,41 @@
                 method,
                 target,
                 body=body,
-                within=2 * self._bound,
-                limit=_MAX_ANSWER,
+                within=2 * self._call_timeout,
+                limit=_MAX_ANSWER_BYTES,
             )
         except HttpError as error:
             raise StoreUnavailable(error.message, ran=error.ran) from error
-        if found.status in _JUDGED:
-            self._take_era(path, found.headers)
+        if found.status in _STORE_STATUSES:
+            self._update_era(path, found.headers)
         return found.status, found.body
 
-    def _take_era(self, path: str, headers: Headers) -> None:
+    def _update_era(self, path: str, headers: Headers) -> None:
         try:
-            self._era.take(headers)
+            self._era.update(headers)
         except EraFault as error:
             raise StoreUnavailable(f'{path}: {error}') from error
 
 
 def _check(status: int) -> None:
     if status != _OK:
-        raise StoreUnavailable(f'answered with {status}', ran=Ran.NO)
+        raise StoreUnavailable(
+            f'found status {status}; expected {_OK}', ran=Ran.NO
+        )
 
 
 def _load(data: bytes) -> Mapping[str, Any]:
     try:
         return load_object(data)
     except MALFORMED as error:
-        raise StoreUnavailable('the answer is no JSON object') from error
+        raise StoreUnavailable(
+            f'answer: found {len(data)} bytes that are no JSON object: '
+            f'{type(error).__name__}'
+        ) from error
 
 
 def _read_offset(found: Mapping[str, Any], name: str) -> int:
     try:
         return read_integer(found, name)
     except MALFORMED as error:
-        raise StoreUnavailable(f'the answer has no {name}') from error
+        raise StoreUnavailable(f'malformed answer: {error!r}') from error
--- a/tests/test_store_restores.py
+++ b/tests/test_store_restores.py
@@ -67,17 +67,17 @@
 )
 def test_an_era_that_no_sound_store_tells_is_a_fault(told, fault):
     era = StoreEra()
-    era.take((('store-era', '4'),))
+    era.update((('store-era', '4'),))
     headers = (('store-era', told),) if told else ()
     with pytest.raises(EraFault, match=fault) as caught:
-        era.take(headers)
+        era.update(headers)
     assert len(str(caught.value)) < 100
     assert era.highest == 4
 
 
 def test_a_store_without_eras_is_trusted():
     era = StoreEra()
-    era.take(())
+    era.update(())
     assert era.highest is None
 
 
