--- a/src/oleanderdyke/clients/__init__.py
+++ b/src/oleanderdyke/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Call the services that surround the product."""
+"""Clients for backend servers and for services of the platform."""
--- a/src/oleanderdyke/clients/buffered.py
+++ b/src/oleanderdyke/clients/buffered.py
@@ -1,4 +1,4 @@
-"""Send a request and read its whole answer, within a time and a size."""
+"""Requests with buffered answers, limited in time and size."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 class Requester(Protocol[BodyT_contra]):
-    """Send requests to one server."""
+    """Client of one server that sends requests with bodies of one type."""
 
     def request(
         self, method: str, path: str, *, headers: Headers, body: BodyT_contra
     ) -> AbstractAsyncContextManager[HttpAnswer]:
-        """Send and give the answer; raise HttpError."""
+        """Send a request and yield its answer; raise HttpError."""
 
 
 @dataclass(frozen=True, slots=True)
 class BufferedAnswer:
-    """An answer whose body has been read."""
+    """Hold an answer with its complete body."""
 
     status: int
     headers: Headers
@@ -45,9 +45,10 @@
     within: Millis,
     limit: int,
 ) -> tuple[int, bytes]:
-    """Return the status and the body, of `limit` bytes at most.
+    """Send a request and return the status and body of its answer.
 
-    Raise HttpError, also where that takes longer than `within`.
+    Raise HttpError, also if the body exceeds `limit` bytes or the exchange
+    takes longer than `within`.
     """
     found = await fetch_answer(
         client,
@@ -71,9 +72,10 @@
     within: Millis,
     limit: int,
 ) -> BufferedAnswer:
-    """Return the whole answer, its body of `limit` bytes at most.
+    """Send a request and return its complete answer.
 
-    Raise HttpError, also where that takes longer than `within`.
+    Raise HttpError, also if the body exceeds `limit` bytes or the exchange
+    takes longer than `within`.
     """
     try:
         with anyio.fail_after(within / SECOND):
@@ -83,4 +85,7 @@
                 found = await answer.read(limit)
                 return BufferedAnswer(answer.status, answer.headers, found)
     except TimeoutError as error:
-        raise HttpError('no answer in time', ran=Ran.MAYBE) from error
+        raise HttpError(
+            f'{method} {path}: no complete answer within {within:g} ms',
+            ran=Ran.MAYBE,
+        ) from error
--- a/src/oleanderdyke/clients/direct.py
+++ b/src/oleanderdyke/clients/direct.py
@@ -1,4 +1,4 @@
-"""Speak HTTP to backend servers over connections that are kept open."""
+"""HTTP to backend servers over pooled keep-alive connections."""
 
 from __future__ import annotations
 
@@ -16,37 +16,37 @@
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.links.messages import Headers
 
-_HEAD_LIMIT = 100 * 1024
-# An idle connection is given up after this share of the time for which the
-# server says it keeps it, so that no request crosses the server's close.
+_MAX_HEAD_BYTES = 100 * 1024
+# An idle connection is closed after this share of the server's keep-alive
+# timeout, so that no request is sent while the server closes it.
 _IDLE_SHARE = 0.6
-# Where a server doesn't tell how long it keeps idle connections.
-_IDLE_DEFAULT: Millis = 4 * SECOND
-# Bytes that a peer doesn't acknowledge for so long have met a dead machine
-# or a cut link; a lost packet is sent again within a second.
-_UNACKNOWLEDGED_LIMIT = 2_000
-# Lingering for no time makes the close a reset.
+# For servers that send no keep-alive timeout.
+_DEFAULT_KEEP_ALIVE: Millis = 4 * SECOND
+# After this time without acknowledgement the peer's machine is down or the
+# network is partitioned: a lost packet is resent within a second.
+_USER_TIMEOUT_MS = 2_000
+# SO_LINGER with a timeout of 0 makes closing send a TCP reset.
 _RESET = struct.pack('ii', 1, 0)
 
 
 class AnswerListener(Protocol):
-    """Receive one answer; `take_end` or `take_failure` is the last call."""
+    """Receive an answer; the last call is `take_end` or `take_failure`."""
 
     def take_head(self, status: int, headers: Headers) -> None:
-        """Take the head."""
+        """Process the status and the headers."""
 
     def take_part(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Process the next part of the body."""
 
     def take_end(self) -> None:
-        """Learn that the answer is whole."""
+        """Process the end of a complete answer."""
 
     def take_failure(self, reason: str) -> None:
-        """Learn that nothing more will come."""
+        """Process a failure that ends the answer early."""
 
 
 class BackendConnection(asyncio.Protocol):
-    """Carry one request at a time to one server."""
+    """Send one request at a time to one server over one connection."""
 
     def __init__(self, give_back: Callable[[BackendConnection], None]) -> None:
         self._http = _make_parser()
@@ -54,16 +54,16 @@
         self._listener: AnswerListener | None = None
         self._transport: asyncio.Transport | None = None
         self.idle_since = 0.0
-        self.idle_limit: Millis = _IDLE_DEFAULT * _IDLE_SHARE
+        self.idle_limit: Millis = _DEFAULT_KEEP_ALIVE * _IDLE_SHARE
 
     @property
-    def is_sound(self) -> bool:
-        """Return whether nothing shows that the server has left."""
+    def is_usable(self) -> bool:
+        """Return whether the connection is open as far as is known."""
         transport = self._transport
         return transport is not None and not transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Bound how long the peer may leave bytes unacknowledged."""
+        """Set the timeout for bytes that the peer doesn't acknowledge."""
         if isinstance(transport, asyncio.Transport):
             self._transport = transport
         bound = transport.get_extra_info('socket')
@@ -71,13 +71,13 @@
             bound.setsockopt(
                 socket.IPPROTO_TCP,
                 socket.TCP_USER_TIMEOUT,
-                _UNACKNOWLEDGED_LIMIT,
+                _USER_TIMEOUT_MS,
             )
 
     def send(
         self, head: h11.Request, body: bytes, listener: AnswerListener
     ) -> None:
-        """Send a request; the listener takes its answer."""
+        """Send a request; the listener receives its answer."""
         self._listener = listener
         data = self._http.send(head) or b''
         if body:
@@ -87,7 +87,7 @@
             self._transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        """Pass on what belongs to the answer; nothing else may come."""
+        """Pass on bytes of the answer; close on bytes without a request."""
         if self._listener is None:
             self.close()
             return
@@ -98,26 +98,27 @@
             self._fail('the answer is malformed')
 
     def eof_received(self) -> bool | None:
-        """End an answer whose length is that of the connection."""
+        """End an answer that is delimited by the close of the connection."""
         if self._listener is None:
             return None
         try:
             self._http.receive_data(b'')
             self._take_events()
         except h11.RemoteProtocolError:
-            self._fail('the server closed too early')
+            self._fail('the server closed the connection within its answer')
         return None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell who waits for an answer."""
+        """Report the loss to the listener of the running request."""
         reason = 'closed' if exc is None else type(exc).__name__
         self._fail(f'the connection was lost: {reason}')
 
     def close(self) -> None:
-        """Close at once; the listener hears nothing more.
+        """Close at once, without further calls of the listener.
 
-        A request under way is cancelled with a reset: an orderly end would
-        still deliver what a cut link holds up, seconds after its caller left.
+        A running request is cancelled with a TCP reset. After an orderly close,
+        bytes held up by a network partition would still be delivered, seconds
+        after the caller left.
         """
         is_busy = self._listener is not None
         self._listener = None
@@ -144,18 +145,18 @@
         elif isinstance(event, h11.EndOfMessage):
             self._end(listener)
         elif isinstance(event, h11.ConnectionClosed):
-            self._fail('the server closed before it answered')
+            self._fail('the server closed the connection before it answered')
 
     def _end(self, listener: AnswerListener) -> None:
         self._listener = None
-        if not self._rewind():
+        if not self._start_next_cycle():
             self.close()
         listener.take_end()
-        if self.is_sound:
+        if self.is_usable:
             self._give_back(self)
 
-    def _rewind(self) -> bool:
-        """Get ready for another request; False where there can be none."""
+    def _start_next_cycle(self) -> bool:
+        """Prepare for the next request; return False if none is possible."""
         transport = self._transport
         if transport is None or transport.get_write_buffer_size():
             return False
@@ -175,40 +176,40 @@
 
 
 @dataclass(slots=True)
-class _Address:
-    """Hold the idle connections to one address, the latest last."""
+class _IdleConnections:
+    """Hold the idle connections to an address, the last used at the end."""
 
     idle: list[BackendConnection] = field(default_factory=list)
 
 
 class ConnectionPool:
-    """Keep connections to many servers open between requests."""
+    """Pool connections to many servers between requests."""
 
     def __init__(self, connect_limit: Millis) -> None:
         self._connect_limit = connect_limit
-        self._addresses: dict[str, _Address] = {}
+        self._addresses: dict[str, _IdleConnections] = {}
 
     def take_idle(self, address: str) -> BackendConnection | None:
-        """Return a kept connection that should still be good."""
-        kept = self._addresses.get(address)
+        """Return an idle connection that is likely usable, None if none is."""
+        pooled = self._addresses.get(address)
         now = asyncio.get_running_loop().time() * SECOND
-        while kept is not None and kept.idle:
-            connection = kept.idle.pop()
+        while pooled is not None and pooled.idle:
+            connection = pooled.idle.pop()
             if now - connection.idle_since > connection.idle_limit:
                 connection.close()
-            elif connection.is_sound:
+            elif connection.is_usable:
                 return connection
         return None
 
     async def open(self, address: str) -> BackendConnection:
-        """Connect; raise OSError, a timeout included."""
+        """Open a new connection; raise OSError, also on a timeout."""
         host, port = split_address(address)
         loop = asyncio.get_running_loop()
 
         def give_back(connection: BackendConnection) -> None:
             connection.idle_since = loop.time() * SECOND
-            kept = self._addresses.setdefault(address, _Address())
-            kept.idle.append(connection)
+            pooled = self._addresses.setdefault(address, _IdleConnections())
+            pooled.idle.append(connection)
 
         with anyio.fail_after(self._connect_limit / SECOND):
             _, connection = await loop.create_connection(
@@ -218,8 +219,8 @@
 
     def drop_idle(self, address: str) -> None:
         """Close the idle connections to an address."""
-        kept = self._addresses.pop(address, None)
-        for connection in kept.idle if kept is not None else ():
+        pooled = self._addresses.pop(address, None)
+        for connection in pooled.idle if pooled is not None else ():
             connection.close()
 
     def close(self) -> None:
@@ -228,16 +229,18 @@
             self.drop_idle(address)
 
 
-def set_idle_limit(connection: BackendConnection, told: Millis | None) -> None:
-    """Take how long the server says that it keeps idle connections."""
-    if told is not None:
-        connection.idle_limit = told * _IDLE_SHARE
+def set_idle_limit(
+    connection: BackendConnection, keep_alive: Millis | None
+) -> None:
+    """Set the idle limit from the server's keep-alive timeout, if known."""
+    if keep_alive is not None:
+        connection.idle_limit = keep_alive * _IDLE_SHARE
 
 
 def make_head(
     method: str, target: str, headers: Headers, body: bytes, host: str
 ) -> h11.Request:
-    """Build the head of a request with the framing of its body."""
+    """Build the head of a request, with the framing headers of its body."""
     framed = [('host', host), *headers]
     if body or method not in {'GET', 'HEAD', 'DELETE', 'OPTIONS'}:
         framed.append(('content-length', str(len(body))))
@@ -252,7 +255,7 @@
 
 
 def _make_parser() -> h11.Connection:
-    return h11.Connection(h11.CLIENT, max_incomplete_event_size=_HEAD_LIMIT)
+    return h11.Connection(h11.CLIENT, max_incomplete_event_size=_MAX_HEAD_BYTES)
 
 
 def _decode(head: h11.Response) -> Headers:
--- a/src/oleanderdyke/clients/documents.py
+++ b/src/oleanderdyke/clients/documents.py
@@ -1,4 +1,4 @@
-"""Read JSON documents of the platform's services."""
+"""Client for JSON documents of the platform's services."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 _OK = 200
 _NOT_FOUND = 404
-_MAX_DOCUMENT = 16 * 1024 * 1024
+_MAX_DOCUMENT_BYTES = 16 * 1024 * 1024
 
 
 class PlatformUnavailable(OleanderError):
-    """A service of the platform gave no proper answer."""
+    """A service could not be reached or gave an invalid answer."""
 
     def __init__(self, message: str) -> None:
         super().__init__(ErrorKind.NOT_READY, message, ran=Ran.NO)
 
 
 class DocumentClient:
-    """Get JSON documents from `host:port`."""
+    """Client for JSON documents at `host:port`."""
 
     def __init__(
         self, address: str, *, tls: ssl.SSLContext | None = None
@@ -33,16 +33,23 @@
         self._http = HttpBackend(address, settings=settings, tls=tls)
 
     async def get(self, path: str, timeout: Millis) -> Any:
-        """Return a document; raise PlatformUnavailable, or NOT_FOUND."""
+        """Return a document; raise PlatformUnavailable.
+
+        Raise OleanderError of the kind NOT_FOUND if there is none.
+        """
         status, data = await self._exchange(path, timeout)
         if status == _NOT_FOUND:
-            raise OleanderError(ErrorKind.NOT_FOUND, f'no {path}')
+            raise OleanderError(ErrorKind.NOT_FOUND, f'{path}: not found')
         if status != _OK:
-            raise PlatformUnavailable(f'answered with {status}')
+            raise PlatformUnavailable(
+                f'GET {path}: found status {status}; expected {_OK}'
+            )
         try:
             return json.loads(data)
         except (ValueError, RecursionError) as error:
-            raise PlatformUnavailable('the answer is no JSON') from error
+            raise PlatformUnavailable(
+                f'GET {path}: found {len(data)} bytes that are no JSON'
+            ) from error
 
     async def close(self) -> None:
         """Close every connection."""
@@ -56,7 +63,7 @@
                 path,
                 body=None,
                 within=timeout,
-                limit=_MAX_DOCUMENT,
+                limit=_MAX_DOCUMENT_BYTES,
             )
         except HttpError as error:
             raise PlatformUnavailable(error.message) from error
--- a/src/oleanderdyke/clients/exchange.py
+++ b/src/oleanderdyke/clients/exchange.py
@@ -1,4 +1,4 @@
-"""Carry HTTP exchanges over a connection, one after the other."""
+"""HTTP exchanges over one connection, one after the other."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 Body: TypeAlias = bytes | AsyncIterator[bytes] | None
 
-# What an exchange raises; a timeout counts as the first.
+# Errors of an exchange; a TimeoutError is an OSError.
 FAILURES = (OSError, h11.ProtocolError)
 
-_PIECE = 64 * 1024
-_HEAD_LIMIT = 100 * 1024
+_CHUNK_BYTES = 64 * 1024
+_MAX_HEAD_BYTES = 100 * 1024
 
 
 class Exchange:
-    """Send a request and read its answer, then the next; times in seconds.
+    """Send a request and receive its answer, then the next.
 
-    A reader holds up to two pieces that nobody has taken, then stops the
-    socket.
+    The timeouts `write` and `read` are in seconds. The reader buffers up to two
+    chunks of unread bytes before it stops reading from the socket.
     """
 
     def __init__(
@@ -34,28 +34,28 @@
         *,
         write: float,
         read: float | None,
-        piece: int = _PIECE,
+        chunk: int = _CHUNK_BYTES,
     ) -> None:
         self._reader = reader
         self._writer = writer
         self._write_timeout = write
         self._read_timeout = read
-        self._piece = piece
+        self._chunk = chunk
         self._http = h11.Connection(
-            h11.CLIENT, max_incomplete_event_size=_HEAD_LIMIT
+            h11.CLIENT, max_incomplete_event_size=_MAX_HEAD_BYTES
         )
-        self._drained = False
+        self._needs_data = False
         self._ended = False
         self.written = False
 
     @property
-    def is_sound(self) -> bool:
-        """Return whether nothing shows that the server has left."""
+    def is_usable(self) -> bool:
+        """Return whether the connection is open as far as is known."""
         return not (self._reader.at_eof() or self._writer.is_closing())
 
     async def send(self, head: h11.Request, body: Body) -> None:
         """Send a request; raise one of FAILURES."""
-        # A server may answer and close before it has read everything.
+        # A server may answer and close before it has read the whole request.
         with contextlib.suppress(ConnectionError):
             await self._send(head, body)
 
@@ -69,12 +69,12 @@
                 raise ConnectionError
 
     async def read_part(self) -> bytes:
-        """Return what has come of the body, nothing at its end.
+        """Return the next bytes of the body, no bytes at its end.
 
         Raise one of FAILURES.
         """
         while not self._ended:
-            if self._drained:
+            if self._needs_data:
                 self._http.receive_data(await self._read())
             part = self._take_data()
             if part:
@@ -82,22 +82,22 @@
         return b''
 
     def rewind(self) -> bool:
-        """Get ready for another request; False where there can be none."""
-        if not self.is_sound or self._http.trailing_data[0]:
+        """Prepare for the next request; return False if none is possible."""
+        if not self.is_usable or self._http.trailing_data[0]:
             return False
         try:
             self._http.start_next_cycle()
         except h11.LocalProtocolError:
             return False
-        self._drained = False
+        self._needs_data = False
         self._ended = False
         self.written = False
         return True
 
     def close(self) -> None:
-        """Close at once; what was not sent by now is dropped."""
+        """Close at once, dropping bytes that were not sent yet."""
         transport = self._writer.transport
-        # One with TLS is gone for good by the second time that it is closed.
+        # A TLS transport must not be closed twice: the second call aborts it.
         if transport.is_closing():
             return
         if transport.get_write_buffer_size():
@@ -129,20 +129,20 @@
 
     def _take_data(self) -> bytes:
         parts: list[bytes] = []
-        self._drained = False
+        self._needs_data = False
         while True:
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError:
-                # What came before the fault counts; the next turn raises it.
+                # Return the data before the fault; the next call raises.
                 if not parts:
                     raise
                 return b''.join(parts)
             if not isinstance(event, h11.Data):
                 break
             parts.append(bytes(event.data))
-        self._drained = event is h11.NEED_DATA
-        self._ended = not self._drained
+        self._needs_data = event is h11.NEED_DATA
+        self._ended = not self._needs_data
         return b''.join(parts)
 
     async def _receive(self) -> h11.Event | None:
@@ -156,9 +156,9 @@
 
     async def _read(self) -> bytes:
         if self._read_timeout is None:
-            return await self._reader.read(self._piece)
+            return await self._reader.read(self._chunk)
         with anyio.fail_after(self._read_timeout):
-            return await self._reader.read(self._piece)
+            return await self._reader.read(self._chunk)
 
 
 async def open_exchange(
@@ -169,11 +169,11 @@
     connect: float,
     write: float,
     read: float | None,
-    piece: int = _PIECE,
+    chunk: int = _CHUNK_BYTES,
 ) -> Exchange:
-    """Connect; raise OSError."""
+    """Open a connection, with timeouts in seconds; raise OSError."""
     with anyio.fail_after(connect):
         reader, writer = await asyncio.open_connection(
-            host, port, ssl=tls, limit=piece
+            host, port, ssl=tls, limit=chunk
         )
-    return Exchange(reader, writer, write=write, read=read, piece=piece)
+    return Exchange(reader, writer, write=write, read=read, chunk=chunk)
--- a/src/oleanderdyke/clients/http.py
+++ b/src/oleanderdyke/clients/http.py
@@ -1,4 +1,7 @@
-"""Speak HTTP to one server, and tell whether a request may have reached it."""
+"""HTTP to one server over a new connection for each request.
+
+Errors say whether the request may have reached the server.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
 _CLOSE = ('connection', 'close')
 
 
-# Headers of one connection only, in lower case; they are never passed on.
+# Headers that concern one connection only, in lower case; never forwarded.
 HOP_BY_HOP = frozenset(
     {
         'connection',
@@ -40,7 +43,7 @@
 
 
 class HttpError(OleanderError):
-    """An exchange failed; `ran` is NO where nothing was sent."""
+    """An exchange failed; `ran` is NO if nothing was sent."""
 
     def __init__(self, message: str, *, ran: Ran) -> None:
         super().__init__(ErrorKind.BACKEND_LOST, message, ran=ran)
@@ -48,9 +51,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpSettings:
-    """Bound the waits of one exchange.
+    """Set the timeouts of one exchange.
 
-    `read` bounds the wait for each piece of the answer; None never gives up.
+    `read` limits the wait for each chunk of the answer; None means no limit.
     """
 
     connect: Millis = 2 * SECOND
@@ -60,27 +63,29 @@
 
 @dataclass(slots=True)
 class HttpAnswer:
-    """Hold the head of an answer and the stream of its body."""
+    """Hold the head of an answer and the iterator of its body."""
 
     status: int
     headers: Headers
     body: AsyncIterator[bytes]
 
     async def read(self, limit: int) -> bytes:
-        """Return the whole body; raise HttpError when it passes `limit`."""
+        """Return the whole body; raise HttpError above `limit` bytes."""
         parts = bytearray()
         async for part in self.body:
             parts += part
             if len(parts) > limit:
-                raise HttpError('the answer is too long', ran=Ran.MAYBE)
+                raise HttpError(
+                    f'body: found more than {limit} bytes', ran=Ran.MAYBE
+                )
         return bytes(parts)
 
 
 class HttpBackend:
     """Stream requests and answers to and from one HTTP server.
 
-    Each request has a connection of its own: a kept one may have gone silent,
-    or be closed by the server just when the next request is sent on it.
+    Each request opens a connection: a reused one might be dead, or be closed by
+    the server just as the request is sent.
     """
 
     def __init__(
@@ -105,9 +110,10 @@
         headers: Sequence[tuple[str, str]] = (),
         body: Body = None,
     ) -> AsyncIterator[HttpAnswer]:
-        """Send and give the answer; leaving early closes the connection.
+        """Send a request and yield its answer.
 
-        An iterated body goes out chunked, unless `headers` give its length.
+        Leaving the context before the end of the body closes the connection.
+        An iterated body is sent chunked, unless `headers` give its length.
         Raise HttpError.
         """
         exchange = await self._connect()
@@ -121,7 +127,7 @@
             exchange.close()
 
     async def close(self) -> None:
-        """Break off every exchange."""
+        """Abort every exchange."""
         for exchange in tuple(self._open):
             exchange.close()
 
@@ -156,8 +162,8 @@
         ]
 
 
-def make_lost(exchange: Exchange, error: Exception) -> HttpError:
-    """Make the error of an exchange that raised one of FAILURES."""
+def make_exchange_error(exchange: Exchange, error: Exception) -> HttpError:
+    """Return the HttpError of an exchange that raised one of FAILURES."""
     return HttpError(
         f'the exchange failed: {type(error).__name__}',
         ran=Ran.MAYBE if exchange.written else Ran.NO,
@@ -176,7 +182,7 @@
         await exchange.send(request, body)
         head = await exchange.receive_head()
     except FAILURES as error:
-        raise make_lost(exchange, error) from error
+        raise make_exchange_error(exchange, error) from error
     decoded = decode_headers(head.headers)
     return HttpAnswer(head.status_code, decoded, _iterate(exchange))
 
@@ -190,7 +196,7 @@
 
 
 def decode_headers(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return headers as text."""
+    """Decode names and values as Latin-1, which accepts any byte."""
     return tuple(
         (name.decode('latin-1'), value.decode('latin-1'))
         for name, value in headers
@@ -203,5 +209,5 @@
             yield part
     except FAILURES as error:
         raise HttpError(
-            f'the answer broke off: {type(error).__name__}', ran=Ran.MAYBE
+            f'the answer ended early: {type(error).__name__}', ran=Ran.MAYBE
         ) from error
--- a/src/oleanderdyke/clients/keep_alive.py
+++ b/src/oleanderdyke/clients/keep_alive.py
@@ -1,7 +1,7 @@
-"""Speak HTTP to one server over a few connections that are kept open.
+"""HTTP to one server over a few keep-alive connections.
 
-Only for requests that may safely run twice: one whose kept connection breaks
-or stays silent is sent again, once, on a new connection.
+Use it only for requests that may run twice: if a reused connection fails or
+does not answer in time, the request is resent once on a new connection.
 """
 
 from __future__ import annotations
@@ -20,21 +20,22 @@
     HttpAnswer,
     HttpError,
     decode_headers,
-    make_lost,
+    make_exchange_error,
 )
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.errors import Ran
 from oleanderdyke.links.messages import Headers
 
-_PIECE = 256 * 1024
+_CHUNK_BYTES = 256 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class KeepAliveSettings:
-    """Bound the connections that are kept and the waits on them.
+    """Limit the idle connections and the waits on connections.
 
-    A kept connection that gives no answer within `patience` counts as gone
-    silent. One that was unused for `idle` is closed.
+    A reused connection without an answer within `reuse_timeout` counts as dead;
+    `read_timeout` is the limit for new ones. A connection that was unused for
+    `idle_limit` is closed.
     """
 
     connections: int = 8
@@ -45,7 +46,7 @@
 
 
 class KeepAliveHttp:
-    """Exchange with one server; leaving an answer early costs a connection."""
+    """Send requests to one server over reused connections."""
 
     def __init__(
         self, address: str, settings: KeepAliveSettings | None = None
@@ -53,7 +54,7 @@
         self._address = address
         self._host, self._port = split_address(address)
         self._settings = settings or KeepAliveSettings()
-        self._kept: list[_Kept] = []
+        self._idle: list[_IdleConnection] = []
         self._used: set[Exchange] = set()
 
     @asynccontextmanager
@@ -65,22 +66,25 @@
         headers: Headers = (),
         body: bytes = b'',
     ) -> AsyncIterator[HttpAnswer]:
-        """Send and give the answer; raise HttpError."""
+        """Send a request and yield its answer; raise HttpError.
+
+        Leaving the context before the end of the body closes the connection.
+        """
         length = ('content-length', str(len(body)))
         sent = [('host', self._address), *headers, length]
         head = h11.Request(method=method, target=path, headers=sent)
         exchange, answer = await self._begin(head, body)
-        pieces = _iterate(exchange, self._settings.read_timeout)
+        chunks = _iterate(exchange, self._settings.read_timeout)
         try:
-            async with aclosing(pieces):
+            async with aclosing(chunks):
                 found = decode_headers(answer.headers)
-                yield HttpAnswer(answer.status_code, found, pieces)
+                yield HttpAnswer(answer.status_code, found, chunks)
         finally:
-            self._give_back(exchange)
+            self._release(exchange)
 
     async def close(self) -> None:
-        """Break off every exchange and every kept connection."""
-        self._drop_kept()
+        """Abort every exchange and close every idle connection."""
+        self._drop_idle()
         for exchange in tuple(self._used):
             exchange.close()
 
@@ -88,21 +92,23 @@
         self, head: h11.Request, body: bytes
     ) -> tuple[Exchange, h11.Response]:
         ran = Ran.NO
-        kept = self._take_kept()
-        if kept is not None:
+        reused = self._take_idle()
+        if reused is not None:
             bound = self._settings.reuse_timeout
             try:
-                return kept, await self._ask(kept, head, body, bound)
+                return reused, await self._exchange_heads(
+                    reused, head, body, bound
+                )
             except HttpError as error:
                 ran = error.ran
-                # What is kept besides may be as dead as this one.
-                self._drop_kept()
+                # The other idle connections may be dead too.
+                self._drop_idle()
         fresh = await self._connect(ran)
-        return fresh, await self._ask(
+        return fresh, await self._exchange_heads(
             fresh, head, body, self._settings.read_timeout
         )
 
-    async def _ask(
+    async def _exchange_heads(
         self, exchange: Exchange, head: h11.Request, body: bytes, bound: Millis
     ) -> h11.Response:
         self._used.add(exchange)
@@ -112,7 +118,7 @@
                 return await exchange.receive_head()
         except FAILURES as error:
             self._drop(exchange)
-            raise make_lost(exchange, error) from error
+            raise make_exchange_error(exchange, error) from error
         except BaseException:
             self._drop(exchange)
             raise
@@ -126,44 +132,46 @@
                 tls=None,
                 connect=settings.connect / SECOND,
                 write=settings.read_timeout / SECOND,
-                # Each wait for the server has its bound where it begins.
+                # The callers limit each wait for the server.
                 read=None,
-                piece=_PIECE,
+                chunk=_CHUNK_BYTES,
             )
         except OSError as error:
-            raise HttpError('cannot connect', ran=ran) from error
+            raise HttpError(
+                f'cannot connect: {type(error).__name__}', ran=ran
+            ) from error
 
-    def _take_kept(self) -> Exchange | None:
+    def _take_idle(self) -> Exchange | None:
         before = asyncio.get_running_loop().time()
         before -= self._settings.idle_limit / SECOND
-        while self._kept:
-            kept = self._kept.pop()
-            if kept.exchange.is_sound and kept.since >= before:
-                return kept.exchange
-            kept.exchange.close()
+        while self._idle:
+            idle = self._idle.pop()
+            if idle.exchange.is_usable and idle.since >= before:
+                return idle.exchange
+            idle.exchange.close()
         return None
 
-    def _drop_kept(self) -> None:
-        while self._kept:
-            self._kept.pop().exchange.close()
+    def _drop_idle(self) -> None:
+        while self._idle:
+            self._idle.pop().exchange.close()
 
     def _drop(self, exchange: Exchange) -> None:
         self._used.discard(exchange)
         exchange.close()
 
-    def _give_back(self, exchange: Exchange) -> None:
-        full = len(self._kept) >= self._settings.connections
+    def _release(self, exchange: Exchange) -> None:
+        full = len(self._idle) >= self._settings.connections
         if full or not exchange.rewind():
             self._drop(exchange)
             return
         self._used.discard(exchange)
         now = asyncio.get_running_loop().time()
-        self._kept.append(_Kept(exchange, now))
+        self._idle.append(_IdleConnection(exchange, now))
 
 
 @dataclass(frozen=True, slots=True)
-class _Kept:
-    """Hold a connection and since when, in seconds, it is unused."""
+class _IdleConnection:
+    """Hold a connection and the loop time, in seconds, of its last use."""
 
     exchange: Exchange
     since: float
@@ -177,7 +185,7 @@
             with anyio.fail_after(read_timeout / SECOND):
                 part = await exchange.read_part()
         except FAILURES as error:
-            raise make_lost(exchange, error) from error
+            raise make_exchange_error(exchange, error) from error
         if not part:
             return
         yield part
--- a/src/oleanderdyke/clients/log.py
+++ b/src/oleanderdyke/clients/log.py
@@ -1,4 +1,4 @@
-"""Append to and read the logs of the platform's log service."""
+"""Client for the logs of the platform's log service."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 
 _OK = 200
-# With these the service says that it did not take the records.
+# Statuses that guarantee that the service has not stored the records.
 _REFUSED = frozenset({429, 503})
-_MAX_ANSWER = 64 * 1024 * 1024
+_MAX_ANSWER_BYTES = 64 * 1024 * 1024
 _RECORD_PARTS = 3
 _HEADERS = (('content-type', 'application/cbor'),)
 
 
 class LogUnavailable(OleanderError):
-    """A call failed, and whether it may have taken effect."""
+    """A call failed; `ran` tells whether it may have taken effect."""
 
     def __init__(self, message: str, *, ran: Ran) -> None:
         super().__init__(ErrorKind.LOG_UNAVAILABLE, message, ran=ran)
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogRecord:
-    """Hold one record; `at` is the service's wall clock."""
+    """Hold one record; `at` is the service's wall-clock time of appending."""
 
     offset: int
     at: Millis
@@ -42,7 +42,7 @@
 class LogPage:
     """Hold records in offset order.
 
-    `first` is the oldest offset kept, `end` the next one to be given out.
+    `first` is the oldest retained offset, `end` the next one to be assigned.
     """
 
     records: tuple[LogRecord, ...]
@@ -51,12 +51,12 @@
 
 
 class LogClient:
-    """Call the log service at `host:port`."""
+    """Client for the log service at `host:port`."""
 
     def __init__(
         self, address: str, *, tls: ssl.SSLContext | None = None
     ) -> None:
-        # The timeout of each call bounds its reads.
+        # The timeout of each call limits its reads.
         settings = HttpSettings(read=None)
         self._http = HttpBackend(address, settings=settings, tls=tls)
 
@@ -67,7 +67,7 @@
         *,
         timeout: Millis = 2 * SECOND,
     ) -> int:
-        """Append in one step, return the offset of the first.
+        """Append all records at once and return the offset of the first.
 
         Raise LogUnavailable.
         """
@@ -76,7 +76,10 @@
         answer = await self._call('POST', path, body, timeout)
         first = answer.get('first')
         if not _is_offset(first):
-            raise LogUnavailable('the answer has no offset', ran=Ran.MAYBE)
+            raise LogUnavailable(
+                f'first: found {type(first).__name__}; allowed: an offset',
+                ran=Ran.MAYBE,
+            )
         return first
 
     async def read(
@@ -90,7 +93,7 @@
     ) -> LogPage:
         """Return records from `start`, waiting up to `wait` for the first.
 
-        `timeout` is counted on top of `wait`. Raise LogUnavailable.
+        The call takes at most `wait` plus `timeout`. Raise LogUnavailable.
         """
         query = f'from={start}&limit={limit}&wait={int(wait)}'
         path = f'/logs/{quote(log, safe="")}?{query}'
@@ -113,15 +116,20 @@
                 headers=_HEADERS,
                 body=body,
                 within=timeout,
-                limit=_MAX_ANSWER,
+                limit=_MAX_ANSWER_BYTES,
             )
         except HttpError as error:
             ran = Ran.NO if body is None else error.ran
             raise LogUnavailable(error.message, ran=ran) from error
         if status in _REFUSED:
-            raise LogUnavailable(f'refused with {status}', ran=Ran.NO)
+            raise LogUnavailable(
+                f'{method} {path}: refused with status {status}', ran=Ran.NO
+            )
         if status != _OK:
-            raise LogUnavailable(f'answered with {status}', ran=reached)
+            raise LogUnavailable(
+                f'{method} {path}: found status {status}; expected {_OK}',
+                ran=reached,
+            )
         return _load_map(data, reached)
 
 
@@ -129,9 +137,13 @@
     try:
         value = load_cbor(data)
     except OleanderError as error:
-        raise LogUnavailable('the answer is no CBOR', ran=ran) from error
+        raise LogUnavailable(
+            f'answer: found {len(data)} bytes that are no CBOR', ran=ran
+        ) from error
     if not isinstance(value, dict):
-        raise LogUnavailable('the answer is no map', ran=ran)
+        raise LogUnavailable(
+            f'answer: found {type(value).__name__}; allowed: a map', ran=ran
+        )
     return value
 
 
@@ -143,9 +155,9 @@
     first, end = answer.get('first'), answer.get('end')
     records = answer.get('records')
     if not _is_offset(first) or not _is_offset(end):
-        _refuse_page('no offsets')
+        _raise_malformed_page('first or end that is no offset')
     if not isinstance(records, list):
-        _refuse_page('no records')
+        _raise_malformed_page('records that are no list')
     page = LogPage(tuple(_make_record(each) for each in records), first, end)
     _check_order(page, start)
     return page
@@ -153,12 +165,12 @@
 
 def _make_record(parts: object) -> LogRecord:
     if not isinstance(parts, list) or len(parts) != _RECORD_PARTS:
-        _refuse_page('a malformed record')
+        _raise_malformed_page('a malformed record')
     offset, at, data = parts
     if not _is_offset(offset) or type(at) not in {int, float}:
-        _refuse_page('a malformed record')
+        _raise_malformed_page('a malformed record')
     if not isinstance(data, bytes):
-        _refuse_page('a malformed record')
+        _raise_malformed_page('a malformed record')
     return LogRecord(offset, float(at), data)
 
 
@@ -166,11 +178,11 @@
     last = start - 1
     for record in page.records:
         if record.offset <= last:
-            _refuse_page('records out of order')
+            _raise_malformed_page('records out of order')
         last = record.offset
     if page.records and last >= page.end:
-        _refuse_page('records past the end')
+        _raise_malformed_page('records past the end')
 
 
-def _refuse_page(what: str) -> NoReturn:
-    raise LogUnavailable(f'the page has {what}', ran=Ran.NO)
+def _raise_malformed_page(fault: str) -> NoReturn:
+    raise LogUnavailable(f'page: found {fault}', ran=Ran.NO)
--- a/src/oleanderdyke/clients/vms.py
+++ b/src/oleanderdyke/clients/vms.py
@@ -1,4 +1,4 @@
-"""Read the platform's list of VMs, which lags behind reality."""
+"""Client for the platform's list of VMs, which may be out of date."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Vm:
-    """Name a VM and where its agent listens."""
+    """Describe a VM; `address` is that of its agent."""
 
     name: str
     address: str
@@ -20,7 +20,7 @@
 
 
 class VmClient:
-    """Call the VM list at `host:port`."""
+    """Client for the VM list at `host:port`."""
 
     def __init__(
         self, address: str, *, tls: ssl.SSLContext | None = None
@@ -28,10 +28,12 @@
         self._documents = DocumentClient(address, tls=tls)
 
     async def list(self, *, timeout: Millis = 2 * SECOND) -> tuple[Vm, ...]:
-        """Return the known VMs; raise OleanderError."""
+        """Return the listed VMs; raise OleanderError."""
         document = await self._documents.get('/vms', timeout)
         if not isinstance(document, list):
-            raise PlatformUnavailable('the VM list is no list')
+            raise PlatformUnavailable(
+                f'VM list: found {type(document).__name__}; allowed: a list'
+            )
         return tuple(_make_vm(each) for each in document)
 
     async def close(self) -> None:
@@ -41,12 +43,18 @@
 
 def _make_vm(document: object) -> Vm:
     if not isinstance(document, dict):
-        raise PlatformUnavailable('a VM is no map')
+        raise PlatformUnavailable(
+            f'VM: found {type(document).__name__}; allowed: an object'
+        )
     texts = [document.get(key) for key in ('name', 'address', 'data_centre')]
     leaving = document.get('leaving', False)
     if not all(isinstance(text, str) for text in texts):
-        raise PlatformUnavailable('a VM lacks its name or place')
+        raise PlatformUnavailable(
+            'VM: found name, address or data_centre that is no text'
+        )
     if not isinstance(leaving, bool):
-        raise PlatformUnavailable('a VM is neither leaving nor staying')
+        raise PlatformUnavailable(
+            f'VM: leaving: found {type(leaving).__name__}; allowed: true, false'
+        )
     name, address, data_centre = map(str, texts)
     return Vm(name, address, data_centre, leaving)
--- a/src/oleanderdyke/clients/weights.py
+++ b/src/oleanderdyke/clients/weights.py
@@ -1,4 +1,4 @@
-"""Read the digests of weights from the platform's weight store."""
+"""Client for the digests of weights in the platform's weight store."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Weights:
-    """Identify the content of one set of weights."""
+    """Hold the digest of the weights and their length in bytes."""
 
     digest: str
     length: int
 
 
 class WeightClient:
-    """Call the weight store at `host:port`."""
+    """Client for the weight store at `host:port`."""
 
     def __init__(
         self, address: str, *, tls: ssl.SSLContext | None = None
@@ -29,9 +29,9 @@
     async def describe(
         self, model: str, version: str, *, timeout: Millis = 2 * SECOND
     ) -> Weights:
-        """Return digest and length; raise OleanderError.
+        """Return the digest and length of weights; raise OleanderError.
 
-        Its kind is NOT_FOUND where the store does not know the weights.
+        The kind of the error is NOT_FOUND if the store doesn't know them.
         """
         names = (quote(model, safe=''), quote(version, safe=''))
         path = '/'.join(('/weights', *names))
@@ -45,8 +45,13 @@
 
 def _make_weights(document: object) -> Weights:
     if not isinstance(document, dict):
-        raise PlatformUnavailable('the weights are no map')
+        raise PlatformUnavailable(
+            f'weights: found {type(document).__name__}; allowed: an object'
+        )
     digest, length = document.get('digest'), document.get('length')
     if not isinstance(digest, str) or type(length) is not int:
-        raise PlatformUnavailable('the weights lack digest or length')
+        raise PlatformUnavailable(
+            f'weights: found digest {type(digest).__name__} and length '
+            f'{type(length).__name__}; allowed: text and an integer'
+        )
     return Weights(digest, length)
