--- a/src/oleanderdyke/ctl/__init__.py
+++ b/src/oleanderdyke/ctl/__init__.py
@@ -1,1 +1,1 @@
-"""Drive the system from an operator's terminal."""
+"""Command-line client for operators."""
--- a/src/oleanderdyke/ctl/client.py
+++ b/src/oleanderdyke/ctl/client.py
@@ -1,4 +1,4 @@
-"""Ask the entries, the next one where one can't be reached."""
+"""HTTP client for the administration of entries, with failover."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 
 _TIMEOUTS = {'connect': 3.0, 'read': 40.0, 'write': 10.0, 'pool': 3.0}
-_NOTHING_SENT = (httpcore.ConnectError, httpcore.ConnectTimeout)
+_CONNECT_ERRORS = (httpcore.ConnectError, httpcore.ConnectTimeout)
 _FAILURES = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
     OSError,
 )
-_SETTLE_WAIT = '10000'
+_OUTCOME_WAIT_MS = '10000'
 _RECORD_ID_BYTES = 16
 _OK_STATUSES = (200, 202)
 _SCHEMES = ('http', 'https')
-_TRY_NEXT = (
+_FAILOVER_KINDS = (
     ErrorKind.NOT_READY,
     ErrorKind.STOPPING,
     ErrorKind.LOG_UNAVAILABLE,
@@ -36,23 +36,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Hold an answer of an entry."""
+    """Hold the status and the JSON document of an entry's answer."""
 
     status: int
     document: Any
 
 
 def make_path(*parts: str, **parameters: str | int) -> str:
-    """Return a path of the administration with quoted parts."""
+    """Return an administration path with quoted parts and parameters.
+
+    Empty parameters are omitted.
+    """
     path = '/admin/v1/' + '/'.join(quote(part, safe='') for part in parts)
     query = urlencode(
-        {key: found for key, found in parameters.items() if found != ''}
+        {key: value for key, value in parameters.items() if value != ''}
     )
     return f'{path}?{query}' if query else path
 
 
 class Client:
-    """Speak to the administration of several entries."""
+    """Call the administration of several entries.
+
+    Calls fail over to the next entry if that is safe.
+    """
 
     def __init__(
         self,
@@ -79,14 +85,14 @@
         return _check(self._send(entry, 'GET', path)).document
 
     def post(self, path: str) -> Any:
-        """Ask for something that may be asked twice."""
+        """Send an idempotent call without a body and return its document."""
         return self._try_entries('POST', path).document
 
     def publish(self, changes: Sequence[Mapping[str, Any]]) -> list[Any]:
-        """Return the outcomes of changes in order.
+        """Publish changes and return their outcomes in order.
 
-        Each gets a record id here, so that an answer lost on the way is
-        settled through any entry, without publishing anew.
+        Each change gets a record id here. If the answer is lost, the outcome is
+        read by that id from any entry, without publishing again.
         """
         named = [
             {**change, 'record_id': secrets.token_hex(_RECORD_ID_BYTES)}
@@ -100,19 +106,21 @@
         except OleanderError as error:
             if error.ran is Ran.NO:
                 raise
-            return [self._settle(str(item['record_id'])) for item in named]
+            return [
+                self._read_outcome(str(item['record_id'])) for item in named
+            ]
         outcomes: list[Any] = reply.document['outcomes']
         return outcomes
 
-    def _settle(self, record_id: str) -> Any:
-        path = make_path('outcomes', record_id, wait=_SETTLE_WAIT)
+    def _read_outcome(self, record_id: str) -> Any:
+        path = make_path('outcomes', record_id, wait=_OUTCOME_WAIT_MS)
         try:
             return self.get(path)
         except OleanderError as error:
             raise OleanderError(
                 ErrorKind.OUTCOME_UNKNOWN,
                 f'record {record_id} may or may not have been accepted; '
-                'look at the objects before trying again',
+                'check the objects before trying again',
             ) from error
 
     def _try_entries(
@@ -129,7 +137,7 @@
                 reply = self._send(entry, method, path, body)
                 return _check(reply, accept_conflict=accept_conflict)
             except OleanderError as error:
-                if not _may_try_next(error, repeatable=not body):
+                if not _can_fail_over(error, repeatable=not body):
                     raise
                 errors.append(error)
         raise errors[-1]
@@ -148,7 +156,7 @@
                 content=body,
                 extensions={'timeout': _TIMEOUTS},
             )
-        except _NOTHING_SENT as error:
+        except _CONNECT_ERRORS as error:
             raise _make_unreachable(entry, Ran.NO) from error
         except _FAILURES as error:
             raise _make_unreachable(entry, Ran.MAYBE) from error
@@ -165,12 +173,12 @@
 
 
 def _make_unreachable(entry: str, ran: Ran) -> OleanderError:
-    fault = f'{entry} does not answer'
+    fault = f'{entry}: unreachable, or the connection failed'
     return OleanderError(ErrorKind.BACKEND_LOST, fault, ran=ran)
 
 
-def _may_try_next(error: OleanderError, *, repeatable: bool) -> bool:
-    if error.kind not in _TRY_NEXT:
+def _can_fail_over(error: OleanderError, *, repeatable: bool) -> bool:
+    if error.kind not in _FAILOVER_KINDS:
         return False
     return repeatable or error.ran is Ran.NO
 
@@ -179,14 +187,14 @@
     try:
         document = json.loads(content)
     except ValueError as error:
-        raise _make_foreign(entry) from error
+        raise _make_protocol_error(entry) from error
     if not isinstance(document, dict):
-        raise _make_foreign(entry)
+        raise _make_protocol_error(entry)
     return document
 
 
-def _make_foreign(entry: str) -> OleanderError:
-    fault = f'{entry} answers, but not as an entry'
+def _make_protocol_error(entry: str) -> OleanderError:
+    fault = f'{entry}: the answer is no JSON object of an entry'
     return OleanderError(ErrorKind.PROTOCOL, fault)
 
 
@@ -201,7 +209,7 @@
 def _read_error(reply: Reply) -> OleanderError:
     fields = list(_find_error_fields(reply.document))
     if not fields:
-        fault = f'the entry answered with status {reply.status}'
+        fault = f'found status {reply.status} without an error document'
         return OleanderError(ErrorKind.PROTOCOL, fault)
     kind, message, ran = fields
     try:
--- a/src/oleanderdyke/ctl/commands.py
+++ b/src/oleanderdyke/ctl/commands.py
@@ -1,4 +1,4 @@
-"""Carry out the commands of oleanderctl."""
+"""Commands of oleanderctl."""
 
 from __future__ import annotations
 
@@ -35,27 +35,27 @@
 from oleanderdyke.errors import ErrorKind, OleanderError
 from oleanderdyke.kernel.specs import describe_spec
 
-_WATCH_WAIT = 20_000
+_WATCH_WAIT_MS = 20_000
 
 Options: TypeAlias = argparse.Namespace
 Command: TypeAlias = Callable[[Client, Options], ExitCode]
 
 
 def check(options: Options) -> ExitCode:
-    """Check files without asking an entry."""
+    """Validate files without contacting an entry."""
     documents = load_documents(options.files)
-    show(f'{len(documents)} objects without faults')
+    show(f'{len(documents)} valid objects')
     return ExitCode.OK
 
 
 def apply(client: Client, options: Options) -> ExitCode:
-    """Publish what differs from the files."""
+    """Publish the objects of the files that differ from those configured."""
     results = apply_documents(client, load_documents(options.files))
     return _finish(client, options, results)
 
 
 def delete(client: Client, options: Options) -> ExitCode:
-    """Delete one object."""
+    """Delete one object, at the given or the current generation."""
     generation = options.generation
     if generation is None:
         path = make_path('objects', options.kind, options.name)
@@ -72,7 +72,7 @@
 
 
 def get(client: Client, options: Options) -> ExitCode:
-    """Show one object, or all of a kind."""
+    """Show one object, or all objects of a kind that match the selector."""
     if options.name:
         path = make_path('objects', options.kind, options.name)
         objects = [client.get(path)]
@@ -81,32 +81,34 @@
     if options.output is Format.TABLE:
         views.show_objects(objects)
     else:
-        show_document(list(map(_strip, objects)), options.output)
+        show_document(list(map(_select_fields, objects)), options.output)
     return ExitCode.OK
 
 
 def describe(client: Client, options: Options) -> ExitCode:
-    """Show one object and its recent history."""
+    """Show one object in full and its recent changes."""
     stored = client.get(make_path('objects', options.kind, options.name))
     found = client.get(make_path('history', options.kind, options.name))
-    document = {**_strip(stored), 'history': found['outcomes']}
+    document = {**_select_fields(stored), 'history': found['outcomes']}
     if options.output is not Format.TABLE:
         show_document(document, options.output)
         return ExitCode.OK
-    show_document(_strip(stored), Format.YAML)
+    show_document(_select_fields(stored), Format.YAML)
     show()
     views.show_outcomes(found['outcomes'])
     return ExitCode.OK
 
 
 def diff(client: Client, options: Options) -> ExitCode:
-    """Show what applying the files would change."""
+    """Show the changes that applying the files would make."""
     documents = load_documents(options.files)
     current = find_current(client, documents)
     lines = [
         line
         for item in documents
-        for line in _diff_one(item, current.get((item.kind.value, item.name)))
+        for line in _diff_object(
+            item, current.get((item.kind.value, item.name))
+        )
     ]
     for line in lines:
         show(line)
@@ -124,24 +126,26 @@
 
 
 def watch(client: Client, options: Options) -> ExitCode:
-    """Print changes as they are accepted or lost."""
-    after, left = options.after, options.count
+    """Print changes as they are accepted or rejected for a conflict."""
+    after, remaining = options.after, options.count
     while True:
         parameters = {} if after is None else {'after': after}
-        found = client.get(make_path('watch', wait=_WATCH_WAIT, **parameters))
+        found = client.get(
+            make_path('watch', wait=_WATCH_WAIT_MS, **parameters)
+        )
         if not found['complete'] and after is not None:
-            show(f'# some changes after offset {after} are too long ago')
-        for outcome in found['outcomes'][:left]:
+            show(f'# some changes after offset {after} are no longer available')
+        for outcome in found['outcomes'][:remaining]:
             views.show_outcome_line(outcome, options.output)
         after = max(found['offset'], -1 if after is None else after)
-        if left is not None:
-            left -= len(found['outcomes'])
-            if left <= 0:
+        if remaining is not None:
+            remaining -= len(found['outcomes'])
+            if remaining <= 0:
                 return ExitCode.OK
 
 
 def status(client: Client, options: Options) -> ExitCode:
-    """Show entries, agents, what each service owes and who missed it."""
+    """Show entries, agents, service targets and requests that missed them."""
     found = list(_read_statuses(client, options.missed))
     reached = [item for item in found if item['reached']]
     services = [
@@ -157,13 +161,13 @@
     else:
         entries = list(map(_drop_services, found))
         shown = {'entries': entries, 'services': list(map(asdict, services))}
-        # JSON has no tuples, and YAML should show what JSON shows.
+        # The JSON round trip makes lists of tuples, so that YAML equals JSON.
         show_document(json.loads(json.dumps(shown)), options.output)
     return ExitCode.OK if reached else ExitCode.UNAVAILABLE
 
 
 def drain(client: Client, options: Options) -> ExitCode:
-    """Ask an agent to leave."""
+    """Request an agent to drain and leave."""
     client.post(make_path('drain', options.agent))
     show(f'agent {options.agent} asked to leave')
     return ExitCode.OK
@@ -195,7 +199,7 @@
         count = wait_in_force(client, offset, options.timeout * SECOND)
         if options.output is Format.TABLE:
             show(f'in force in all {count} processes')
-    return _find_code(results)
+    return _find_exit_code(results)
 
 
 def _make_row(item: Published) -> tuple[object, ...]:
@@ -203,27 +207,27 @@
     return name, item.result.value, item.generation, item.detail
 
 
-def _find_code(results: Iterable[Published]) -> ExitCode:
+def _find_exit_code(results: Iterable[Published]) -> ExitCode:
     found = {item.result for item in results}
     if Result.INVALID in found:
         return ExitCode.USAGE
     return ExitCode.CONFLICT if Result.CONFLICT in found else ExitCode.OK
 
 
-def _strip(stored: Mapping[str, Any]) -> dict[str, Any]:
+def _select_fields(stored: Mapping[str, Any]) -> dict[str, Any]:
     names = ('kind', 'name', 'generation', 'spec')
     return {name: stored[name] for name in names}
 
 
-def _diff_one(item: Document, known: Any) -> Iterator[str]:
+def _diff_object(item: Document, current: Any) -> Iterator[str]:
     wanted = describe_spec(item.spec)
-    if known and known['spec'] == wanted:
+    if current and current['spec'] == wanted:
         return
     label = f'{item.kind}/{item.name}'
-    found = known['generation'] if known else 0
+    found = current['generation'] if current else 0
     if item.generation not in {None, found}:
         yield f'# {label} expects generation {item.generation}, found {found}'
-    before = make_yaml(known['spec']) if known else ''
+    before = make_yaml(current['spec']) if current else ''
     yield from difflib.unified_diff(
         before.splitlines(),
         make_yaml(wanted).splitlines(),
--- a/src/oleanderdyke/ctl/endings.py
+++ b/src/oleanderdyke/ctl/endings.py
@@ -1,4 +1,4 @@
-"""Find how processes ended that left a request without an end."""
+"""Find how processes ended while a request was unfinished."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from oleanderdyke.ctl.event_order import Ordered
 from oleanderdyke.events import EventName
 
-_ENDS = frozenset(
+_REQUEST_ENDS = frozenset(
     {
         EventName.REQUEST_FINISHED,
         EventName.REQUEST_REFUSED,
@@ -15,7 +15,7 @@
         EventName.REQUEST_CUT,
     }
 )
-_OF_PROCESS = frozenset(
+_PROCESS_EVENTS = frozenset(
     {
         EventName.PROCESS_STARTED,
         EventName.PROCESS_STOPPING,
@@ -26,13 +26,14 @@
 
 
 def find_endings(ordered: Sequence[Ordered], kept: Sequence[int]) -> list[int]:
-    """Return what became of each process that accepted a request in vain.
+    """Return the next life-cycle event of the processes of an open request.
 
-    `kept` are the events of one request. Where it has no end, the next line
-    that a process wrote of itself tells why: a start without a stop before it
-    means that the process was lost, with all that it ran.
+    `kept` are the indexes of the events of one request. If none of them ends
+    the request, the next life-cycle event of its processes gives the reason: a
+    start without a stop before it means that the process was lost, with all
+    requests that it ran.
     """
-    if any(ordered[index].event.name in _ENDS for index in kept):
+    if any(ordered[index].event.name in _REQUEST_ENDS for index in kept):
         return []
     last = {ordered[index].event.process: index for index in kept}
     return sorted(
@@ -47,6 +48,6 @@
 ) -> int | None:
     for index in range(after + 1, len(ordered)):
         event = ordered[index].event
-        if event.process == process and event.name in _OF_PROCESS:
+        if event.process == process and event.name in _PROCESS_EVENTS:
             return index
     return None
--- a/src/oleanderdyke/ctl/event_order.py
+++ b/src/oleanderdyke/ctl/event_order.py
@@ -1,4 +1,4 @@
-"""Merge the events of many processes into one order that respects cause."""
+"""Causal order of the log events of many processes."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from oleanderdyke.logs import parse_line
 
 _NO_TIME = 0.0
-# Each line of ours begins with its time; collectors put theirs before it.
+# Each log line begins with its time. Log collectors may prepend their fields.
 _LINE_START = ' at='
 _MessageKey: TypeAlias = tuple[EventName, str, str, str]
 
-# What was sent, and the event that shows its receipt at another process.
+# Maps each send event to the event of its receipt at another process.
 _RECEIPTS: Mapping[EventName, EventName] = {
     EventName.DISPATCH_SENT: EventName.DISPATCH_RECEIVED,
     EventName.ANSWER_STARTED: EventName.ANSWER_RECEIVED,
     EventName.ANSWER_ENDED: EventName.REQUEST_FINISHED,
     EventName.DISPATCH_REFUSED: EventName.REQUEST_RETRIED,
 }
-_KNOWN = {event.value: event for event in EventName}
+_EVENT_NAMES = {event.value: event for event in EventName}
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Hold one logged event; `at` is its own process's wall time in ms."""
+    """Hold one logged event; `at` is its process's wall-clock time in ms."""
 
     process: str
     name: str
@@ -37,13 +37,13 @@
     pairs: Mapping[str, str]
 
     def read(self, key: Key) -> str:
-        """Return the text of a key, empty where it is absent."""
+        """Return the value of a key, empty if it is absent."""
         return self.pairs.get(key.value, '')
 
 
 @dataclass(frozen=True, slots=True)
 class Ordered:
-    """Place an event: corrected time, and the index of what caused it."""
+    """Hold an event, its corrected time and the index of its cause."""
 
     event: Event
     at: Millis
@@ -51,7 +51,7 @@
 
 
 def read_events(lines: Iterable[str]) -> list[Event]:
-    """Parse log lines; leave out lines that are no events."""
+    """Parse log lines, skipping lines that are no events."""
     events = []
     for line in lines:
         pairs = parse_line(_strip_prefix(line))
@@ -69,12 +69,12 @@
 
 
 def order_events(sources: Sequence[Sequence[Event]]) -> list[Ordered]:
-    """Merge logs; each source is one file in the order it was written.
+    """Merge logs into one causal order; each source is one file in its order.
 
-    An event never comes before an earlier one of its process, nor a receipt
-    before its message was sent, whatever the clocks say.
+    Whatever the clocks say, an event never precedes an earlier one of its
+    process, nor a receipt the sending of its message.
     """
-    lanes = _split_lanes(sources)
+    lanes = _split_by_process(sources)
     events = [event for lane in lanes for event in lane]
     causes = _pair_messages(events)
     corrections = _correct_clocks(events, causes)
@@ -88,7 +88,7 @@
         return _NO_TIME
 
 
-def _split_lanes(sources: Sequence[Sequence[Event]]) -> list[list[Event]]:
+def _split_by_process(sources: Sequence[Sequence[Event]]) -> list[list[Event]]:
     lanes: list[list[Event]] = []
     for source in sources:
         by_process: dict[str, list[Event]] = defaultdict(list)
@@ -99,10 +99,10 @@
 
 
 def _pair_messages(events: Sequence[Event]) -> dict[int, int]:
-    """Return for each receipt the index of the event that sent it."""
+    """Map the index of each receipt to that of its send event."""
     sent: dict[_MessageKey, deque[int]] = defaultdict(deque)
     for index, event in enumerate(events):
-        known = _KNOWN.get(event.name)
+        known = _EVENT_NAMES.get(event.name)
         receipt = None if known is None else _RECEIPTS.get(known)
         if receipt is not None:
             receiver = event.read(Key.PEER)
@@ -110,7 +110,7 @@
             sent[key].append(index)
     causes: dict[int, int] = {}
     for index, event in enumerate(events):
-        known = _KNOWN.get(event.name)
+        known = _EVENT_NAMES.get(event.name)
         if known is None:
             continue
         waiting = sent.get(_name_message(known, event, event.process))
@@ -129,23 +129,23 @@
 def _correct_clocks(
     events: Sequence[Event], causes: Mapping[int, int]
 ) -> dict[str, Millis]:
-    """Estimate what to add to each process's clock, from message pairs."""
+    """Estimate the correction of each process's clock from message pairs."""
     delays: dict[tuple[str, str], Millis] = {}
     for received, sent in causes.items():
         pair = (events[sent].process, events[received].process)
         delay = events[received].at - events[sent].at
         delays[pair] = min(delay, delays.get(pair, delay))
     neighbours: dict[str, set[str]] = defaultdict(set)
-    for one, other in delays:
-        neighbours[one].add(other)
-        neighbours[other].add(one)
+    for sender, receiver in delays:
+        neighbours[sender].add(receiver)
+        neighbours[receiver].add(sender)
     corrections: dict[str, Millis] = {}
     for start in dict.fromkeys(event.process for event in events):
-        _spread_correction(start, neighbours, delays, corrections)
+        _propagate_correction(start, neighbours, delays, corrections)
     return corrections
 
 
-def _spread_correction(
+def _propagate_correction(
     start: str,
     neighbours: Mapping[str, set[str]],
     delays: Mapping[tuple[str, str], Millis],
@@ -156,25 +156,25 @@
     corrections[start] = 0.0
     queue = deque([start])
     while queue:
-        one = queue.popleft()
-        for other in sorted(neighbours.get(one, ())):
+        process = queue.popleft()
+        for other in sorted(neighbours.get(process, ())):
             if other not in corrections:
-                skew = _estimate_skew(one, other, delays)
-                corrections[other] = corrections[one] - skew
+                skew = _estimate_skew(process, other, delays)
+                corrections[other] = corrections[process] - skew
                 queue.append(other)
 
 
 def _estimate_skew(
-    one: str, other: str, delays: Mapping[tuple[str, str], Millis]
+    process: str, other: str, delays: Mapping[tuple[str, str], Millis]
 ) -> Millis:
-    """Return how far the other's clock is ahead, from the least delays."""
-    there = delays.get((one, other))
-    back = delays.get((other, one))
-    if there is not None and back is not None:
-        return (there - back) / 2
-    if there is not None:
-        return min(there, 0.0)
-    return -min(back or 0.0, 0.0)
+    """Return how far the other's clock is ahead, from the minimum delays."""
+    forward = delays.get((process, other))
+    backward = delays.get((other, process))
+    if forward is not None and backward is not None:
+        return (forward - backward) / 2
+    if forward is not None:
+        return min(forward, 0.0)
+    return -min(backward or 0.0, 0.0)
 
 
 def _merge(
@@ -184,51 +184,55 @@
     corrections: Mapping[str, Millis],
 ) -> list[Ordered]:
     followers: dict[int, list[int]] = defaultdict(list)
-    waits = [0] * len(events)
+    pending = [0] * len(events)
     position = 0
     for lane in lanes:
         for index in range(position + 1, position + len(lane)):
             followers[index - 1].append(index)
-            waits[index] += 1
+            pending[index] += 1
         position += len(lane)
     for received, sent in causes.items():
         followers[sent].append(received)
-        waits[received] += 1
+        pending[received] += 1
     times = [event.at + corrections[event.process] for event in events]
     ready = [
-        (times[index], index) for index, count in enumerate(waits) if not count
+        (times[index], index)
+        for index, count in enumerate(pending)
+        if not count
     ]
     heapq.heapify(ready)
-    return _drain_ready(ready, events, causes, followers, waits, times)
+    return _order_ready(ready, events, causes, followers, pending, times)
 
 
-def _drain_ready(
+def _order_ready(
     ready: list[tuple[Millis, int]],
     events: Sequence[Event],
     causes: Mapping[int, int],
     followers: Mapping[int, list[int]],
-    waits: list[int],
+    pending: list[int],
     times: list[Millis],
 ) -> list[Ordered]:
-    placed: dict[int, int] = {}
+    positions: dict[int, int] = {}
     ordered: list[Ordered] = []
     while ready:
         at, index = heapq.heappop(ready)
         cause = causes.get(index)
         ordered.append(
-            Ordered(events[index], at, None if cause is None else placed[cause])
+            Ordered(
+                events[index], at, None if cause is None else positions[cause]
+            )
         )
-        placed[index] = len(ordered) - 1
+        positions[index] = len(ordered) - 1
         for follower in followers.get(index, ()):
             times[follower] = max(times[follower], at)
-            waits[follower] -= 1
-            if not waits[follower]:
+            pending[follower] -= 1
+            if not pending[follower]:
                 heapq.heappush(ready, (times[follower], follower))
     return ordered
 
 
 def _strip_prefix(line: str) -> str:
-    """Drop what a collector of logs put before a line of ours."""
+    """Remove the prefix that a log collector put before a line."""
     _, mark, rest = line.partition(_LINE_START)
     if not mark or line.startswith(_LINE_START.strip()):
         return line
--- a/src/oleanderdyke/ctl/exits.py
+++ b/src/oleanderdyke/ctl/exits.py
@@ -1,4 +1,4 @@
-"""List the exit codes of oleanderctl and what leads to each."""
+"""Exit codes of oleanderctl and their meanings."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """Name an exit code; scripts rely on the numbers."""
+    """Exit codes; scripts rely on the numbers."""
 
     OK = 0
     FAILED = 1
@@ -52,5 +52,5 @@
 
 
 def find_exit_code(error: OleanderError) -> ExitCode:
-    """Return the exit code of an error."""
+    """Return the exit code for the kind of an error."""
     return _BY_KIND.get(error.kind, ExitCode.FAILED)
--- a/src/oleanderdyke/ctl/files.py
+++ b/src/oleanderdyke/ctl/files.py
@@ -1,4 +1,4 @@
-"""Read objects from YAML files and report every fault at once."""
+"""Load objects from YAML files, reporting all faults together."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """Hold one object of a file and where it stands.
+    """Hold one object of a file.
 
-    `generation` is the one that the object is expected to have, None for the
-    present one.
+    `place` is its file and line. `generation` is the generation that the stored
+    object must have, None for any.
     """
 
     kind: ObjectKind
@@ -52,7 +52,7 @@
 
 
 def load_documents(paths: Sequence[str]) -> tuple[Document, ...]:
-    """Read every file; raise SettingsError with all the faults of all."""
+    """Load all files; raise SettingsError with the faults of all of them."""
     faults: list[str] = []
     documents: list[Document] = []
     for path in paths:
@@ -61,7 +61,7 @@
                 documents.append(_load(path, node))
             except SettingsError as error:
                 faults += error.faults
-    faults += _find_shared_names(documents)
+    faults += _find_duplicate_names(documents)
     faults += _find_shared_tokens(documents)
     if faults:
         raise SettingsError(tuple(faults))
@@ -69,7 +69,7 @@
 
 
 def _compose(path: str, faults: list[str]) -> tuple[yaml.Node, ...]:
-    source = _name(path)
+    source = _name_source(path)
     try:
         nodes = tuple(yaml.compose_all(_read(path), Loader=_LOADER))
     except (OSError, UnicodeDecodeError) as error:
@@ -87,7 +87,7 @@
     return Path(path).read_text(encoding='utf-8')
 
 
-def _name(path: str) -> str:
+def _name_source(path: str) -> str:
     return 'standard input' if path == STANDARD_INPUT else path
 
 
@@ -98,7 +98,7 @@
 
 
 def _load(path: str, node: yaml.Node) -> Document:
-    source = _name(path)
+    source = _name_source(path)
     line = node.start_mark.line + 1
     raw = _construct(source, node)
     head = structure_document(raw, _Head, source=source, node=node)
@@ -157,7 +157,7 @@
         yield f'{source}:{line}: {".".join(path)}: {text}'
 
 
-def _find_shared_names(documents: Iterable[Document]) -> Iterator[str]:
+def _find_duplicate_names(documents: Iterable[Document]) -> Iterator[str]:
     seen: dict[tuple[ObjectKind, str], str] = {}
     for item in documents:
         former = seen.setdefault((item.kind, item.name), item.place)
--- a/src/oleanderdyke/ctl/main.py
+++ b/src/oleanderdyke/ctl/main.py
@@ -1,4 +1,4 @@
-"""Read the command line of oleanderctl."""
+"""Command line of oleanderctl."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 TOKEN_VARIABLE = 'OLEANDER_TOKEN'
 ENTRY_VARIABLE = 'OLEANDER_ENTRY'
 _DEFAULT_ENTRY = 'http://127.0.0.1:8080'
-_MISSED = 5
+_DEFAULT_MISSED = 5
 _TIMELINE = 'timeline'
 _TIMELINE_MODULE = 'oleanderdyke.ctl.timeline'
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run a command; return its exit code."""
+    """Run the command line and return the exit code."""
     argv = sys.argv[1:] if arguments is None else list(arguments)
     if argv[:1] == [_TIMELINE]:
         return _run_timeline(argv[1:])
@@ -41,10 +41,10 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Build the parser of the whole command line."""
+    """Return the parser of all commands."""
     parser = argparse.ArgumentParser(
         prog='oleanderctl',
-        description='Publish configuration and see what is in force.',
+        description='Publish configuration and show what is in force.',
         epilog=_explain_exits(),
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -100,7 +100,7 @@
     try:
         return path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
-        fault = f'--token-file: {path} cannot be read'
+        fault = f'--token-file: {path} cannot be read: {type(error).__name__}'
         raise OleanderError(ErrorKind.BAD_REQUEST, fault) from error
 
 
@@ -111,13 +111,17 @@
 def _add_publishing(
     commands: _Commands[argparse.ArgumentParser],
 ) -> None:
-    parser = commands.add_parser('check', help='check files, ask no entry')
+    parser = commands.add_parser(
+        'check', help='validate files without contacting an entry'
+    )
     _add_files(parser)
-    parser = commands.add_parser('apply', help='publish what files hold')
+    parser = commands.add_parser('apply', help='publish the objects of files')
     _add_files(parser)
     _add_wait(parser)
     _add_common(parser)
-    parser = commands.add_parser('diff', help='show what apply would change')
+    parser = commands.add_parser(
+        'diff', help='show the changes that apply would make'
+    )
     _add_files(parser)
     _add_common(parser)
     parser = commands.add_parser('delete', help='delete an object')
@@ -136,13 +140,18 @@
     _add_kind(parser)
     parser.add_argument('name', nargs='?', default='', help='one object')
     parser.add_argument(
-        '-l', '--selector', default='', help='labels, such as region=north'
+        '-l',
+        '--selector',
+        default='',
+        help='labels to match, such as region=north',
     )
     _add_common(parser)
     parser = commands.add_parser('describe', help='show an object in full')
     _add_object(parser)
     _add_common(parser)
-    parser = commands.add_parser('history', help='show changes of an object')
+    parser = commands.add_parser(
+        'history', help='show recent changes of an object'
+    )
     _add_object(parser)
     _add_common(parser)
 
@@ -150,21 +159,25 @@
 def _add_watching(
     commands: _Commands[argparse.ArgumentParser],
 ) -> None:
-    parser = commands.add_parser('watch', help='print changes as they come')
+    parser = commands.add_parser('watch', help='print changes as they are made')
     parser.add_argument('--after', type=int, help='begin after this offset')
-    parser.add_argument('--count', type=int, help='end after so many changes')
+    parser.add_argument(
+        '--count', type=int, help='stop after this number of changes'
+    )
     _add_common(parser)
     parser = commands.add_parser('status', help='show processes and targets')
     parser.add_argument('--service', help='show this service only')
     parser.add_argument(
         '--missed',
         type=int,
-        default=_MISSED,
+        default=_DEFAULT_MISSED,
         metavar='COUNT',
-        help='show so many requests that missed each target, at most 50',
+        help='number of missed requests to show for each target, at most 50',
     )
     _add_common(parser)
-    parser = commands.add_parser('drain', help='ask an agent to leave')
+    parser = commands.add_parser(
+        'drain', help='request an agent to drain and leave'
+    )
     parser.add_argument('agent', help='process name of the agent')
     _add_common(parser)
 
@@ -174,16 +187,18 @@
         '--entry',
         action='append',
         metavar='URL',
-        help=f'an entry, repeatable; or {ENTRY_VARIABLE}, separated by commas',
+        help=f'an entry, repeatable; default: {ENTRY_VARIABLE}, with commas',
     )
     parser.add_argument(
         '--token-file',
         type=Path,
         metavar='FILE',
-        help=f'file with the token; else {TOKEN_VARIABLE}',
+        help=f'file with the token; default: {TOKEN_VARIABLE}',
     )
     parser.add_argument(
-        '--ca-file', metavar='FILE', help='authorities for https entries'
+        '--ca-file',
+        metavar='FILE',
+        help='certificate authorities for https entries',
     )
     parser.add_argument(
         '-o',
@@ -203,20 +218,22 @@
         action='append',
         required=True,
         metavar='FILE',
-        help='YAML documents, repeatable; - is the standard input',
+        help='file of YAML documents, repeatable; - is the standard input',
     )
 
 
 def _add_wait(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
-        '--wait', action='store_true', help='until in force everywhere'
+        '--wait',
+        action='store_true',
+        help='wait until the change is in force in every process',
     )
     parser.add_argument(
         '--timeout',
         type=float,
         default=30.0,
         metavar='SECONDS',
-        help='how long --wait waits',
+        help='time limit of --wait',
     )
 
 
--- a/src/oleanderdyke/ctl/output.py
+++ b/src/oleanderdyke/ctl/output.py
@@ -1,4 +1,4 @@
-"""Print tables, JSON and YAML that fit a terminal."""
+"""Output of tables, JSON and YAML to a terminal."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 from oleanderdyke.clock import SECOND, Millis
 
-_GAP = '  '
-_CUT = '…'
-_WIDE = 10_000
-_NARROWEST = 8
+_COLUMN_GAP = '  '
+_ELLIPSIS = '…'
+_UNLIMITED_WIDTH = 10_000
+_MIN_COLUMN_WIDTH = 8
 
 
 class Format(enum.StrEnum):
-    """Name a form of output."""
+    """Output formats of a command."""
 
     TABLE = 'table'
     JSON = 'json'
@@ -29,7 +29,7 @@
 
 
 def show(line: str = '') -> None:
-    """Print one line of the result."""
+    """Write one line to the standard output."""
     sys.stdout.write(line + '\n')
 
 
@@ -42,7 +42,7 @@
 
 
 def make_yaml(document: Any) -> str:
-    """Return YAML in the order of the keys; lists become documents."""
+    """Return YAML that keeps the order of keys; list items become documents."""
     if isinstance(document, list):
         return yaml.safe_dump_all(
             document, sort_keys=False, allow_unicode=True, explicit_start=True
@@ -51,43 +51,45 @@
 
 
 def show_table(titles: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
-    """Print columns; a terminal's width cuts the widest ones."""
+    """Print a table, cutting the widest columns to a terminal's width."""
     table = [
         list(titles),
         *([_show_cell(cell) for cell in row] for row in rows),
     ]
     widths = [max(map(len, column)) for column in zip(*table, strict=True)]
-    _shrink(widths, _find_width() - len(_GAP) * (len(widths) - 1))
+    _shrink(
+        widths, _get_terminal_width() - len(_COLUMN_GAP) * (len(widths) - 1)
+    )
     for row in table:
         cells = (
-            _cut(cell, width).ljust(width)
+            _truncate(cell, width).ljust(width)
             for cell, width in zip(row, widths, strict=True)
         )
-        show(_GAP.join(cells).rstrip())
+        show(_COLUMN_GAP.join(cells).rstrip())
 
 
 def show_time(wall: Millis) -> str:
-    """Return a wall time in UTC."""
+    """Return a wall-clock time in UTC as ISO 8601."""
     moment = dt.datetime.fromtimestamp(wall / SECOND, tz=dt.UTC)
     return moment.strftime('%Y-%m-%dT%H:%M:%SZ')
 
 
 class Progress:
-    """Rewrite one line on stderr, only where that is a terminal."""
+    """Show progress in one line on stderr, only if that is a terminal."""
 
     def __init__(self) -> None:
         self._shown = False
         self._active = sys.stderr.isatty()
 
     def show(self, text: str) -> None:
-        """Replace the line."""
+        """Replace the text of the line."""
         if self._active:
             sys.stderr.write(f'\r\x1b[K{text}')
             sys.stderr.flush()
             self._shown = True
 
     def end(self) -> None:
-        """Leave the line as it is."""
+        """Finish the line, if one was shown."""
         if self._shown:
             sys.stderr.write('\n')
             self._shown = False
@@ -95,27 +97,27 @@
 
 def _show_cell(cell: object) -> str:
     if isinstance(cell, dict):
-        return ','.join(f'{key}={found}' for key, found in cell.items())
+        return ','.join(f'{key}={value}' for key, value in cell.items())
     if isinstance(cell, float):
         return f'{cell:g}'
-    return ''.join(_show_visibly(str(cell)))
+    return ''.join(_replace_unprintable(str(cell)))
 
 
-def _show_visibly(text: str) -> Iterator[str]:
+def _replace_unprintable(text: str) -> Iterator[str]:
     for character in text:
         yield character if character.isprintable() else '?'
 
 
-def _find_width() -> int:
+def _get_terminal_width() -> int:
     if not sys.stdout.isatty():
-        return _WIDE
+        return _UNLIMITED_WIDTH
     return shutil.get_terminal_size().columns
 
 
-def _shrink(widths: list[int], room: int) -> None:
-    while sum(widths) > room and max(widths) > _NARROWEST:
+def _shrink(widths: list[int], available: int) -> None:
+    while sum(widths) > available and max(widths) > _MIN_COLUMN_WIDTH:
         widths[widths.index(max(widths))] -= 1
 
 
-def _cut(cell: str, width: int) -> str:
-    return cell if len(cell) <= width else cell[: width - 1] + _CUT
+def _truncate(cell: str, width: int) -> str:
+    return cell if len(cell) <= width else cell[: width - 1] + _ELLIPSIS
--- a/src/oleanderdyke/ctl/publication.py
+++ b/src/oleanderdyke/ctl/publication.py
@@ -1,4 +1,4 @@
-"""Compare files with what is configured, and publish the difference."""
+"""Publication of the differences between files and stored objects."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from oleanderdyke.kernel.objects import ObjectKind
 from oleanderdyke.kernel.specs import describe_spec
 
-_BATCH = 100
-_FEW = 20
-_LONG = frozenset(('token_hashes', 'admin_token_hashes'))
+_BATCH_SIZE = 100
+_MAX_SINGLE_READS = 20
+_HIDDEN_FIELDS = frozenset(('token_hashes', 'admin_token_hashes'))
 _ABSENT: Mapping[str, Any] = {'generation': 0, 'spec': None}
 
 
 class Result(enum.StrEnum):
-    """Name what became of one object."""
+    """Results of publishing one object."""
 
     CREATED = 'created'
     CHANGED = 'changed'
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Published:
-    """Tell what became of one object; the offset is -1 if nothing did."""
+    """Hold the result for one object; `offset` is -1 if nothing was written."""
 
     kind: str
     name: str
@@ -46,13 +46,15 @@
 def find_current(
     client: Client, documents: Sequence[Document]
 ) -> dict[tuple[str, str], Any]:
-    """Return the present objects of the documents by kind and name."""
+    """Return the stored objects of the documents by kind and name."""
     counts = Counter(item.kind for item in documents)
     found: dict[tuple[str, str], Any] = {}
     for kind, count in counts.items():
         names = [item.name for item in documents if item.kind is kind]
-        few = count <= _FEW
-        objects = _get_each(client, kind, names) if few else _list(client, kind)
+        is_small = count <= _MAX_SINGLE_READS
+        objects = (
+            _get_each(client, kind, names) if is_small else _list(client, kind)
+        )
         found |= {(kind.value, item['name']): item for item in objects}
     return found
 
@@ -75,7 +77,7 @@
 def apply_documents(
     client: Client, documents: Sequence[Document]
 ) -> list[Published]:
-    """Publish what differs and tell what became of each object, in order."""
+    """Publish the documents that differ; return all results in order."""
     current = find_current(client, documents)
     changes = [
         _make_change(item, current)
@@ -87,7 +89,7 @@
         for outcome in publish_all(client, changes)
     }
     return [
-        _add_difference(client, item, _judge(item, current, outcomes))
+        _add_difference(client, item, _make_result(item, current, outcomes))
         for item in documents
     ]
 
@@ -95,13 +97,13 @@
 def publish_all(
     client: Client, changes: Sequence[Mapping[str, Any]]
 ) -> Iterator[Any]:
-    """Publish in batches and yield the outcomes."""
-    for start in range(0, len(changes), _BATCH):
-        yield from client.publish(changes[start : start + _BATCH])
+    """Publish changes in batches and yield their outcomes."""
+    for start in range(0, len(changes), _BATCH_SIZE):
+        yield from client.publish(changes[start : start + _BATCH_SIZE])
 
 
 def read_outcome(outcome: Mapping[str, Any], applied: Result) -> Published:
-    """Return an outcome as a result."""
+    """Convert an entry's outcome; `applied` is the result on success."""
     offset, result, detail = outcome['offset'], applied, ''
     if outcome['result'] != 'applied':
         invalid = outcome['reason'] == 'invalid'
@@ -153,7 +155,7 @@
     }
 
 
-def _judge(
+def _make_result(
     item: Document,
     current: Mapping[tuple[str, str], Any],
     outcomes: Mapping[tuple[str, str], Any],
@@ -170,28 +172,28 @@
 def _add_difference(
     client: Client, item: Document, result: Published
 ) -> Published:
-    """Tell the loser of a race what the winner has put there instead."""
+    """Add the differences from the stored object to a conflict's detail."""
     if result.result is not Result.CONFLICT:
         return result
     found = list(_get_each(client, item.kind, [item.name]))
-    there = found[0]['spec'] if found else {}
-    differences = ', '.join(_compare(there, describe_spec(item.spec)))
+    stored = found[0]['spec'] if found else {}
+    differences = ', '.join(_compare(stored, describe_spec(item.spec)))
     if not differences:
         return result
     return replace(result, detail=f'{result.detail}; {differences}')
 
 
 def _compare(
-    there: Mapping[str, Any], here: Mapping[str, Any]
+    stored: Mapping[str, Any], wanted: Mapping[str, Any]
 ) -> Iterator[str]:
-    for key in sorted({*there, *here}):
-        found, wanted = there.get(key), here.get(key)
-        if found == wanted:
+    for key in sorted({*stored, *wanted}):
+        found, expected = stored.get(key), wanted.get(key)
+        if found == expected:
             continue
-        if key in _LONG:
+        if key in _HIDDEN_FIELDS:
             yield f'{key} differs'
         else:
-            yield f'{key} is {_show(found)}, not {_show(wanted)}'
+            yield f'{key} is {_show(found)}, not {_show(expected)}'
 
 
 def _show(value: Any) -> str:
--- a/src/oleanderdyke/ctl/reach.py
+++ b/src/oleanderdyke/ctl/reach.py
@@ -1,4 +1,4 @@
-"""Wait until a change is in force in every process."""
+"""Propagation of a change to every process."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 from oleanderdyke.ctl.output import Progress
 from oleanderdyke.errors import ErrorKind, OleanderError
 
-_POLL = 0.1
-_NAMED = 8
+_POLL_INTERVAL_S = 0.1
+_MAX_NAMES = 8
 _DROPPED = 'dropped'
-_UNREACHED = -1
-_LATEST = -1
+_UNKNOWN_OFFSET = -1
+_LATEST_OFFSET = -1
 
 
 @dataclass(frozen=True, slots=True)
-class Spread:
-    """Hold the offset of each known process, -1 where it is not known."""
+class AppliedOffsets:
+    """Hold the applied offset of each process, -1 if unknown."""
 
     offsets: Mapping[str, int]
 
     def list_missing(self, offset: int) -> list[str]:
-        """Return the processes that lack an offset."""
+        """Return the processes that have not applied an offset."""
         return sorted(
-            name for name, has in self.offsets.items() if has < offset
+            name for name, known in self.offsets.items() if known < offset
         )
 
 
-def read_spread(client: Client) -> Spread:
-    """Ask every entry, and combine what they know of the agents."""
+def read_applied_offsets(client: Client) -> AppliedOffsets:
+    """Read the status of every entry and merge the offsets of agents."""
     offsets: dict[str, int] = {}
     for entry in client.entries:
         try:
@@ -41,36 +41,37 @@
         except OleanderError as error:
             if error.kind not in {ErrorKind.BACKEND_LOST, ErrorKind.STOPPING}:
                 raise
-            offsets[entry] = _UNREACHED
+            offsets[entry] = _UNKNOWN_OFFSET
         else:
             _add_status(offsets, status)
-    return Spread(offsets)
+    return AppliedOffsets(offsets)
 
 
 def wait_in_force(
     client: Client, offset: int, wait: Millis, clock: Clock | None = None
 ) -> int:
-    """Return how many processes have the offset; raise DEADLINE.
+    """Wait until all processes have applied an offset; return their number.
 
-    An offset of -1 stands for the highest one now.
+    An offset of -1 means the highest applied one now. Raise an OleanderError of
+    the kind DEADLINE after `wait`.
     """
     clock = clock or make_clock()
     limit = clock.now() + wait
     progress = Progress()
     try:
         while True:
-            spread = read_spread(client)
-            if offset == _LATEST:
-                offset = max(spread.offsets.values())
-            missing = spread.list_missing(offset)
-            count = len(spread.offsets)
-            have = count - len(missing)
-            progress.show(f'in force in {have} of {count} processes')
+            applied = read_applied_offsets(client)
+            if offset == _LATEST_OFFSET:
+                offset = max(applied.offsets.values())
+            missing = applied.list_missing(offset)
+            count = len(applied.offsets)
+            applied_count = count - len(missing)
+            progress.show(f'in force in {applied_count} of {count} processes')
             if not missing:
                 return count
             if clock.now() >= limit:
-                raise _make_late(have, count, missing)
-            time.sleep(_POLL)
+                raise _make_deadline_error(applied_count, count, missing)
+            time.sleep(_POLL_INTERVAL_S)
     finally:
         progress.end()
 
@@ -79,16 +80,18 @@
     offsets[status['process']] = status['offset']
     for agent in status['agents']:
         if agent['condition'] != _DROPPED:
-            known = offsets.get(agent['agent'], _UNREACHED)
+            known = offsets.get(agent['agent'], _UNKNOWN_OFFSET)
             offsets[agent['agent']] = max(known, agent['offset'])
 
 
-def _make_late(have: int, count: int, missing: list[str]) -> OleanderError:
-    rest = len(missing) - _NAMED
-    names = ', '.join(missing[:_NAMED])
+def _make_deadline_error(
+    applied_count: int, count: int, missing: list[str]
+) -> OleanderError:
+    rest = len(missing) - _MAX_NAMES
+    names = ', '.join(missing[:_MAX_NAMES])
     more = f' and {rest} more' if rest > 0 else ''
     return OleanderError(
         ErrorKind.DEADLINE,
-        f'accepted, but in force in {have} of {count} processes only; '
+        f'accepted, but in force in {applied_count} of {count} processes only; '
         f'without it: {names}{more}',
     )
--- a/src/oleanderdyke/ctl/services.py
+++ b/src/oleanderdyke/ctl/services.py
@@ -1,4 +1,4 @@
-"""Add up what several entries tell of each service."""
+"""Aggregation of the service statistics of several entries."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Quantiles:
-    """Hold the times that 50, 95 and 99 in 100 don't exceed."""
+    """Hold the 50th, 95th and 99th percentile of a time."""
 
     half: Millis
     most: Millis
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetSummary:
-    """Compare one target with the requests of the last hour."""
+    """Hold the result of one target over the last hour."""
 
     target: str
     limit: float
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MissedRequest:
-    """Name a request that missed a target, and the entry that served it."""
+    """Hold a request that missed a target, and the entry that served it."""
 
     entry: str
     request: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSummary:
-    """Hold what all asked entries know of one service."""
+    """Hold the merged statistics of one service."""
 
     service: str
     kind: str
@@ -73,23 +73,26 @@
 ) -> list[ServiceSummary]:
     """Merge the services of several entries by name.
 
-    Of the requests that missed a target the last ones are kept, so many of
-    each target as `missed` says.
+    For each target, the last `missed` requests that missed it are included.
     """
     parts: dict[str, list[Status]] = {}
     for status in statuses:
         for service in status['services']:
             part = {**service, 'entry': status['process']}
             parts.setdefault(service['service'], []).append(part)
-    return [_merge(name, parts[name], missed) for name in sorted(parts)]
+    return [_merge_service(name, parts[name], missed) for name in sorted(parts)]
 
 
-def _merge(name: str, parts: Sequence[Status], count: int) -> ServiceSummary:
+def _merge_service(
+    name: str, parts: Sequence[Status], count: int
+) -> ServiceSummary:
     refusals: Counter[str] = Counter()
     for part in parts:
         refusals.update(part['refusals'])
-    prompt, recomputed = _add(parts, 'prompt_tokens', 'recomputed_tokens')
-    requests, link_bytes, missed = _add(
+    prompt, recomputed = _sum_fields(
+        parts, 'prompt_tokens', 'recomputed_tokens'
+    )
+    requests, link_bytes, missed = _sum_fields(
         parts, 'requests', 'link_bytes', 'missed'
     )
     return ServiceSummary(
@@ -107,9 +110,9 @@
     )
 
 
-def _add(parts: Iterable[Status], *names: str) -> tuple[int, ...]:
-    kept = tuple(parts)
-    return tuple(sum(part[name] for part in kept) for name in names)
+def _sum_fields(parts: Iterable[Status], *names: str) -> tuple[int, ...]:
+    listed = tuple(parts)
+    return tuple(sum(part[name] for part in listed) for name in names)
 
 
 def _read_quantiles(parts: Iterable[Status], timing: Timing) -> Quantiles:
@@ -130,7 +133,7 @@
 
 def _merge_target(name: str, group: Sequence[Status]) -> TargetSummary:
     counts = TargetCounts(
-        *_add(
+        *_sum_fields(
             [standing['counts'] for standing in group],
             'judged',
             'missed',
@@ -138,7 +141,7 @@
             'recomputed_tokens',
         )
     )
-    # An entry that lags behind may still know an older limit.
+    # Entries that lag behind may report an older limit; the first one is shown.
     limit = group[0]['limit']
     met = is_met(Target(name), limit, counts)
     return TargetSummary(name, limit, counts, met)
--- a/src/oleanderdyke/ctl/status_views.py
+++ b/src/oleanderdyke/ctl/status_views.py
@@ -1,4 +1,4 @@
-"""Show processes, services and missed targets as tables."""
+"""Tables of processes, services and missed targets."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 )
 from oleanderdyke.kernel.targets import REQUIRED_SHARE, Target
 
-Shown: TypeAlias = Mapping[str, Any]
+JsonObject: TypeAlias = Mapping[str, Any]
 
 _DASH = '-'
 _MODEL = 'model'
 
 
-def show_processes(statuses: Sequence[Shown]) -> None:
-    """Print entries and the agents they know."""
+def show_processes(statuses: Sequence[JsonObject]) -> None:
+    """Print entries and their agents."""
     reached = [item for item in statuses if item['reached']]
     show_table(
         ('ENTRY', 'PROCESS', 'READY', 'OFFSET', 'AGENTS', 'REASON'),
@@ -45,7 +45,7 @@
 
 
 def show_services(services: Sequence[ServiceSummary]) -> None:
-    """Print what services got, what they owe, and who missed it."""
+    """Print the statistics, targets and missed requests of services."""
     show_table(
         (
             'SERVICE',
@@ -86,7 +86,7 @@
         )
 
 
-def _make_entry_row(item: Shown) -> Iterator[object]:
+def _make_entry_row(item: JsonObject) -> Iterator[object]:
     yield item['entry']
     if not item['reached']:
         yield from (_DASH, 'unreachable', _DASH, _DASH, item['reason'])
@@ -98,9 +98,9 @@
     yield item['reason']
 
 
-def _merge_agents(statuses: Iterable[Shown]) -> list[Shown]:
-    """Return each agent once, as the entry that heard it last knows it."""
-    latest: dict[str, Shown] = {}
+def _merge_agents(statuses: Iterable[JsonObject]) -> list[JsonObject]:
+    """Return each agent once, from the entry with the latest heartbeat."""
+    latest: dict[str, JsonObject] = {}
     for item in statuses:
         for agent in item['agents']:
             known = latest.get(agent['agent'], agent)
@@ -109,7 +109,7 @@
     return [latest[name] for name in sorted(latest)]
 
 
-def _make_agent_row(agent: Shown) -> tuple[object, ...]:
+def _make_agent_row(agent: JsonObject) -> tuple[object, ...]:
     weights = f'{agent["model"]} {agent["weight_version"]}'.strip()
     return (
         agent['agent'],
@@ -139,25 +139,32 @@
 
 def _make_target_row(service: str, item: TargetSummary) -> tuple[object, ...]:
     counts = item.counts
-    owed = _show_amount(item.target, item.limit)
+    limit = _show_amount(item.target, item.limit)
     if item.target == Target.RECOMPUTED_SHARE:
         share = counts.recomputed_tokens / max(counts.prompt_tokens, 1)
-        got, owed = f'{share:.1%} of tokens', f'{owed} of tokens'
+        measured, limit = f'{share:.1%} of tokens', f'{limit} of tokens'
     else:
         share = (counts.judged - counts.missed) / max(counts.judged, 1)
-        got = f'{share:.1%} in target' if counts.judged else _DASH
-        owed = f'{owed} for {REQUIRED_SHARE:.0%}'
+        measured = f'{share:.1%} in target' if counts.judged else _DASH
+        limit = f'{limit} for {REQUIRED_SHARE:.0%}'
     by = f'{counts.missed} of {counts.judged}'
-    return service, item.target, owed, got, by, 'met' if item.met else 'MISSED'
+    return (
+        service,
+        item.target,
+        limit,
+        measured,
+        by,
+        'met' if item.met else 'MISSED',
+    )
 
 
 def _make_missed_row(service: str, item: MissedRequest) -> tuple[object, ...]:
-    got = _show_amount(item.target, item.value)
+    value = _show_amount(item.target, item.value)
     return (
         service,
         item.target,
         item.request,
-        f'{item.refused} after {got}' if item.refused else got,
+        f'{item.refused} after {value}' if item.refused else value,
         _show_amount(item.target, item.limit),
         show_time(item.at),
         item.entry,
--- a/src/oleanderdyke/ctl/timeline.py
+++ b/src/oleanderdyke/ctl/timeline.py
@@ -1,4 +1,4 @@
-"""Show the logs of many processes as one time line."""
+"""Command that merges the logs of many processes into one timeline."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Build the parser of the command's options."""
+    """Return the parser of the command's options."""
     parser = argparse.ArgumentParser(
         prog='oleanderctl timeline',
         description='Merge the logs of many processes into one order in which'
@@ -41,16 +41,19 @@
         '--format',
         choices=('text', 'jsonl', 'html'),
         default='text',
-        help='text by default; html is one page to look at in a browser',
+        help='default: text; html is one page for a browser',
     )
     parser.add_argument(
-        '--output', '-O', type=Path, help='file to write, else standard output'
+        '--output',
+        '-O',
+        type=Path,
+        help='file to write; default: standard output',
     )
     return parser
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run the command; return its exit code."""
+    """Run the command and return its exit code."""
     options = make_parser().parse_args(argv)
     try:
         ordered = order_files(options.files)
@@ -118,7 +121,7 @@
 
 
 def _renumber(ordered: Sequence[Ordered], kept: list[int]) -> list[Ordered]:
-    """Point each cause at its place among the kept events, if it is there."""
+    """Convert the index of each cause to that among the kept events."""
     places = {index: place for place, index in enumerate(kept)}
     return [
         Ordered(
@@ -134,7 +137,7 @@
     return -1 if item.cause is None else item.cause
 
 
-def _own_pairs(item: Ordered) -> dict[str, str]:
+def _select_pairs(item: Ordered) -> dict[str, str]:
     return {
         key: text
         for key, text in item.event.pairs.items()
@@ -145,8 +148,8 @@
 def _render_text(item: Ordered) -> str:
     moment = datetime.fromtimestamp(item.at / _MILLIS_PER_SECOND, UTC)
     time = moment.strftime('%H:%M:%S.%f')[:-3]
-    own = format_line(_own_pairs(item))
-    return f'{time} {item.event.process:<24} {item.event.name:<22} {own}'
+    pairs = format_line(_select_pairs(item))
+    return f'{time} {item.event.process:<24} {item.event.name:<22} {pairs}'
 
 
 def _render_json(item: Ordered) -> str:
@@ -158,7 +161,7 @@
 def _render_page(ordered: Sequence[Ordered]) -> str:
     page = resources.files(__package__).joinpath(_PAGE)
     rows = ',\n'.join(_render_rows(ordered))
-    # A closing tag within the data would end the script element early.
+    # A closing tag in the data would end the script element early.
     rows = rows.replace('</', '<\\/')
     return page.read_text(encoding='utf-8').replace(_DATA_MARK, f'[{rows}]')
 
@@ -170,6 +173,6 @@
             item.event.process,
             item.event.name,
             _read_cause(item),
-            format_line(_own_pairs(item)),
+            format_line(_select_pairs(item)),
         ]
         yield json.dumps(row, separators=(',', ':'))
--- a/src/oleanderdyke/ctl/views.py
+++ b/src/oleanderdyke/ctl/views.py
@@ -1,4 +1,4 @@
-"""Show objects and changes as tables."""
+"""Tables of objects and changes."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
     show_time,
 )
 
-Shown: TypeAlias = Mapping[str, Any]
+JsonObject: TypeAlias = Mapping[str, Any]
 
 
-def show_objects(objects: Iterable[Shown]) -> None:
+def show_objects(objects: Iterable[JsonObject]) -> None:
     """Print objects as a table."""
     rows = [
         (
@@ -31,8 +31,8 @@
     show_table(('OBJECT', 'GENERATION', 'LABELS', 'SPEC'), rows)
 
 
-def show_outcomes(outcomes: Sequence[Shown]) -> None:
-    """Print changes and lost races as a table."""
+def show_outcomes(outcomes: Sequence[JsonObject]) -> None:
+    """Print changes and rejected changes as a table."""
     rows = [tuple(_make_cells(item)) for item in outcomes]
     show_table(
         ('AT', 'OFFSET', 'OBJECT', 'RESULT', 'GENERATION', 'OPERATOR', 'NOTE'),
@@ -40,8 +40,8 @@
     )
 
 
-def show_outcome_line(outcome: Shown, form: Format) -> None:
-    """Print one change on one line, or as one document."""
+def show_outcome_line(outcome: JsonObject, form: Format) -> None:
+    """Print one change as one line or one document."""
     if form is Format.JSON:
         show(json.dumps(outcome, ensure_ascii=False))
     elif form is Format.YAML:
@@ -50,11 +50,11 @@
         show('  '.join(str(cell) for cell in _make_cells(outcome)).rstrip())
 
 
-def _summarise(spec: Shown) -> str:
+def _summarise(spec: JsonObject) -> str:
     hidden = {'labels', 'token_hashes', 'admin_token_hashes'}
     parts = [
-        f'{name}={_shorten(found)}'
-        for name, found in spec.items()
+        f'{name}={_format_value(value)}'
+        for name, value in spec.items()
         if name not in hidden
     ]
     tokens = len(spec.get('token_hashes', ()))
@@ -63,16 +63,16 @@
     return ' '.join(parts)
 
 
-def _shorten(found: object) -> str:
-    if isinstance(found, dict):
-        pairs = ','.join(f'{key}={inner}' for key, inner in found.items())
+def _format_value(value: object) -> str:
+    if isinstance(value, dict):
+        pairs = ','.join(f'{key}={inner}' for key, inner in value.items())
         return f'{{{pairs}}}'
-    if isinstance(found, list):
-        return ','.join(map(str, found))
-    return str(found)
+    if isinstance(value, list):
+        return ','.join(map(str, value))
+    return str(value)
 
 
-def _make_cells(outcome: Shown) -> Iterator[object]:
+def _make_cells(outcome: JsonObject) -> Iterator[object]:
     lost = outcome['result'] == 'lost'
     yield show_time(outcome['at'])
     yield outcome['offset']
