--- a/tests/test_answer_heads.py
+++ b/tests/test_answer_heads.py
@@ -1,4 +1,4 @@
-"""Heads of answers of backend servers are decoded."""
+"""Decoding of the heads of backend servers' answers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from oleanderdyke.platform.requests import decode_answer
 
 
-def test_the_facts_of_an_answer_are_decoded():
+def test_the_fields_of_an_answer_head_are_decoded():
     found = decode_answer(
         200,
         (
@@ -30,15 +30,15 @@
     assert found.idle_timeout == 7_000
 
 
-# Servers that share their machines tell a fourth figure; their load was taken
-# for malformed, and they looked as idle as those that tell none.
+# Servers on a shared machine send a fourth number. If that made their load
+# malformed, they would look as idle as servers that send none.
 def test_the_load_of_a_server_that_shares_its_machine_is_decoded():
     found = decode_answer(200, ((names.LOAD, '3,1,8,140'),))
     assert found.load == ServerLoad(3, 1, 8)
 
 
 @pytest.mark.parametrize('text', ['3,1', '3,1,x', '3,1,8,2,9', ''])
-def test_what_is_no_load_is_left_out(text):
+def test_a_malformed_load_is_ignored(text):
     assert decode_answer(200, ((names.LOAD, text),)).load is None
 
 
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize('text', ['', 'few', '-1', 'nan', 'inf', '9' * 400])
-def test_a_rate_limit_that_cannot_be_read_is_told_apart_from_none(text):
+def test_a_malformed_rate_limit_differs_from_a_missing_one(text):
     found = decode_answer(200, ((names.RATE_LIMIT, text),))
     assert found.rate_limit is None
     (malformed,) = found.malformed
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize(
     ('text', 'is_leaving'), [('1', True), ('yes', True), ('0', False)]
 )
-def test_a_server_that_may_leave_is_taken_to_leave(text, is_leaving):
+def test_a_server_counts_as_leaving_on_any_value_but_zero(text, is_leaving):
     found = decode_answer(200, ((names.LEAVING, text),))
     assert found.is_leaving is is_leaving
     assert not decode_answer(200, ()).is_leaving
@@ -78,7 +78,7 @@
     assert (found.retry_after, found.malformed) == (pause, ())
 
 
-def test_a_date_does_not_tell_when_to_retry():
+def test_a_date_in_retry_after_is_malformed():
     text = 'Thu, 03 Dec 2026 12:00:00 GMT'
     found = decode_answer(503, (('retry-after', text),))
     assert found.retry_after is None
@@ -95,5 +95,5 @@
         (429, (), False),
     ],
 )
-def test_only_a_promise_counts_as_not_run(status, headers, is_not_executed):
+def test_only_a_guarantee_counts_as_not_run(status, headers, is_not_executed):
     assert decode_answer(status, headers).is_not_executed is is_not_executed
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -16,7 +16,7 @@
 from tests.deployment import EXAMPLES, Backends, Deployment, Layout
 from tests.processes import ROOT, wait_until
 
-# One worker runs the whole file, so that one deployment serves it.
+# One worker runs the whole file, so that its tests share a deployment.
 pytestmark = pytest.mark.xdist_group('ctl')
 
 LAYOUT = Layout(
@@ -40,14 +40,14 @@
         def publish() -> bool:
             return not running.run_ctl('apply', '-f', str(first)).returncode
 
-        # An entry is not ready before anything was published.
+        # An entry is not ready before the first object was published.
         wait_until(publish, 'the first object is published')
         running.wait_ready()
         yield running
 
 
 class Terminal:
-    """Run commands in this process and keep what they print."""
+    """Run commands in this process and capture their output."""
 
     def __init__(self, capsys: pytest.CaptureFixture[str], path: Path) -> None:
         self._capsys = capsys
@@ -84,7 +84,7 @@
     return offline
 
 
-def test_apply_tells_what_became_of_each_object(terminal):
+def test_apply_shows_the_result_for_each_object(terminal):
     path = str(EXAMPLES / 'agency' / 'configuration.yaml')
     assert terminal.run('apply', '-f', path, '--wait') is ExitCode.OK
     assert re.search(r'service/taquilla +created +1', terminal.out)
@@ -96,7 +96,7 @@
     assert 'created' not in terminal.out
 
 
-def test_object_goes_through_its_whole_life(terminal):
+def test_object_is_created_changed_and_deleted(terminal):
     assert terminal.apply(TEAM) is ExitCode.OK
     changed = {**TEAM, 'spec': {'weight': 3}}
     assert terminal.run('diff', '-f', terminal.write(changed)) is (
@@ -114,7 +114,7 @@
     assert results == ['applied', 'applied', 'applied']
 
 
-def test_loser_of_a_race_learns_who_changed_what(terminal):
+def test_conflict_names_the_winner_and_the_differences(terminal):
     terminal.apply({**TEAM, 'name': 'race'})
     terminal.run('get', 'team', 'race', '-o', 'json')
     (read,) = json.loads(terminal.out)
@@ -130,7 +130,7 @@
     assert terminal.run(*stale) is ExitCode.CONFLICT
 
 
-def test_invalid_object_that_only_the_log_can_refuse_is_named(terminal):
+def test_object_refused_by_the_log_is_named(terminal):
     hashes = ['ab' * 32]
     owner = {'kind': 'team', 'name': 'owner', 'spec': {'token_hashes': hashes}}
     assert terminal.apply(owner) is ExitCode.OK
@@ -139,7 +139,9 @@
     assert hashes[0] not in terminal.out
 
 
-def test_answer_lost_after_the_append_is_settled(terminal, deployment):
+def test_outcome_is_read_after_the_answer_of_an_append_is_lost(
+    terminal, deployment
+):
     address = deployment.platform['log']
     deployment.set_faults(address, lose_answers=1)
     try:
@@ -149,7 +151,7 @@
     assert re.search(r'team/settled +created', terminal.out)
 
 
-def test_log_out_changes_nothing(terminal, deployment):
+def test_unavailable_log_changes_nothing(terminal, deployment):
     address = deployment.platform['log']
     deployment.set_faults(address, down=True)
     try:
@@ -161,7 +163,7 @@
     assert terminal.run('get', 'team', 'unwritten') is ExitCode.NOT_FOUND
 
 
-def test_entry_started_while_the_log_is_down_learns_from_agents(
+def test_entry_started_while_the_log_is_down_reads_from_agents(
     terminal, deployment, monkeypatch
 ):
     path = terminal.write({**TEAM, 'name': 'remembered'})
@@ -264,7 +266,7 @@
 """
 
 
-def test_every_fault_of_a_file_is_told_at_once_with_its_line(offline, tmp_path):
+def test_all_faults_of_a_file_are_reported_with_their_lines(offline, tmp_path):
     path = tmp_path / 'faulty.yaml'
     path.write_text(FAULTY)
     assert offline.run('check', '-f', str(path), '-f', 'none.yaml') is (
@@ -299,7 +301,7 @@
     assert offline.run('check', '-f', path) is ExitCode.OK
 
 
-def test_token_file_is_read_and_a_missing_token_is_told(
+def test_token_file_is_read_and_a_missing_token_is_reported(
     offline, tmp_path, monkeypatch
 ):
     monkeypatch.delenv('OLEANDER_TOKEN')
--- a/tests/test_decoders.py
+++ b/tests/test_decoders.py
@@ -1,4 +1,4 @@
-"""Feed every decoder of the platform's folder what nobody should write."""
+"""Fuzz every decoder of the platform package with malformed input."""
 
 from __future__ import annotations
 
@@ -50,18 +50,23 @@
     'bounds.retrySlack': '52',
 }
 EVENT = [7, '+', '1/m/', 'aa', 800, 'm']
-# Keys of another writer; good ones begin with another letter.
+# Keys of other writers; valid ones begin with another letter.
 KEYS = st.text(max_size=12).map('x{}'.format) | st.sampled_from(
     ['', ' ', 'x/y']
 )
 
-TOLD = (MalformedRecord, ContextUnavailable, StoreUnavailable, RecordsExpired)
+DECODER_ERRORS = (
+    MalformedRecord,
+    ContextUnavailable,
+    StoreUnavailable,
+    RecordsExpired,
+)
 
 each = settings(max_examples=150, derandomize=True, deadline=None)
 
 
-class Told:
-    """Count what was refused, and check that each line is bounded."""
+class Refusals:
+    """Count reported records and check that each report is bounded."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -73,26 +78,26 @@
 
 
 def read(call):
-    """Return what a decoder finds, None where it tells why it can't."""
+    """Return what a decoder returns, None if it raises one of its errors."""
     try:
         return call()
-    except (*TOLD, SettingsError) as error:
-        check_told(error)
+    except (*DECODER_ERRORS, SettingsError) as error:
+        check_error(error)
         return None
 
 
-def check_told(error) -> None:
+def check_error(error) -> None:
     assert str(error)
     assert isinstance(error, SettingsError) or len(error.message) <= 300
 
 
 def mix(broken):
-    """Draw good and broken records in any order; a good one is None."""
+    """Draw valid and malformed records in any order; a valid one is None."""
     return st.lists(st.none() | broken, max_size=12)
 
 
-def name_good(drawn, make_broken):
-    """Return keys of good records and all records in the order drawn."""
+def name_valid(drawn, make_broken):
+    """Return the keys of valid records, and all records in the order drawn."""
     good = [f'g{at}' for at, each in enumerate(drawn) if each is None]
     records = [
         (f'g{at}', None) if each is None else make_broken(each)
@@ -103,11 +108,11 @@
 
 @each
 @given(mix(st.tuples(KEYS, foreign.list_slightly_broken())))
-def test_good_servers_of_a_whole_list_are_kept_in_order(drawn):
-    good, records = name_good(drawn, tuple)
+def test_valid_servers_of_a_list_are_kept_in_order(drawn):
+    good, records = name_valid(drawn, tuple)
     items = foreign.list_items((key, value or GOOD) for key, value in records)
     client = foreign.CannedStore(foreign.make_page(items))
-    found = anyio.run(list_servers, client, Told())
+    found = anyio.run(list_servers, client, Refusals())
     assert [f.server for f in found if f.server[0] == 'g'] == good
 
 
@@ -125,14 +130,14 @@
         | foreign.FINITE
     )
 )
-def test_good_servers_are_kept_beside_items_of_any_shape(drawn):
-    good, records = name_good(drawn, lambda item: ('', item))
+def test_valid_servers_are_kept_beside_malformed_items(drawn):
+    good, records = name_valid(drawn, lambda item: ('', item))
     items = [
         item if key == '' else foreign.make_item(key, GOOD, offset)
         for offset, (key, item) in enumerate(records)
     ]
     client = foreign.CannedStore(foreign.make_page(items))
-    found = anyio.run(list_servers, client, Told())
+    found = anyio.run(list_servers, client, Refusals())
     assert [f.server for f in found if f.server[0] == 'g'] == good
 
 
@@ -145,8 +150,8 @@
         )
     )
 )
-def test_good_servers_of_a_history_are_kept_in_order(drawn):
-    good, records = name_good(drawn, lambda record: ('', record))
+def test_valid_servers_of_a_history_are_kept_in_order(drawn):
+    good, records = name_valid(drawn, lambda record: ('', record))
     history = [
         record if key == '' else foreign.make_keyed(key.encode(), GOOD)
         for key, record in records
@@ -154,26 +159,26 @@
     client = foreign.CannedStore(
         EMPTY, foreign.make_history(history), foreign.make_history([])
     )
-    told = Told()
+    refusals = Refusals()
 
     async def read():
-        feed = ServerFeed(client, told)
+        feed = ServerFeed(client, refusals)
         await feed.read()
-        news = await feed.read()
+        update = await feed.read()
         await feed.read()
-        return news
+        return update
 
-    news = anyio.run(read)
-    found = [each.server for each in news.records]
+    update = anyio.run(read)
+    found = [each.server for each in update.records]
     assert [name for name in found if name.startswith('g')] == good
-    assert not {name for name in news.removed if name in good}
+    assert not {name for name in update.removed if name in good}
     assert client.asked[-1]['from'] == len(history)
-    assert told.count <= 4
+    assert refusals.count <= 4
 
 
 @each
 @given(foreign.list_slightly_broken(), st.text(max_size=8))
-def test_a_server_is_read_with_its_types_or_refused(data, key):
+def test_a_server_is_decoded_with_its_types_or_refused(data, key):
     found = read(lambda: decode_server(key, data))
     if found is None:
         return
@@ -201,8 +206,8 @@
 
 @each
 @given(mix(st.tuples(KEYS.map('version/{}'.format), list_broken_versions())))
-def test_good_names_of_weights_are_kept_in_order(drawn):
-    good, records = name_good(drawn, tuple)
+def test_valid_versions_of_weights_are_kept_in_order(drawn):
+    good, records = name_valid(drawn, tuple)
     items = foreign.list_items(
         (key, value)
         if value is not None
@@ -210,14 +215,14 @@
         for key, value in records
     )
     client = foreign.CannedStore(foreign.make_page(items))
-    news = anyio.run(OperatorFeed(client, Told()).read)
-    found = [named.model for named in news.list_versions()]
+    update = anyio.run(OperatorFeed(client, Refusals()).read)
+    found = [named.model for named in update.list_versions()]
     assert [model for model in found if model.startswith('g')] == good
 
 
 @each
 @given(list_broken_versions())
-def test_a_name_of_weights_is_read_with_its_types_or_refused(data):
+def test_a_version_of_weights_is_decoded_with_its_types_or_refused(data):
     found = read(lambda: decode_version(data))
     if found is None:
         return
@@ -255,8 +260,8 @@
 
 @each
 @given(mix(list_broken_configurations()))
-def test_good_configurations_are_kept_in_order(drawn):
-    good, records = name_good(drawn, lambda data: ('', data))
+def test_valid_configurations_are_kept_in_order(drawn):
+    good, records = name_valid(drawn, lambda data: ('', data))
     numbered = {
         key: foreign.encode({**CONFIGURATION, 'version': 1_000 + at})
         for at, key in enumerate(good)
@@ -265,15 +270,15 @@
         ('config', numbered.get(key, data)) for key, data in records
     )
     client = foreign.CannedStore(foreign.make_page(items))
-    news = anyio.run(OperatorFeed(client, Told()).read)
-    found = [made.version for made in news.list_configurations()]
+    update = anyio.run(OperatorFeed(client, Refusals()).read)
+    found = [made.version for made in update.list_configurations()]
     kept = [version for version in found if version >= 1_000]
     assert kept == list(range(1_000, 1_000 + len(good)))
 
 
 @each
 @given(list_broken_configurations())
-def test_a_configuration_is_read_with_finite_numbers_or_refused(data):
+def test_a_configuration_is_decoded_with_finite_numbers_or_refused(data):
     found = read(lambda: decode_configuration(data))
     if found is None:
         return
@@ -285,11 +290,11 @@
 
 @each
 @given(mix(st.binary(max_size=30)))
-def test_good_notices_of_entries_are_kept_in_order(drawn):
-    good, records = name_good(drawn, lambda record: ('', record))
+def test_valid_announcements_of_entries_are_kept_in_order(drawn):
+    good, records = name_valid(drawn, lambda record: ('', record))
     history = [record if key == '' else key.encode() for key, record in records]
     client = foreign.CannedStore(foreign.make_history(history))
-    feed = EntryFeed(client, Told())
+    feed = EntryFeed(client, Refusals())
     found = anyio.run(feed.read)
     names = [entry.name for entry in found]
     assert [name for name in names if name in good] == good
@@ -313,19 +318,19 @@
         (b'', None),
     ],
 )
-def test_a_notice_of_an_entry_tells_where_it_takes_links(record, entry):
-    told = Told()
+def test_an_announcement_holds_the_address_for_links(record, entry):
+    refusals = Refusals()
     client = foreign.CannedStore(foreign.make_history([record]))
-    found = anyio.run(EntryFeed(client, told).read)
+    found = anyio.run(EntryFeed(client, refusals).read)
     assert found == (() if entry is None else (entry,))
-    assert told.count == (entry is None)
+    assert refusals.count == (entry is None)
 
 
 class CannedContexts(ContextClient):
-    """Answer a call for events with these bytes."""
+    """Client whose calls are answered with fixed bytes."""
 
-    def __init__(self, answer: bytes, told: Told) -> None:
-        super().__init__('127.0.0.1:9', told)
+    def __init__(self, answer: bytes, refusals: Refusals) -> None:
+        super().__init__('127.0.0.1:9', refusals)
         self._answer = answer
 
     async def _call(self, *_args):
@@ -350,14 +355,14 @@
 
 @each
 @given(mix(list_broken_events()))
-def test_good_events_of_a_store_are_kept_in_order(drawn):
-    good, records = name_good(drawn, lambda event: ('', event))
+def test_valid_events_of_a_context_store_are_kept_in_order(drawn):
+    good, records = name_valid(drawn, lambda event: ('', event))
     events = [
         event if key == '' else [at, '+', '1/m/', key, 800, 'm']
         for at, (key, event) in enumerate(records)
     ]
-    told = Told()
-    client = CannedContexts(make_events(events), told)
+    refusals = Refusals()
+    client = CannedContexts(make_events(events), refusals)
     found = anyio.run(client.read_events, 0)
     kept = [event for event in found.events if event.part in good]
     assert kept == [
@@ -365,7 +370,7 @@
         for at, (key, _) in enumerate(records)
         if key in good
     ]
-    assert told.count <= 4
+    assert refusals.count <= 4
     for event in found.events:
         assert type(event.tokens) is int
         assert 0 <= event.tokens < 2**53
@@ -373,11 +378,11 @@
 
 
 @pytest.mark.parametrize('sign', ['*', '', None, 7, '++'])
-def test_an_event_of_another_kind_takes_nothing_away(sign):
-    told = Told()
-    client = CannedContexts(make_events([[7, sign, *EVENT[2:]]]), told)
+def test_an_event_with_an_unknown_sign_is_skipped(sign):
+    refusals = Refusals()
+    client = CannedContexts(make_events([[7, sign, *EVENT[2:]]]), refusals)
     assert anyio.run(client.read_events, 0).events == ()
-    assert told.count == 1
+    assert refusals.count == 1
 
 
 @pytest.mark.parametrize(
@@ -398,15 +403,15 @@
         make_events([], lost='no'),
     ],
 )
-def test_an_answer_of_a_store_of_context_that_is_none_is_told(answer):
+def test_a_malformed_answer_of_a_context_store_raises_an_error(answer):
     with pytest.raises(ContextUnavailable):
-        anyio.run(CannedContexts(answer, Told()).read_events, 0)
+        anyio.run(CannedContexts(answer, Refusals()).read_events, 0)
 
 
 @each
 @given(st.binary(max_size=60) | foreign.JSON.map(foreign.encode))
-def test_any_answer_of_a_store_of_context_is_read_or_told(answer):
-    client = CannedContexts(answer, Told())
+def test_any_answer_of_a_context_store_is_decoded_or_raises_its_error(answer):
+    client = CannedContexts(answer, Refusals())
     read(lambda: anyio.run(client.read_events, 0))
 
 
@@ -415,14 +420,14 @@
     st.text(max_size=20)
     | st.sampled_from(['\u00b2/m/', '9' * 6_000 + '/m/', '/m/', '1/m'])
 )
-def test_any_salt_is_read_or_left(text):
+def test_any_salt_is_decoded_or_ignored(text):
     found = decode_salt(text)
     assert found is None or found.encode() == text
 
 
 @each
 @given(st.binary(max_size=60) | foreign.JSON.map(foreign.encode))
-def test_any_answer_of_the_store_is_read_or_told(answer):
+def test_any_answer_of_the_store_is_decoded_or_raises_its_error(answer):
     for status in (200, 410):
         client = foreign.CannedStore(answer, answer, answer, status=status)
         read(partial(anyio.run, client.append, 'ours', b'x'))
@@ -493,7 +498,7 @@
     ),
     st.text(max_size=30),
 )
-def test_any_settings_are_read_or_told(changes, line):
+def test_any_settings_are_parsed_or_raise_an_error(changes, line):
     fields = {**SETTINGS, **dict(changes)}
     text = ''.join(f'{name}={value}\n' for name, value in fields.items())
     found = read(lambda: parse_host_settings(f'{text}{line}', 'boot.conf'))
--- a/tests/test_decoders_of_loads.py
+++ b/tests/test_decoders_of_loads.py
@@ -23,40 +23,40 @@
 
 
 def read_notices(*records):
-    told = []
+    refused = []
     feed = LoadFeed(
         CannedStore(make_history(list(records))),
-        lambda name, error: told.append((name, error)),
+        lambda name, error: refused.append((name, error)),
     )
-    return anyio.run(feed.read), told
+    return anyio.run(feed.read), refused
 
 
 @given(st.binary() | JSON.map(encode))
-def test_good_notices_are_kept_beside_any_other(foreign):
-    found, told = read_notices(encode(GOOD), foreign, encode(GOOD))
+def test_valid_notices_are_kept_beside_malformed_ones(foreign):
+    found, refused = read_notices(encode(GOOD), foreign, encode(GOOD))
     assert (found[0], found[-1]) == (found[-1], found[0])
-    assert len(found) + len(told) == 3
+    assert len(found) + len(refused) == 3
 
 
 @given(st.sampled_from(sorted(GOOD)), JSON)
-def test_a_notice_with_one_strange_field_ends_no_reader(name, strange):
-    found, told = read_notices(encode(GOOD | {name: strange}), encode(GOOD))
+def test_a_notice_with_one_malformed_field_stops_no_reader(name, strange):
+    found, refused = read_notices(encode(GOOD | {name: strange}), encode(GOOD))
     assert found[-1].server == 'i-0'
-    assert len(found) + len(told) == 2
+    assert len(found) + len(refused) == 2
 
 
 @pytest.mark.parametrize('name', ['server', 'agent', 'model'])
 @pytest.mark.parametrize('strange', [1, None, True, 'x' * 100_000, ['i-0']])
-def test_a_name_is_short_text(name, strange):
-    found, told = read_notices(encode(GOOD | {name: strange}), encode(GOOD))
+def test_a_name_must_be_short_text(name, strange):
+    found, refused = read_notices(encode(GOOD | {name: strange}), encode(GOOD))
     assert len(found) == 1
-    assert len(told) == 1
+    assert len(refused) == 1
 
 
-def test_many_broken_notices_take_few_lines():
-    found, told = read_notices(*[DEEP] * 1_000, encode(GOOD))
+def test_many_malformed_notices_are_reported_in_few_lines():
+    found, refused = read_notices(*[DEEP] * 1_000, encode(GOOD))
     assert len(found) == 1
-    assert len(told) <= 4
+    assert len(refused) <= 4
 
 
 @pytest.mark.anyio
@@ -72,7 +72,7 @@
         b'[]',
     ],
 )
-async def test_a_report_that_cannot_be_read_is_an_engine_that_is_away(report):
+async def test_a_malformed_report_counts_as_an_unavailable_engine(report):
     async def answer(peer):
         peer.request.headers.setdefault('oleanderdyke-request-id', '-')
         await peer.answer(body=report)
@@ -82,8 +82,8 @@
             await EngineClient(address).read_state()
 
 
-def test_a_notice_of_an_older_process_is_read():
+def test_a_notice_of_an_older_release_is_decoded():
     old = {'server': 'i-0', 'step': 'waits'}
-    found, told = read_notices(json.dumps(old).encode())
+    found, refused = read_notices(json.dumps(old).encode())
     assert found[0].holder == 'i-0'
-    assert not told
+    assert not refused
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -1,4 +1,4 @@
-"""Check the connections that are kept open to a server."""
+"""Keep-alive connections to one server."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Script:
-    """Answer by connection: None stays silent, b'' closes."""
+    """Answer requests by connection; None never answers, b'' closes."""
 
     def __init__(self, *connections: Sequence[bytes | None]) -> None:
         self._connections = iter(connections)
@@ -70,13 +70,13 @@
 @pytest.mark.parametrize(
     'first',
     [
-        pytest.param([ANSWER, None], id='gone silent'),
+        pytest.param([ANSWER, None], id='no answer'),
         pytest.param([ANSWER, b''], id='closed by the server'),
         pytest.param([ANSWER, b'nonsense\r\n\r\n'], id='out of step'),
-        pytest.param([ANSWER + b'more'], id='said too much'),
+        pytest.param([ANSWER + b'more'], id='extra bytes'),
     ],
 )
-async def test_bad_kept_connection_costs_a_new_one(
+async def test_broken_idle_connection_is_replaced(
     first: list[bytes | None],
 ) -> None:
     script = Script(first, [ANSWER])
@@ -87,9 +87,11 @@
 
 
 @pytest.mark.parametrize(
-    'answer', [None, b'nonsense\r\n\r\n', CUT], ids=['silent', 'odd', 'cut']
+    'answer',
+    [None, b'nonsense\r\n\r\n', CUT],
+    ids=['silent', 'malformed', 'truncated'],
 )
-async def test_new_connection_that_fails_is_not_tried_again(
+async def test_failed_request_on_a_new_connection_is_not_retried(
     answer: bytes | None,
 ) -> None:
     script = Script([answer], [ANSWER])
@@ -98,11 +100,11 @@
             await ask(http)
         assert caught.value.ran is Ran.MAYBE
         assert script.opened == 1
-        # Nothing of the failed exchange is left for the next.
+        # The failed exchange must not affect the next one.
         assert await ask(http) == b'good'
 
 
-async def test_answer_left_early_ends_its_connection() -> None:
+async def test_answer_left_early_closes_its_connection() -> None:
     script = Script([CUT], [ANSWER])
     async with serving(script) as http:
         async with http.request('GET', '/kv/1') as answer:
@@ -111,7 +113,7 @@
     assert script.opened == 2
 
 
-async def test_only_so_many_connections_are_kept() -> None:
+async def test_number_of_idle_connections_is_limited() -> None:
     script = Script(*([ANSWER, ANSWER] for _ in range(6)))
     async with serving(script, KeepAliveSettings(connections=2)) as http:
         for opened in (4, 6):
--- a/tests/test_log_client.py
+++ b/tests/test_log_client.py
@@ -52,7 +52,7 @@
         assert (await client.read('other', start=0)).records == ()
 
 
-async def test_what_was_forgotten_shows_in_the_first_offset():
+async def test_first_offset_shows_which_records_have_expired():
     async with service(keep_records=2) as (_, client):
         await client.append('claims', [b'0', b'1', b'2'])
         page = await client.read('claims', start=0)
@@ -74,7 +74,7 @@
     assert [each.data for each in pages[0].records] == [b'late']
 
 
-async def test_a_long_poll_without_news_returns_an_empty_page():
+async def test_a_long_poll_without_records_returns_an_empty_page():
     async with service() as (_, client):
         page = await client.read('claims', start=0, wait=20)
         assert (page.records, page.end) == ((), 0)
@@ -86,7 +86,7 @@
     assert await fail_append(client) is Ran.NO
 
 
-async def test_a_service_that_is_out_did_not_append():
+async def test_an_unavailable_service_did_not_append():
     async with service() as (app, client):
         set_faults(app, down=True)
         assert await fail_append(client) is Ran.NO
@@ -131,7 +131,7 @@
     return client._http._address
 
 
-async def test_a_reading_failure_has_no_effect_to_doubt():
+async def test_a_failed_read_has_no_effect():
     async with service() as (app, client):
         set_faults(app, slow=20_000)
         with pytest.raises(LogUnavailable) as caught:
@@ -173,7 +173,7 @@
         ('SMTP', b''),
     ],
 )
-async def test_an_improper_answer_leaves_the_append_in_doubt(head, body):
+async def test_a_malformed_answer_leaves_the_append_in_doubt(head, body):
     async with answering(head, body) as client:
         assert await fail_append(client) is Ran.MAYBE
 
@@ -192,7 +192,7 @@
         [],
     ],
 )
-async def test_an_improper_page_is_refused_whole(page):
+async def test_a_malformed_page_is_refused(page):
     async with answering(OK, cbor2.dumps(page)) as client:
         with pytest.raises(LogUnavailable):
             await client.read('claims', start=0)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -17,7 +17,7 @@
 
 
 def read_section(title: str) -> list[dict[str, str]]:
-    """Return the pairs of each line that a section of the page shows."""
+    """Return the pairs of each log line in a section of the page."""
     text = PAGE.read_text(encoding='utf-8')
     section = text.split(f'## {title}\n')[1].split('\n## ')[0]
     shown = [line for line in section.splitlines() if '    event=' in line]
@@ -25,7 +25,7 @@
 
 
 def explain(log: Path, request: str, capsys) -> list[dict[str, str]]:
-    """Do what the page says, and return the lines of one request."""
+    """Follow the page's steps and return the log lines of one request."""
     assert main(['--request', request, str(log)]) == 0
     assert request in capsys.readouterr().out
     lines = [parse_line(line) for line in log.read_text().splitlines()]
@@ -33,7 +33,7 @@
 
 
 def check(shown: list[dict[str, str]], found: list[dict[str, str]]) -> None:
-    """Require each shown line among the found ones, in order."""
+    """Check that the found lines include the shown ones in order."""
     position = 0
     for line in shown:
         names = [each['event'] for each in found[position:]]
@@ -69,7 +69,7 @@
         ('Late', answer_late, 200),
     ],
 )
-async def test_the_page_leads_from_an_id_to_the_cause(
+async def test_the_documented_steps_lead_from_an_id_to_the_cause(
     tmp_path, capsys, title, script, status
 ):
     async with staging(tmp_path, script) as stage:
@@ -81,13 +81,13 @@
     check(read_section(title), explain(stage.log, 'req-7', capsys))
 
 
-async def test_metrics_are_served_where_the_page_says(tmp_path):
+async def test_metrics_are_served_at_the_documented_port(tmp_path):
     text = PAGE.read_text(encoding='utf-8')
     port = int(re.search(r'port (\d+)', text)[1])
     async with staging(tmp_path, answer_late) as stage:
         await stage.call('/once/1')
         if 'name=metrics' in stage.log.read_text():
-            # Another process of this machine has the port.
+            # Another process on this machine uses the port.
             return
         found = await call(('127.0.0.1', port), '/metrics', method='GET')
     assert found.status == 200
--- a/tests/test_other_writers.py
+++ b/tests/test_other_writers.py
@@ -1,11 +1,9 @@
-"""Read the platform's store where other writers wrote to it too.
-
-One record that could not be split lost the whole page of records around it,
-and the reader asked for the same page for ever: no backend server that came
-or left later was seen. A record nested too deep, or with a number beyond all
-bounds, ended the process. One whose fields were missing or of another type
-was taken for a backend server, and got requests. Each decoder trusted what
-the platform's own servers write, and knew errors of a shape alone.
+"""Records of unknown writers in the platform's store.
+
+A record that can't be split must not lose its page: the reader would request
+the same page forever and miss later servers. A record that is nested too deeply
+or has a huge number must not end the process. A record with missing or mistyped
+fields must not be taken for a backend server and get requests.
 """
 
 from __future__ import annotations
@@ -43,7 +41,7 @@
 each_broken = pytest.mark.parametrize(
     'broken', foreign.BROKEN.values(), ids=foreign.BROKEN
 )
-# Records of which no key can be told, as they stand in the history.
+# Records without a valid key, as stored in the history.
 KEYLESS = {
     'empty': b'',
     'cut_key': b'\x05ab',
@@ -74,8 +72,8 @@
 }
 
 
-class Told:
-    """Note what was refused."""
+class Refusals:
+    """Collect the reported records."""
 
     def __init__(self) -> None:
         self.names: list[str] = []
@@ -90,106 +88,109 @@
             assert len(text) <= 300
 
 
-def list_names(news) -> list[str]:
-    return [record.server for record in news.records]
+def list_names(update) -> list[str]:
+    return [record.server for record in update.records]
 
 
-async def read_list(items, told) -> list[str]:
+async def read_list(items, refusals) -> list[str]:
     client = foreign.CannedStore(foreign.make_page(items, end=len(items)))
-    return [each.server for each in await list_servers(client, told)]
+    return [each.server for each in await list_servers(client, refusals)]
 
 
-async def read_history(told, *records: bytes):
-    """Read records that follow an empty list; return the news and position."""
+async def read_history(refusals, *records: bytes):
+    """Read records after an empty list; return the update and position."""
     client = foreign.CannedStore(
         EMPTY, foreign.make_history(records), foreign.make_history([])
     )
-    feed = ServerFeed(client, told)
+    feed = ServerFeed(client, refusals)
     await feed.read()
-    news = await feed.read()
+    update = await feed.read()
     await feed.read()
-    return news, client.asked[-1]['from']
+    return update, client.asked[-1]['from']
 
 
 def make_good(server: str) -> bytes:
     return foreign.make_keyed(server.encode(), GOOD)
 
 
-def test_a_good_record_is_decoded_with_all_it_says():
+def test_a_valid_record_is_decoded_with_all_fields():
     found = decode_server('i-1', GOOD)
     assert found.versions == {'m': 3}
     assert (found.address, found.slots, found.revision) == ('10.0.0.2:80', 6, 1)
 
 
 @each_broken
-def test_a_broken_record_names_no_server(broken):
+def test_a_malformed_record_is_no_server(broken):
     with pytest.raises(MalformedRecord) as caught:
         decode_server('i-1', broken)
     assert len(caught.value.message) <= 300
 
 
 @each_broken
-async def test_the_servers_listed_beside_a_broken_record_hold(broken):
-    told = Told()
+async def test_servers_listed_beside_a_malformed_record_are_kept(broken):
+    refusals = Refusals()
     items = foreign.list_items([('a', GOOD), ('b', broken), ('c', GOOD)])
-    assert await read_list(items, told) == ['a', 'c']
-    assert told.names == ['b']
-    told.check_bounded()
+    assert await read_list(items, refusals) == ['a', 'c']
+    assert refusals.names == ['b']
+    refusals.check_bounded()
 
 
 @each_broken
-async def test_the_servers_read_beside_a_broken_record_hold(broken):
-    told = Told()
-    news, position = await read_history(
-        told, make_good('a'), foreign.make_keyed(b'b', broken), make_good('c')
+async def test_servers_read_beside_a_malformed_record_are_kept(broken):
+    refusals = Refusals()
+    update, position = await read_history(
+        refusals,
+        make_good('a'),
+        foreign.make_keyed(b'b', broken),
+        make_good('c'),
     )
-    assert list_names(news) == ['a', 'c']
-    assert (news.removed, position) == ([], 3)
-    assert told.names == ['b']
-    told.check_bounded()
+    assert list_names(update) == ['a', 'c']
+    assert (update.removed, position) == ([], 3)
+    assert refusals.names == ['b']
+    refusals.check_bounded()
 
 
 @pytest.mark.parametrize('broken', KEYLESS.values(), ids=KEYLESS)
-async def test_a_record_without_a_readable_key_is_passed_over(broken):
-    told = Told()
-    news, position = await read_history(
-        told, make_good('a'), broken, make_good('c')
+async def test_a_record_without_a_valid_key_is_skipped(broken):
+    refusals = Refusals()
+    update, position = await read_history(
+        refusals, make_good('a'), broken, make_good('c')
     )
-    assert list_names(news) == ['a', 'c']
-    assert (news.removed, position) == ([], 3)
-    assert len(told.details) == 1
+    assert list_names(update) == ['a', 'c']
+    assert (update.removed, position) == ([], 3)
+    assert len(refusals.details) == 1
 
 
 @pytest.mark.parametrize('key', ODD_KEYS.values(), ids=ODD_KEYS)
-async def test_a_key_of_another_shape_names_no_server(key):
-    told = Told()
+async def test_a_key_that_is_no_server_id_is_no_server(key):
+    refusals = Refusals()
     items = foreign.list_items([('a', GOOD), (key, GOOD), ('c', GOOD)])
-    assert await read_list(items, told) == ['a', 'c']
-    news, _ = await read_history(
-        told, make_good('a'), foreign.make_keyed(key.encode(), GOOD)
+    assert await read_list(items, refusals) == ['a', 'c']
+    update, _ = await read_history(
+        refusals, make_good('a'), foreign.make_keyed(key.encode(), GOOD)
     )
-    assert list_names(news) == ['a']
-    assert len(told.details) == 2
-    told.check_bounded()
+    assert list_names(update) == ['a']
+    assert len(refusals.details) == 2
+    refusals.check_bounded()
 
 
 @pytest.mark.parametrize('item', ODD_ITEMS.values(), ids=ODD_ITEMS)
-async def test_an_item_of_another_shape_is_passed_over(item):
-    told = Told()
+async def test_a_malformed_item_is_skipped(item):
+    refusals = Refusals()
     items = foreign.list_items([('a', GOOD), ('c', GOOD)])
-    assert await read_list([items[0], item, items[1]], told) == ['a', 'c']
-    assert len(told.details) == 1
+    assert await read_list([items[0], item, items[1]], refusals) == ['a', 'c']
+    assert len(refusals.details) == 1
 
 
-async def test_pages_go_on_after_an_item_of_another_shape():
-    told = Told()
+async def test_paging_continues_after_a_malformed_item():
+    refusals = Refusals()
     items = foreign.list_items([('a', GOOD), ('c', GOOD)])
     client = foreign.CannedStore(
         foreign.make_page([items[0], 7], end=9, more=True),
         foreign.make_page([{'key': 7}], end=9, more=True),
         foreign.make_page([items[1]], end=9),
     )
-    found = await list_servers(client, told)
+    found = await list_servers(client, refusals)
     assert [each.server for each in found][:1] == ['a']
     assert client.asked[1]['after'] == 'a'
 
@@ -206,15 +207,15 @@
         (['a', '\ud800'], 'a'),
     ],
 )
-def test_pages_go_on_after_a_key_that_can_be_sent(keys, after):
+def test_paging_continues_after_a_key_that_can_be_encoded(keys, after):
     assert find_last_key([{'key': key} for key in keys]) == after
 
 
-async def test_pages_that_never_end_are_left():
+async def test_paging_that_never_advances_is_stopped():
     client = foreign.CannedStore(
         *[foreign.make_page([foreign.make_item('a', GOOD)], more=True)] * 9
     )
-    found = await list_servers(client, Told())
+    found = await list_servers(client, Refusals())
     assert {each.server for each in found} == {'a'}
     assert len(client.asked) < 9
 
@@ -232,15 +233,15 @@
         foreign.make_page([], end='x'),
     ],
 )
-async def test_an_answer_that_is_no_page_is_asked_for_again(answer):
-    feed = ServerFeed(foreign.CannedStore(answer, EMPTY), Told())
+async def test_a_malformed_page_is_requested_again(answer):
+    feed = ServerFeed(foreign.CannedStore(answer, EMPTY), Refusals())
     with pytest.raises(StoreUnavailable):
         await feed.read()
     assert (await feed.read()).is_whole
 
 
 @pytest.mark.parametrize('answer', [b'', b'7', b'{}', b'[]', foreign.DEEP])
-async def test_an_append_without_a_proper_answer_is_told(answer):
+async def test_an_append_with_a_malformed_answer_raises_an_error(answer):
     with pytest.raises(StoreUnavailable):
         await foreign.CannedStore(answer).append('ours', b'x')
 
@@ -248,20 +249,20 @@
 @pytest.mark.parametrize(
     'answer', [b'', b'7', b'[]', b'{"first": "x"}', foreign.DEEP]
 )
-async def test_a_history_that_is_gone_without_a_proper_answer_is_told(answer):
+async def test_an_expired_read_with_a_malformed_answer_raises_an_error(answer):
     client = foreign.CannedStore(answer, status=410)
     with pytest.raises(StoreUnavailable):
         await client.read_plain('ours', 7)
 
 
-async def test_many_broken_records_are_told_in_few_lines_and_counted():
-    told = Told()
+async def test_many_malformed_records_are_reported_in_few_lines_and_counted():
+    refusals = Refusals()
     broken = [(f'b{number}', b'{') for number in range(1_000)]
     items = foreign.list_items([('a', GOOD), *broken, ('c', GOOD)])
-    assert await read_list(items, told) == ['a', 'c']
-    assert len(told.details) <= 4
-    assert '997 more' in told.details[-1]
-    told.check_bounded()
+    assert await read_list(items, refusals) == ['a', 'c']
+    assert len(refusals.details) <= 4
+    assert '997 more' in refusals.details[-1]
+    refusals.check_bounded()
 
 
 @pytest.mark.parametrize(
@@ -274,23 +275,23 @@
     ],
     ids=['was_good', 'is_good_again', 'is_gone', 'came_back_broken'],
 )
-async def test_the_newest_entry_of_a_server_tells_whether_it_is_read(
+async def test_the_newest_record_of_a_server_decides_whether_it_is_readable(
     records, unread
 ):
-    told = Told()
+    refusals = Refusals()
     keyed = [foreign.make_keyed(b'b', value) for value in records]
-    news, _ = await read_history(told, make_good('a'), *keyed)
-    assert news.unreadable == unread
-    assert len(told.names) == 1
+    update, _ = await read_history(refusals, make_good('a'), *keyed)
+    assert update.unreadable == unread
+    assert len(refusals.names) == 1
 
 
-async def test_a_whole_list_tells_which_entries_cannot_be_read():
+async def test_a_list_of_servers_includes_the_unreadable_keys():
     items = foreign.list_items([('a', GOOD), ('b', b'{')])
     feed = ServerFeed(
-        foreign.CannedStore(foreign.make_page([*items, 7])), Told()
+        foreign.CannedStore(foreign.make_page([*items, 7])), Refusals()
     )
-    news = await feed.read()
-    assert (list_names(news), 'b' in news.unreadable) == (['a'], True)
+    update = await feed.read()
+    assert (list_names(update), 'b' in update.unreadable) == (['a'], True)
 
 
 VERSION = {'model': 'm', 'version': 4}
@@ -331,22 +332,24 @@
 }
 
 
-async def read_operator(told, *records: tuple[str, bytes]):
+async def read_operator(refusals, *records: tuple[str, bytes]):
     client = foreign.CannedStore(foreign.make_page(foreign.list_items(records)))
-    return await OperatorFeed(client, told).read()
+    return await OperatorFeed(client, refusals).read()
 
 
 @pytest.mark.parametrize(
     'broken',
     [*map(foreign.encode, BROKEN_VERSIONS.values()), foreign.DEEP, b'\xff'],
 )
-async def test_the_weights_named_beside_a_broken_record_hold(broken):
-    told = Told()
+async def test_versions_published_beside_a_malformed_record_are_kept(broken):
+    refusals = Refusals()
     good = foreign.encode({'model': 'k', 'version': 2})
-    news = await read_operator(told, ('version/m', broken), ('version/k', good))
-    assert [each.model for each in news.list_versions()] == ['k']
-    assert told.names == ['version/m']
-    told.check_bounded()
+    update = await read_operator(
+        refusals, ('version/m', broken), ('version/k', good)
+    )
+    assert [each.model for each in update.list_versions()] == ['k']
+    assert refusals.names == ['version/m']
+    refusals.check_bounded()
 
 
 @pytest.mark.parametrize(
@@ -357,24 +360,24 @@
         b'\xff',
     ],
 )
-async def test_a_broken_configuration_leaves_the_good_one(broken):
-    told = Told()
+async def test_a_malformed_configuration_leaves_the_valid_one(broken):
+    refusals = Refusals()
     good = foreign.encode(CONFIGURATION)
-    news = await read_operator(told, ('config', good), ('config', broken))
-    assert [each.version for each in news.list_configurations()] == [7]
-    assert told.names == ['config']
-    told.check_bounded()
+    update = await read_operator(refusals, ('config', good), ('config', broken))
+    assert [each.version for each in update.list_configurations()] == [7]
+    assert refusals.names == ['config']
+    refusals.check_bounded()
 
 
-async def test_what_operators_write_under_other_keys_is_told():
-    told = Told()
+async def test_unknown_keys_of_operators_are_reported():
+    refusals = Refusals()
     good = foreign.encode(CONFIGURATION)
-    news = await read_operator(told, ('odd', b'{}'), ('config', good))
-    assert [each.version for each in news.list_configurations()] == [7]
-    assert told.names == ['odd']
+    update = await read_operator(refusals, ('odd', b'{}'), ('config', good))
+    assert [each.version for each in update.list_configurations()] == [7]
+    assert refusals.names == ['odd']
 
 
-async def test_an_entry_reads_on_past_records_of_other_writers(tmp_path):
+async def test_an_entry_continues_after_records_of_other_writers(tmp_path):
     async with staging(tmp_path, answer_well, answer_well) as stage:
         topic = stage.store.find(SERVERS)
         for broken in (b'', b'\x09', *foreign.BROKEN_BYTES.values()):
@@ -400,19 +403,21 @@
     return [backend.record.server for backend in listed]
 
 
-async def test_a_server_whose_entry_becomes_broken_ends_what_it_runs(tmp_path):
+async def test_a_server_whose_record_becomes_malformed_completes_its_requests(
+    tmp_path,
+):
     release = anyio.Event()
 
     async def run(peer):
         await release.wait()
         await answer_well(peer)
 
-    patient = {**ROUTE, 'timeoutMs': 9_000}
+    route = {**ROUTE, 'timeoutMs': 9_000}
     async with staging(
         tmp_path,
         run,
         answer_well,
-        configuration={**CONFIGURATION, 'routes': [patient]},
+        configuration={**CONFIGURATION, 'routes': [route]},
     ) as stage:
         topic = stage.store.find(SERVERS)
         first, second = topic.newest['i-0'][1], topic.newest['i-1'][1]
@@ -462,14 +467,14 @@
 
 RECORDS = 1_000
 TURNS = 15
-# What reading may take longer where one record in ten is broken.
-MOST_RATIO = 1.2
-# A record as long as hundreds takes as long to fetch, good or not.
+# Bounds the extra time if one record in ten is malformed.
+MAX_RATIO = 1.2
+# Very long records are left out: they take as long to fetch if valid.
 USUAL = [value for value in foreign.BROKEN.values() if len(value) < 5_000]
 
 
 def make_records(*, every_tenth) -> list[tuple[str, bytes]]:
-    """Build a thousand records; each broken one is broken otherwise."""
+    """Build a thousand records, the malformed ones by turns."""
     return [
         (
             f'i-{number}',
@@ -487,9 +492,9 @@
 
 
 async def time_reading(*answers) -> tuple[float, int, int]:
-    """Read and log as an entry does; return seconds, servers and lines."""
-    told = io.StringIO()
-    log = make_event_log('front-1', stream=told)
+    """Read and log as an entry does; return CPU seconds, servers and lines."""
+    stream = io.StringIO()
+    log = make_event_log('front-1', stream=stream)
 
     def refuse(name, error):
         log.write(EventName.RECORD_REFUSED, name=name, detail=error.message)
@@ -499,13 +504,13 @@
         await feed.read()
     gc.collect()
     began = time.process_time()
-    news = await feed.read()
+    update = await feed.read()
     took = time.process_time() - began
-    return took, len(news.records), len(told.getvalue().splitlines())
+    return took, len(update.records), len(stream.getvalue().splitlines())
 
 
 @pytest.mark.parametrize('is_whole', [True, False])
-async def test_one_broken_record_in_ten_costs_little(is_whole):
+async def test_one_malformed_record_in_ten_costs_little(is_whole):
     good, mixed = (
         make_records(every_tenth=every_tenth) for every_tenth in (False, True)
     )
@@ -517,14 +522,14 @@
     else:
         answers = [[EMPTY, make_changes(each)] for each in (good, mixed)]
     ratios = [await compare_reading(*answers) for _ in range(TURNS)]
-    assert statistics.median(ratios) <= MOST_RATIO
+    assert statistics.median(ratios) <= MAX_RATIO
 
 
 async def compare_reading(good, mixed) -> float:
-    """Read good records, then mixed ones; return the ratio of their times.
+    """Read valid records, then mixed ones; return the ratio of their times.
 
-    A core may run at half its speed from one moment to the next, as its
-    neighbour gets work, so only two reads in a row are compared.
+    Only consecutive reads are compared: the speed of a core may drop by half at
+    any moment, as the core that shares its hardware gets work.
     """
     good_time, *good_counts = await time_reading(*good)
     mixed_time, *mixed_counts = await time_reading(*mixed)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -57,13 +57,13 @@
     assert settings.server == ''
 
 
-def test_every_fault_of_the_settings_is_told_at_once():
+def test_all_faults_of_the_settings_are_reported_together():
     text = 'nodeName=a\nno mark\nbounds.graceS=soon\n'
     with pytest.raises(SettingsError) as caught:
         parse_host_settings(text, 'boot.conf')
-    told = str(caught.value)
+    message = str(caught.value)
     for fault in (':2:', 'zone: is missing', 'platform.address', "'soon'"):
-        assert fault in told
+        assert fault in message
 
 
 def test_a_configuration_is_decoded():
@@ -101,7 +101,7 @@
 @pytest.mark.parametrize(
     'text', [b'', b'{', b'[]', b'{}', b'{"version": 1, "routes": [{}]}']
 )
-def test_a_malformed_configuration_is_told(text):
+def test_a_malformed_configuration_raises_an_error(text):
     with pytest.raises(MalformedRecord):
         decode_configuration(text)
 
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize('text', [b'{}', b'nothing', b'{"model": "m"}'])
-def test_malformed_records_are_told(text):
+def test_malformed_records_raise_an_error(text):
     with pytest.raises(MalformedRecord):
         decode_server('i-1', text)
     with pytest.raises(MalformedRecord):
@@ -146,7 +146,7 @@
     assert [part.tokens for part in demand.parts] == [800, 410, 250]
 
 
-def test_what_is_malformed_in_a_head_is_left_out():
+def test_malformed_fields_of_a_head_are_ignored():
     found = decode_request(
         ((names.DEADLINE, 'soon'), (names.MODEL, 'm'), (names.TOKENS, 'x'))
     )
@@ -168,7 +168,7 @@
     assert not HOP_BY_HOP & set(dict(kept))
 
 
-def test_where_context_comes_from_is_told_part_by_part():
+def test_context_sources_and_sinks_are_encoded_for_each_part():
     plan = ContextPlan(
         sources=(Source('a:1', 800), None, None),
         sinks=('', 'b:2', ''),
@@ -187,13 +187,13 @@
     assert found[names.EXPECTED_VERSION] == '1'
 
 
-def test_when_to_come_back_is_told_in_seconds():
+def test_retry_after_is_encoded_in_seconds():
     found = dict(encode_refusal('r1', 120.0))
     assert found == {names.REQUEST_ID: 'r1', 'retry-after': '0.120'}
 
 
 @pytest.mark.anyio
-async def test_the_store_is_listed_and_read_on():
+async def test_the_store_is_listed_and_then_read_from_the_end():
     store = RecordStore()
     store.put(TOPIC, 'a', {'n': 1})
     store.put(TOPIC, 'a', {'n': 2})
@@ -214,7 +214,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_history_that_is_gone_or_went_back_is_told():
+async def test_expired_and_future_offsets_raise_an_error():
     store = RecordStore()
     store.put(TOPIC, 'a', {})
     async with server.serving(store) as (address,):
@@ -229,7 +229,7 @@
 
 
 @pytest.mark.anyio
-async def test_an_append_whose_answer_is_lost_may_have_happened():
+async def test_an_append_whose_answer_is_lost_is_retried():
     store = RecordStore()
     async with server.serving(store) as (address,):
         client = StoreClient(address)
@@ -242,7 +242,7 @@
 
 
 def list_platform_texts() -> frozenset[str]:
-    """Return every name of the platform that must not be used elsewhere."""
+    """Return the names that only the platform package may use."""
     found = {
         text
         for name, text in vars(names).items()
@@ -260,7 +260,7 @@
     }
 
 
-def test_no_name_of_the_platform_stands_outside_its_folder():
+def test_names_of_the_platform_are_used_only_in_its_package():
     known = list_platform_texts()
     for path in SOURCES.rglob('*.py'):
         if 'platform' in path.relative_to(SOURCES).parts:
@@ -276,7 +276,7 @@
             assert f"'{word}" not in text, path
 
 
-def test_the_check_of_names_can_fail():
+def test_the_check_of_names_finds_names():
     assert 'oleanderdyke-key' in list_platform_texts()
     assert find_strings(SOURCES / 'platform' / 'names.py') & (
         list_platform_texts()
@@ -284,7 +284,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_read_without_records_tells_until_when_there_were_none():
+async def test_a_read_without_records_returns_how_long_it_waited():
     store = RecordStore()
     async with server.serving(store) as (address,):
         client = StoreClient(address, wait=200.0)
@@ -297,7 +297,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_read_that_comes_before_its_wait_is_over_tells_less():
+async def test_a_read_answered_before_the_end_of_its_wait_counts_no_wait():
     store = RecordStore()
     async with server.serving(store) as (address,):
         client = StoreClient(address, wait=2_000.0)
@@ -334,7 +334,7 @@
     'changes',
     [{'held': math.inf}, {'newest_at': math.nan}, {'newest_at': math.inf}],
 )
-async def test_a_notice_with_no_proper_number_is_refused(changes):
+async def test_a_notice_with_an_invalid_number_is_refused(changes):
     notice = {'server': 'i', 'step': 'waits', 'held': 1, 'newest_at': 1.0}
     store, refused = RecordStore(), []
     for each in (notice | changes, notice):
@@ -348,14 +348,14 @@
 
 
 class NoTopics(RecordStore):
-    """Know no topic, as before the first record."""
+    """Store without topics, as before the first record."""
 
     async def answer(self, request):
         return web.refuse(404, 'no such topic')
 
 
 @pytest.mark.anyio
-async def test_a_topic_that_is_not_there_yet_tells_nothing_of_the_wait():
+async def test_a_read_of_a_missing_topic_is_not_complete():
     async with server.serving(NoTopics()) as (address,):
         client = StoreClient(address, wait=50.0)
         page = await client.read_keyed('keyed.absent', 0)
--- a/tests/test_platform_clients.py
+++ b/tests/test_platform_clients.py
@@ -28,8 +28,8 @@
 
 
 @asynccontextmanager
-async def talking(answer):
-    """Run one function for each TCP connection; give a backend of it."""
+async def serving_tcp(answer):
+    """Run `answer` for each TCP connection and yield the address."""
     listener = await anyio.create_tcp_listener(local_host=HOST)
     port = listener.extra(anyio.abc.SocketAttribute.local_port)
     async with anyio.create_task_group() as group:
@@ -39,7 +39,7 @@
     await listener.aclose()
 
 
-async def fail(backend, *call, **options):
+async def catch_failure(backend, *call, **options):
     with pytest.raises(HttpError) as caught:
         async with backend.request(*call, **options) as answer:
             await answer.read(1000)
@@ -63,7 +63,7 @@
         [{**HALL, 'leaving': 'no'}],
     ],
 )
-async def test_an_improper_vm_list_is_refused(shown):
+async def test_a_malformed_vm_list_is_refused(shown):
     app = vms.make_app()
     app._show = lambda vm: vm
     app._list = lambda: shown
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize('faults', [{'down': True}, {'silent': True}])
-async def test_a_vm_list_that_is_out_gives_a_typed_error_in_time(faults):
+async def test_an_unavailable_vm_list_raises_a_typed_error_in_time(faults):
     app = vms.make_app()
     app.faults = vms.VmFaults(**faults)
     async with server.serving(app) as (address,):
@@ -126,7 +126,7 @@
     assert echoed == b''.join([part async for part in count_up(20, 1000)])
 
 
-async def test_a_long_answer_arrives_in_pieces_and_may_be_left():
+async def test_a_long_answer_arrives_in_chunks_and_may_be_left():
     app = plain.make_app()
     app.faults = plain.PlainFaults(big=50_000_000)
     async with server.serving(app) as (address,):
@@ -135,16 +135,19 @@
             async for piece in answer.body:
                 assert len(piece) < 1_000_000
                 break
-        assert await fail(backend, 'GET', '/big') is Ran.MAYBE
+        assert await catch_failure(backend, 'GET', '/big') is Ran.MAYBE
         app.faults = plain.PlainFaults()
         async with backend.request('GET', '/status') as answer:
             assert answer.status == 200
 
 
-async def test_nothing_ran_where_nobody_listens():
-    async with talking(lambda stream: stream.aclose()) as address:
+async def test_a_refused_connection_ran_nothing():
+    async with serving_tcp(lambda stream: stream.aclose()) as address:
         pass
-    assert await fail(HttpBackend(address), 'POST', '/', body=b'x') is Ran.NO
+    assert (
+        await catch_failure(HttpBackend(address), 'POST', '/', body=b'x')
+        is Ran.NO
+    )
 
 
 async def test_a_request_that_cannot_be_written_did_not_run():
@@ -154,9 +157,11 @@
         async with stream:
             reached.append(await stream.receive())
 
-    async with talking(note) as address:
+    async with serving_tcp(note) as address:
         headers = (('bad name', 'x'),)
-        ran = await fail(HttpBackend(address), 'GET', '/', headers=headers)
+        ran = await catch_failure(
+            HttpBackend(address), 'GET', '/', headers=headers
+        )
     assert ran is Ran.NO
     assert reached == []
 
@@ -181,9 +186,9 @@
             await stream.receive()
             await stream.send(data)
 
-    async with talking(cut) as address:
+    async with serving_tcp(cut) as address:
         backend = HttpBackend(address)
-        assert await fail(backend, 'POST', '/', body=b'x') is Ran.MAYBE
+        assert await catch_failure(backend, 'POST', '/', body=b'x') is Ran.MAYBE
 
 
 @pytest.mark.parametrize(
@@ -195,7 +200,7 @@
     ],
     ids=['more_to_come', 'whole', 'then_rubbish'],
 )
-async def test_what_came_together_is_one_part_even_before_a_fault(
+async def test_data_received_together_is_one_part_even_before_a_fault(
     data, part, ended
 ):
     async def answer_and_hold(stream):
@@ -205,7 +210,7 @@
             await stream.send(head + data)
             await anyio.sleep_forever()
 
-    async with talking(answer_and_hold) as address:
+    async with serving_tcp(answer_and_hold) as address:
         backend = HttpBackend(address)
         async with backend.request('GET', '/') as answer:
             with anyio.fail_after(20):
@@ -217,7 +222,7 @@
                         await anext(answer.body)
 
 
-async def test_an_answer_before_the_whole_request_is_read_counts():
+async def test_an_answer_before_the_end_of_the_request_is_accepted():
     async def refuse(stream):
         await stream.send(OK + b'content-length: 2\r\n\r\nno')
         await stream.send_eof()
@@ -225,7 +230,7 @@
             async for _ in stream:
                 pass
 
-    async with talking(refuse) as address:
+    async with serving_tcp(refuse) as address:
         body = count_up(3, 1000)
         backend = HttpBackend(address)
         async with backend.request('POST', '/', body=body) as answer:
@@ -259,11 +264,11 @@
                 await backend.close()
 
 
-async def test_nothing_ran_where_the_server_cannot_be_verified():
+async def test_an_unverified_server_ran_nothing():
     client = ssl.create_default_context(cafile=TLS / 'other_ca.pem')
     async with answering_with_tls(closes=False) as address:
         backend = HttpBackend(address, tls=client)
-        assert await fail(backend, 'POST', '/', body=b'x') is Ran.NO
+        assert await catch_failure(backend, 'POST', '/', body=b'x') is Ran.NO
 
 
 async def test_a_server_that_never_answers_leaves_the_request_in_doubt():
@@ -271,9 +276,9 @@
         async with stream:
             await anyio.sleep_forever()
 
-    async with talking(hold) as address:
+    async with serving_tcp(hold) as address:
         backend = HttpBackend(address, settings=HttpSettings(read=100))
-        assert await fail(backend, 'GET', '/') is Ran.MAYBE
+        assert await catch_failure(backend, 'GET', '/') is Ran.MAYBE
 
 
 async def test_each_request_has_its_own_connection():
@@ -283,10 +288,10 @@
         connections.append(stream)
         await stream.receive()
         await stream.send(OK + b'content-length: 0\r\n\r\n')
-        # Kept open: a client that reused it would wait here for good.
+        # The connection stays open: a client that reused it would wait forever.
         await anyio.sleep_forever()
 
-    async with talking(answer_once) as address:
+    async with serving_tcp(answer_once) as address:
         backend = HttpBackend(address, settings=HttpSettings(read=5000))
         for _ in range(3):
             async with backend.request('GET', '/') as answer:
@@ -306,21 +311,21 @@
                 await stream.receive()
             closed.set()
 
-    async with talking(stream_forever) as address:
+    async with serving_tcp(stream_forever) as address:
         async with HttpBackend(address).request('GET', '/') as answer:
             assert await anext(answer.body) == b'x'
         with anyio.fail_after(20):
             await closed.wait()
 
 
-async def test_closing_the_backend_breaks_off_its_exchanges():
+async def test_closing_the_backend_aborts_its_exchanges():
     async def hold(stream):
         async with stream:
             await stream.receive()
             await stream.send(OK + b'content-length: 9\r\n\r\n')
             await anyio.sleep_forever()
 
-    async with talking(hold) as address:
+    async with serving_tcp(hold) as address:
         backend = HttpBackend(address)
         async with backend.request('GET', '/') as answer:
             await backend.close()
--- a/tests/test_protocol_names.py
+++ b/tests/test_protocol_names.py
@@ -1,6 +1,6 @@
-"""Each name of the platform's protocol is used, or left out for a reason.
+"""Names of the platform's protocol are used or listed with a reason.
 
-Whoever adds a name to the protocol adds it here, and then decides.
+A new name of the protocol must be added to one of the lists here.
 """
 
 from __future__ import annotations
@@ -44,14 +44,14 @@
 )
 UNUSED_HEADERS = {
     'oleanderdyke-length-hint': 'an estimate that is often far off',
-    'oleanderdyke-cold-ms': 'only health calls have it; the list tells it too',
-    'oleanderdyke-hold': 'no place is reserved; never passed on',
-    'oleanderdyke-pin-ms': 'nothing is pinned; never passed on',
-    'oleanderdyke-kv-backup': 'no run is copied; never passed on',
-    'kv-from': 'no run is moved; never passed on',
+    'oleanderdyke-cold-ms': 'only in health calls, and in the server list',
+    'oleanderdyke-hold': 'no capacity is reserved; never forwarded',
+    'oleanderdyke-pin-ms': 'nothing is pinned; never forwarded',
+    'oleanderdyke-kv-backup': 'no run is copied; never forwarded',
+    'kv-from': 'no run is moved; never forwarded',
 }
-# Those of a caller that would change what a server does.
-NEVER_PASSED_ON = ('hold', 'pin-ms', 'kv-backup', 'kv-from')
+# Headers of callers that would change the behaviour of a backend server.
+NEVER_FORWARDED = ('hold', 'pin-ms', 'kv-backup', 'kv-from')
 
 USED_BOUNDS = frozenset(
     {
@@ -63,31 +63,31 @@
         'coldSlack',
     }
 )
-_AT_ONCE = 'what it bounds is done at once'
-_READ_SOON = 'read as it is written, within two seconds on a dead connection'
-_NOT_JUDGED = 'bounds what others do'
+_IMMEDIATE = 'the bounded action is immediate'
+_READ_SOON = 'read when written, within two seconds on a dead connection'
+_OTHER_PARTY = 'bounds the actions of others'
 UNUSED_BOUNDS = {
-    'drainMs': 'answers tell at once, the list within a second',
+    'drainMs': 'known from answers at once, from the list within a second',
     'configApplyMs': _READ_SOON,
     'evacuateMs': _READ_SOON,
     'revokeMs': _READ_SOON,
     'rollbackSlackMs': 'a configuration never goes back',
-    'transitMs': _AT_ONCE,
+    'transitMs': _IMMEDIATE,
     'retryWindowS': 'the budget holds in any window',
     'lossSlackMs': 'no connection is closed with a request on it',
     'versionAllMs': 'versionMs is kept for each server',
     'stretchMaxMs': 'lengthens a bound that is kept without it',
-    'stabilityWindowMs': _NOT_JUDGED,
-    'seedLagS': _NOT_JUDGED,
-    'reuseAfterS': 'servers are told apart by their id, not their address',
-    'ackMs': _NOT_JUDGED,
-    'catchUpS': _NOT_JUDGED,
+    'stabilityWindowMs': _OTHER_PARTY,
+    'seedLagS': _OTHER_PARTY,
+    'reuseAfterS': 'servers are identified by their id, not their address',
+    'ackMs': _OTHER_PARTY,
+    'catchUpS': _OTHER_PARTY,
     'recoverS': 'an entry is ready as soon as the store answers',
     'reuseWindowS': 'prices only',
     'revokeStrict': 'a key that is taken away admits nothing from then on',
     'fencingEnforced': 'orders carry a fence in any case',
     'leaseMs': 'the holder of an engine never changes while its vm lives',
-    'thawSlackMs': _NOT_JUDGED,
+    'thawSlackMs': _OTHER_PARTY,
 }
 
 
@@ -104,7 +104,7 @@
     return found & (USED_HEADERS | UNUSED_HEADERS.keys())
 
 
-def test_each_header_is_used_or_left_out_for_a_reason():
+def test_each_header_is_used_or_listed_as_unused_with_a_reason():
     assert find_known_headers() == USED_HEADERS
 
 
@@ -124,11 +124,11 @@
         assert any(used.search(text) for text in sources), header
 
 
-def test_each_bound_is_used_or_left_out_for_a_reason():
+def test_each_bound_is_used_or_listed_as_unused_with_a_reason():
     assert find_used_bounds() == USED_BOUNDS
     assert not USED_BOUNDS & UNUSED_BOUNDS.keys()
 
 
-@pytest.mark.parametrize('name', NEVER_PASSED_ON)
-def test_what_only_the_system_may_ask_of_a_server_is_not_passed_on(name):
+@pytest.mark.parametrize('name', NEVER_FORWARDED)
+def test_headers_reserved_for_the_system_are_not_forwarded(name):
     assert any(header.endswith(name) for header in names.OWN_HEADERS)
--- a/tests/test_store_restores.py
+++ b/tests/test_store_restores.py
@@ -1,4 +1,4 @@
-"""A store that comes back from a copy loses what it acknowledged since."""
+"""Restores of the store from a backup, which lose later records."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize(
-    ('told', 'fault'),
+    ('text', 'fault'),
     [
         ('3', 'went back to 3'),
         ('', 'is missing'),
@@ -65,23 +65,23 @@
         ('9' * 300, 'not a whole number'),
     ],
 )
-def test_an_era_that_no_sound_store_tells_is_a_fault(told, fault):
+def test_an_invalid_era_is_refused(text, fault):
     era = StoreEra()
     era.update((('store-era', '4'),))
-    headers = (('store-era', told),) if told else ()
+    headers = (('store-era', text),) if text else ()
     with pytest.raises(EraFault, match=fault) as caught:
         era.update(headers)
     assert len(str(caught.value)) < 100
     assert era.highest == 4
 
 
-def test_a_store_without_eras_is_trusted():
+def test_a_store_without_eras_is_accepted():
     era = StoreEra()
     era.update(())
     assert era.highest is None
 
 
-async def test_an_answer_of_an_earlier_era_is_not_believed():
+async def test_an_answer_of_an_earlier_era_is_refused():
     store = make_store()
     async with server.serving(store) as (address,):
         client = StoreClient(address)
@@ -92,7 +92,7 @@
         await client.close()
 
 
-async def test_an_offset_that_is_given_out_again_is_noticed():
+async def test_a_reassigned_offset_is_detected():
     store = make_store()
     async with server.serving(store) as (address,):
         client = StoreClient(address)
@@ -109,7 +109,7 @@
         await client.close()
 
 
-async def test_an_offset_past_the_end_tells_of_a_restore():
+async def test_an_offset_past_the_end_reveals_a_restore():
     store = make_store()
     async with server.serving(store) as (address,):
         client = StoreClient(address)
@@ -135,7 +135,7 @@
         await client.close()
 
 
-async def test_notices_of_loads_are_read_anew():
+async def test_load_notices_are_read_again_after_a_restore():
     store = make_store()
     async with server.serving(store) as (address,):
         client = StoreClient(address)
@@ -152,7 +152,7 @@
         await client.close()
 
 
-async def test_an_entry_tells_of_itself_again():
+async def test_an_entry_detects_a_restore_to_announce_itself_again():
     store = make_store()
     async with server.serving(store) as (address,):
         client = StoreClient(address)
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize('feed_type', [OperatorFeed, ServerFeed])
-async def test_a_keyed_topic_is_listed_anew(feed_type):
+async def test_a_keyed_topic_is_listed_again_after_a_restore(feed_type):
     store = make_store()
     store.put(SERVERS, 'i-0', make_record('127.0.0.1:1'))
     async with server.serving(store) as (address,):
@@ -191,11 +191,11 @@
 
 
 def test_records_of_an_earlier_era_are_not_passed_on():
-    tail = RecordBuffer()
-    tail.add(0, (b'a', b'b'), known_at=1.0, now=1.0, era=1)
-    tail.add(2, (b'c',), known_at=2.0, now=2.0, era=2)
-    assert tail.find(0) is None
-    assert tail.find(2) == (b'c',)
+    buffer = RecordBuffer()
+    buffer.add(0, (b'a', b'b'), known_at=1.0, now=1.0, era=1)
+    buffer.add(2, (b'c',), known_at=2.0, now=2.0, era=2)
+    assert buffer.find(0) is None
+    assert buffer.find(2) == (b'c',)
 
 
 def test_an_evacuation_that_a_restored_store_lacks_stays_for_a_while():
@@ -216,19 +216,19 @@
     assert evacuations.active == {'hall'}
 
 
-def test_a_server_that_a_copy_lacks_is_gone_only_after_two_seconds():
-    book = BackendRegistry()
+def test_a_server_missing_after_a_restore_is_kept_for_two_seconds():
+    registry = BackendRegistry()
     record = ServerRecord('a', 'desk', 'a:1', 'hall')
-    book.replace([record], 0.0)
-    book.complete_read(0.0)
-    book.record_restore(600.0)
-    book.replace([], 600.0)
-    book.complete_read(600.0)
-    assert book.list_service('desk', 2_500.0)
-    assert not book.list_service('desk', 2_601.0)
+    registry.replace([record], 0.0)
+    registry.complete_read(0.0)
+    registry.record_restore(600.0)
+    registry.replace([], 600.0)
+    registry.complete_read(600.0)
+    assert registry.list_service('desk', 2_500.0)
+    assert not registry.list_service('desk', 2_601.0)
 
 
-async def test_nothing_that_operators_wrote_goes_back(tmp_path):
+async def test_settings_of_operators_survive_a_restore(tmp_path):
     store = make_store()
     store.back_up()
     async with staging(tmp_path, answer, store=store) as stage:
@@ -250,12 +250,14 @@
         await wait_until(lambda: not evacuations.active)
 
 
-async def test_an_entry_serves_on_after_the_store_lost_its_servers(tmp_path):
+async def test_an_entry_keeps_serving_after_the_store_lost_its_servers(
+    tmp_path,
+):
     store = make_store()
     store.back_up()
     async with staging(tmp_path, answer, store=store) as stage:
-        book = stage.core.backends
-        record = make_record(book.find('i-0').record.address, seq=3)
+        registry = stage.core.backends
+        record = make_record(registry.find('i-0').record.address, seq=3)
         store.restore()
         await anyio.sleep(1)
         assert (await stage.call('/once/x')).status == 200
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -54,7 +54,7 @@
 
 
 def _find_violations(ordered: list[Ordered]) -> list[str]:
-    """Check that each process keeps its order and nothing comes too early."""
+    """Return the requests whose events are out of causal order."""
     names = [(item.event.name, item.event.pairs['request']) for item in ordered]
     found = []
     for number in range(_REQUESTS):
@@ -88,7 +88,7 @@
         assert item.cause is None or item.cause < index
 
 
-def test_order_by_clock_alone_is_caught() -> None:
+def test_order_by_clock_alone_violates_causality() -> None:
     sources = _read(_write_logs((0.0, -_SKEW)))
     events = [event for source in sources for event in source]
     by_clock = _merge(
@@ -103,7 +103,7 @@
     assert _find_violations(by_clock)
 
 
-def test_lines_that_are_no_events_are_left_out() -> None:
+def test_lines_that_are_no_events_are_skipped() -> None:
     assert read_events(['Traceback (most recent call last):', '', 'a=b']) == []
 
 
@@ -138,7 +138,7 @@
     assert main([str(tmp_path / 'none.log')]) == 2
 
 
-def test_lines_that_a_collector_has_marked_are_read():
+def test_lines_prefixed_by_a_collector_are_read():
     line = 'at=5.0 level=info event=process_ready process=p sequence=1'
     marked = f'  36.5313 front-hall-1 {line}'
     assert read_events([marked]) == read_events([line])
@@ -146,7 +146,7 @@
 
 
 def _write_lost(folder: Path, *, ended: bool) -> str:
-    """Log a process that is lost, once a request has ended or before."""
+    """Log a process that is lost before or after its request has ended."""
     path = folder / 'entry-1.log'
     clock = ManualClock()
     with path.open('w', encoding='utf-8') as stream:
@@ -168,7 +168,7 @@
     ('ended', 'last'),
     [(False, 'process_started'), (True, 'request_finished')],
 )
-def test_a_request_without_an_end_shows_that_its_process_was_lost(
+def test_a_request_without_an_end_shows_the_loss_of_its_process(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
     *,
