--- a/src/oleanderdyke/entry/hosted/app.py
+++ b/src/oleanderdyke/entry/hosted/app.py
@@ -1,4 +1,4 @@
-"""Answer callers and the balancer on the users' platform."""
+"""ASGI application for callers and the load balancer's readiness checks."""
 
 from __future__ import annotations
 
@@ -11,7 +11,11 @@
     Send,
     parse_head,
 )
-from oleanderdyke.entry.hosted.call import Permit, find_permit, make_call
+from oleanderdyke.entry.hosted.call import (
+    AuthorizedRequest,
+    authorize_request,
+    make_call,
+)
 from oleanderdyke.entry.hosted.core import HostedCore
 from oleanderdyke.entry.hosted.driver import HostedDriver
 from oleanderdyke.entry.hosted.reply import Reply
@@ -27,7 +31,7 @@
 
 
 class HostedApp:
-    """Serve one request; answer every fault with a typed error."""
+    """Serve HTTP requests and answer every failure with a typed error."""
 
     def __init__(
         self, core: HostedCore, stopper: Stopper, readiness_port: int
@@ -35,19 +39,19 @@
         self._core = core
         self._stopper = stopper
         self._readiness_port = readiness_port
-        self._count = 0
+        self._sequence = 0
 
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Serve one request."""
+        """Serve one ASGI request."""
         if scope['type'] != 'http':
             return
         port = scope['server'][1]
         if port == self._readiness_port:
             await self._answer_readiness(scope, send)
             return
-        reply = Reply(send, self._is_leaving)
+        reply = Reply(send, self._is_draining)
         try:
             await self._serve(scope, receive, reply)
         except CallerGone:
@@ -62,31 +66,34 @@
         started = core.clock.now()
         head = parse_head(scope, '')
         reply.request = head.find(names.REQUEST_ID) or ''
-        permit = find_permit(core, head)
-        key = self._find_key(reply.request)
-        route = permit.route
-        needs = core.durations.estimate_bound(
+        authorized = authorize_request(core, head)
+        key = self._make_key(reply.request)
+        route = authorized.route
+        expected_duration = core.durations.estimate_bound(
             route.name, route.timeout, started
         )
-        self._stopper.begin(key, needs)
+        self._stopper.begin(key, expected_duration)
         core.durations.begin(key, route.name, started)
         try:
-            await self._lead(head, permit, receive, reply, key, started)
+            await self._handle(head, authorized, receive, reply, key, started)
         finally:
             core.durations.end(key)
             self._stopper.end(key)
 
-    def _find_key(self, request: str) -> str:
-        """Return what a stop knows a request by: its id, where it is free."""
-        self._count += 1
+    def _make_key(self, request: str) -> str:
+        """Return a unique key for graceful shutdown to track a request by.
+
+        It is the request id, with a number appended if that id is in use.
+        """
+        self._sequence += 1
         if request and not self._core.drain.has_work(request):
             return request
-        return f'{request}#{self._count}'
+        return f'{request}#{self._sequence}'
 
-    async def _lead(
+    async def _handle(
         self,
         head: Head,
-        permit: Permit,
+        authorized: AuthorizedRequest,
         receive: Receive,
         reply: Reply,
         key: str,
@@ -98,7 +105,7 @@
             limits = core.deployment.limits
         body = Body(receive, limits.body_bytes, limits.idle_timeout, head)
         data = await body.read()
-        call = make_call(core, head, permit, body=data, started=started)
+        call = make_call(core, head, authorized, body=data, started=started)
         core.metrics.add(Count.REQUESTS, label=call.service)
         core.log.write(
             EventName.REQUEST_ACCEPTED,
@@ -107,7 +114,7 @@
             service=call.service,
             name=call.route.name,
             limit=round(call.deadline - started),
-            offset=call.asked.last_event or None,
+            offset=call.parameters.last_event or None,
             **core.describe_configuration(),
         )
         await HostedDriver(core, call, body, reply).run(key)
@@ -125,22 +132,22 @@
         if reply.status:
             return
         if error.kind is ErrorKind.BODY_TOO_LARGE:
-            reply.closes = True
+            reply.closes_connection = True
         await reply.refuse(
             error.kind, error.ran, error.message, error.retry_after
         )
 
-    def _is_leaving(self) -> bool:
+    def _is_draining(self) -> bool:
         return self._core.drain.is_leaving
 
     async def _answer_readiness(self, scope: Scope, send: Send) -> None:
-        fault = self._core.find_fault()
-        reply = Reply(send, self._is_leaving)
+        fault = self._core.find_unready_reason()
+        reply = Reply(send, self._is_draining)
         if scope['path'] != names.READINESS_PATH:
             await reply.refuse(
                 ErrorKind.NOT_FOUND,
                 Ran.NO,
-                'only the readiness is told here',
+                'this port serves only the readiness check',
             )
             return
         await reply.start(_NOT_READY if fault else _READY, ())
--- a/src/oleanderdyke/entry/hosted/attempt.py
+++ b/src/oleanderdyke/entry/hosted/attempt.py
@@ -1,4 +1,4 @@
-"""Carry one attempt of a call straight to a backend server."""
+"""Send one attempt of a call directly to a backend server."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 )
 from oleanderdyke.clock import Millis
 from oleanderdyke.entry.hosted.answers import (
-    find_fault,
-    has_events,
+    continues_stream,
+    find_answer_fault,
+    is_event_stream,
     is_own_answer,
-    is_rest,
 )
+from oleanderdyke.entry.hosted.backend_updates import BackendUpdates
 from oleanderdyke.entry.hosted.call import HostedCall, make_salt
 from oleanderdyke.entry.hosted.core import HostedCore
 from oleanderdyke.entry.hosted.dispatch import (
@@ -23,7 +24,6 @@
     plan_contexts,
 )
 from oleanderdyke.entry.hosted.events import EventSplitter
-from oleanderdyke.entry.hosted.lessons import Lessons
 from oleanderdyke.entry.hosted.weights import (
     Weights,
     find_weights,
@@ -57,17 +57,17 @@
 )
 
 _SERVER_ERROR = 500
-# A body up to this size is held until it is whole, so that a broken one can
-# be asked for again and never looks complete.
-_HELD_BYTES = 256 * 1024
+# Bodies up to this size in bytes are buffered until they are complete, so that
+# a truncated one can be retried and never reaches the caller.
+_BUFFER_LIMIT = 256 * 1024
 
 
 class DirectAttempt:
-    """Send one request to one start of a backend server; report its answer.
+    """Send a request to one incarnation of a server and report its response.
 
-    The only server that runs it is the one that was chosen: it is named in
-    the head, and any other refuses. The head can't name the start: what was
-    sent is given up once the server is known to have started anew.
+    The request head names the chosen server, and any other server refuses to
+    run the request. The head can't name the incarnation, so the attempt is
+    aborted once the server is known to have restarted.
     """
 
     def __init__(
@@ -91,28 +91,29 @@
         self._start = start
         self._chosen_at = chosen_at
         self.server = start.server
-        self._lessons = Lessons(core, call, start)
-        self._name = f'{id(self):x}'
+        self._updates = BackendUpdates(core, call, start)
+        self._attempt_id = f'{id(self):x}'
         self._connection: BackendConnection | None = None
         self._sequence = 0
-        self._memory = 0
+        self._memory_tokens = 0
         self._weights: Weights = {}
-        self._held: bytearray | None = bytearray()
+        self._buffered: bytearray | None = bytearray()
         self._head: AnswerHead | None = None
         self._is_stream = False
         self._has_answered = False
-        # A stream begins with its first event: a head alone may be sent before.
-        self._has_begun = False
+        # Set by the first body bytes for streams, whose head may be sent
+        # earlier, and by the head for all other responses.
+        self._has_started = False
         self._address = ''
         self._sent = False
         self._done = False
 
     async def start(self) -> None:
-        """Send the request on a kept connection or a new one."""
+        """Send the request on an idle connection or a new one."""
         core = self._core
         backend = core.backends.find_start(self._start)
         if backend is None or core.backends.is_leaving_or_gone(self._start):
-            self._report_unsent('the server has left')
+            self._report_unsent('server is leaving or gone')
             return
         address = self._address = backend.record.address
         connection = core.pool.take_idle(address)
@@ -131,97 +132,107 @@
             return
         self._send(connection, backend)
 
-    def withdraw_late(self) -> None:
-        """Take back what waits on weights whose time to begin runs out.
+    def abort_if_outdated(self) -> None:
+        """Abort a request still queued on weights that are about to expire.
 
-        What has its first token has begun and goes on.
+        A request that has produced its first token continues.
         """
-        if self._done or not self._sent or self._has_begun:
+        if self._done or not self._sent or self._has_started:
             return
         if not may_begin(self._core, self._weights, CANCEL_MARGIN):
             self._close_failed(
-                ErrorKind.STREAM_BROKEN, Ran.MAYBE, 'it waits on old weights'
+                ErrorKind.STREAM_BROKEN,
+                Ran.MAYBE,
+                'request was still queued on outdated weights',
             )
 
-    def withdraw_superseded(self) -> None:
-        """Take back what was sent to a start that has ended.
+    def abort_if_superseded(self) -> None:
+        """Abort a request sent to an incarnation that has ended.
 
-        Nothing of it comes any more, but a dead connection doesn't tell.
+        No response can follow, but the dead connection may not show it.
         """
         if self._done or not self._sent:
             return
         if self._core.backends.is_superseded(self._start):
             self._close_failed(
-                ErrorKind.STREAM_BROKEN, Ran.MAYBE, 'its server started anew'
+                ErrorKind.STREAM_BROKEN, Ran.MAYBE, 'server restarted'
             )
 
     def cancel(self) -> None:
-        """Stop the run by closing its connection."""
+        """Stop the server's run by closing the connection."""
         if not self._done:
             self._finish()
             if self._connection is not None:
                 self._connection.close()
 
     def fail(self, reason: str) -> None:
-        """Give up on an answer that may still come."""
+        """Abort an attempt whose response may still arrive."""
         if not self._done:
-            self._note_lost()
+            self._record_loss()
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, reason)
 
     def find_overdue_time(self, now: Millis) -> Millis:
-        """Return for how long the server has owed bytes and sent none."""
+        """Return for how long the server has sent nothing while work is due."""
         backend = self._core.backends.find_start(self._start)
         if self._done or backend is None:
             return 0.0
         return backend.find_overdue_time(now)
 
     def take_head(self, status: int, headers: Headers) -> None:
-        """Judge the head of the answer."""
-        facts = decode_answer(status, headers)
-        self._learn(facts)
+        """Validate the response head and accept it or report a failure."""
+        metadata = decode_answer(status, headers)
+        self._record_metadata(metadata)
         if self._done:
             return
-        fault = find_fault(status, facts, self._call.request)
+        fault = find_answer_fault(status, metadata, self._call.request)
         if fault:
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, fault)
-        elif facts.is_not_executed:
-            self._lessons.take_refusal(facts, self._weights)
-            self._report_failure(ErrorKind.OVERLOADED, Ran.NO, f'{status}')
+        elif metadata.is_not_executed:
+            self._updates.apply_refusal(metadata, self._weights)
+            self._report_failure(
+                ErrorKind.OVERLOADED, Ran.NO, f'status {status}'
+            )
         elif status >= _SERVER_ERROR and self._reserve_retry():
             self._core.backends.record_error(self._start)
-            self._report_failure(ErrorKind.STREAM_BROKEN, Ran.YES, f'{status}')
-        elif self._goes_on() and not is_rest(status, headers):
-            reason = f'{status} instead of the rest of the stream'
+            self._report_failure(
+                ErrorKind.STREAM_BROKEN, Ran.YES, f'status {status}'
+            )
+        elif self._is_continuation() and not continues_stream(status, headers):
+            reason = f'status {status} instead of the rest of the stream'
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, reason)
         else:
             self._accept(status, headers)
 
     def take_part(self, data: bytes) -> None:
-        """Pass on a part of the body, or hold it until the end."""
+        """Forward a part of the body, or buffer it until the end."""
         if self._done:
             return
-        self._has_begun = True
-        self._note_heard()
+        self._has_started = True
+        self._record_activity()
         if self._splitter is not None and self._is_stream:
-            for event in self._splitter.take(data):
-                self._pass_on(event.data)
-        elif self._held is None:
-            self._pass_on(data)
+            for event in self._splitter.feed(data):
+                self._forward(event.data)
+        elif self._buffered is None:
+            self._forward(data)
         else:
-            self._held += data
-            if len(self._held) > _HELD_BYTES:
-                self._release()
+            self._buffered += data
+            if len(self._buffered) > _BUFFER_LIMIT:
+                self._flush()
 
     def take_end(self) -> None:
-        """Report that the answer is whole."""
+        """Report that the response is complete."""
         if self._done:
             return
-        if self._is_stream and self._splitter and self._splitter.has_rest:
+        if (
+            self._is_stream
+            and self._splitter
+            and self._splitter.has_partial_event
+        ):
             self._close_failed(
-                ErrorKind.STREAM_BROKEN, Ran.MAYBE, 'ended within an event'
+                ErrorKind.STREAM_BROKEN, Ran.MAYBE, 'stream ended mid-event'
             )
             return
-        self._release()
+        self._flush()
         self._core.backends.record_success(self._start)
         self._finish()
         end = AnswerEnd(
@@ -230,20 +241,20 @@
         self._inbox.put(MessageReceived(end))
 
     def take_failure(self, reason: str) -> None:
-        """Report that the answer broke off."""
+        """Report that the connection was lost before the response ended."""
         if not self._done:
-            self._note_lost()
+            self._record_loss()
             self._report_failure(ErrorKind.STREAM_BROKEN, Ran.MAYBE, reason)
 
-    def _goes_on(self) -> bool:
-        """Return whether the caller already has events of an earlier run."""
-        return self._splitter is not None and self._splitter.has_passed
+    def _is_continuation(self) -> bool:
+        """Return whether the caller has events from an earlier attempt."""
+        return self._splitter is not None and self._splitter.has_yielded
 
-    def _note_lost(self) -> None:
-        """Leave the server out, and its kept connections unless it answered.
+    def _record_loss(self) -> None:
+        """Mark the server as failed; drop idle connections without a response.
 
-        They end with a start of the server, also where a cut hides that, and
-        each would cost one more request.
+        Idle connections die when the server restarts, even if a network
+        partition hides it, and each of them would fail one more request.
         """
         core = self._core
         core.backends.record_failure(self._start, core.clock.now())
@@ -251,10 +262,10 @@
             core.pool.drop_idle(self._address)
 
     def _find_send_fault(self, backend: Backend) -> str:
-        """Return why nothing may be sent now, or nothing.
+        """Return why the request may no longer be sent, or ''.
 
-        What was true when the server was chosen may have changed while the
-        connection was opened, by 300 ms at most.
+        Conditions may have changed since the server was chosen, as opening the
+        connection takes up to 300 ms.
         """
         if self._core.backends.is_leaving_or_gone(self._start):
             return 'the server left while connecting'
@@ -264,13 +275,14 @@
         if obstacle is not None:
             return obstacle.value
         weights = find_weights(self._call, backend)
-        # What would wait at the engine until its time is over runs late where
-        # a server doesn't drop the requests of closed connections.
+        # Include the expected queueing delay: a server that doesn't drop the
+        # requests of closed connections would run the request on weights that
+        # have expired by then.
         delay = backend.find_queue_delay(
             self._call.priority, self._core.clock.now()
         )
         if not may_begin(self._core, weights, FIRST_TOKEN_MARGIN + delay):
-            return 'its weights were replaced too long ago'
+            return 'weights of the server were replaced too long ago'
         return ''
 
     def _send(self, connection: BackendConnection, backend: Backend) -> None:
@@ -286,22 +298,22 @@
             call.host,
         )
         self._sent = True
-        demand = call.asked.demand
+        demand = call.parameters.demand
         tokens = 0
         if demand is not None:
             ready = backend.count_cached_tokens(demand.parts)
             ready = max(ready, dispatch.contexts.fetched_tokens)
             tokens = max(demand.prompt_tokens - ready, 0)
-        self._memory = 0 if demand is None else demand.memory_tokens
+        self._memory_tokens = 0 if demand is None else demand.memory_tokens
         now = core.clock.now()
-        owed = PendingAttempt(
+        pending = PendingAttempt(
             now,
             tokens,
             call.priority,
-            self._memory,
+            self._memory_tokens,
             is_alone=not backend.waiting and not backend.count_waiting(now),
         )
-        core.backends.record_sent(self._start, self._name, owed)
+        core.backends.record_sent(self._start, self._attempt_id, pending)
         core.limits.record_sent(backend, now)
         connection.send(head, call.body, self)
         core.log.write(
@@ -318,11 +330,13 @@
 
     def _make_dispatch(self, backend: Backend) -> Dispatch:
         core, call = self._core, self._call
-        demand = call.asked.demand
+        demand = call.parameters.demand
         self._weights = find_weights(call, backend)
         version = None if demand is None else self._weights[demand.model]
         salt = make_salt(call, version)
-        last = self._splitter.last if self._splitter is not None else None
+        last = (
+            self._splitter.last_number if self._splitter is not None else None
+        )
         return Dispatch(
             server=self.server,
             wait=call.deadline - core.clock.now(),
@@ -334,42 +348,44 @@
             last_event='' if last is None else str(last),
         )
 
-    def _learn(self, facts: AnswerMetadata) -> None:
+    def _record_metadata(self, metadata: AnswerMetadata) -> None:
         core = self._core
-        core.backends.record_received(self._start, self._name, core.clock.now())
-        if is_own_answer(facts, self._call.request, self.server):
-            self._lessons.take_facts(facts)
+        core.backends.record_received(
+            self._start, self._attempt_id, core.clock.now()
+        )
+        if is_own_answer(metadata, self._call.request, self.server):
+            self._updates.apply_metadata(metadata)
         if self._connection is not None:
-            set_idle_limit(self._connection, facts.idle_timeout)
+            set_idle_limit(self._connection, metadata.idle_timeout)
 
     def _accept(self, status: int, headers: Headers) -> None:
         self._has_answered = True
-        self._is_stream = has_events(headers)
-        self._has_begun = not self._is_stream
+        self._is_stream = is_event_stream(headers)
+        self._has_started = not self._is_stream
         self._head = AnswerHead(
             self._call.request, self._number, status, headers
         )
         if self._is_stream:
-            self._release()
-            self._lessons.take_begun()
+            self._flush()
+            self._updates.apply_stream_start()
 
-    def _release(self) -> None:
-        """Pass on the head and what was held of the body."""
+    def _flush(self) -> None:
+        """Forward the head and the buffered part of the body."""
         if self._head is not None:
             self._inbox.put(MessageReceived(self._head))
             self._head = None
-        held, self._held = self._held, None
-        if held:
-            self._pass_on(bytes(held))
+        buffered, self._buffered = self._buffered, None
+        if buffered:
+            self._forward(bytes(buffered))
 
-    def _pass_on(self, data: bytes) -> None:
+    def _forward(self, data: bytes) -> None:
         chunk = AnswerChunk(
             self._call.request, self._number, self._sequence, data
         )
         self._sequence += 1
         self._inbox.put(MessageReceived(chunk))
 
-    def _note_heard(self) -> None:
+    def _record_activity(self) -> None:
         backend = self._core.backends.find_start(self._start)
         if backend is not None:
             backend.last_heard_at = self._core.clock.now()
@@ -382,7 +398,7 @@
     def _report_failure(self, kind: ErrorKind, ran: Ran, reason: str) -> None:
         self._finish()
         if self._splitter is not None:
-            self._splitter.restart()
+            self._splitter.discard_partial()
         self._log_broken(ran, reason)
         failed = Failed(self._call.request, self._number, kind, ran, reason)
         self._inbox.put(MessageReceived(failed))
@@ -406,5 +422,5 @@
         self._done = True
         if self._sent:
             self._core.backends.record_ended(
-                self._start, self._name, self._memory
+                self._start, self._attempt_id, self._memory_tokens
             )
--- a/src/oleanderdyke/entry/hosted/core.py
+++ b/src/oleanderdyke/entry/hosted/core.py
@@ -1,4 +1,4 @@
-"""Hold what all parts of an entry on the users' platform share."""
+"""Shared state of an entry on the users' platform."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from oleanderdyke.clients.direct import ConnectionPool
 from oleanderdyke.clock import SECOND, Clock, Millis
 from oleanderdyke.dependencies import Dependency
-from oleanderdyke.entry.hosted.news import SharedNews
+from oleanderdyke.entry.hosted.peer_sharing import PeerSharing
 from oleanderdyke.entry.stopping import StoppableRequest
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.backends import BackendRegistry
@@ -37,33 +37,33 @@
 from oleanderdyke.metrics import Count, Gauge, Metrics
 from oleanderdyke.platform.settings import HostSettings
 
-# A connection within the deployment takes some milliseconds. One lost packet
-# costs a second: another server is the better wait.
+# A connection within the deployment opens within milliseconds. A lost packet
+# is retransmitted after a second, so trying another server is faster.
 CONNECT_LIMIT: Millis = 300.0
-# The balancer asks each second and takes a process out after two misses.
-_ANNOUNCE: Millis = 2.5 * SECOND
-# What is left of the grace time for closing connections and for the exit,
-# which take up to half a second on a busy machine.
+# The balancer checks every second and removes a process after two failures.
+_ANNOUNCE_PERIOD: Millis = 2.5 * SECOND
+# Grace time reserved for closing connections and exiting, which take up to
+# half a second on a busy machine.
 _EXIT_MARGIN: Millis = 600.0
-# New work has to end so long before running work is cut off.
+# New requests must be expected to end this long before the cut-off.
 _CUT_MARGIN: Millis = 500.0
-# A configuration that was read longer ago may lack a route or a key.
+# A configuration that was read longer ago may lack a new route or key.
 STALE_AFTER: Millis = 3 * SECOND
-# What is used of the allowance that the operators bound.
-_BUDGET_USE = 0.8
+# Share of the operators' retry limits that is used, as a safety margin.
+_BUDGET_SHARE = 0.8
 _RETRY_DELAY: Millis = 5.0
 
 
 class HostedRequest(StoppableRequest, Protocol):
-    """Lead one request; nothing here waits."""
+    """A running request, whose methods never block."""
 
     def check_attempt(self, now: Millis) -> None:
-        """Give up what is silent, superseded, or waits on old weights."""
+        """Abort an attempt that is silent, superseded or on old weights."""
 
 
 @dataclass
 class HostedCore:
-    """Hold the state of one entry."""
+    """State of one entry process, shared by its tasks."""
 
     settings: HostSettings
     clock: Clock
@@ -72,7 +72,7 @@
     metrics: Metrics
     drain: Drain
     pool: ConnectionPool
-    news: SharedNews
+    peers: PeerSharing
     limits: SendLimits
     entries: EntryCount = field(default_factory=EntryCount)
     backends: BackendRegistry = field(default_factory=BackendRegistry)
@@ -80,63 +80,71 @@
     durations: DurationEstimator = field(default_factory=DurationEstimator)
     rollout: Rollout = field(default_factory=lambda: Rollout(math.inf))
     contexts: ContextStores = field(default_factory=ContextStores)
-    # Set once the stores of context were read, or were waited for in vain.
-    contexts_known: anyio.Event = field(default_factory=anyio.Event)
+    # Set once the context stores have been read or the wait has timed out.
+    contexts_ready: anyio.Event = field(default_factory=anyio.Event)
     engine_clock: EngineClock = field(default_factory=EngineClock)
-    configuration_read: Millis | None = None
-    # When that which was read last had been asked for.
-    configuration_asked: Millis = 0.0
-    servers_read: Millis | None = None
-    # Set while requests wait for a server and none is listed.
-    servers_wanted: anyio.Event = field(default_factory=anyio.Event)
+    configuration_read_at: Millis | None = None
+    # When the last configuration read was requested.
+    configuration_requested_at: Millis = 0.0
+    servers_read_at: Millis | None = None
+    # Set while requests wait and no server is listed for them.
+    servers_requested: anyio.Event = field(default_factory=anyio.Event)
     running: dict[str, HostedRequest] = field(default_factory=dict)
     _budgets: dict[str, RetryBudget] = field(default_factory=dict)
 
-    def find_fault(self) -> str:
-        """Return why this entry is not ready, or nothing."""
+    def find_unready_reason(self) -> str:
+        """Return why this entry is not ready, or '' if it is."""
         if self.drain.is_leaving:
             return 'stopping'
         if self.deployment is None:
             return 'no configuration yet'
-        if self.servers_read is None:
+        if self.servers_read_at is None:
             return 'no list of backend servers yet'
         return ''
 
-    def note_load(self, start: ServerStart, load: ServerLoad) -> None:
-        """Take the load that a server told, and keep it for neighbours."""
+    def record_load(self, start: ServerStart, load: ServerLoad) -> None:
+        """Record the load a server reported, and queue it for peer entries."""
         backend = self.backends.find_start(start)
         rate_limit = None
         if backend is not None and backend.limit.was_ever_set:
             rate_limit = backend.limit.per_second
-        told = TimedLoad(start, load, self.clock.now(), rate_limit)
-        self.backends.record_load(start, load, told.at)
-        self.news.desk.loads.update(told)
-        self.news.desk.own_loads.update(told)
-
-    def take_shared_load(self, told: TimedLoad) -> None:
-        """Take the load that a server told a neighbour."""
-        if not self.news.desk.loads.update(told):
+        timed_load = TimedLoad(start, load, self.clock.now(), rate_limit)
+        self.backends.record_load(start, load, timed_load.at)
+        self.peers.desk.loads.update(timed_load)
+        self.peers.desk.own_loads.update(timed_load)
+
+    def apply_shared_load(self, timed_load: TimedLoad) -> None:
+        """Record a load that a server reported to a peer entry."""
+        if not self.peers.desk.loads.update(timed_load):
             return
-        self.backends.record_load(told.start, told.load, told.at)
-        if told.rate_limit is not None:
-            self.record_rate_limit(told.start, told.rate_limit, told_at=told.at)
+        self.backends.record_load(
+            timed_load.start, timed_load.load, timed_load.at
+        )
+        if timed_load.rate_limit is not None:
+            self.record_rate_limit(
+                timed_load.start,
+                timed_load.rate_limit,
+                reported_at=timed_load.at,
+            )
 
     def record_rate_limit(
         self,
         start: ServerStart,
         per_second: float,
         *,
-        told_at: Millis | None = None,
+        reported_at: Millis | None = None,
         request: str | None = None,
     ) -> None:
-        """Take the rate that a server accepts, infinite without a limit.
+        """Record the request rate a server accepts, infinite if unlimited.
 
-        The answer to `request` named it just now, or one to a neighbour
-        earlier.
+        Pass `request` for a limit in a response just received, or
+        `reported_at` for one that a peer entry received earlier.
         """
         now = self.clock.now()
-        told_at = now if told_at is None else told_at
-        if not self.backends.record_rate_limit(start, per_second, told_at, now):
+        reported_at = now if reported_at is None else reported_at
+        if not self.backends.record_rate_limit(
+            start, per_second, reported_at, now
+        ):
             return
         self.log.write(
             EventName.BACKEND_LIMITED,
@@ -144,11 +152,11 @@
             incarnation=start.born,
             request=request,
             value=None if math.isinf(per_second) else per_second,
-            age=round(now - told_at),
+            age=round(now - reported_at),
         )
 
     def mark_leaving(self, start: ServerStart, request: str) -> None:
-        """Send nothing more to a start whose answer to a request says so."""
+        """Stop sending to an incarnation whose response says it is leaving."""
         if self.backends.mark_leaving(start):
             self.log.write(
                 EventName.BACKEND_LEAVING,
@@ -160,7 +168,7 @@
     def record_backoff(
         self, start: ServerStart, pause: Millis, request: str
     ) -> None:
-        """Send nothing to a start that refused a request, for a pause."""
+        """Stop sending for `pause` to an incarnation that asked for it."""
         if self.backends.record_backoff(start, pause, self.clock.now()):
             self.log.write(
                 EventName.BACKEND_BACKOFF,
@@ -170,22 +178,22 @@
                 duration=round(pause),
             )
 
-    def want_servers(self) -> None:
-        """Have the list of servers read sooner."""
-        self.servers_wanted.set()
+    def request_servers(self) -> None:
+        """Request an earlier read of the server list for waiting requests."""
+        self.servers_requested.set()
 
-    def are_servers_wanted(self) -> bool:
-        """Return whether requests wait for a server."""
-        return self.servers_wanted.is_set()
+    def are_servers_requested(self) -> bool:
+        """Return whether an earlier read of the server list is requested."""
+        return self.servers_requested.is_set()
 
     @property
     def is_stale(self) -> bool:
-        """Return whether the configuration may have changed unseen."""
-        read = self.configuration_read
+        """Return whether the configuration may have changed unnoticed."""
+        read = self.configuration_read_at
         return read is None or self.clock.now() - read > STALE_AFTER
 
     def find_cold_limits(self, deployment: Deployment) -> dict[str, ColdLimit]:
-        """Return what cold servers of each service tolerate."""
+        """Return the limits of cold servers by service name."""
         share, slack = self.settings.cold_share, self.settings.cold_slack
         return {
             name: ColdLimit(
@@ -198,7 +206,7 @@
     def may_serve(
         self, model: str, version: int | None, margin: Millis
     ) -> bool:
-        """Return whether weights may begin requests for a margin more."""
+        """Return whether requests may start on weights `margin` from now."""
         return self.rollout.weights.may_serve(
             model,
             version,
@@ -207,14 +215,17 @@
             clock_offset=self.engine_clock.max_offset,
         )
 
-    def find_replaced(self, model: str, version: int) -> Millis | None:
-        """Return before when newer weights were not named, None if none are."""
+    def find_replacement_time(self, model: str, version: int) -> Millis | None:
+        """Return the earliest time newer weights may have been published.
+
+        It is None if there are no newer weights.
+        """
         return self.rollout.weights.find_replaced_at(
             model, version, self.clock.now(), self.engine_clock.max_offset
         )
 
     def make_store_dependency(self, name: str) -> Dependency:
-        """Follow one kind of call to the platform's store."""
+        """Track the availability of the platform's store for one task."""
         return Dependency(
             self.log,
             self.metrics,
@@ -226,41 +237,41 @@
         )
 
     def describe_configuration(self) -> Mapping[str, LogValue]:
-        """Return what log lines tell of the configuration that decided."""
-        read, deployment = self.configuration_read, self.deployment
+        """Return log fields for the configuration in force and its age."""
+        read, deployment = self.configuration_read_at, self.deployment
         return {
             'version': None if deployment is None else deployment.version,
             'age': None if read is None else round(self.clock.now() - read),
         }
 
-    def note_levels(self) -> None:
-        """Set the levels that are told only when they are asked for."""
+    def update_gauges(self) -> None:
+        """Update the metrics that are computed only when scraped."""
         metrics = self.metrics
         metrics.set_gauge(Gauge.RUNNING, len(self.running))
-        metrics.set_gauge(Gauge.READY, float(not self.find_fault()))
+        metrics.set_gauge(Gauge.READY, float(not self.find_unready_reason()))
         metrics.set_count(Count.LINES_DROPPED, self.log.count_dropped())
         if self.deployment is not None:
             version = self.deployment.version
             metrics.set_gauge(Gauge.CONFIGURATION_OFFSET, version)
 
     def find_budget(self, service: str) -> RetryBudget:
-        """Return this entry's part of what may be sent again to a service."""
+        """Return this entry's retry budget for a service."""
         if service not in self._budgets:
             self._budgets[service] = make_retry_budget(
-                self._share_budget(), self.random
+                self._make_budget_settings(), self.random
             )
         return self._budgets[service]
 
-    def share_budgets(self) -> None:
-        """Share what may be sent again among the entries that are alive."""
+    def resize_budgets(self) -> None:
+        """Resize the retry budgets to the number of live entries."""
         for budget in self._budgets.values():
-            budget.resize(self._share_budget())
+            budget.resize(self._make_budget_settings())
 
-    def _share_budget(self) -> RetrySettings:
+    def _make_budget_settings(self) -> RetrySettings:
         settings = self.settings
-        slack = settings.retry_slack * _BUDGET_USE
+        slack = settings.retry_slack * _BUDGET_SHARE
         return RetrySettings(
-            share=settings.retry_share * _BUDGET_USE,
+            share=settings.retry_share * _BUDGET_SHARE,
             burst=max(slack / self.entries.count(self.clock.now()), 1.0),
             base_delay=_RETRY_DELAY,
         )
@@ -269,11 +280,11 @@
 def make_hosted_core(
     settings: HostSettings, clock: Clock, log: EventLog, random: Random
 ) -> HostedCore:
-    """Build the state of an entry that has just started."""
+    """Build the initial state of an entry."""
     limit = settings.grace - _EXIT_MARGIN
     drain = DrainSettings(
-        accept=_ANNOUNCE,
-        announce=_ANNOUNCE,
+        accept=_ANNOUNCE_PERIOD,
+        announce=_ANNOUNCE_PERIOD,
         drain=limit - _CUT_MARGIN,
         limit=limit,
     )
@@ -288,9 +299,9 @@
         drain=Drain(drain),
         rollout=Rollout(settings.version_limit),
         pool=ConnectionPool(CONNECT_LIMIT),
-        news=SharedNews(settings, clock, log, metrics),
+        peers=PeerSharing(settings, clock, log, metrics),
         limits=SendLimits(settings.process, entries, settings.regions),
         entries=entries,
     )
-    core.news.desk.note_urgent = core.want_servers
+    core.peers.desk.note_urgent = core.request_servers
     return core
--- a/src/oleanderdyke/entry/hosted/events.py
+++ b/src/oleanderdyke/entry/hosted/events.py
@@ -1,4 +1,4 @@
-"""Split a stream of events into whole ones."""
+"""Split a byte stream into complete server-sent events."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeEvent:
-    """Hold the bytes of one event and its number, where it has one."""
+class ServerSentEvent:
+    """The bytes of one event, and its number if its id is numeric."""
 
     data: bytes
     number: int | None
 
 
 class EventSplitter:
-    """Pass on whole events only, each once, in ascending order.
+    """Yield complete events, each number once and in ascending order.
 
-    `has_passed` tells that the reader has got some.
+    `has_yielded` is set once any event has been yielded.
     """
 
     def __init__(self, last: int | None) -> None:
         self._pending = bytearray()
-        self.last = last
-        self.has_passed = False
+        self.last_number = last
+        self.has_yielded = False
 
     @property
-    def has_rest(self) -> bool:
-        """Return whether the stream stopped in the middle of an event."""
+    def has_partial_event(self) -> bool:
+        """Return whether an incomplete event is buffered."""
         return bool(self._pending.strip())
 
-    def restart(self) -> None:
-        """Drop the beginning of an event that another run will repeat."""
+    def discard_partial(self) -> None:
+        """Drop an incomplete event, which the next attempt sends again."""
         self._pending.clear()
 
-    def take(self, data: bytes) -> Iterator[WholeEvent]:
-        """Yield the events that are whole now and new to the reader."""
+    def feed(self, data: bytes) -> Iterator[ServerSentEvent]:
+        """Add data, and yield events that are complete and not yet seen."""
         self._pending += data
         while True:
             end = self._pending.find(_END)
@@ -49,11 +49,11 @@
             del self._pending[:end]
             number = _read_number(event)
             if number is not None:
-                if self.last is not None and number <= self.last:
+                if self.last_number is not None and number <= self.last_number:
                     continue
-                self.last = number
-            self.has_passed = True
-            yield WholeEvent(event, number)
+                self.last_number = number
+            self.has_yielded = True
+            yield ServerSentEvent(event, number)
 
 
 def _read_number(event: bytes) -> int | None:
--- a/src/oleanderdyke/entry/hosted/presence.py
+++ b/src/oleanderdyke/entry/hosted/presence.py
@@ -1,4 +1,4 @@
-"""Announce this entry to the others, and count them."""
+"""Announce this entry to the other entries and count the live ones."""
 
 from __future__ import annotations
 
@@ -13,31 +13,33 @@
 from oleanderdyke.platform.entries import EntryFeed
 from oleanderdyke.platform.store import StoreClient, StoreUnavailable
 
-# Three readings in two notices keep this at a sixth of a call a second.
+# Three reads for every two announcements make a sixth of a call a second.
 _PERIOD: Millis = 10 * SECOND
-# After a start it reads sooner: those that start with it have told of
-# themselves by the first, and may be counted from the second on.
-_FIRST_PERIODS: tuple[Millis, ...] = (1.5 * SECOND, 4 * SECOND)
-_NOTICE_PERIOD: Millis = 15 * SECOND
-# A neighbour that reads does so every ten seconds, and answers within this.
+# The first reads come sooner: entries started at the same time have announced
+# themselves by the first read, and may be counted from the second on.
+_INITIAL_PERIODS: tuple[Millis, ...] = (1.5 * SECOND, 4 * SECOND)
+_ANNOUNCE_PERIOD: Millis = 15 * SECOND
+# A reading peer reads every ten seconds, and answers within this.
 _SHARED_WAIT: Millis = 1 * SECOND
 _SHARED_LIMIT: Millis = 20 * SECOND
 
 
 class Presence:
-    """Append notices of this entry and read those of all."""
+    """Announce this entry in the store and read all announcements."""
 
     def __init__(self, core: HostedCore) -> None:
         self._core = core
-        sharing = core.news.share(wait=_SHARED_WAIT, limit=_SHARED_LIMIT)
+        sharing = core.peers.make_sharing(
+            wait=_SHARED_WAIT, limit=_SHARED_LIMIT
+        )
         client = StoreClient(core.settings.store, sharing=sharing)
-        self._feed = EntryFeed(client, self._refuse)
+        self._feed = EntryFeed(client, self._log_refused_record)
         self._announced_at: Millis | None = None
 
     async def run(self) -> None:
-        """Work until cancelled; without the store the last count stays."""
+        """Run until cancelled; keep the last count while the store is down."""
         store = self._core.make_store_dependency('entries')
-        pauses = chain(_FIRST_PERIODS, repeat(_PERIOD))
+        pauses = chain(_INITIAL_PERIODS, repeat(_PERIOD))
         while True:
             try:
                 await self._announce()
@@ -48,7 +50,7 @@
                 store.note_good()
             await anyio.sleep(next(pauses) / SECOND)
 
-    def _refuse(self, name: str, error: MalformedRecord) -> None:
+    def _log_refused_record(self, name: str, error: MalformedRecord) -> None:
         self._core.log.write(
             EventName.RECORD_REFUSED, name=name, detail=error.message
         )
@@ -57,25 +59,25 @@
         now = self._core.clock.now()
         if (
             self._announced_at is not None
-            and now - self._announced_at < _NOTICE_PERIOD
+            and now - self._announced_at < _ANNOUNCE_PERIOD
         ):
             return
-        await self._feed.announce(self._core.news.own)
+        await self._feed.announce(self._core.peers.own)
         self._announced_at = now
         self._core.entries.record_announcement(now)
 
     async def _read(self) -> None:
         core = self._core
-        told = await self._feed.read()
-        if told is None:
+        notices = await self._feed.read()
+        if notices is None:
             core.entries.mark_incomplete()
             if self._feed.was_restored:
-                # The copy may lack the last announcement of this entry.
+                # The restored topic may lack this entry's last announcement.
                 self._announced_at = None
             return
         now = core.clock.now()
-        for entry in told:
+        for entry in notices:
             core.entries.record_entry(entry.name, now)
-            core.news.neighbours.record_alive(entry, now)
+            core.peers.neighbours.record_alive(entry, now)
         core.entries.record_read(now)
-        core.share_budgets()
+        core.resize_budgets()
--- a/src/oleanderdyke/kernel/quarantine.py
+++ b/src/oleanderdyke/kernel/quarantine.py
@@ -1,4 +1,4 @@
-"""Keep a request that crashes backend servers from doing it again."""
+"""Quarantine requests that repeatedly crash backend servers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class QuarantineStatus(enum.StrEnum):
-    """Name what is held against a request digest."""
+    """Classify a request digest by the crashes recorded against it."""
 
     CLEAN = 'clean'
     SUSPECT = 'suspect'
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuarantineSettings:
-    """Bound what a process remembers of crashes."""
+    """Limit the number and lifetime of the digests that a process tracks."""
 
     capacity: int = 1_000
     expiry: Millis = 30 * MINUTE
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class _Record:
-    """Hold what is known about one digest."""
+    """Hold the crashes of one digest; cleared ones no longer count."""
 
     since: Millis
     crashes: set[str] = field(default_factory=set)
@@ -45,11 +45,11 @@
 class Quarantine:
     """Count the crashes of backend servers for each request digest.
 
-    An entry and an agent each have one; heartbeats carry `list_suspects` and
-    `list_quarantined` between them. A digest is quarantined by its second
-    crash, or by a crash while it ran alone. What has expired is kept as long
-    again only to ignore late heartbeats, so that no digest is told round for
-    ever.
+    Each entry and each agent has its own; heartbeats exchange `list_suspects`
+    and `list_quarantined` between them. A digest is quarantined by its second
+    crash, or by a crash while it ran alone. Expired records are kept for the
+    same time again so that late heartbeats are ignored; otherwise processes
+    would pass an expired digest back and forth for ever.
     """
 
     def __init__(self, settings: QuarantineSettings) -> None:
@@ -67,21 +67,24 @@
         *,
         alone: bool = False,
     ) -> tuple[str, ...]:
-        """Count a crash with a unique name; return what it quarantined."""
+        """Record a crash, by a unique id, of the requests that were running.
+
+        Returns the digests that it quarantined.
+        """
         return tuple(
             digest
             for digest in digests
-            if self._count(digest, crash, now, alone=alone)
+            if self._record_for_digest(digest, crash, now, alone=alone)
         )
 
     def clear(self, digest: str) -> None:
-        """Clear a suspect that ran alone and was served."""
+        """Clear the crashes of a suspect that ran alone without a crash."""
         record = self._records.get(digest)
         if record is not None and not record.quarantined:
             record.cleared = frozenset(record.crashes)
 
     def get_status(self, digest: str, now: Millis) -> QuarantineStatus:
-        """Tell what is held against a digest."""
+        """Return the current status of a digest."""
         record = self._records.get(digest)
         if record is None or self._has_expired(record, now):
             return QuarantineStatus.CLEAN
@@ -99,15 +102,15 @@
         suspects: Iterable[str],
         now: Millis,
     ) -> None:
-        """Take over what a heartbeat tells."""
+        """Add the quarantined digests and the suspects from a heartbeat."""
         for digest in quarantined:
-            record = self._find(digest, now)
+            record = self._get_or_create(digest, now)
             if not self._has_expired(record, now):
                 record.quarantined = True
         for suspect in suspects:
             digest, _, crash = suspect.partition(_SEPARATOR)
-            if not self._has_expired(self._find(digest, now), now):
-                self._add(self._find(digest, now), crash)
+            if not self._has_expired(self._get_or_create(digest, now), now):
+                self._add_crash(self._get_or_create(digest, now), crash)
 
     def list_quarantined(self, now: Millis) -> tuple[str, ...]:
         """List the quarantined digests for a heartbeat."""
@@ -118,7 +121,7 @@
         )
 
     def list_suspects(self, now: Millis) -> tuple[str, ...]:
-        """List `digest@crash` of the suspects for a heartbeat."""
+        """List the suspects as `digest@crash` for a heartbeat."""
         return tuple(
             f'{digest}{_SEPARATOR}{crash}'
             for digest, record in self._records.items()
@@ -126,25 +129,25 @@
             for crash in sorted(record.open_crashes)
         )
 
-    def _count(
+    def _record_for_digest(
         self, digest: str, crash: str, now: Millis, *, alone: bool
     ) -> bool:
         record = self._records.get(digest)
         if record is not None and self._has_expired(record, now):
             del self._records[digest]
-        record = self._find(digest, now)
+        record = self._get_or_create(digest, now)
         was_quarantined = record.quarantined
-        self._add(record, crash)
+        self._add_crash(record, crash)
         record.quarantined = record.quarantined or alone
         return record.quarantined and not was_quarantined
 
-    def _add(self, record: _Record, crash: str) -> None:
+    def _add_crash(self, record: _Record, crash: str) -> None:
         if len(record.open_crashes) < CRASH_LIMIT:
             record.crashes.add(crash)
         if len(record.open_crashes) >= CRASH_LIMIT:
             record.quarantined = True
 
-    def _find(self, digest: str, now: Millis) -> _Record:
+    def _get_or_create(self, digest: str, now: Millis) -> _Record:
         record = self._records.get(digest)
         if record is None:
             self._make_room(now)
@@ -152,9 +155,12 @@
         return record
 
     def _make_room(self, now: Millis) -> None:
-        """Drop what is over for good, else the oldest suspect."""
-        over = now - 2 * self._settings.expiry
-        for digest in [d for d, r in self._records.items() if r.since < over]:
+        """Drop records past twice their lifetime; if still full, one more.
+
+        That is the oldest suspect, or the oldest record if there is none.
+        """
+        cutoff = now - 2 * self._settings.expiry
+        for digest in [d for d, r in self._records.items() if r.since < cutoff]:
             del self._records[digest]
         if len(self._records) < self._settings.capacity:
             return
@@ -166,5 +172,5 @@
 
 
 def make_quarantine(settings: QuarantineSettings) -> Quarantine:
-    """Build an empty quarantine."""
+    """Build a quarantine without records."""
     return Quarantine(settings)
--- a/src/oleanderdyke/kernel/rate_limits.py
+++ b/src/oleanderdyke/kernel/rate_limits.py
@@ -1,9 +1,9 @@
-"""Share among entries the rate of requests that a backend server accepts.
+"""Shares of the request rate that a backend server accepts.
 
-A server in need names a rate for the sum of what all entries send. They agree
-on nothing on the path of a request: a few of them, ranked alike everywhere,
-have equal shares of most of the rate. Each of the others, and each that some
-may not know yet, sends seldom, to find out whether the limit still holds.
+An overloaded server announces a rate for the sum over all entries. They do not
+coordinate while they serve a request: a few entries, ranked alike in every
+process, have equal shares of most of the rate. All others, and entries that
+some may not know yet, send seldom, to probe whether the limit still holds.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 from dataclasses import dataclass
 
 from oleanderdyke.clock import SECOND, Millis
-from oleanderdyke.kernel.ranks import count_ahead, find_spread
+from oleanderdyke.kernel.ranks import count_ahead, find_fraction
 
-# So many entries have a share, or as many as there are requests in a second.
-# Where all send at once, the server gets so many more than the rate allows.
-_LEAST_SENDERS = 4
-# The part of the rate that is left to all other entries.
+# Least number of entries with a share; there are as many as requests per second
+# if that is more. If all of them send at once, the server gets this many
+# requests beyond its rate.
+_MIN_SENDERS = 4
+# Share of the rate that is left to all other entries.
 _PROBE_SHARE = 0.2
-# A server that accepts nothing is asked so often, in requests a second,
-# whether it does again.
-_LEAST_RATE = 0.1
-# Answers may overtake each other. One without a limit doesn't end a limit that
-# another named so shortly before.
+# Requests per second by which a server that accepts none is probed.
+_MIN_RATE = 0.1
+# Answers may arrive out of order: one without a limit does not end a limit that
+# another answer announced this shortly before.
 _REORDERING: Millis = 250.0
 
 
 @dataclass(frozen=True, slots=True)
-class Entries:
-    """Entries among which a rate is shared.
+class EntryCounts:
+    """Counts of the entries that share a rate; none is an underestimate.
 
-    `count` is how many may be alive, of which some are `known` by name;
-    `sharing` is among how many a rate is shared, infinite for an entry that
-    others may not know yet. Neither is an underestimate.
+    `count` is the number of entries that may be alive, some of which are
+    `known` by name. `sharing` is the number that shares the rate, infinite for
+    an entry that others may not know yet.
     """
 
     known: Collection[str]
@@ -44,56 +44,62 @@
 
 @dataclass(slots=True)
 class RateLimit:
-    """Requests a second that a server accepts from all entries together.
+    """Requests per second that a server accepts from all entries together.
 
-    It is infinite unless the server names one. This entry has known of it
-    `since` a moment on its own clock.
+    The rate is infinite if the server announces no limit. `since` is the local
+    time from which this entry has known of a limit.
     """
 
     per_second: float = math.inf
     since: Millis = -math.inf
-    _named_at: Millis = -math.inf
-    _told_at: Millis = -math.inf
+    _limited_at: Millis = -math.inf
+    _reported_at: Millis = -math.inf
 
     @property
-    def is_named(self) -> bool:
-        """Return whether the server names a limit."""
+    def is_set(self) -> bool:
+        """Return whether the server currently announces a limit."""
         return self.per_second < math.inf
 
     @property
     def was_ever_set(self) -> bool:
-        """Return whether the server has ever named a limit."""
-        return self._named_at > -math.inf
+        """Return whether the server has ever announced a limit."""
+        return self._limited_at > -math.inf
 
-    def update(self, per_second: float, told_at: Millis, now: Millis) -> bool:
-        """Take what an answer named at a moment; return whether it is new.
+    def update(
+        self, per_second: float, reported_at: Millis, now: Millis
+    ) -> bool:
+        """Apply a rate from an answer; return whether it changed.
 
-        A neighbour may have been told earlier than now.
+        `reported_at` is the time of the answer, which is earlier than `now` if
+        another entry received it.
         """
-        if told_at < self._told_at:
+        if reported_at < self._reported_at:
             return False
-        self._told_at = told_at
-        if math.isinf(per_second) and told_at - self._named_at < _REORDERING:
+        self._reported_at = reported_at
+        if (
+            math.isinf(per_second)
+            and reported_at - self._limited_at < _REORDERING
+        ):
             return False
         if per_second < math.inf:
-            self._named_at = told_at
+            self._limited_at = reported_at
         if per_second == self.per_second:
             return False
-        if not self.is_named:
+        if not self.is_set:
             self.since = now
         self.per_second = per_second
         return True
 
 
 def find_interval(
-    rate: float, server: str, *, entry: str, entries: Entries
+    rate: float, server: str, *, entry: str, entries: EntryCounts
 ) -> Millis:
-    """Return the least time between two requests of an entry to a server.
+    """Return the minimum time between two requests of an entry to a server.
 
-    Infinity while it isn't known how many entries may be alive.
+    It is infinite while the number of live entries is unknown.
     """
-    rate = max(rate, _LEAST_RATE)
-    senders = max(_LEAST_SENDERS, math.floor(rate))
+    rate = max(rate, _MIN_RATE)
+    senders = max(_MIN_SENDERS, math.floor(rate))
     if entries.sharing <= senders:
         return SECOND * entries.sharing / rate
     ahead = count_ahead(
@@ -101,6 +107,6 @@
     )
     if ahead < senders:
         return SECOND * senders / (rate * (1 - _PROBE_SHARE))
-    # Entries that learn of a limit together don't probe together.
-    spread = 0.5 + find_spread(server, entry)
+    # Spread the probes of entries that learn of a limit together.
+    spread = 0.5 + find_fraction(server, entry)
     return SECOND * entries.count / (rate * _PROBE_SHARE) * spread
--- a/src/oleanderdyke/kernel/server_list.py
+++ b/src/oleanderdyke/kernel/server_list.py
@@ -1,4 +1,4 @@
-"""Keep the list of backend servers: their present starts, and who leaves."""
+"""The list of backend servers, with the current start of each."""
 
 from __future__ import annotations
 
@@ -9,76 +9,78 @@
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.kernel.backend import Backend
 from oleanderdyke.kernel.prefill_rate import PrefillRate
-from oleanderdyke.kernel.returns import ReturningServers
+from oleanderdyke.kernel.removed_servers import RemovedServers
 from oleanderdyke.kernel.servers import ServerRecord, ServerStart
 
-# Servers tell to be cold for some seconds; a larger number is an error.
-_LONGEST_COLD: Millis = 60 * SECOND
-# Starts that left are forgotten beyond so many; a list lags by seconds, in
-# which few leave.
-_MOST_LEFT = 1_024
+# Servers report being cold for seconds; a larger value is an error.
+_MAX_COLD: Millis = 60 * SECOND
+# Bounds the memory for starts that have left. The list lags by seconds, and few
+# servers leave in that time.
+_MAX_LEFT_STARTS = 1_024
 
 
 class ServerList:
-    """Keep the present start of each backend server of all services.
+    """Keep the current start of each backend server of all services.
 
-    What is told of an earlier start changes nothing: it knows, holds and runs
-    nothing that the present one does.
+    Reports about earlier starts are ignored: the current start has none of
+    their state or requests.
     """
 
     def __init__(self) -> None:
         self._backends: dict[str, Backend] = {}
-        # The servers that told each address; some may have told another since.
-        self._at_address: defaultdict[str, set[str]] = defaultdict(set)
-        self._reading: defaultdict[str, PrefillRate] = defaultdict(PrefillRate)
-        self._returning = ReturningServers()
-        # When the latest start of each server was that told any, kept when
-        # the server is gone: a record of an earlier one may still come.
-        self._latest: dict[str, int] = {}
+        # Servers that have used each address; some may have moved since.
+        self._servers_by_address: defaultdict[str, set[str]] = defaultdict(set)
+        self._prefill_rates: defaultdict[str, PrefillRate] = defaultdict(
+            PrefillRate
+        )
+        self._removed = RemovedServers()
+        # Latest known start time of each server. Kept after the server is gone,
+        # because a record of an earlier start may still arrive.
+        self._latest_starts: dict[str, int] = {}
         self._superseded: list[ServerRecord] = []
-        # Starts that answers showed to leave, kept when they are gone: a list
-        # that lags may still have them as ready.
-        self._left: OrderedDict[ServerStart, None] = OrderedDict()
-        # Whether a known server tells when it started. All servers do then, and
-        # a record without it is by another writer; until then the name alone
-        # tells starts apart.
-        self._are_starts_told = False
+        # Starts whose answers announced that they leave. Kept after they are
+        # gone, because a lagging list may still show them as ready.
+        self._left_starts: OrderedDict[ServerStart, None] = OrderedDict()
+        # Whether any known server reports its start time. If so, all of them
+        # do, and a record without it has another writer; if not, starts can
+        # only be told apart by the server name.
+        self._has_start_times = False
 
     def find(self, server: str) -> Backend | None:
-        """Return a server that is listed or still answers."""
+        """Return a server that is listed or still has running requests."""
         return self._backends.get(server)
 
     def find_start(self, start: ServerStart) -> Backend | None:
-        """Return a server if this is its present start."""
+        """Return the server if `start` is its current start."""
         backend = self._backends.get(start.server)
         if backend is None or backend.record.start != start:
             return None
         return backend
 
     def is_leaving_or_gone(self, start: ServerStart) -> bool:
-        """Return whether a start of a server leaves or is no longer known."""
+        """Return whether a start is leaving or no longer known."""
         backend = self.find_start(start)
         if backend is None or backend.record.is_leaving:
             return True
-        return not self._is_server(backend)
+        return not self._is_valid(backend)
 
     def is_superseded(self, start: ServerStart) -> bool:
-        """Return whether a server has started anew since."""
+        """Return whether the server has restarted since `start`."""
         backend = self._backends.get(start.server)
         return backend is not None and backend.record.start != start
 
     def take_superseded(self) -> tuple[ServerRecord, ...]:
-        """Return what the starts told that ended since this was asked."""
+        """Return and clear the last records of starts that were superseded."""
         ended, self._superseded = tuple(self._superseded), []
         return ended
 
     def list_known(self) -> list[Backend]:
-        """Return the servers that are listed or still answer."""
+        """Return the servers that are listed or still have running requests."""
         known = self._backends.values()
-        return [backend for backend in known if self._is_server(backend)]
+        return [backend for backend in known if self._is_valid(backend)]
 
     def list_service(self, service: str, now: Millis) -> list[Backend]:
-        """Return the servers of a service that may get new work."""
+        """Return the servers of a service that may get new requests."""
         return [
             backend
             for backend in self._backends.values()
@@ -87,28 +89,26 @@
             and not backend.is_unread
             and not backend.is_displaced
             and not self.is_missing(backend, now)
-            and self._is_server(backend)
+            and self._is_valid(backend)
         ]
 
     def record_list_read(
         self, now: Millis, read_at: Millis | None = None
     ) -> None:
-        """Learn that the list was read, before what it says is taken.
+        """Record a read of the list, before its entries are applied.
 
-        `read_at` is when, where a neighbour did it earlier.
+        `read_at` is the time of the read if another process made it earlier.
         """
-        self._returning.record_list_read(
-            now, now if read_at is None else read_at
-        )
+        self._removed.record_list_read(now, now if read_at is None else read_at)
 
     def record_restore(self, now: Millis) -> None:
-        """Learn that the list comes from a copy and may lack live servers."""
-        self._returning.record_restore(now)
+        """Record that the list was restored and may lack live servers."""
+        self._removed.record_restore(now)
 
     def complete_read(self, now: Millis, read_at: Millis | None = None) -> None:
-        """Learn that the platform's list has been read up to its end."""
+        """Record that the platform's list has been read to its end."""
         self.record_list_read(now, read_at)
-        for record in self._returning.take_proven(now):
+        for record in self._removed.take_confirmed(now):
             self.put(record, now)
         self._drop_missing(now)
 
@@ -119,9 +119,9 @@
         *,
         unread: Collection[str] = (),
     ) -> None:
-        """Take the whole list; what is not on it is missing.
+        """Replace the whole list; servers that are not on it become missing.
 
-        `unread` are servers on it whose entries can't be read.
+        `unread` names listed servers whose entries cannot be parsed.
         """
         listed = {record.server: record for record in records}
         for record in listed.values():
@@ -133,16 +133,16 @@
                 backend.missing_since = now
 
     def put(self, record: ServerRecord, now: Millis) -> None:
-        """Take a newer record; a start that leaves never comes back."""
-        if self._is_earlier(record):
+        """Apply a newer record; a start that is leaving stays so."""
+        if self._is_stale(record):
             return
-        record = self._keep_leaving(record)
-        self._note_start(record)
-        if self._returning.holds_back(record, now):
+        record = self._preserve_leaving(record)
+        self._record_start(record)
+        if self._removed.should_hold(record, now):
             return
         known = self._backends.get(record.server)
         if known is None or known.record.start != record.start:
-            self._begin(record, known, now)
+            self._add_start(record, known, now)
             return
         known.missing_since = None
         known.is_unread = False
@@ -152,125 +152,131 @@
             known.reload_until = 0.0
             known.clear_cache()
         known.record = merged
-        _note_cold(known, now)
-        self._at_address[record.address].add(record.server)
+        _update_cold(known, now)
+        self._servers_by_address[record.address].add(record.server)
 
     def mark_unreadable(self, servers: Iterable[str]) -> None:
-        """Learn whose newest entries can't be read.
+        """Mark servers whose latest entries cannot be parsed.
 
-        They get no new work until a later one can. They are not gone: what
-        runs there goes on, and the weights that they hold still count, so
-        that context is not freed for this alone.
+        They get no new requests until a later entry can be parsed. They are not
+        treated as gone: their requests go on, and the weights that they hold
+        still count, so that context is not freed because of this alone.
         """
         for server in servers:
             backend = self._backends.get(server)
             if backend is None:
                 continue
             backend.is_unread = True
-            if not self._returning.is_removed(server):
+            if not self._removed.is_removed(server):
                 backend.missing_since = None
 
     def remove(self, server: str, now: Millis) -> None:
-        """Learn that a server's entry is gone.
+        """Record that a server's entry was removed.
 
-        What it wrote before may arrive after that, so only a second, later
-        record brings it back, or one that stays. Entries that lapsed with the
-        platform's store come back with the first.
+        Records written earlier may still arrive, so the server counts as back
+        only after a second, later record or if its entry persists. Entries that
+        lapsed with the platform's store come back with the first record.
         """
-        self._returning.remove(server, now)
+        self._removed.remove(server, now)
         backend = self._backends.get(server)
         if backend is not None and backend.missing_since is None:
             backend.missing_since = now
 
-    def _keep_leaving(self, record: ServerRecord) -> ServerRecord:
-        """Return a record of a start that, once it leaves, always leaves."""
+    def _preserve_leaving(self, record: ServerRecord) -> ServerRecord:
+        """Return the record, marked as leaving if its start was already so."""
         known = self.find_start(record.start)
         is_leaving = known is not None and known.record.is_leaving
-        if record.is_leaving or not (is_leaving or record.start in self._left):
+        if record.is_leaving or not (
+            is_leaving or record.start in self._left_starts
+        ):
             return record
         return replace(record, is_leaving=True)
 
-    def _is_earlier(self, record: ServerRecord) -> bool:
-        """Return whether a record is not of the latest known start.
+    def _is_stale(self, record: ServerRecord) -> bool:
+        """Return whether a record belongs to an earlier start.
 
-        One that tells no start is not by a server that has told its own.
+        A record without a start time does not belong to a server that has
+        reported one.
         """
         if record.born is None:
             known = self._backends.get(record.server)
             return known is not None and known.record.born is not None
-        return record.born < self._latest.get(record.server, 0)
+        return record.born < self._latest_starts.get(record.server, 0)
 
-    def _note_start(self, record: ServerRecord) -> None:
-        """Note the latest start; what it writes is not left over."""
+    def _record_start(self, record: ServerRecord) -> None:
+        """Record the latest start; its own records cannot be left over."""
         if record.born is None:
             return
-        self._are_starts_told = True
-        if record.born != self._latest.get(record.server):
-            self._latest[record.server] = record.born
-            self._returning.forget(record.server)
+        self._has_start_times = True
+        if record.born != self._latest_starts.get(record.server):
+            self._latest_starts[record.server] = record.born
+            self._removed.forget(record.server)
 
-    def _begin(
+    def _add_start(
         self, record: ServerRecord, known: Backend | None, now: Millis
     ) -> None:
-        """Know nothing but its record of a start."""
+        """Add a start without any state of the previous one."""
         if known is not None:
             self._superseded.append(known.record)
-        self._displace(record)
-        self._at_address[record.address].add(record.server)
-        reading = self._reading[record.service]
-        begun = Backend(record, now, reading)
-        _note_cold(begun, now)
-        self._backends[record.server] = begun
-
-    def _displace(self, record: ServerRecord) -> None:
-        """Use no server whose address a new one has told.
-
-        After a common loss of power those of before stay listed for seconds,
-        and each request to one would only learn that it has ended.
+        self._mark_displaced(record)
+        self._servers_by_address[record.address].add(record.server)
+        prefill_rate = self._prefill_rates[record.service]
+        backend = Backend(record, now, prefill_rate)
+        _update_cold(backend, now)
+        self._backends[record.server] = backend
+
+    def _mark_displaced(self, record: ServerRecord) -> None:
+        """Mark other servers at the address of a new record as displaced.
+
+        After a power failure the previous servers stay listed for seconds, and
+        every request to one of them would fail.
         """
-        for server in self._at_address[record.address] - {record.server}:
+        for server in self._servers_by_address[record.address] - {
+            record.server
+        }:
             backend = self._backends[server]
             if backend.record.address == record.address:
                 backend.is_displaced = True
 
-    def _is_server(self, backend: Backend) -> bool:
-        """Return whether a record names a backend server to use."""
-        return backend.record.born is not None or not self._are_starts_told
+    def _is_valid(self, backend: Backend) -> bool:
+        """Return whether a record was written by a backend server."""
+        return backend.record.born is not None or not self._has_start_times
 
     def find_oldest_version(self, model: str) -> int | None:
-        """Return the oldest weights that any known engine may still hold."""
+        """Return the oldest weights that a known engine may still hold."""
         held = [
             backend.record.versions[model]
             for backend in self._backends.values()
-            if model in backend.record.versions and self._is_server(backend)
+            if model in backend.record.versions and self._is_valid(backend)
         ]
         return min(held, default=None)
 
     def mark_replaced(self, start: ServerStart) -> None:
-        """Learn that another server answers at the address of this one."""
+        """Record that another server answers at the address of a start."""
         backend = self.find_start(start)
         if backend is not None:
             backend.record = replace(backend.record, is_leaving=True)
 
     def mark_leaving(self, start: ServerStart) -> bool:
-        """Learn that a start gets no more work; return whether that is new.
+        """Mark a start as leaving; return whether it was not before.
 
-        It is final, whatever the list tells later.
+        A start that leaves gets no more work, whatever later entries of the
+        list say.
         """
         backend = self.find_start(start)
         if backend is None or backend.record.is_leaving:
             return False
         backend.record = replace(backend.record, is_leaving=True)
-        self._left[start] = None
-        if len(self._left) > _MOST_LEFT:
-            self._left.popitem(last=False)
+        self._left_starts[start] = None
+        if len(self._left_starts) > _MAX_LEFT_STARTS:
+            self._left_starts.popitem(last=False)
         return True
 
     def is_missing(self, backend: Backend, now: Millis) -> bool:
-        """Return whether a server's entry is gone for good."""
+        """Return whether a server's entry is gone, not merely lapsed."""
         if backend.missing_since is None:
             return False
-        return not self._returning.is_lapsing(now)
+        return not self._removed.is_lapsing(now)
 
     def _drop_missing(self, now: Millis) -> None:
         gone = [
@@ -282,31 +288,34 @@
             del self._backends[server]
         if gone:
             self._index_addresses()
-        self._are_starts_told = any(
+        self._has_start_times = any(
             backend.record.born is not None
             for backend in self._backends.values()
         )
 
     def _index_addresses(self) -> None:
-        self._at_address.clear()
+        self._servers_by_address.clear()
         for server, backend in self._backends.items():
-            self._at_address[backend.record.address].add(server)
+            self._servers_by_address[backend.record.address].add(server)
 
 
-def _note_cold(backend: Backend, now: Millis) -> None:
-    """Take how much longer a server is cold, at most: it wrote that before."""
+def _update_cold(backend: Backend, now: Millis) -> None:
+    """Extend the time that a server is cold.
+
+    The remaining time is an upper bound, since the record was written earlier.
+    """
     if backend.record.cold_remaining > 0:
-        until = now + min(backend.record.cold_remaining, _LONGEST_COLD)
+        until = now + min(backend.record.cold_remaining, _MAX_COLD)
         backend.cold_until = max(backend.cold_until, until)
 
 
-def _merge_versions(known: ServerRecord, told: ServerRecord) -> ServerRecord:
-    """Keep a newer version that an answer showed before the list did.
+def _merge_versions(known: ServerRecord, update: ServerRecord) -> ServerRecord:
+    """Keep a newer version that an answer reported before the list did.
 
-    A model that is left out is kept too: no order takes one from an engine,
-    and one without known weights would get requests for any.
+    Models missing from the update are kept too: no order removes a model from
+    an engine, and an engine without known weights would get requests for any.
     """
     versions = dict(known.versions)
-    for model, version in told.versions.items():
+    for model, version in update.versions.items():
         versions[model] = max(version, versions.get(model, 0))
-    return replace(told, versions=versions)
+    return replace(update, versions=versions)
--- a/src/oleanderdyke/kernel/snapshots.py
+++ b/src/oleanderdyke/kernel/snapshots.py
@@ -1,7 +1,7 @@
-"""Hold the catalog's state, and turn it into records and back.
+"""Hold the catalog's state, and encode and load snapshots of it.
 
-A snapshot is a pure function of the state at an offset, so that two processes
-that append one at once append the same bytes.
+A snapshot is a pure function of the state at an offset: processes that append
+one concurrently append the same bytes.
 """
 
 from __future__ import annotations
@@ -27,14 +27,18 @@
 
 START_OFFSET = -1
 _CHUNK_BYTES = 48 * 1024
-_OUTCOME_COUNT = 1_024
+_MAX_OUTCOMES = 1_024
 _DIGEST_SIZE = 32
 _TOKENS = 'token_hashes'
-_ADMINS = 'admin_token_hashes'
+_ADMIN_TOKENS = 'admin_token_hashes'
 
 
 class RejectionReason(enum.StrEnum):
-    """Name why a change is not in force."""
+    """Classify the reasons for which a change was rejected.
+
+    GENERATION means that another change came first, ABSENT that the object
+    to delete does not exist, TOKEN_TAKEN that another team has the token.
+    """
 
     GENERATION = 'generation'
     INVALID = 'invalid'
@@ -44,7 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """A change is in force, and since which offset."""
+    """Describe a change that was applied at an offset.
+
+    `generation` is that of the object after the change.
+    """
 
     record_id: str
     operator: str
@@ -58,9 +65,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """Tell why a change is not in force, and who changed the object last.
+    """Describe a change that was rejected at an offset.
 
-    `generation` is the one that the object had instead, 0 for none.
+    `generation` is the actual generation of the object, 0 if it did not
+    exist; `winner` is the operator who last changed it.
     """
 
     record_id: str
@@ -80,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """Keep one object; its spec stays packed as it came from the log."""
+    """Hold one object, whose spec stays encoded as read from the log."""
 
     generation: int
     offset: int
@@ -102,7 +110,7 @@
 
 @dataclass(slots=True)
 class State:
-    """Hold everything that the log decides.
+    """Hold the state that results from the records of the log.
 
     `floor` is the highest generation of any deleted object.
     """
@@ -113,14 +121,14 @@
     outcomes: dict[str, Outcome] = field(default_factory=dict)
     floor: int = 0
 
-    def remember(self, outcome: Outcome) -> None:
-        """Remember an outcome in place of the oldest."""
+    def add_outcome(self, outcome: Outcome) -> None:
+        """Add an outcome, evicting the oldest over the limit."""
         self.outcomes[outcome.record_id] = outcome
-        while len(self.outcomes) > _OUTCOME_COUNT:
+        while len(self.outcomes) > _MAX_OUTCOMES:
             del self.outcomes[next(iter(self.outcomes))]
 
     def find_team(self, index: TokenIndex, field: str, digest: bytes) -> str:
-        """Return the team that has a digest in a field, or an empty name."""
+        """Return the name of the team with a digest in a field, or ''."""
         for name in index.get(digest):
             packed = self.rows[ObjectKind.TEAM][name].packed
             if digest in list_hashes(packed, field):
@@ -128,42 +136,44 @@
         return ''
 
     def find_owners(self, packed: bytes) -> Iterator[str]:
-        """Return the teams that hold any token hash of a packed team."""
-        digests = list_hashes(packed, _TOKENS) + list_hashes(packed, _ADMINS)
+        """Yield for each token hash of a packed team its owners, or ''."""
+        digests = list_hashes(packed, _TOKENS) + list_hashes(
+            packed, _ADMIN_TOKENS
+        )
         for digest in digests:
             yield self.find_team(self.tokens, _TOKENS, digest)
-            yield self.find_team(self.admin_tokens, _ADMINS, digest)
+            yield self.find_team(self.admin_tokens, _ADMIN_TOKENS, digest)
 
     def add_tokens(self, name: str, packed: bytes) -> None:
         """Index the token hashes of a packed team."""
         for digest in list_hashes(packed, _TOKENS):
             self.tokens.add(digest, name)
-        for digest in list_hashes(packed, _ADMINS):
+        for digest in list_hashes(packed, _ADMIN_TOKENS):
             self.admin_tokens.add(digest, name)
 
     def drop_tokens(self, name: str, packed: bytes) -> None:
         """Remove the token hashes of a packed team from the index."""
         for digest in list_hashes(packed, _TOKENS):
             self.tokens.remove(digest, name)
-        for digest in list_hashes(packed, _ADMINS):
+        for digest in list_hashes(packed, _ADMIN_TOKENS):
             self.admin_tokens.remove(digest, name)
 
 
 @dataclass(frozen=True, slots=True)
 class LoadedSnapshot:
-    """Pair a state with the offset that it holds at."""
+    """Hold a state with the offset of the last record that it includes."""
 
     through: int
     state: State
 
 
 def make_digest(through: int) -> hashlib.blake2b:
-    """Start the digest over a snapshot's items."""
+    """Return a new hash for the items of a snapshot at an offset."""
     return hashlib.blake2b(str(through).encode(), digest_size=_DIGEST_SIZE)
 
 
 def encode_snapshot(through: int, state: State) -> Iterator[bytes]:
-    """Freeze the state now and encode it chunk by chunk."""
+    """Copy the state at once, and encode the copy chunk by chunk."""
     rows = {kind: dict(state.rows[kind]) for kind in ObjectKind}
     outcomes = tuple(state.outcomes.values())
     items = _list_items(state.floor, outcomes, rows)
@@ -173,9 +183,9 @@
 class SnapshotLoader:
     """Build a state from the chunks of one snapshot as they arrive.
 
-    No chunk is kept, so that a large snapshot takes little more memory than
-    its state. The state counts only once `loaded` gives it; `ended` tells that
-    the last chunk was taken.
+    Chunks are not kept, so that loading a large snapshot takes little more
+    memory than its state. `loaded` is set once all chunks were added and their
+    digest matches; `ended` is set after the last chunk even if it does not.
     """
 
     def __init__(self, through: int) -> None:
@@ -187,9 +197,9 @@
         self.ended = False
 
     def add(self, chunk: SnapshotChunk) -> bool:
-        """Take the next chunk, ignoring all others; tell if it was the next.
+        """Add the next chunk; return False and ignore any other chunk.
 
-        After a malformed chunk nothing will be loaded.
+        After a malformed chunk `loaded` stays None.
         """
         if (chunk.through, chunk.index) != (self.through, self._next):
             return False
@@ -197,8 +207,8 @@
         self._digest.update(chunk.items)
         self._load(chunk.items)
         self.ended = chunk.last
-        whole = chunk.last and self._digest.digest() == chunk.digest
-        if whole and self._state is not None:
+        is_complete = chunk.last and self._digest.digest() == chunk.digest
+        if is_complete and self._state is not None:
             self.loaded = LoadedSnapshot(self.through, self._state)
         return True
 
@@ -213,7 +223,7 @@
 
 
 def load_snapshot(chunks: Sequence[bytes]) -> LoadedSnapshot | None:
-    """Build the state of a whole, undamaged snapshot; else return None."""
+    """Load a snapshot; return None if it is incomplete or damaged."""
     loader: SnapshotLoader | None = None
     for data in chunks:
         chunk = decode_record(data)
@@ -230,23 +240,23 @@
     outcomes: Iterable[Outcome],
     rows: dict[ObjectKind, dict[str, Row]],
 ) -> Iterator[bytes]:
-    yield _dump(_ItemKind.FLOOR, floor)
+    yield _encode_item(_ItemKind.FLOOR, floor)
     for outcome in outcomes:
         applied = isinstance(outcome, Applied)
         kind = _ItemKind.APPLIED if applied else _ItemKind.LOST
-        yield _dump(kind, *astuple(outcome))
-    for kind_of_object in ObjectKind:
-        of_kind = rows[kind_of_object]
-        for name in sorted(of_kind):
-            fields = _list_fields(of_kind[name])
-            yield _dump(_ItemKind.ROW, kind_of_object, name, *fields)
+        yield _encode_item(kind, *astuple(outcome))
+    for object_kind in ObjectKind:
+        rows_by_name = rows[object_kind]
+        for name in sorted(rows_by_name):
+            fields = _list_fields(rows_by_name[name])
+            yield _encode_item(_ItemKind.ROW, object_kind, name, *fields)
 
 
 def _list_fields(row: Row) -> tuple[Any, ...]:
     return row.generation, row.offset, row.at, row.operator, row.packed
 
 
-def _dump(kind: _ItemKind, *values: Any) -> bytes:
+def _encode_item(kind: _ItemKind, *values: Any) -> bytes:
     plain = [
         str(value) if isinstance(value, enum.StrEnum) else value
         for value in values
@@ -256,7 +266,7 @@
 
 def _encode_chunks(through: int, items: Iterator[bytes]) -> Iterator[bytes]:
     digest = make_digest(through)
-    groups = _group(items)
+    groups = _group_items(items)
     group = next(groups)
     index = 0
     for following in groups:
@@ -273,19 +283,19 @@
     )
 
 
-def _group(items: Iterator[bytes]) -> Iterator[bytes]:
+def _group_items(items: Iterator[bytes]) -> Iterator[bytes]:
     group: list[bytes] = []
     size = 0
     for item in items:
         if group and size + len(item) > _CHUNK_BYTES:
-            yield _join(group)
+            yield _encode_group(group)
             group, size = [], 0
         group.append(item)
         size += len(item)
-    yield _join(group)
+    yield _encode_group(group)
 
 
-def _join(group: list[bytes]) -> bytes:
+def _encode_group(group: list[bytes]) -> bytes:
     return cbor2.dumps(group)
 
 
@@ -296,7 +306,7 @@
     elif kind == _ItemKind.ROW:
         _load_row(state, *values)
     else:
-        state.remember(_load_outcome(kind, values))
+        state.add_outcome(_load_outcome(kind, values))
 
 
 def _load_row(state: State, kind: str, name: str, *fields: Any) -> None:
--- a/tests/hosted_runs.py
+++ b/tests/hosted_runs.py
@@ -1,4 +1,4 @@
-"""Record what servers ran for callers, and check what callers were told."""
+"""Record the runs of fake servers, and check responses against them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     make_head,
 )
 
-# A run whose caller left, or was told the end, is closed within this.
+# A run whose caller left, or has its full response, is closed within this.
 _CLOSE_WITHIN_SECONDS = 1.0
 _PROMISES = {408, 421, 429, 503}
 _EVENTS = 3
@@ -27,11 +27,11 @@
 
 
 class Act(enum.StrEnum):
-    """Name what a server does with one request."""
+    """What a fake server does with one request."""
 
     ANSWER = 'answer'
     REFUSE = 'refuse'
-    REFUSE_UNPROVED = 'refuse unproved'
+    REFUSE_WITHOUT_PROOF = 'refuse unproved'
     FAIL = 'fail'
     RESET = 'reset'
     CUT = 'cut'
@@ -47,12 +47,12 @@
 
 
 _STATUSES = {
-    Act.REFUSE_UNPROVED: 503,
+    Act.REFUSE_WITHOUT_PROOF: 503,
     Act.FAIL: 500,
     Act.FOREIGN_REFUSAL: 503,
 }
 _OTHER = {'oleanderdyke_request_id': 'of-another'}
-_SPOILT = {
+_INVALID_HEADERS = {
     Act.REGION: _OTHER,
     Act.FOREIGN_REFUSAL: {**_OTHER, 'oleanderdyke_not_executed': '1'},
     Act.UNSEALED: {'oleanderdyke_response_seal': ''},
@@ -61,25 +61,25 @@
 
 @dataclass
 class Run:
-    """Hold one run; `told` is what its server sent of the body."""
+    """One run of a request; `sent` is the body its server has sent."""
 
-    told: bytes = b''
+    sent: bytes = b''
     closed: anyio.Event = field(default_factory=anyio.Event)
 
 
 class Runs:
-    """Play the acts that were drawn for each request, and remember them."""
+    """Perform the planned acts of each request, and record its runs."""
 
     def __init__(self) -> None:
-        self.decks: dict[str, list[Act]] = {}
+        self.planned_acts: dict[str, list[Act]] = {}
         self.by_request: dict[str, list[Run]] = collections.defaultdict(list)
         self._numbers = itertools.count(1)
 
     async def play(self, peer: Peer) -> None:
-        """Do the next act for this request; answer well once none is left."""
+        """Perform the next act of this request, or succeed if none is left."""
         request = peer.request.headers['oleanderdyke-request-id']
-        deck = self.decks.get(request, [])
-        act = deck.pop(0) if deck else self._choose_well(peer)
+        acts = self.planned_acts.get(request, [])
+        act = acts.pop(0) if acts else self._choose_success(peer)
         if act is Act.REFUSE:
             await peer.answer(503, b'full', oleanderdyke_not_executed='1')
             return
@@ -102,26 +102,26 @@
             await peer.send(make_answer(peer.request, 200, body)[:-2])
             peer.reset()
         else:
-            run.told = b'' if act in _SPOILT else body
-            await peer.send(_make_spoilt(act, peer, body))
+            run.sent = b'' if act in _INVALID_HEADERS else body
+            await peer.send(_make_invalid(act, peer, body))
 
     @staticmethod
-    def _choose_well(peer: Peer) -> Act:
+    def _choose_success(peer: Peer) -> Act:
         is_stream = peer.request.target.startswith(('/stream', '/letter'))
         return Act.STREAM if is_stream else Act.ANSWER
 
 
-def _make_spoilt(act: Act, peer: Peer, body: bytes) -> bytes:
+def _make_invalid(act: Act, peer: Peer, body: bytes) -> bytes:
     request = peer.request
     if act is Act.EXTRA:
         extra = make_answer(request, 200, b'of another')
         return make_answer(request, 200, body) + extra
     status = _STATUSES.get(act, 200)
-    return make_answer(request, status, body, **_SPOILT.get(act, {}))
+    return make_answer(request, status, body, **_INVALID_HEADERS.get(act, {}))
 
 
 async def _stream(act: Act, peer: Peer, run: Run) -> None:
-    """Send the events that follow the last one that the caller has."""
+    """Send the events that follow the last one the caller has."""
     after = int(peer.request.headers.get('last-event-id', '0'))
     await peer.send(
         make_head(
@@ -132,10 +132,10 @@
     )
     last = {Act.STREAM: _EVENTS, Act.STREAM_EMPTY: after}.get(act, after + 1)
     for number in range(after + 1, last + 1):
-        run.told += make_event(number)
+        run.sent += make_event(number)
         await peer.send(make_chunk(make_event(number)))
     if act in {Act.STREAM_CUT, Act.STREAM_EMPTY}:
-        # A reset may overtake what was sent before it.
+        # A reset may overtake data sent before it.
         await anyio.sleep(_RESET_AFTER_SECONDS)
         peer.reset()
     elif act is Act.STREAM_HANG:
@@ -145,32 +145,36 @@
 
 
 async def check_closed(runs: list[Run]) -> None:
-    """Check that nothing runs for a caller who has the end or has left."""
+    """Check that no run continues once its caller is served or has left."""
     with anyio.move_on_after(_CLOSE_WITHIN_SECONDS):
         for run in runs:
             await run.closed.wait()
-    assert all(run.closed.is_set() for run in runs), 'a run goes on'
+    assert all(run.closed.is_set() for run in runs), 'a run is still open'
 
 
 def check_count(runs: list[Run], most: int) -> None:
-    """Check that no more runs began than the route allows."""
-    assert len(runs) <= most, f'{len(runs)} runs where {most} may be'
+    """Check that no more runs were started than the route allows."""
+    assert len(runs) <= most, f'{len(runs)} runs, at most {most} allowed'
 
 
-def check_told(answered: ReceivedAnswer, runs: list[Run], path: str) -> None:
-    """Check the answer of a caller who stayed against what ran."""
-    if answered.status in _PROMISES or _tells_not_run(answered):
-        assert not runs, 'told as not run, but it ran'
+def check_response(
+    answered: ReceivedAnswer, runs: list[Run], path: str
+) -> None:
+    """Check a response that was read to the end against the runs."""
+    if answered.status in _PROMISES or _says_not_executed(answered):
+        assert not runs, 'reported as not executed, but it ran'
     if answered.status != 200:
         return
     if path.startswith(('/stream', '/letter')):
         _check_events(answered)
     elif answered.is_whole:
-        assert answered.body in [run.told for run in runs], 'no run said that'
+        assert answered.body in [run.sent for run in runs], (
+            'no run sent this body'
+        )
 
 
-def _tells_not_run(answered: ReceivedAnswer) -> bool:
-    # What the entry itself says is JSON, what servers say is not.
+def _says_not_executed(answered: ReceivedAnswer) -> bool:
+    # The entry's own errors are JSON; responses of the servers are not.
     if not answered.body.startswith(b'{'):
         return False
     return bool(json.loads(answered.body)['ran'] == 'no')
@@ -179,5 +183,5 @@
 def _check_events(answered: ReceivedAnswer) -> None:
     whole = b''.join(make_event(number + 1) for number in range(_EVENTS))
     if answered.is_whole:
-        assert answered.body == whole, 'events are missing, or there twice'
-    assert whole.startswith(answered.body), 'events are not in order'
+        assert answered.body == whole, 'events are missing or repeated'
+    assert whole.startswith(answered.body), 'events are out of order'
--- a/tests/test_hosted_news.py
+++ b/tests/test_hosted_news.py
@@ -1,4 +1,4 @@
-"""Entries of one data centre read the platform's store together."""
+"""Entries of a data centre share reads of the platform's store."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import pytest
 
 from oleanderdyke.clock import make_clock
-from oleanderdyke.entry.hosted import news, presence
+from oleanderdyke.entry.hosted import peer_sharing, presence
 from oleanderdyke.entry.hosted.core import HostedCore, make_hosted_core
 from oleanderdyke.entry.hosted.shell import HostedShell
 from oleanderdyke.kernel.neighbours import RECORD_SOURCE
@@ -49,8 +49,8 @@
         return self.core.settings.process
 
     def find_reader(self) -> str:
-        """Name who reads for this entry; itself where nobody else does."""
-        neighbours = self.core.news.neighbours
+        """Return the entry that reads for this one, itself if none does."""
+        neighbours = self.core.peers.neighbours
         found = neighbours.find_reader(RECORD_SOURCE, self.core.clock.now())
         return self.name if found is None else found.name
 
@@ -76,9 +76,9 @@
 async def running_entries(
     tmp_path, monkeypatch
 ) -> AsyncGenerator[tuple[RecordStore, list[Entry]], None]:
-    """Run entries until they agree on who reads, and are linked to it."""
-    monkeypatch.setattr(news, '_LOAD_AFTER', 50.0)
-    monkeypatch.setattr(presence, '_FIRST_PERIODS', (300.0, 300.0))
+    """Run entries, and yield once all are linked to the reading one."""
+    monkeypatch.setattr(peer_sharing, '_LINKS_IMPORT_DELAY', 50.0)
+    monkeypatch.setattr(presence, '_INITIAL_PERIODS', (300.0, 300.0))
     store = RecordStore()
     store.put(OPERATOR, 'config', CONFIGURATION)
     store.put(SERVERS, 'i-0', make_record('127.0.0.1:9'))
@@ -109,7 +109,7 @@
     for entry in entries:
         if entry.find_reader() != reader:
             return False
-        links = entry.core.news.reader
+        links = entry.core.peers.reader
         if entry.name != reader and links._find_link(reader) is None:
             return False
     return True
@@ -125,18 +125,18 @@
     """Count reads by topic from now on."""
     answer, reads = store.answer, Counter()
 
-    async def note(request):
+    async def record(request):
         if request.path == '/api/log-read':
             reads[request.query['topic']] += 1
         return await answer(request)
 
-    store.answer = note
+    store.answer = record
     return reads
 
 
-async def test_entries_read_what_one_of_them_reads(tmp_path, monkeypatch):
+async def test_entries_share_the_reads_of_one_of_them(tmp_path, monkeypatch):
     async with running_entries(tmp_path, monkeypatch) as (store, entries):
-        # Who was asked while others were not known yet reads for 3 s more.
+        # An entry asked to read before it knew the others reads for 3 s more.
         await anyio.sleep(4)
         reads = count_reads(store)
         await anyio.sleep(3)
@@ -148,7 +148,7 @@
         await wait_applied(entries, 8)
 
 
-async def test_the_loss_of_the_reader_holds_up_no_configuration(
+async def test_loss_of_the_reading_entry_delays_no_configuration(
     tmp_path, monkeypatch
 ):
     async with running_entries(tmp_path, monkeypatch) as (store, entries):
@@ -161,7 +161,7 @@
         await wait_applied(others, 8)
 
 
-async def test_an_entry_that_the_store_turns_away_hears_its_neighbours(
+async def test_entry_refused_by_the_store_reads_from_its_peers(
     tmp_path, monkeypatch
 ):
     async with running_entries(tmp_path, monkeypatch) as (store, entries):
@@ -175,14 +175,14 @@
 
 
 def refuse_reads(entry, monkeypatch) -> None:
-    """Have the store turn one entry away, and answer all others."""
+    """Let the store refuse one entry, and answer all others."""
     from oleanderdyke.platform.store import StoreClient, StoreUnavailable
 
     read = StoreClient._read_once
 
     async def refuse(client, topic, start):
         sharing = client._sharing
-        if sharing is not None and sharing._reader is entry.core.news.reader:
+        if sharing is not None and sharing._reader is entry.core.peers.reader:
             raise StoreUnavailable('answered with 503')
         return await read(client, topic, start)
 
--- a/tests/test_prepare.py
+++ b/tests/test_prepare.py
@@ -1,4 +1,4 @@
-"""Check with which priority an engine gets its requests."""
+"""Check the priority that an engine gets with its requests."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     loaded = LoadedWeights('m', 'v1', 'digest-1', '')
 
     def estimate_prefill(self, segments: int) -> None:
-        """Know no rate."""
+        """Return no estimate."""
 
 
 class FakeFetcher:
@@ -80,7 +80,7 @@
         ({'fetch': PLAN, 'background': True}, 0, BACKGROUND_PRIORITY),
     ],
 )
-async def test_engine_gets_the_priority_that_its_context_deserves(
+async def test_the_priority_follows_the_context_that_was_fetched(
     changes: dict[str, Any], whole: int, priority: int
 ) -> None:
     dispatch = make_dispatch(segments=SEGMENTS, **changes)
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize('first', [0, 2])
-async def test_store_learns_where_in_a_prompt_a_segment_is(first: int) -> None:
+async def test_a_store_records_the_depth_of_a_segment(first: int) -> None:
     async with site() as place:
         chat, plan = place.make_chat(0, 'r')
         segments = plan.segments[first:]
--- a/tests/test_rate_shares.py
+++ b/tests/test_rate_shares.py
@@ -1,4 +1,4 @@
-"""Entries share the rate that a backend server in need accepts of them all."""
+"""Entries share the request rate that an overloaded server accepts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from oleanderdyke.clock import SECOND
 from oleanderdyke.kernel.rate_limits import (
-    Entries,
+    EntryCounts,
     RateLimit,
     find_interval,
 )
@@ -23,14 +23,14 @@
 )
 from tests.test_send_limits import (
     choose,
-    make_book,
     make_limits,
     make_record,
+    make_registry,
 )
 
 START = ServerStart('a')
 WINDOW = 4 * SECOND
-# What a server tolerates in a window beside its rate.
+# What a server tolerates in a window: a factor of its rate and a burst.
 OVERAGE, BURST = 1.5, 5
 SPARE = 2
 
@@ -42,23 +42,23 @@
 
 
 def share_equally(rate, server, *, entry, entries) -> float:
-    """Give each entry the same, however little that is."""
+    """Give all entries the same share, however small."""
     return SECOND * entries.count / rate
 
 
-def share_by_news(rate, server, *, entry, entries) -> float:
-    """Give each entry the same, by the entries that it knows."""
+def share_by_known(rate, server, *, entry, entries) -> float:
+    """Give each entry a share by the number of entries that it knows."""
     return SECOND * max(len(entries.known), 1) / rate
 
 
-def make_entries(known: Collection[str], count: float) -> Entries:
-    return Entries(known, count, sharing=len(known))
+def make_entries(known: Collection[str], count: float) -> EntryCounts:
+    return EntryCounts(known, count, sharing=len(known))
 
 
-def play_idle_entries(
-    share: Share, rate: float, views: Mapping[str, Entries]
+def simulate_entries(
+    share: Share, rate: float, views: Mapping[str, EntryCounts]
 ) -> list[float]:
-    """Let entries with much to send learn of a limit within half a second."""
+    """Return the sends of busy entries that learn of a limit within 0.5 s."""
     random = Random(len(views))
     sends = []
     for name, entries in views.items():
@@ -70,14 +70,14 @@
     return sorted(sends)
 
 
-def make_views(number: int) -> dict[str, Entries]:
-    """Let each entry know of all others."""
+def make_views(number: int) -> dict[str, EntryCounts]:
+    """Build views in which each entry knows all others."""
     names = list_names(number)
     return dict.fromkeys(names, make_entries(names, number + SPARE))
 
 
-def count_most(sends: list[float]) -> int:
-    """Count the most requests in any window."""
+def count_most_in_window(sends: list[float]) -> int:
+    """Return the largest number of sends in a window."""
     most, first = 0, 0
     for number, at in enumerate(sends):
         while sends[first] < at - WINDOW:
@@ -93,42 +93,42 @@
 @pytest.mark.parametrize('rate', [0.0, 0.1, 0.5, 1.7, 2.3, 10.0, 80.0])
 @pytest.mark.parametrize('entries', [1, 3, 6, 27, 68, 410])
 def test_all_entries_together_stay_within_a_limit(entries, rate):
-    sends = play_idle_entries(find_interval, rate, make_views(entries))
-    assert count_most(sends) <= find_allowed(rate)
+    sends = simulate_entries(find_interval, rate, make_views(entries))
+    assert count_most_in_window(sends) <= find_allowed(rate)
 
 
 @pytest.mark.parametrize('rate', [0.1, 0.5, 1.7, 2.3, 10.0])
 @pytest.mark.parametrize('old', [1, 3, 6, 27, 68])
 @pytest.mark.parametrize('new', [1, 2, 6])
-def test_entries_that_others_do_not_know_yet_exceed_no_limit(old, new, rate):
+def test_entries_unknown_to_others_respect_the_limit(old, new, rate):
     names = list_names(old + new)
-    fresh = Entries(names, old + new + SPARE, sharing=math.inf)
+    fresh = EntryCounts(names, old + new + SPARE, sharing=math.inf)
     views = dict.fromkeys(names, fresh)
     views |= dict.fromkeys(names[:old], make_entries(names[:old], old + SPARE))
-    sends = play_idle_entries(find_interval, rate, views)
-    assert count_most(sends) <= find_allowed(rate)
+    sends = simulate_entries(find_interval, rate, views)
+    assert count_most_in_window(sends) <= find_allowed(rate)
 
 
 @given(st.data(), st.integers(1, 40), st.floats(0.0, 60.0))
 @settings(max_examples=100, deadline=None)
-def test_entries_that_know_of_some_that_are_gone_exceed_no_limit(
+def test_entries_that_count_departed_ones_respect_the_limit(
     data, entries, rate
 ):
-    """Each knows all that are alive, and some others that were."""
+    """Each entry knows all live entries and some that have ended."""
     names = list_names(entries)
     gone = tuple(f'gone-{number}' for number in range(9))
     views = {}
     for name in names:
         known = {*names, *data.draw(st.sets(st.sampled_from(gone)))}
         views[name] = make_entries(known, len(known) + SPARE)
-    sends = play_idle_entries(find_interval, rate, views)
-    assert count_most(sends) <= find_allowed(rate)
+    sends = simulate_entries(find_interval, rate, views)
+    assert count_most_in_window(sends) <= find_allowed(rate)
 
 
 @given(st.integers(1, 120), st.floats(0.0, 60.0))
 @settings(max_examples=100, deadline=None)
-def test_entries_with_a_share_may_all_send_in_one_instant(entries, rate):
-    """Nothing orders the sends of different entries."""
+def test_simultaneous_sends_of_sharing_entries_respect_the_limit(entries, rate):
+    """The sends of different entries are not coordinated."""
     intervals = [
         find_interval(rate, 'a', entry=name, entries=view)
         for name, view in make_views(entries).items()
@@ -143,131 +143,135 @@
 
 
 def test_equal_shares_of_many_entries_break_a_limit_when_all_were_idle():
-    sends = play_idle_entries(share_equally, 2.3, make_views(68))
-    assert count_most(sends) > find_allowed(2.3)
+    sends = simulate_entries(share_equally, 2.3, make_views(68))
+    assert count_most_in_window(sends) > find_allowed(2.3)
 
 
-def test_shares_by_news_alone_break_a_limit_where_news_differ():
+def test_shares_by_known_entries_break_a_limit_if_views_differ():
     names = list_names(27)
     views = {
         name: make_entries(names[number : number + 3], 27)
         for number, name in enumerate(names)
     }
-    sends = play_idle_entries(share_by_news, 2.3, views)
-    assert count_most(sends) > find_allowed(2.3)
+    sends = simulate_entries(share_by_known, 2.3, views)
+    assert count_most_in_window(sends) > find_allowed(2.3)
 
 
 @pytest.mark.parametrize('entries', [1, 3, 6, 27, 68])
-def test_a_server_gets_four_fifths_of_what_it_accepts_or_more(entries):
-    sends = play_idle_entries(find_interval, 2.3, make_views(entries))
+def test_a_server_gets_at_least_four_fifths_of_its_rate(entries):
+    sends = simulate_entries(find_interval, 2.3, make_views(entries))
     assert 0.8 * 2.3 <= len(sends) / 300 <= 1.1 * 2.3
 
 
 @pytest.mark.parametrize('entries', [1, 27, 410])
-def test_a_server_that_accepts_nothing_is_asked_seldom_by_all(entries):
-    sends = play_idle_entries(find_interval, 0.0, make_views(entries))
+def test_a_server_that_accepts_nothing_is_probed_seldom(entries):
+    sends = simulate_entries(find_interval, 0.0, make_views(entries))
     assert 0 < len(sends) <= 0.15 * 300
 
 
 def test_an_entry_that_cannot_count_the_others_sends_nothing():
-    entries = Entries(('e',), math.inf, math.inf)
+    entries = EntryCounts(('e',), math.inf, math.inf)
     interval = find_interval(9.0, 'a', entry='e', entries=entries)
     assert math.isinf(interval)
 
 
-def test_a_limit_holds_until_an_answer_names_none():
+def test_a_limit_holds_until_an_answer_has_none():
     limit = RateLimit()
     assert limit.update(2.3, 1_000.0, 1_000.0)
     assert not limit.update(2.3, 1_400.0, 1_400.0)
     assert limit.update(1.7, 1_500.0, 1_500.0)
     assert (limit.per_second, limit.since) == (1.7, 1_000.0)
     assert limit.update(math.inf, 2_000.0, 2_000.0)
-    assert not limit.is_named
+    assert not limit.is_set
 
 
-def test_an_answer_that_was_overtaken_ends_no_limit():
+def test_an_answer_out_of_order_ends_no_limit():
     limit = RateLimit()
     limit.update(2.3, 1_000.0, 1_000.0)
     assert not limit.update(math.inf, 1_200.0, 1_200.0)
     assert not limit.update(math.inf, 900.0, 900.0)
-    assert limit.is_named
+    assert limit.is_set
     assert limit.update(math.inf, 1_250.0, 1_250.0)
 
 
-def test_what_a_neighbour_heard_earlier_changes_nothing():
+def test_an_older_report_of_a_neighbour_is_ignored():
     limit = RateLimit()
     limit.update(2.3, 1_000.0, 1_000.0)
     limit.update(math.inf, 2_000.0, 2_000.0)
     assert not limit.update(2.3, 1_900.0, 1_900.0)
-    assert not limit.is_named
+    assert not limit.is_set
 
 
-def name_limit(book, rate: float, now: float) -> None:
-    assert book.record_rate_limit(START, rate, now, now)
+def announce_limit(registry, rate: float, now: float) -> None:
+    assert registry.record_rate_limit(START, rate, now, now)
 
 
 def test_a_limited_server_gets_a_request_of_an_entry_each_interval():
-    book = make_book(make_record('a'))
+    registry = make_registry(make_record('a'))
     limits = make_limits(entries=KnownEntries(('front-1',), spare=0))
-    name_limit(book, 2.0, 0.0)
-    assert choose(book, limits, now=499.0) is Obstacle.LIMITED
-    assert choose(book, limits, now=500.0) == 'a'
-    limits.record_sent(book.find('a'), 500.0)
-    assert choose(book, limits, now=999.0) is Obstacle.LIMITED
-    assert choose(book, limits, now=1_000.0) == 'a'
+    announce_limit(registry, 2.0, 0.0)
+    assert choose(registry, limits, now=499.0) is Obstacle.LIMITED
+    assert choose(registry, limits, now=500.0) == 'a'
+    limits.record_sent(registry.find('a'), 500.0)
+    assert choose(registry, limits, now=999.0) is Obstacle.LIMITED
+    assert choose(registry, limits, now=1_000.0) == 'a'
 
 
-def test_what_a_limited_server_does_not_accept_goes_to_another():
-    book = make_book(make_record('a'), make_record('b', data_centre='yard'))
+def test_requests_beyond_a_limit_go_to_another_server():
+    registry = make_registry(
+        make_record('a'), make_record('b', data_centre='yard')
+    )
     limits = make_limits()
-    assert choose(book, limits) == 'a'
-    name_limit(book, 2.0, 0.0)
-    assert choose(book, limits, now=1.0) == 'b'
+    assert choose(registry, limits) == 'a'
+    announce_limit(registry, 2.0, 0.0)
+    assert choose(registry, limits, now=1.0) == 'b'
 
 
-def test_several_choices_in_one_instant_share_one_turn():
-    book = make_book(make_record('a'))
+def test_simultaneous_choices_share_one_send():
+    registry = make_registry(make_record('a'))
     limits = make_limits()
-    name_limit(book, 2.0, 0.0)
+    announce_limit(registry, 2.0, 0.0)
     chosen = []
     for _ in range(5):
-        found = choose(book, limits, now=9_000.0)
+        found = choose(registry, limits, now=9_000.0)
         chosen.append(found)
         if found == 'a':
-            limits.record_sent(book.find('a'), 9_000.0)
+            limits.record_sent(registry.find('a'), 9_000.0)
     assert chosen == ['a', *[Obstacle.LIMITED] * 4]
 
 
-def test_a_choice_made_before_a_limit_was_named_is_not_sent():
-    book = make_book(make_record('a'))
-    limits, backend = make_limits(), book.find('a')
+def test_a_choice_made_before_a_limit_was_known_is_not_sent():
+    registry = make_registry(make_record('a'))
+    limits, backend = make_limits(), registry.find('a')
     assert limits.find_send_obstacle(backend, 100.0, 300.0) is None
-    name_limit(book, 2.0, 200.0)
+    announce_limit(registry, 2.0, 200.0)
     assert limits.find_send_obstacle(backend, 100.0, 300.0) is Obstacle.LIMITED
     assert limits.find_send_obstacle(backend, 9_000.0, 9_000.0) is None
 
 
-# What a neighbour was told before the choice came after it, and the choice was
-# sent beside all others that were made without knowing.
-def test_a_choice_made_before_a_neighbour_told_of_a_limit_is_not_sent():
-    book = make_book(make_record('a'))
-    assert book.record_rate_limit(START, 2.0, 100.0, 900.0)
-    backend = book.find('a')
+# The neighbour had the limit before the choice, but its report arrived after
+# it. Such a choice was sent, as were all others made without the limit.
+def test_a_choice_made_before_a_neighbour_reported_a_limit_is_not_sent():
+    registry = make_registry(make_record('a'))
+    assert registry.record_rate_limit(START, 2.0, 100.0, 900.0)
+    backend = registry.find('a')
     found = make_limits().find_send_obstacle(backend, 500.0, 950.0)
     assert found is Obstacle.LIMITED
 
 
 def test_a_new_start_of_a_server_has_no_limit():
-    book = make_book(make_record('a', born=1))
-    assert book.record_rate_limit(ServerStart('a', 1), 2.0, 0.0, 0.0)
-    book.put(make_record('a', born=2), 100.0)
-    assert not book.find('a').limit.is_named
-    assert not book.record_rate_limit(ServerStart('a', 1), 3.0, 200.0, 200.0)
+    registry = make_registry(make_record('a', born=1))
+    assert registry.record_rate_limit(ServerStart('a', 1), 2.0, 0.0, 0.0)
+    registry.put(make_record('a', born=2), 100.0)
+    assert not registry.find('a').limit.is_set
+    assert not registry.record_rate_limit(
+        ServerStart('a', 1), 3.0, 200.0, 200.0
+    )
 
 
-def test_the_first_turn_of_several_servers_is_found():
-    book = make_book(make_record('a'), make_record('b'))
+def test_the_earliest_send_time_of_several_servers_is_found():
+    registry = make_registry(make_record('a'), make_record('b'))
     limits = make_limits(entries=KnownEntries(('front-1',), spare=0))
-    name_limit(book, 2.0, 0.0)
-    book.record_rate_limit(ServerStart('b'), 4.0, 0.0, 0.0)
-    assert limits.find_next_send_time(book.list_known(), 100.0) == 250.0
+    announce_limit(registry, 2.0, 0.0)
+    registry.record_rate_limit(ServerStart('b'), 4.0, 0.0, 0.0)
+    assert limits.find_next_send_time(registry.list_known(), 100.0) == 250.0
--- a/tests/test_waiting_for_servers.py
+++ b/tests/test_waiting_for_servers.py
@@ -1,16 +1,11 @@
-"""Callers were sent back for good just before servers were there again.
-
-What was seen: in the two seconds after all had lost power at once, 42 of 153
-requests were refused, most of them twice: "no server listed".
-
-How it came about: an entry is ready some ten milliseconds after its start.
-The servers that are listed then are those of before: the first request shows
-each of them gone, and the list tells the new starts half a second later. A
-caller that was sent back returned within 200 ms, was sent back again, and came
-no third time.
-
-What proved it: all these refusals lie between 35.46 s and 35.90 s; at 35.91 s
-the list was read, and six new starts were on it.
+"""Guard against refusing requests just before servers are listed again.
+
+After a power loss of the whole system, an entry is ready some ten milliseconds
+after its start. The servers listed then are those from before the loss, and the
+first requests find them gone; the restarted ones are listed half a second
+later. A caller refused with "no server listed" retried within 200 ms, was
+refused again and gave up: 42 of 153 requests in two seconds, all before the
+read of the list that showed six restarted servers.
 """
 
 from __future__ import annotations
@@ -52,7 +47,7 @@
     stage.store.put(SERVERS, 'i-5', make_record(address))
 
 
-async def test_a_request_waits_for_a_server_that_is_listed_a_little_later(
+async def test_request_waits_for_a_server_that_is_listed_shortly_after(
     tmp_path,
 ):
     async with (
@@ -67,7 +62,7 @@
         assert len(replica.received) == 1
 
 
-async def test_the_list_is_read_sooner_where_a_request_waits(tmp_path):
+async def test_server_list_is_read_sooner_while_a_request_waits(tmp_path):
     async with (
         serving_replica(answer_well) as (_, address),
         staging(tmp_path, answer_well) as stage,
@@ -79,7 +74,7 @@
         assert took < 0.4
 
 
-async def test_it_is_sent_back_in_time_where_none_comes(tmp_path):
+async def test_request_is_refused_in_time_if_no_server_appears(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         await drop(stage)
         found, took = await ask(stage)
@@ -88,7 +83,7 @@
         assert 0.9 < took < 1.5
 
 
-async def test_it_waits_for_half_of_what_its_caller_has_left(tmp_path):
+async def test_request_waits_for_half_of_its_remaining_time(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         await drop(stage)
         found, took = await ask(stage, wait=600)
@@ -96,7 +91,7 @@
         assert 0.25 < took < 0.5
 
 
-async def test_a_stop_that_hurries_ends_the_wait(tmp_path):
+async def test_immediate_shutdown_ends_the_wait(tmp_path):
     async with staging(tmp_path, answer_well) as stage:
         await drop(stage)
         async with anyio.create_task_group() as tasks:
@@ -112,7 +107,7 @@
         running.stop(hurry=True)
 
 
-async def test_a_request_waits_while_all_engines_take_new_weights(tmp_path):
+async def test_request_waits_while_all_engines_load_new_weights(tmp_path):
     old = [{'name': MODEL, 'version': 1, 'adapters': []}]
     async with staging(tmp_path, answer_well, models=old) as stage:
         core = stage.core
