--- a/src/oleanderdyke/agent/backend.py
+++ b/src/oleanderdyke/agent/backend.py
@@ -19,7 +19,7 @@
     HttpError,
     HttpSettings,
 )
-from oleanderdyke.clients.kept import KeptHttp, KeptSettings
+from oleanderdyke.clients.keep_alive import KeepAliveHttp, KeepAliveSettings
 from oleanderdyke.clock import SECOND, Millis
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 from oleanderdyke.links.messages import Headers
@@ -51,8 +51,9 @@
             settings.address,
             settings=HttpSettings(connect=settings.connect_timeout, read=None),
         )
-        self.keep_alive = KeptHttp(
-            settings.address, KeptSettings(connect=settings.connect_timeout)
+        self.keep_alive = KeepAliveHttp(
+            settings.address,
+            KeepAliveSettings(connect=settings.connect_timeout),
         )
 
     @asynccontextmanager
--- a/src/oleanderdyke/clients/whole.py
+++ b/src/oleanderdyke/clients/buffered.py
@@ -1,4 +1,4 @@
-"""Send a request and read its whole answer, within a time and a size."""
+"""Requests with buffered answers, limited in time and size."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 
 class Requester(Protocol[BodyT_contra]):
-    """Send requests to one server."""
+    """Client of one server that sends requests with bodies of one type."""
 
     def request(
         self, method: str, path: str, *, headers: Headers, body: BodyT_contra
     ) -> AbstractAsyncContextManager[HttpAnswer]:
-        """Send and give the answer; raise HttpError."""
+        """Send a request and yield its answer; raise HttpError."""
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
-    """An answer whose body has been read."""
+class BufferedAnswer:
+    """Hold an answer with its complete body."""
 
     status: int
     headers: Headers
     body: bytes
 
 
-async def read_whole(
+async def fetch_body(
     client: Requester[BodyT],
     method: str,
     path: str,
@@ -45,11 +45,12 @@
     within: Millis,
     limit: int,
 ) -> tuple[int, bytes]:
-    """Return the status and the body, of `limit` bytes at most.
+    """Send a request and return the status and body of its answer.
 
-    Raise HttpError, also where that takes longer than `within`.
+    Raise HttpError, also if the body exceeds `limit` bytes or the exchange
+    takes longer than `within`.
     """
-    found = await read_answer(
+    found = await fetch_answer(
         client,
         method,
         path,
@@ -61,7 +62,7 @@
     return found.status, found.body
 
 
-async def read_answer(
+async def fetch_answer(
     client: Requester[BodyT],
     method: str,
     path: str,
@@ -70,10 +71,11 @@
     body: BodyT,
     within: Millis,
     limit: int,
-) -> WholeAnswer:
-    """Return the whole answer, its body of `limit` bytes at most.
+) -> BufferedAnswer:
+    """Send a request and return its complete answer.
 
-    Raise HttpError, also where that takes longer than `within`.
+    Raise HttpError, also if the body exceeds `limit` bytes or the exchange
+    takes longer than `within`.
     """
     try:
         with anyio.fail_after(within / SECOND):
@@ -81,6 +83,9 @@
                 method, path, headers=headers, body=body
             ) as answer:
                 found = await answer.read(limit)
-                return WholeAnswer(answer.status, answer.headers, found)
+                return BufferedAnswer(answer.status, answer.headers, found)
     except TimeoutError as error:
-        raise HttpError('no answer in time', ran=Ran.MAYBE) from error
+        raise HttpError(
+            f'{method} {path}: no complete answer within {within:g} ms',
+            ran=Ran.MAYBE,
+        ) from error
--- a/src/oleanderdyke/entry/hosted/answers.py
+++ b/src/oleanderdyke/entry/hosted/answers.py
@@ -4,7 +4,7 @@
 
 from oleanderdyke.kernel.servers import AnswerMetadata
 from oleanderdyke.links.messages import Headers
-from oleanderdyke.platform.requests import PROMISES
+from oleanderdyke.platform.requests import NOT_RUN_STATUSES
 
 _EVENT_STREAM = 'text/event-stream'
 _SUCCESS = range(200, 300)
@@ -25,7 +25,7 @@
         return ''
     if status in _SUCCESS and not metadata.is_sealed:
         return 'success response without a response seal'
-    if status in PROMISES:
+    if status in NOT_RUN_STATUSES:
         return f'status {status} without a not-executed header'
     return ''
 
--- a/src/oleanderdyke/entry/hosted/attempt.py
+++ b/src/oleanderdyke/entry/hosted/attempt.py
@@ -240,7 +240,7 @@
         )
         self._inbox.put(MessageReceived(end))
 
-    def lose(self, reason: str) -> None:
+    def take_failure(self, reason: str) -> None:
         """Report that the connection was lost before the response ended."""
         if not self._done:
             self._record_loss()
--- a/src/oleanderdyke/entry/hosted/contexts.py
+++ b/src/oleanderdyke/entry/hosted/contexts.py
@@ -136,7 +136,7 @@
         as it is valid without a read: forgetting it would make requests
         recompute the context that others have saved.
         """
-        if error.is_crowded:
+        if error.is_overloaded:
             return turns.record_rejection()
         view.invalidate()
         return _RETRY_PAUSE
--- a/src/oleanderdyke/entry/hosted/watch.py
+++ b/src/oleanderdyke/entry/hosted/watch.py
@@ -16,9 +16,9 @@
 from oleanderdyke.platform.feed import (
     EvacuationOrder,
     OperatorFeed,
-    OperatorNews,
+    OperatorUpdate,
     ServerFeed,
-    ServerNews,
+    ServerUpdate,
 )
 from oleanderdyke.platform.loads import LoadFeed
 from oleanderdyke.platform.store import StoreClient, StoreUnavailable
@@ -206,7 +206,7 @@
             EventName.VERSION_NAMED, model=named.model, version=named.version
         )
 
-    def _apply_evacuations(self, news: OperatorNews) -> None:
+    def _apply_evacuations(self, news: OperatorUpdate) -> None:
         """Start and end evacuations of data centres as operators ordered."""
         now, evacuations = self._core.clock.now(), self._core.limits.evacuations
         orders = tuple(news.list_evacuations())
@@ -250,16 +250,16 @@
 
 
 def _apply_servers(
-    backends: BackendRegistry, news: ServerNews, now: Millis
+    backends: BackendRegistry, news: ServerUpdate, now: Millis
 ) -> None:
     """Apply the complete server list, or the changes since the last read."""
     if news.is_restored:
         backends.record_restore(now)
     if news.is_whole:
-        backends.replace(news.listed, now, unread=news.unread)
+        backends.replace(news.records, now, unread=news.unreadable)
         return
-    for server in news.gone:
+    for server in news.removed:
         backends.remove(server, now)
-    for record in news.listed:
+    for record in news.records:
         backends.put(record, now)
-    backends.mark_unreadable(news.unread)
+    backends.mark_unreadable(news.unreadable)
