--- a/tests/news_scene.py
+++ b/tests/news_scene.py
@@ -1,4 +1,4 @@
-"""Entries of some data centres that read topics together, without a network."""
+"""Simulation of entries that share reads of topics, without a network."""
 
 from __future__ import annotations
 
@@ -23,7 +23,8 @@
 from tests.virtual_time import VirtualClock
 
 _SECOND = 1_000.0
-# One way within a data centre, and to the store, with what both ends take.
+# One-way latencies within a data centre and to the store, in ms, including
+# the processing at both ends.
 _HOP = 2.0
 _STORE_HOP = 4.0
 _FAR = 10_000
@@ -31,7 +32,7 @@
 
 @dataclass
 class FakeStore:
-    """Hold topics whose records are written at known moments."""
+    """Store of topics that records the time of each write."""
 
     calls: Counter[str] = field(default_factory=Counter)
     written: dict[str, list[float]] = field(default_factory=dict)
@@ -56,7 +57,7 @@
 
 
 class FakeClient(StoreClient):
-    """Read a fake store where the real one would be called."""
+    """Store client that reads from a `FakeStore`."""
 
     def __init__(self, store, wait, sharing, clock):
         super().__init__('127.0.0.1:9', wait, sharing, clock)
@@ -72,7 +73,7 @@
 
 
 class FakeLink:
-    """Carry messages one way and the other, each after a hop."""
+    """One end of a link; messages to the other end arrive after a latency."""
 
     def __init__(self, name: str) -> None:
         self.peer = Hello(1, Role.ENTRY, name, 'i', 'hall', 0)
@@ -98,7 +99,7 @@
 
 @dataclass
 class HealthRecorder:
-    """Count what neighbours told, and did not."""
+    """Record the failed and the successful requests to neighbours."""
 
     failures: list[str] = field(default_factory=list)
     good: int = 0
@@ -112,7 +113,7 @@
 
 @dataclass(eq=False)
 class Process:
-    """Run one entry; `is_cut` loses what it sends and is sent."""
+    """One entry; with `is_cut` all messages to and from it are lost."""
 
     scene: Scene
     name: str
@@ -121,7 +122,7 @@
     is_cut: bool = False
     is_frozen: bool = False
     taken: int = 0
-    # For each read: what it claims was known, and how much was.
+    # The age in ms of the data of each complete read.
     ages: list[float] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -171,7 +172,7 @@
         return client
 
     async def follow(self, topic: str, wait: float, limit: float) -> None:
-        """Read a topic on and on, and check each read against its writes."""
+        """Read a topic continuously and check each read against the writes."""
         client = self.make_client(wait, limit)
         while True:
             await self.wait_thawed()
@@ -185,7 +186,7 @@
             self.check(found, topic, asked_at + found.waited)
 
     def check(self, found: RecordsRead, topic: str, known_at: float) -> None:
-        """Nothing that was written before the told moment may be missing."""
+        """Check that no record written before `known_at` is missing."""
         expected = [
             b'%d' % (self.taken + at) for at in range(len(found.records))
         ]
@@ -196,16 +197,16 @@
         self.ages.append(anyio.current_time() * _SECOND - known_at)
         written = self.scene.store.written.get(topic, ())
         older = sum(at * _SECOND < known_at for at in written)
-        assert older <= self.taken, 'news is told younger than it is'
+        assert older <= self.taken, 'data is reported younger than it is'
 
 
 class Scene:
-    """Run some entries of each data centre, that know each other."""
+    """Entries in several data centres, and the store that they read."""
 
     def __init__(self, tasks, *, entries: int, data_centres: int = 5, seed=1):
         self.tasks = tasks
         self.store = FakeStore()
-        # Processes that the store turns away.
+        # Processes whose requests the store refuses.
         self.refused: set[Process] = set()
         self.processes = {}
         self._seed = seed
@@ -221,7 +222,7 @@
         return process
 
     def meet(self) -> None:
-        """Let all entries hear of all others."""
+        """Record all entries as alive at all others."""
         for process in self.processes.values():
             for other in self.processes.values():
                 known = Neighbour(
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -21,7 +21,7 @@
     'kernel': SHELLS | MIDDLE,
     'shared': PARTS,
 }
-# Typed messages without any I/O, which every part may read.
+# Message types without I/O, which every part may import.
 MESSAGES = 'oleanderdyke.links.messages'
 PURE = frozenset({'kernel', 'policies'})
 IMPURE = frozenset(
@@ -68,7 +68,7 @@
 
 
 def find_global_randomness(source: str) -> list[str]:
-    """Find names of `random` other than the class that takes a seed."""
+    """Return uses of `random` other than its seeded class `Random`."""
     tree = ast.parse(source)
     used = {
         f'random.{node.attr}'
@@ -83,7 +83,7 @@
 
 
 def _is_instance(tree: ast.AST) -> bool:
-    """Tell whether `random` names an instance handed in, not the module."""
+    """Return whether `random` is a parameter instead of the module."""
     return 'random' not in set(list_imports(tree))
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -115,7 +115,7 @@
     return caught.value.message
 
 
-async def test_both_sides_learn_who_the_other_is():
+async def test_both_sides_receive_the_hello_of_the_other():
     links = []
     async with listening(partial(hold, links)) as address:
         link = await call(address)
@@ -180,7 +180,7 @@
     assert caught.value.ran is Ran.NO
 
 
-async def test_a_peer_that_never_says_hello_is_given_up():
+async def test_the_handshake_times_out_without_a_hello():
     async def say_nothing(socket):
         await socket.wait_closed()
 
@@ -209,7 +209,7 @@
         assert not second.closed
 
 
-async def test_a_silent_connection_is_given_up_at_both_ends():
+async def test_a_silent_connection_is_closed_at_both_ends():
     links = []
     handle = partial(keep_reading, links)
     async with (
@@ -267,7 +267,7 @@
         await link.close()
 
 
-async def test_a_long_frame_on_a_slow_connection_counts_as_life():
+async def test_a_long_frame_on_a_slow_connection_counts_as_activity():
     async with (
         listening(echo, settings=QUICK) as address,
         relaying(address) as (relay, through),
@@ -279,7 +279,7 @@
         assert await link.receive() == chunk
 
 
-async def test_a_reader_that_stops_is_not_taken_for_silent():
+async def test_a_reader_that_pauses_does_not_close_the_link_as_silent():
     resumed = anyio.Event()
     received = []
 
@@ -319,11 +319,11 @@
             group.start_soon(send_all, link)
             await anyio.sleep(0.5)
             group.cancel_scope.cancel()
-    # Buffers of both kernels and both sockets, far from all the 100 MB.
+    # The buffers of both kernels and sockets hold far less than 100 MB.
     assert len(sent) < 1000
 
 
-async def test_a_peer_that_takes_no_bytes_is_given_up():
+async def test_a_link_to_a_peer_that_reads_no_bytes_is_closed():
     settings = LinkSettings(
         ping_interval=INTERVAL, missed_pings=10_000, send_timeout=2 * INTERVAL
     )
@@ -335,7 +335,7 @@
         assert link.closed
 
 
-async def test_a_frozen_process_does_not_blame_its_peers():
+async def test_a_frozen_process_does_not_treat_its_peers_as_silent():
     links = []
     handle = partial(keep_reading, links)
     async with listening(handle, settings=QUICK) as address:
@@ -366,7 +366,7 @@
         ([HEARD] * 9, False),
     ],
 )
-def test_silence_is_counted_only_while_the_peer_could_be_heard(ticks, silent):
+def test_silence_is_counted_only_while_the_socket_is_read(ticks, silent):
     now = 0.0
     watch = KeepaliveMonitor(interval=10, allowed=3, now=now)
     now += 10
@@ -397,7 +397,7 @@
         b'',
     ],
 )
-async def test_what_is_not_understood_is_refused_and_the_link_goes_on(data):
+async def test_an_invalid_message_is_refused_and_the_link_stays_open(data):
     async with (
         listening(echo) as address,
         raw_link(address) as socket,
@@ -416,7 +416,7 @@
         await socket.recv()
 
 
-async def test_a_peer_that_sends_only_rubbish_is_given_up():
+async def test_a_link_with_only_invalid_messages_is_closed():
     async with (
         listening(echo) as address,
         raw_link(address) as socket,
@@ -519,7 +519,7 @@
         assert links == []
 
 
-async def test_a_silent_tls_connection_is_given_up():
+async def test_a_silent_tls_connection_is_closed():
     server = make_server_context(make_paths())
     client = make_client_context(make_paths())
     links = []
@@ -540,7 +540,7 @@
         make_server_context(TlsPaths(certificate='nowhere.pem'))
 
 
-async def test_tapped_messages_keep_their_order():
+async def test_messages_of_an_inline_handler_keep_their_order():
     links, taken = [], []
     async with listening(partial(hold, links)) as address:
         link = await call(address)
@@ -548,7 +548,8 @@
         link.handle_inline(taken.append)
         sent = [Cancel('r', number) for number in range(200)]
         async with anyio.create_task_group() as group:
-            # What came before anybody read is read and not tapped.
+            # Messages that arrive before `receive` is called do not go to the
+            # inline handler.
             for message in sent[:20]:
                 await links[0].send(message)
             await anyio.wait_all_tasks_blocked()
@@ -561,7 +562,7 @@
         await link.close()
 
 
-async def test_fault_of_a_tap_is_raised_where_messages_are_read():
+async def test_an_exception_of_an_inline_handler_is_raised_by_receive():
     def refuse(_message):
         raise KeyError('fault')
 
--- a/tests/test_loaded_modules.py
+++ b/tests/test_loaded_modules.py
@@ -1,8 +1,8 @@
 """A start on the platform loads only what it uses.
 
-All daemons start at once after a common loss of power, each on a small share
-of a core. A start that also loaded what only our own mode uses took more than
-twice as long, and nobody was served meanwhile.
+All daemons start at the same time after a power loss, each on a small share of
+a core. A start that also imports the modules of the standalone mode takes more
+than twice as long, and no requests are served until it ends.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 import_module('oleanderdyke.{role}.hosted.mode').make_mode()
 print(json.dumps(sorted(sys.modules)))
 """
-# Settings files of our own, their libraries, and what answers operators.
+# Modules of the standalone mode, its settings libraries and the admin API.
 _UNUSED = (
     'attr',
     'cattrs',
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -1,7 +1,7 @@
-"""News is read once in each data centre, whatever the number of entries.
+"""Topics are read once per data centre, whatever the number of entries.
 
-Each process that read everything for itself made the calls to the store grow
-with the number of processes, and each notice of a load woke all of them.
+If each process read all topics itself, the calls to the store would grow with
+the number of processes, and each load notice would wake all of them.
 """
 
 from __future__ import annotations
@@ -34,12 +34,12 @@
 # The tightest bound on a configuration is 2 s after its acknowledgement.
 _TIGHTEST = 2_000.0
 _FREEZES = 120
-# An asker takes a request for held no longer than it waited for the answer.
+# A requester limits `held` to the time that it waited for the answer.
 _FOR_EVER = 1e9
 
 
 def play(entries, seconds, act=None, *, seed=1):
-    """Let entries follow a topic for a while; return the scene."""
+    """Run entries that read a topic for some seconds; return the scene."""
 
     async def run():
         async with anyio.create_task_group() as tasks:
@@ -48,7 +48,7 @@
             tasks.start_soon(scene.keep_connected)
             for process in scene.processes.values():
                 tasks.start_soon(process.follow, _TOPIC, _WAIT, _LIMIT)
-            # Links come up, and all read from their place.
+            # Time for the links to open and all entries to start reading.
             await anyio.sleep(2)
             scene.store.calls.clear()
             for process in scene.processes.values():
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize('entries', [17, 68])
-def test_news_is_hardly_older_than_an_own_read(entries):
+def test_shared_data_is_at_most_50_ms_older_than_an_own_read(entries):
     alone = find_median_age(play(1, 15, write_often))
     assert find_median_age(play(entries, 15, write_often)) <= alone + 50
 
@@ -94,7 +94,7 @@
 
 
 async def lose_reader(scene, fault):
-    """Let the reader of one data centre fail amid news."""
+    """Make the reader of one data centre fail while records are written."""
     await anyio.sleep(1)
     name = next(scene.list_readers('hall-0'))
     setattr(scene.processes[name], fault, True)
@@ -104,8 +104,8 @@
 
 @pytest.mark.parametrize('fault', ['is_cut', 'is_frozen'])
 @pytest.mark.parametrize('seed', range(3))
-def test_the_loss_of_a_reader_makes_no_news_too_old(fault, seed):
-    # The last of 80 is written after 9 s, and all have it in time.
+def test_the_loss_of_a_reader_keeps_data_within_its_age_limit(fault, seed):
+    # The last of 80 records is written after 9 s, all have it by 11 s.
     scene = play(68, 11, lambda scene: lose_reader(scene, fault), seed=seed)
     others = [
         each for each in scene.processes.values() if each.name != scene.lost
@@ -117,7 +117,7 @@
 
 
 def find_name_before(reader, data_centre):
-    """Return the name of an entry that would read in place of another."""
+    """Return an entry name that ranks before the given reader."""
     names = (f'later-{number}' for number in count())
     return next(name for name in names if is_before(name, reader, data_centre))
 
@@ -130,7 +130,7 @@
 
 
 async def join_before_readers(scene):
-    """Let entries come up that read in place of those before them."""
+    """Start entries that each replace the current reader."""
     for _ in range(5):
         await anyio.sleep(1.1)
         reader = next(scene.list_readers('hall-0'))
@@ -139,9 +139,10 @@
         scene.tasks.start_soon(process.follow, _TOPIC, _WAIT, _LIMIT)
 
 
-def test_a_reader_that_another_follows_did_not_fail():
-    # Each link that was closed for the next reader counted as a failure of the
-    # one before, which was passed over: all read once for themselves.
+def test_a_replaced_reader_is_not_recorded_as_failed():
+    # Guards against a link that is closed because another entry becomes the
+    # reader being recorded as a failure of the previous reader. All entries
+    # then read once for themselves.
     scene = play(17, 8, join_before_readers)
     told = [
         detail
@@ -152,7 +153,7 @@
 
 
 async def freeze_and_thaw(scene):
-    """Freeze readers, and who asks them, in the middle of their reads."""
+    """Freeze readers and their requesters in the middle of reads."""
     names = list(scene.processes)
     for number in range(_FREEZES):
         draw = Random(number)
@@ -170,7 +171,7 @@
 
 
 @pytest.mark.parametrize('seed', range(4))
-def test_no_news_is_told_younger_than_it_is(seed):
+def test_no_data_is_reported_younger_than_it_is(seed):
     scene = play(17, 60, freeze_and_thaw, seed=seed)
     written = 2 * _FREEZES
     assert all(each.taken == written for each in scene.processes.values())
@@ -179,9 +180,7 @@
 @pytest.mark.parametrize(
     'unsafe', ['no age is told', 'age counts from arrival']
 )
-def test_news_that_is_told_younger_than_it_is_would_be_found(
-    monkeypatch, unsafe
-):
+def test_the_check_finds_data_reported_younger_than_it_is(monkeypatch, unsafe):
     tell = NewsServer._wait_records
 
     async def tell_wrongly(self, *arguments):
@@ -216,7 +215,7 @@
     assert max(scene.lost.ages) < _TIGHTEST
 
 
-def test_what_is_not_read_here_is_told_so_and_read_from_then_on():
+def test_an_unread_topic_is_reported_and_read_from_then_on():
     async def ask_another(scene):
         reader = scene.processes[next(scene.list_readers('hall-0'))]
         other = next(
--- a/tests/test_outer_names.py
+++ b/tests/test_outer_names.py
@@ -1,8 +1,8 @@
 """Guard names that leave the process against renames.
 
-Types and other tests accept a rename that changes a message, a stored record,
-a setting, a log line or a metric, as some of them are made from the names of
-classes and fields.
+Messages, stored records, settings, log lines and metrics partly take their
+names from classes and fields. Neither types nor other tests detect a rename
+that changes them.
 """
 
 from __future__ import annotations
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -24,7 +24,7 @@
 HOST = '127.0.0.1'
 QUICK = LinkSettings(ping_interval=40)
 SETTINGS = PoolSettings(link=QUICK, first_backoff=5, last_backoff=20)
-# No link of a test lives for so long that it counts as steady.
+# No link of a test lives long enough to reset the backoff.
 RARE = PoolSettings(link=QUICK, first_backoff=5, last_backoff=60_000)
 CLOCK = make_clock()
 
@@ -36,7 +36,7 @@
 
 
 class Recorder:
-    """Keep what a pool told, in order."""
+    """Record the callbacks of a pool in order."""
 
     def __init__(self) -> None:
         self.links = []
@@ -77,7 +77,7 @@
 
 
 class Bounds(Random):
-    """Keep the bounds of the waits that are drawn, and wait for nothing."""
+    """Record the upper bounds of the drawn waits and return the lower ones."""
 
     def __init__(self) -> None:
         super().__init__(1)
@@ -163,7 +163,7 @@
             assert waits.drawn[before] == RARE.first_backoff
 
 
-async def test_a_peer_that_drops_each_link_is_dialed_ever_more_rarely():
+async def test_a_peer_that_drops_each_link_is_dialed_with_growing_backoff():
     async def drop(link):
         await link.close()
 
@@ -240,7 +240,7 @@
     assert [event[0] for event in recorder.events[:4]] == ['up', 'down'] * 2
 
 
-async def test_peers_that_never_answer_hold_up_only_so_many_dials():
+async def test_unresponsive_peers_occupy_a_bounded_number_of_dials():
     waiting, most = [0], [0]
 
     async def say_nothing(socket):
@@ -261,7 +261,7 @@
         bad = {f'vm-{number}': f'{HOST}:{port}' for number in range(12)}
         async with pooling(recorder, {**bad, 'good': good}, settings) as pool:
             await wait_until(lambda: pool.find('good') and most[0] == 3)
-    # The server's side of a connection may end a little later.
+    # The server may see a connection end slightly later than the client.
     assert most[0] <= 2 * settings.concurrent_dials
 
 
