--- a/src/oleanderdyke/entry/requests.py
+++ b/src/oleanderdyke/entry/requests.py
@@ -1,4 +1,4 @@
-"""Drive the machine of one request with what happens around it."""
+"""Drive the state machine of one request."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from oleanderdyke.entry.calls import Call
 from oleanderdyke.entry.core import Core
 from oleanderdyke.entry.delivery import Delivery
-from oleanderdyke.entry.effects import Effects, Tools
+from oleanderdyke.entry.effects import Effects, EntryResources
 from oleanderdyke.entry.inbox import (
     CreditDue,
-    Decided,
+    DeliveryFailed,
     HandedOver,
     Inbox,
     Item,
+    PendingActions,
     Released,
-    Undeliverable,
     UploadFailed,
 )
 from oleanderdyke.entry.queue import ReleaseQueue
@@ -57,19 +57,19 @@
 
 
 class RequestDriver:
-    """Lead one call to its answer."""
+    """Run one call from admission to the end of its answer."""
 
     def __init__(
         self,
-        tools: Tools,
+        resources: EntryResources,
         queue: ReleaseQueue,
         call: Call,
         *,
         body: edge.Body,
         answer: Answer,
     ) -> None:
-        core = tools.core
-        self._tools = tools
+        core = resources.core
+        self._resources = resources
         self._core = core
         self._queue = queue
         self._call = call
@@ -91,10 +91,10 @@
             label=call.label,
             clock=core.clock,
             metrics=core.metrics,
-            extra=_make_extra(call),
+            extra=_make_extra_headers(call),
         )
         self._effects = Effects(
-            tools,
+            resources,
             call,
             self._demand,
             inbox=self._inbox,
@@ -104,16 +104,18 @@
             start_timer=self._start_timer,
         )
         self._machine = RequestStateMachine(
-            _make_facts(core, call), settings=core.machine, budget=core.budget
+            _make_facts(core, call),
+            settings=core.attempt_settings,
+            budget=core.budget,
         )
         self._tasks: TaskGroup | None = None
         self._timers: list[asyncio.TimerHandle] = []
-        self._inbox.shortcut = self._pass_on
+        self._inbox.direct_handler = self._forward_directly
 
     async def run(self) -> None:
-        """Answer the caller, then finish what the machine still waits for.
+        """Answer the caller; return once the state machine is done.
 
-        Raise OleanderError where nothing was sent and nothing answered.
+        Raise OleanderError if the call ended before an attempt was made.
         """
         request = self._call.request
         self._core.running[request] = self
@@ -122,65 +124,68 @@
                 self._tasks = tasks
                 if self._body.ended:
                     tasks.start_soon(self._watch_caller)
-                await self._lead()
+                await self._drive()
                 tasks.cancel_scope.cancel()
         finally:
             del self._core.running[request]
-            self._forget()
+            self._clean_up()
 
     def take(self, message: Message) -> None:
-        """Take a message of an agent about this request."""
+        """Handle a message of an agent about this request."""
         self._receiver.take(message)
 
-    def lose(self, link: Link) -> None:
-        """Learn that a link is gone."""
-        self._sender.lose(link)
+    def handle_link_down(self, link: Link) -> None:
+        """Handle the loss of a link."""
+        self._sender.handle_link_down(link)
 
-    def gain(self, link: Link) -> None:
-        """Learn of a new link."""
+    def handle_link_up(self, link: Link) -> None:
+        """Queue the event of a new link."""
         self._inbox.put(LinkUp(link.peer.process, link.peer.incarnation))
 
     def end_incarnation(self, agent: str, incarnation: str) -> None:
-        """Learn that an incarnation of an agent is over for good."""
+        """Queue the permanent end of an incarnation of an agent."""
         self._inbox.put(IncarnationEnded(agent, incarnation))
 
     def release(self, decision: Admitted | Refusal) -> None:
-        """Learn what the admission decided."""
+        """Queue the admission decision."""
         self._inbox.put(Released(decision))
 
     def hand_over(self) -> None:
-        """Leave the stream to another entry."""
+        """Queue the handover of the stream to another entry."""
         self._inbox.put(HandedOver())
 
-    def stop(self, *, hurry: bool) -> None:
-        """Learn that the entry stops."""
-        self._inbox.put(Stopping(immediate=hurry))
+    def stop(self, *, immediate: bool) -> None:
+        """Queue the stop of the entry."""
+        self._inbox.put(Stopping(immediate=immediate))
 
-    def _pass_on(self, item: Item) -> bool:
-        """Pass on a chunk of a flowing answer without a turn of the loop."""
+    def _forward_directly(self, item: Item) -> bool:
+        """Forward a chunk without a wake-up of the driver task.
+
+        Return whether the item was handled.
+        """
         if (
             type(item) is not MessageReceived
             or type(item.message) is not AnswerChunk
         ):
             return False
-        if not self._delivery.is_flowing:
+        if not self._delivery.can_forward_chunk:
             return False
         actions = self._machine.handle_event(item, self._core.clock.now())
-        for place, action in enumerate(actions):
+        for index, action in enumerate(actions):
             if not isinstance(action, DeliverChunk):
-                self._inbox.put(Decided(actions[place:]))
+                self._inbox.put(PendingActions(actions[index:]))
                 break
-            self._effects.pass_chunk(action)
+            self._effects.forward_chunk(action)
         return True
 
-    async def _lead(self) -> None:
+    async def _drive(self) -> None:
         core = self._core
         verdict = self._find_verdict()
         self._start_timer(DeadlinePassed(), self._deadline - core.clock.now())
         await self._pass_admission()
         if self._call.key:
             verdict = self._find_verdict()
-        await self._effects.carry_out(
+        await self._effects.execute(
             self._machine.start(core.clock.now(), verdict)
         )
         while not self._machine.done:
@@ -188,13 +193,13 @@
                 await self._effects.flush()
             item = await self._inbox.take()
             if isinstance(item, HandedOver):
-                if await self._pass_to_other():
+                if await self._hand_over_stream():
                     return
                 continue
-            await self._effects.carry_out(await self._answer_item(item))
+            await self._effects.execute(await self._handle_item(item))
 
-    async def _pass_to_other(self) -> bool:
-        """Leave the stream to another entry, if it can be resumed now."""
+    async def _hand_over_stream(self) -> bool:
+        """Hand the stream over if it can be resumed; return whether it was."""
         return await self._effects.hand_over(self._machine.hand_over())
 
     async def _pass_admission(self) -> None:
@@ -226,22 +231,22 @@
         finally:
             self._queue.leave()
 
-    async def _answer_item(self, item: Item) -> tuple[Action, ...]:
+    async def _handle_item(self, item: Item) -> tuple[Action, ...]:
         now = self._core.clock.now()
         self._log_item(item)
         if isinstance(item, Released | HandedOver):
             return ()
         if isinstance(item, CreditDue):
-            await self._sender.grant(0)
+            await self._sender.grant_credit(0)
             return ()
-        if isinstance(item, Decided):
+        if isinstance(item, PendingActions):
             return item.actions
-        if isinstance(item, UploadFailed | Undeliverable):
+        if isinstance(item, UploadFailed | DeliveryFailed):
             await self._fail(item)
             return self._machine.handle_event(CallerGone(), now)
         return self._machine.handle_event(item, now)
 
-    async def _fail(self, item: UploadFailed | Undeliverable) -> None:
+    async def _fail(self, item: UploadFailed | DeliveryFailed) -> None:
         fault = item.fault
         if not isinstance(fault, OleanderError):
             return
@@ -265,10 +270,10 @@
             )
 
     async def _watch_caller(self) -> None:
-        await self._body.wait_gone()
+        await self._body.wait_disconnected()
         if not self._delivery.ended:
             self._effects.log(EventName.REQUEST_CANCELLED)
-            self._effects.note_gone()
+            self._effects.report_caller_gone()
 
     def _start_timer(self, item: Item, delay: Millis) -> None:
         loop = asyncio.get_running_loop()
@@ -288,26 +293,28 @@
         call = self._call
         if not call.key:
             return None
-        if not self._tools.claims.synced:
+        if not self._resources.claims.is_caught_up:
             raise OleanderError(
-                ErrorKind.NOT_READY, 'the claims log is being read', ran=Ran.NO
+                ErrorKind.NOT_READY,
+                'the claims log has not been read to its end yet',
+                ran=Ran.NO,
             )
         return self._core.claims.get_verdict(call.key, call.digest)
 
-    def _forget(self) -> None:
+    def _clean_up(self) -> None:
         for timer in self._timers:
             timer.cancel()
         core, request = self._core, self._call.request
         now = core.clock.now()
-        self._tools.claims.forget(self._inbox)
+        self._resources.claims.discard_inbox(self._inbox)
         core.router.record_finished(request, now)
         core.admission.record_finished(request, now)
         self._queue.release()
 
 
 def _make_facts(core: Core, call: Call) -> RequestFacts:
-    standing = core.quarantine.get_status(call.digest, core.clock.now())
-    if standing is QuarantineStatus.QUARANTINED:
+    status = core.quarantine.get_status(call.digest, core.clock.now())
+    if status is QuarantineStatus.QUARANTINED:
         raise OleanderError(
             ErrorKind.QUARANTINED, 'this request crashed backend servers'
         )
@@ -320,12 +327,12 @@
         idempotent=call.idempotent,
         key=call.key,
         horizon=call.spec.horizon,
-        suspect=standing is QuarantineStatus.SUSPECT,
+        suspect=status is QuarantineStatus.SUSPECT,
     )
 
 
 def _check_queued(item: Item) -> None:
-    """Raise where a queued request has to give up."""
+    """Raise if an event ends the wait in the queue."""
     if isinstance(item, CallerGone):
         raise edge.CallerGone
     if isinstance(item, DeadlinePassed):
@@ -334,11 +341,14 @@
         )
     if isinstance(item, Stopping):
         raise OleanderError(
-            ErrorKind.STOPPING, 'this entry stops', ran=Ran.NO, retry_after=0.0
+            ErrorKind.STOPPING,
+            'this entry is stopping',
+            ran=Ran.NO,
+            retry_after=0.0,
         )
 
 
-def _make_extra(call: Call) -> Headers:
+def _make_extra_headers(call: Call) -> Headers:
     if not call.key:
         return ()
     return ((_HORIZON_HEADER, str(int(call.spec.horizon / SECOND))),)
--- a/src/oleanderdyke/entry/sender.py
+++ b/src/oleanderdyke/entry/sender.py
@@ -1,4 +1,4 @@
-"""Send what concerns one request to agents."""
+"""Send the messages of one request to agents."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class AttemptSender:
-    """Send the dispatches of one request and all that follows them."""
+    """Send dispatches, bodies, credit and cancellations of a request."""
 
     def __init__(
         self,
@@ -52,16 +52,16 @@
         self._attempt = 0
         self._sequence = 0
         self._ungranted = 0
-        self._counted = False
+        self._use_recorded = False
 
     @property
     def agent(self) -> str:
-        """Return the agent of the latest attempt."""
+        """Return the agent of the latest attempt, empty before the first."""
         return '' if self._link is None else self._link.peer.process
 
     async def dispatch(self, action: SendDispatch) -> bool:
-        """Send the request; tell whether any of it was sent."""
-        link = self._find(action.agent, action.incarnation)
+        """Send the dispatch and body; return False if there is no link."""
+        link = self._find_link(action.agent, action.incarnation)
         if link is None:
             self._inbox.put(DispatchNotSent(action.attempt))
             return False
@@ -81,7 +81,7 @@
         return True
 
     async def upload(self, body: Body) -> None:
-        """Send the rest of a body as the caller sends it."""
+        """Forward the rest of a streamed body as it arrives."""
         link, attempt = self._link, self._attempt
         try:
             while link is not None and not body.ended:
@@ -99,14 +99,14 @@
             self._inbox.put(UploadFailed(fault))
 
     async def cancel(self, action: SendCancel) -> None:
-        """Cancel an attempt where its agent can be reached."""
-        link = self._find(action.agent, action.incarnation)
+        """Cancel an attempt if there is a link to its agent."""
+        link = self._find_link(action.agent, action.incarnation)
         if link is not None:
             await self._send(link, Cancel(self._call.request, action.attempt))
 
     async def resume(self, action: SendResume) -> None:
-        """Ask for the rest of a stream."""
-        link = self._find(action.agent, action.incarnation)
+        """Request the rest of a stream, or report that the link is lost."""
+        link = self._find_link(action.agent, action.incarnation)
         if link is None:
             self._inbox.put(LinkLost(action.agent, action.incarnation))
             return
@@ -121,8 +121,8 @@
         )
         await self._send(link, message)
 
-    async def ask(self, action: QueryClaim) -> None:
-        """Ask an agent what became of a claim."""
+    async def query_claim(self, action: QueryClaim) -> None:
+        """Ask an agent for the state of a claim."""
         link = self._core.find_link(action.agent)
         if link is None:
             return
@@ -133,8 +133,8 @@
         query = ClaimQuery(self._call.request, self._call.team, action.claim)
         await self._send(link, query)
 
-    async def grant(self, chunks: int) -> None:
-        """Count chunks that the caller has taken, and grant others."""
+    async def grant_credit(self, chunks: int) -> None:
+        """Count delivered chunks and send credit for more when due."""
         self._ungranted += chunks
         if self._link is None or not self._is_grant_due():
             return
@@ -142,13 +142,13 @@
         self._ungranted = 0
         await self._send(self._link, credit)
 
-    def note_passed(self) -> bool:
-        """Count a chunk that the caller has taken; tell whether to grant."""
+    def count_forwarded_chunk(self) -> bool:
+        """Count a delivered chunk; return whether credit is due."""
         self._ungranted += 1
         return self._is_grant_due()
 
-    def lose(self, link: Link) -> None:
-        """Tell the machine where the link was in use."""
+    def handle_link_down(self, link: Link) -> None:
+        """Report the loss of the link of the latest attempt."""
         if link is self._link:
             peer = link.peer
             self._inbox.put(LinkLost(peer.process, peer.incarnation))
@@ -156,7 +156,7 @@
     def _is_grant_due(self) -> bool:
         return self._ungranted >= self._core.settings.requests.credit // 2
 
-    def _find(self, agent: str, incarnation: str) -> Link | None:
+    def _find_link(self, agent: str, incarnation: str) -> Link | None:
         link = self._core.find_link(agent)
         if link is None or link.peer.incarnation != incarnation:
             return None
@@ -166,7 +166,7 @@
         try:
             await link.send(message)
         except OleanderError:
-            self.lose(link)
+            self.handle_link_down(link)
 
     def _make_dispatch(self, action: SendDispatch) -> Message:
         core = self._core
@@ -176,16 +176,19 @@
             core.fleet,
             offset=core.reader.offset,
             deadline=max(self._deadline - core.clock.now(), 0.0),
-            worthy=self._count_worthy(),
+            export_count=self._count_exportable(),
         )
 
-    def _count_worthy(self) -> int:
-        """Count one use of the prompt, however often it is sent."""
+    def _count_exportable(self) -> int:
+        """Return how many segments to export.
+
+        The use of the prompt is recorded once, however often it is sent.
+        """
         exports = self._core.exports
         hints = [make_hint(segment) for segment in self._call.segments]
-        if not self._counted:
+        if not self._use_recorded:
             exports.record_use(hints)
-        self._counted = True
+        self._use_recorded = True
         return exports.count_worth_exporting(hints)
 
     def _log(self, event: EventName) -> None:
--- a/src/oleanderdyke/entry/stopping.py
+++ b/src/oleanderdyke/entry/stopping.py
@@ -1,4 +1,4 @@
-"""Stop an entry without cutting off a request."""
+"""Stop an entry gracefully."""
 
 from __future__ import annotations
 
@@ -24,115 +24,115 @@
 from oleanderdyke.logs import EventLog
 
 _SIGNALS = (signal.SIGTERM, signal.SIGINT)
-_TICK = 0.05
+_TICK_SECONDS = 0.05
 
 
 class StoppableRequest(Protocol):
-    """Lead one request that a stop has to wait for."""
+    """Control one running request during a stop."""
 
     def hand_over(self) -> None:
-        """Leave the answer to another entry."""
+        """Direct the caller to resume its stream through another entry."""
 
-    def stop(self, *, hurry: bool) -> None:
-        """Learn that the entry stops."""
+    def stop(self, *, immediate: bool) -> None:
+        """Handle the stop; `immediate` cuts the request off."""
 
 
 class Stoppable(Protocol):
-    """Hold what a stop needs to know of a process."""
+    """Provide the state of a process that a stop needs."""
 
     @property
     def clock(self) -> Clock:
-        """Return the clock."""
+        """Return the clock of the process."""
 
     @property
     def log(self) -> EventLog:
-        """Return the log."""
+        """Return the event log of the process."""
 
     @property
     def drain(self) -> Drain:
-        """Return the state of the stop."""
+        """Return the state machine of the stop."""
 
     @property
     def running(self) -> Mapping[str, StoppableRequest]:
-        """Return the requests that run."""
+        """Return the running requests by id."""
 
 
 def catch_signals() -> AbstractContextManager[AsyncIterator[signal.Signals]]:
-    """Keep the signals to stop from ending the process at once."""
+    """Receive SIGTERM and SIGINT instead of ending the process."""
     return anyio.open_signal_receiver(*_SIGNALS)
 
 
 class Stopper:
-    """Turn signals and the end of requests into the steps of a stop."""
+    """Run a graceful stop, driven by signals and finished requests."""
 
     def __init__(self, core: Stoppable) -> None:
         self._core = core
-        self._told = False
+        self._requests_notified = False
         self._exit = anyio.Event()
         self._signalled = anyio.Event()
 
-    def begin(self, request: str, needs: Millis | None = None) -> None:
-        """Count a request; raise STOPPING when no new one may start.
+    def begin(self, request: str, duration: Millis | None = None) -> None:
+        """Register a request; raise STOPPING if no new one may start.
 
-        `needs` is how long the request lasts, where that is known.
+        `duration` is the expected duration of the request, if known.
         """
         core = self._core
         now = core.clock.now()
-        if not core.drain.start_work(request, now, duration=needs):
+        if not core.drain.start_work(request, now, duration=duration):
             raise OleanderError(
-                ErrorKind.STOPPING, 'this entry stops', ran=Ran.NO
+                ErrorKind.STOPPING, 'this entry is stopping', ran=Ran.NO
             )
 
     def end(self, request: str) -> None:
-        """Forget a request."""
+        """Unregister a finished request."""
         core = self._core
-        self._carry_out(core.drain.end_work(request, core.clock.now()))
+        self._execute(core.drain.end_work(request, core.clock.now()))
 
     def mark_resumable(self, request: str) -> None:
-        """Note that a request can be resumed through another entry."""
+        """Mark a request as resumable through another entry."""
         core = self._core
-        self._carry_out(core.drain.mark_resumable(request, core.clock.now()))
+        self._execute(core.drain.mark_resumable(request, core.clock.now()))
 
-    def take_back(self, request: str) -> None:
-        """Note that a request can't be resumed through another entry yet."""
+    def mark_not_resumable(self, request: str) -> None:
+        """Mark a request as not resumable through another entry."""
         self._core.drain.mark_not_resumable(request)
 
-    def take_signal(self, name: str) -> None:
-        """Begin to stop, or hurry."""
+    def handle_signal(self, name: str) -> None:
+        """Start the stop; a further signal makes it immediate."""
         core = self._core
         core.log.write(EventName.PROCESS_STOPPING, signal=name)
-        self._carry_out(core.drain.signal(core.clock.now()))
+        self._execute(core.drain.signal(core.clock.now()))
         self._signalled.set()
 
     async def watch(self, signals: AsyncIterator[signal.Signals]) -> None:
-        """Take signals until cancelled."""
+        """Handle signals until cancelled."""
         async for number in signals:
-            self.take_signal(signal.Signals(number).name)
+            self.handle_signal(signal.Signals(number).name)
 
     async def run(self) -> None:
-        """Return when the process should exit."""
+        """Wait for a signal, run the stop and return when it is finished."""
         await self._signalled.wait()
         core = self._core
         while not self._exit.is_set():
-            self._carry_out(core.drain.tick(core.clock.now()))
-            self._tell_stopping()
-            with anyio.move_on_after(_TICK):
+            self._execute(core.drain.tick(core.clock.now()))
+            self._notify_requests()
+            with anyio.move_on_after(_TICK_SECONDS):
                 await self._exit.wait()
 
-    def _tell_stopping(self) -> None:
-        """Tell every request once that no new work is taken any more."""
+    def _notify_requests(self) -> None:
+        """Notify every request once that the entry no longer accepts work."""
         accepting = (DrainPhase.SERVING, DrainPhase.ANNOUNCED)
-        if self._told or self._core.drain.phase in accepting:
+        if self._requests_notified or self._core.drain.phase in accepting:
             return
-        self._told = True
+        self._requests_notified = True
         for running in tuple(self._core.running.values()):
-            running.stop(hurry=False)
+            running.stop(immediate=False)
 
-    def _carry_out(self, actions: tuple[DrainAction, ...]) -> None:
+    def _execute(self, actions: tuple[DrainAction, ...]) -> None:
         for action in actions:
-            self._carry_out_one(action)
+            self._execute_one(action)
 
-    def _carry_out_one(self, action: DrainAction) -> None:
+    def _execute_one(self, action: DrainAction) -> None:
         match action:
             case Announce():
                 self._core.log.write(EventName.DRAIN_STARTED)
@@ -155,4 +155,4 @@
             self._core.log.write(EventName.REQUEST_CUT, request=request)
             running = self._core.running.get(request)
             if running is not None:
-                running.stop(hurry=True)
+                running.stop(immediate=True)
--- a/tests/test_waiting_for_servers.py
+++ b/tests/test_waiting_for_servers.py
@@ -104,7 +104,7 @@
 async def hurry(stage):
     await anyio.sleep(0.3)
     for running in tuple(stage.core.running.values()):
-        running.stop(hurry=True)
+        running.stop(immediate=True)
 
 
 async def test_request_waits_while_all_engines_load_new_weights(tmp_path):
