--- a/bench/agent.py
+++ b/bench/agent.py
@@ -14,7 +14,7 @@
 from oleanderdyke.kernel.demand import SEGMENT_TOKENS, SegmentHint
 from oleanderdyke.kernel.routing import Costs, should_drop_fetch
 
-_CHECK: Millis = 100.0
+_CHECK_INTERVAL: Millis = 100.0
 
 
 @dataclass(slots=True)
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class _Flight:
+class _Fetch:
     """Hold one fetch and the jobs that wait for it."""
 
     segments: Sequence[SegmentHint]
@@ -53,7 +53,7 @@
         self._costs = costs
         self._rate = rate
         self._segment_bytes = segment_bytes
-        self._flights: dict[SegmentHint, _Flight] = {}
+        self._fetches: dict[SegmentHint, _Fetch] = {}
         self._exports: deque[tuple[StoreNode, Sequence[SegmentHint]]] = deque()
         self._exporting = False
         self.engine = engine
@@ -70,30 +70,30 @@
     ) -> None:
         """Fetch what is wanted and missing, then hand the job over."""
         missing = [each for each in wanted if each not in self.engine.cache]
-        flights: list[_Flight] = []
+        fetches: list[_Fetch] = []
         if store is not None and store.up and missing:
-            flights = self._join(store, missing)
-        waits = {id(flight): flight for flight in flights}
+            fetches = self._start_or_join(store, missing)
+        waits = {id(fetch): fetch for fetch in fetches}
         if not waits:
             self.engine.submit(job)
             return
         self._wait_for(job, list(waits.values()))
 
-    def _wait_for(self, job: Job, flights: Sequence[_Flight]) -> None:
+    def _wait_for(self, job: Job, fetches: Sequence[_Fetch]) -> None:
         life = self.engine.life
-        left = len(flights)
+        remaining = len(fetches)
 
-        def arrive() -> None:
-            nonlocal left
-            left -= 1
-            if not left and life == self.engine.life:
-                self._demote(job)
+        def on_fetch_end() -> None:
+            nonlocal remaining
+            remaining -= 1
+            if not remaining and life == self.engine.life:
+                self._lower_priority(job)
                 self.engine.submit(job)
 
-        for flight in flights:
-            flight.waiters.append(arrive)
+        for fetch in fetches:
+            fetch.waiters.append(on_fetch_end)
 
-    def _demote(self, job: Job) -> None:
+    def _lower_priority(self, job: Job) -> None:
         """Let a job go behind short ones where its fetch was not whole."""
         held = self.engine.cache.count_leading(job.segments)
         missing = job.tokens - held * SEGMENT_TOKENS
@@ -102,20 +102,20 @@
 
     def count_fetching(self, segments: Sequence[SegmentHint]) -> float:
         """Return the bytes under way of the given segments."""
-        flights = {
-            id(self._flights[each]): self._flights[each]
+        fetches = {
+            id(self._fetches[each]): self._fetches[each]
             for each in segments
-            if each in self._flights
+            if each in self._fetches
         }
         return sum(
             each.store.link.count_left(each.transfer)
-            for each in flights.values()
+            for each in fetches.values()
             if each.transfer is not None
         )
 
     def is_coming(self, segment: SegmentHint) -> bool:
         """Tell whether a segment is being fetched."""
-        return segment in self._flights
+        return segment in self._fetches
 
     def offer(self, store: StoreNode, segments: Sequence[SegmentHint]) -> None:
         """Export segments behind what else is to be exported."""
@@ -124,59 +124,61 @@
 
     def drop_all(self) -> None:
         """Lose the fetches and exports with the engine."""
-        for flight in list(self._flights.values()):
-            self._stop(flight)
+        for fetch in list(self._fetches.values()):
+            self._cancel(fetch)
         self._exports.clear()
 
-    def _join(
+    def _start_or_join(
         self, store: StoreNode, missing: Sequence[SegmentHint]
-    ) -> list[_Flight]:
+    ) -> list[_Fetch]:
         joined = [
-            self._flights[each] for each in missing if each in self._flights
+            self._fetches[each] for each in missing if each in self._fetches
         ]
-        new = [each for each in missing if each not in self._flights]
-        kept: list[SegmentHint] = []
-        for segment in new:
+        not_fetching = [each for each in missing if each not in self._fetches]
+        available: list[SegmentHint] = []
+        for segment in not_fetching:
             if segment not in store.cache:
                 break
-            kept.append(segment)
-        if kept:
-            joined.append(self._start(store, kept))
+            available.append(segment)
+        if available:
+            joined.append(self._start(store, available))
         return joined
 
-    def _start(self, store: StoreNode, kept: list[SegmentHint]) -> _Flight:
-        store.cache.record_use(kept, self._events.now)
-        flight = _Flight(kept, store)
-        count = len(kept) * self._segment_bytes
-        for segment in kept:
-            self._flights[segment] = flight
+    def _start(self, store: StoreNode, available: list[SegmentHint]) -> _Fetch:
+        store.cache.record_use(available, self._events.now)
+        fetch = _Fetch(available, store)
+        byte_count = len(available) * self._segment_bytes
+        for segment in available:
+            self._fetches[segment] = fetch
 
-        def done() -> None:
-            self._finish(flight, len(kept), count)
+        def on_done() -> None:
+            self._finish(fetch, len(available), byte_count)
 
-        flight.transfer = store.link.start(count, done)
+        fetch.transfer = store.link.start(byte_count, on_done)
         if self._costs is not None:
-            self._events.add(_CHECK, self._check, flight)
-        return flight
-
-    def _finish(self, flight: _Flight, whole: int, carried: float) -> None:
-        self.fetched_bytes += carried
-        for segment in flight.segments:
-            if self._flights.get(segment) is flight:
-                del self._flights[segment]
-        if self.engine.up and whole:
-            self.engine.cache.use(flight.segments[:whole])
-        for waiter in flight.waiters:
+            self._events.add(_CHECK_INTERVAL, self._check, fetch)
+        return fetch
+
+    def _finish(
+        self, fetch: _Fetch, complete: int, carried_bytes: float
+    ) -> None:
+        self.fetched_bytes += carried_bytes
+        for segment in fetch.segments:
+            if self._fetches.get(segment) is fetch:
+                del self._fetches[segment]
+        if self.engine.up and complete:
+            self.engine.cache.use(fetch.segments[:complete])
+        for waiter in fetch.waiters:
             waiter()
         self._export()
 
-    def _check(self, flight: _Flight) -> None:
-        transfer = flight.transfer
+    def _check(self, fetch: _Fetch) -> None:
+        transfer = fetch.transfer
         if transfer is None or not transfer.open or self._costs is None:
             return
-        link = flight.store.link
-        left = link.count_left(transfer)
-        tokens = left / self._costs.kv_bytes_per_token
+        link = fetch.store.link
+        remaining = link.count_left(transfer)
+        tokens = remaining / self._costs.kv_bytes_per_token
         if should_drop_fetch(
             self._costs,
             missing_tokens=int(tokens),
@@ -184,25 +186,25 @@
             tokens_per_second=self._rate,
             wait=self.engine.count_tokens(LONG) * SECOND / self._rate,
         ):
-            self._stop(flight)
+            self._cancel(fetch)
             return
-        self._events.add(_CHECK, self._check, flight)
+        self._events.add(_CHECK_INTERVAL, self._check, fetch)
 
-    def _stop(self, flight: _Flight) -> None:
-        if flight.transfer is None or not flight.transfer.open:
+    def _cancel(self, fetch: _Fetch) -> None:
+        if fetch.transfer is None or not fetch.transfer.open:
             return
-        carried = flight.store.link.cancel(flight.transfer)
-        whole = int(carried // self._segment_bytes)
-        self._finish(flight, whole, carried)
+        carried_bytes = fetch.store.link.cancel(fetch.transfer)
+        complete = int(carried_bytes // self._segment_bytes)
+        self._finish(fetch, complete, carried_bytes)
 
     def lose_store(self, store: StoreNode) -> None:
         """End the fetches from a store that is lost."""
-        for flight in list(self._flights.values()):
-            if flight.store is store:
-                self._stop(flight)
+        for fetch in list(self._fetches.values()):
+            if fetch.store is store:
+                self._cancel(fetch)
 
     def _export(self) -> None:
-        if self._exporting or self._flights or not self._exports:
+        if self._exporting or self._fetches or not self._exports:
             return
         store, segments = self._exports.popleft()
         wanted = [
@@ -218,11 +220,11 @@
             self._export()
             return
         self._exporting = True
-        count = len(taken) * self._segment_bytes
+        byte_count = len(taken) * self._segment_bytes
 
-        def done() -> None:
+        def on_done() -> None:
             self._exporting = False
-            self.exported_bytes += count
+            self.exported_bytes += byte_count
             self._export()
 
-        store.link.start(count, done)
+        store.link.start(byte_count, on_done)
--- a/bench/agent_chunks.py
+++ b/bench/agent_chunks.py
@@ -28,14 +28,20 @@
 _HEAD = b'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n'
 _EVENT = b'data: {"choices": [{"delta": {"content": "word "}}]}\n\n'
 _CHUNK = b'%x\r\n%s\r\n' % (len(_EVENT), _EVENT)
-_CREDIT = 32
-_PACE = 0.0005
-_TURN = 0.002
-_SHOWN = ('oleanderdyke/', 'httpcore/', 'h11/', 'anyio/', 'websockets/')
-_LINES = 24
+_CREDIT_CHUNKS = 32
+_CHUNK_INTERVAL_SECONDS = 0.0005
+_POLL_SECONDS = 0.002
+_SHOWN_PACKAGES = (
+    'oleanderdyke/',
+    'httpcore/',
+    'h11/',
+    'anyio/',
+    'websockets/',
+)
+_SHOWN_MODULES = 24
 
 
-async def _answer(stream: SocketStream) -> None:
+async def _serve_answer(stream: SocketStream) -> None:
     async with stream:
         try:
             await stream.receive()
@@ -44,18 +50,18 @@
         await stream.send(_HEAD)
         for _ in range(CHUNKS):
             await stream.send(_CHUNK)
-            await anyio.sleep(_PACE)
+            await anyio.sleep(_CHUNK_INTERVAL_SECONDS)
         await stream.send(b'0\r\n\r\n')
 
 
-async def _read(entry: FakeEntry, outcome: Outcome) -> None:
+async def _grant_credit(entry: FakeEntry, outcome: Outcome) -> None:
     granted = 0
     while not outcome.over:
-        await anyio.sleep(_TURN)
-        fresh = len(outcome.chunks) - granted
-        if fresh >= _CREDIT:
-            await entry.link.send(Credit('r', 1, fresh))
-            granted += fresh
+        await anyio.sleep(_POLL_SECONDS)
+        ungranted = len(outcome.chunks) - granted
+        if ungranted >= _CREDIT_CHUNKS:
+            await entry.link.send(Credit('r', 1, ungranted))
+            granted += ungranted
 
 
 async def _measure(profile: cProfile.Profile | None) -> float:
@@ -64,22 +70,22 @@
     port = listener.extra(SocketAttribute.local_port)  # noqa: S610 - a socket's
     settings = make_settings(BackendKind.PLAIN, f'127.0.0.1:{port}', 'x')
     async with anyio.create_task_group() as group:
-        group.start_soon(listener.serve, _answer)
+        group.start_soon(listener.serve, _serve_answer)
         async with running(settings) as shell, dialing(shell) as entry:
             await entry.wait_serving()
             dispatch = entry.make_dispatch('r', deadline=600_000.0)
             start = time.process_time()
             with profile or nullcontext():
                 outcome = await entry.send(dispatch, b'x')
-                await _read(entry, outcome)
-            spent = time.process_time() - start
+                await _grant_credit(entry, outcome)
+            processor_seconds = time.process_time() - start
             assert len(outcome.chunks) == CHUNKS
         group.cancel_scope.cancel()
-    return spent
+    return processor_seconds
 
 
 def _find_module(file: str) -> str:
-    for start in _SHOWN:
+    for start in _SHOWN_PACKAGES:
         if start in file:
             return start + file.rpartition(start)[2]
     return 'other'
@@ -87,7 +93,7 @@
 
 def main() -> None:
     """Print the calls for each chunk by module."""
-    spent = anyio.run(_measure, None)
+    processor_seconds = anyio.run(_measure, None)
     profile = cProfile.Profile()
     anyio.run(_measure, profile)
     counts: Counter[str] = Counter()
@@ -95,8 +101,11 @@
         file = getattr(entry.code, 'co_filename', '')
         counts[_find_module(file)] += entry.callcount
     total = sum(counts.values()) / CHUNKS
-    print(f'{total:.1f} calls, {spent * 1e6 / CHUNKS:.0f} us for each chunk')
-    for module, calls in counts.most_common(_LINES):
+    print(
+        f'{total:.1f} calls, '
+        f'{processor_seconds * 1e6 / CHUNKS:.0f} us for each chunk'
+    )
+    for module, calls in counts.most_common(_SHOWN_MODULES):
         print(f'{calls / CHUNKS:8.2f}  {module}')
 
 
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -22,8 +22,8 @@
 from oleanderdyke.policies.settings import PolicySettings
 
 _NO_REPLICA = Refusal(ErrorKind.NO_REPLICA, 'no serving replica', 1_000.0)
-_OVERLOAD = 1.5
-_SLACK = 4
+_OVERLOAD_FACTOR = 1.5
+_OVERLOAD_SLACK = 4
 
 
 class CountingRouter:
@@ -55,7 +55,7 @@
         ]
         if not replicas:
             return _NO_REPLICA
-        replica = self._pick(demand, fleet, replicas, random)
+        replica = self._choose_replica(demand, fleet, replicas, random)
         held = fleet.count_leading(replica.agent, demand.segments)
         store, covered = '', 0
         if self._fetches:
@@ -83,7 +83,7 @@
     ) -> None:
         """Learn nothing."""
 
-    def _pick(
+    def _choose_replica(
         self,
         demand: Demand,
         fleet: Fleet,
@@ -91,13 +91,15 @@
         random: Random,
     ) -> Replica:
         """Return the least busy, or the longest prefix unless overloaded."""
-        counts = {each.agent: self._count(each) for each in replicas}
-        least = min(
+        counts = {
+            each.agent: self._count_outstanding(each) for each in replicas
+        }
+        least_loaded = min(
             replicas, key=lambda each: (counts[each.agent], random.random())
         )
         if not self._by_prefix:
-            return least
-        longest = max(
+            return least_loaded
+        longest_prefix = max(
             replicas,
             key=lambda each: (
                 fleet.count_leading(each.agent, demand.segments),
@@ -105,13 +107,16 @@
             ),
         )
         mean = sum(counts.values()) / len(counts)
-        if counts[longest.agent] > _OVERLOAD * mean + _SLACK:
-            return least
-        if not fleet.count_leading(longest.agent, demand.segments):
-            return least
-        return longest
-
-    def _count(self, replica: Replica) -> int:
+        if (
+            counts[longest_prefix.agent]
+            > _OVERLOAD_FACTOR * mean + _OVERLOAD_SLACK
+        ):
+            return least_loaded
+        if not fleet.count_leading(longest_prefix.agent, demand.segments):
+            return least_loaded
+        return longest_prefix
+
+    def _count_outstanding(self, replica: Replica) -> int:
         reported = replica.load.running + replica.load.waiting
         return max(reported, self._backlog.count_outstanding(replica.agent))
 
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -18,11 +18,11 @@
 from bench.capacity_probe import (
     MIB,
     Usage,
-    compare,
+    compute_rate,
     read_memory,
     read_peak,
     read_processor,
-    read_share,
+    read_pss,
     read_usage,
 )
 from bench.capacity_region import Region, make_layout
@@ -32,16 +32,16 @@
 from tests.processes import ROOT, Child, wait_until
 
 DIRECTORY = ROOT / 'build' / 'capacity'
-_WINDOW = 10.0
-_CHANGES = 5
-_BATCH = 100
-_REFRESH = 8.0
-_LONG = 60.0
-_KINDS = ('asistente-0', 'taquilla-0', 'memoria-reglas-0')
+_IDLE_SECONDS = 10.0
+_SINGLE_CHANGES = 5
+_BATCH_SIZE = 100
+_SETTLE_SECONDS = 8.0
+_WAIT_SECONDS = 60.0
+_SAMPLED_SERVERS = ('asistente-0', 'taquilla-0', 'memoria-reglas-0')
 
 
 @dataclass(frozen=True, slots=True)
-class Watched:
+class MonitoredProcess:
     """Name a process to measure and the ports of the links it has."""
 
     name: str
@@ -58,21 +58,21 @@
 
     def __init__(self, region: Region) -> None:
         self._region = region
-        self._fresh = 0
+        self._teams_created = 0
 
     def run(self) -> None:
         """Measure everything."""
         region = self._region
-        say(
+        print_line(
             f'{len(region.servers)} agents listen; {region.appends} appends '
             f'filled the log in {region.fill_seconds:.1f} s'
         )
         for server in self._list_samples():
             show_memory(f'agent {server.name} without peers', server.agent)
         first, second = self._start_entries()
-        self._wait_all(first, 'every agent has the configuration')
-        self._wait_all(second, 'the other entry knows it')
-        self._forget_log()
+        self._wait_for_agents(first, 'every agent has the configuration')
+        self._wait_for_agents(second, 'the other entry knows it')
+        self._truncate_log()
         self._measure_idle()
         self._measure_changes(first)
         self._measure_replacement(second)
@@ -81,7 +81,7 @@
 
     def _list_samples(self) -> Iterator[Server]:
         for server in self._region.servers:
-            if server.name in _KINDS:
+            if server.name in _SAMPLED_SERVERS:
                 yield server
 
     def _start_entries(self) -> tuple[Entry, Entry]:
@@ -90,29 +90,36 @@
         started = time.monotonic()
         entries = region.add_entry(), region.add_entry()
         for entry in entries:
-            region.wait_entry(entry)
-            self._tell_start('an entry that reads the log', entry, started)
+            region.wait_entry_ready(entry)
+            self._print_start('an entry that reads the log', entry, started)
         return entries
 
-    def _tell_start(self, what: str, entry: Entry, started: float) -> None:
+    def _print_start(
+        self, description: str, entry: Entry, started: float
+    ) -> None:
         seconds = time.monotonic() - started
         used = read_processor(get_pid(entry.child))
-        say(f'{what}: ready after {seconds:.1f} s, processor {used:.1f} s')
+        print_line(
+            f'{description}: ready after {seconds:.1f} s, '
+            f'processor {used:.1f} s'
+        )
 
-    def _wait_all(self, entry: Entry, what: str) -> None:
+    def _wait_for_agents(self, entry: Entry, description: str) -> None:
         started = time.monotonic()
         offset = self._region.read_status(entry)['offset']
-        self._region.wait_reach(entry, offset)
+        self._region.wait_configuration(entry, offset)
         seconds = time.monotonic() - started
-        links = self._watch(entry.child, self._region.agent_ports).read()
-        say(
-            f'  {what} after {seconds:.1f} s more, '
+        links = self._make_monitored(
+            entry.child, self._region.agent_ports
+        ).read()
+        print_line(
+            f'  {description} after {seconds:.1f} s more, '
             f'{links.processor:.1f} s of processor time in all; links out '
             f'{links.sent / MIB:.2f} MiB, in {links.received / MIB:.2f} MiB'
         )
         show_memory(f'  entry {entry.name}', entry.child)
 
-    def _forget_log(self) -> None:
+    def _truncate_log(self) -> None:
         """Let the log forget what the newest snapshot covers."""
         region = self._region
         log = region.platform['log']
@@ -120,7 +127,7 @@
         before = int(line['offset'])
         call(log, 'PUT', '/faults', {'truncate': {'configuration': before + 1}})
         vms = call(region.platform['vms'], 'GET', '/vms').body
-        say(
+        print_line(
             f'a snapshot of {line["records"]} records is in the log; the VM '
             f'list has {len(vms) / 1_000:.1f} kB'
         )
@@ -133,42 +140,48 @@
         return None
 
     def _measure_idle(self) -> None:
-        time.sleep(_REFRESH)
-        watched = list(self._list_watched())
-        before = [each.read() for each in watched]
-        time.sleep(_WINDOW)
-        say(f'{_WINDOW:.0f} s without requests:')
-        for each, earlier in zip(watched, before, strict=True):
-            say(f'  {each.name:28}: {compare(earlier, each.read())}')
+        time.sleep(_SETTLE_SECONDS)
+        processes = list(self._list_monitored())
+        before = [each.read() for each in processes]
+        time.sleep(_IDLE_SECONDS)
+        print_line(f'{_IDLE_SECONDS:.0f} s without requests:')
+        for each, earlier in zip(processes, before, strict=True):
+            print_line(
+                f'  {each.name:28}: {compute_rate(earlier, each.read())}'
+            )
             memory = read_memory(each.pid) / MIB
-            share = read_share(each.pid) / MIB
-            say(f'  {"":28}  RSS {memory:.1f} MiB, PSS {share:.1f} MiB')
+            share = read_pss(each.pid) / MIB
+            print_line(f'  {"":28}  RSS {memory:.1f} MiB, PSS {share:.1f} MiB')
 
-    def _list_watched(self) -> Iterator[Watched]:
+    def _list_monitored(self) -> Iterator[MonitoredProcess]:
         region = self._region
         entry = region.entries[0]
-        yield self._watch(entry.child, region.agent_ports, 'links')
+        yield self._make_monitored(entry.child, region.agent_ports, 'links')
         for server in self._list_samples():
             port = int(server.agent_address.rpartition(':')[2])
-            yield self._watch(server.agent, frozenset({port}), 'links')
+            yield self._make_monitored(server.agent, frozenset({port}), 'links')
 
-    def _watch(
-        self, child: Child, ports: Collection[int], what: str = ''
-    ) -> Watched:
-        return Watched(f'{child.name} {what}', get_pid(child), ports)
+    def _make_monitored(
+        self, child: Child, ports: Collection[int], description: str = ''
+    ) -> MonitoredProcess:
+        return MonitoredProcess(
+            f'{child.name} {description}', get_pid(child), ports
+        )
 
     def _measure_changes(self, entry: Entry) -> None:
-        singles = [self._time_change(entry, 1) for _ in range(_CHANGES)]
+        singles = [self._time_change(entry, 1) for _ in range(_SINGLE_CHANGES)]
         shown = ', '.join(f'{each:.2f}' for each in singles)
-        say(f'one change in force in every process after {shown} s')
-        seconds = self._time_change(entry, _BATCH)
-        say(f'{_BATCH} changes in one append: after {seconds:.2f} s')
+        print_line(f'one change in force in every process after {shown} s')
+        seconds = self._time_change(entry, _BATCH_SIZE)
+        print_line(
+            f'{_BATCH_SIZE} changes in one append: after {seconds:.2f} s'
+        )
 
     def _time_change(self, entry: Entry, count: int) -> float:
         """Return the seconds from publishing to the last process's log line."""
         before = time.time()
         offset = self._region.publish(entry, list(self._make_changes(count)))
-        children = self._list_own()
+        children = self._list_children()
         wait_until(
             lambda: all(find_applied(each, offset) for each in children),
             f'{offset} is applied everywhere',
@@ -178,15 +191,15 @@
 
     def _make_changes(self, count: int) -> Iterator[Any]:
         for _ in range(count):
-            self._fresh += 1
+            self._teams_created += 1
             yield {
                 'kind': 'team',
-                'name': f'fresh-{self._fresh}',
+                'name': f'fresh-{self._teams_created}',
                 'expected': 0,
                 'spec': {'labels': {'region': 'costa'}},
             }
 
-    def _list_own(self) -> list[Child]:
+    def _list_children(self) -> list[Child]:
         agents = [server.agent for server in self._region.servers]
         return agents + [entry.child for entry in self._region.entries]
 
@@ -196,11 +209,11 @@
         entry.child.kill()
         started = time.monotonic()
         entry.child.start()
-        self._region.wait_entry(entry)
-        self._tell_start('an entry killed and replaced', entry, started)
-        self._wait_all(entry, 'its view is full')
+        self._region.wait_entry_ready(entry)
+        self._print_start('an entry killed and replaced', entry, started)
+        self._wait_for_agents(entry, 'its view is full')
         used = read_processor(get_pid(server.agent)) - used
-        say(f'  processor time of {server.name} meanwhile: {used:.2f} s')
+        print_line(f'  processor time of {server.name} meanwhile: {used:.2f} s')
 
     def _measure_agent(self, entry: Entry) -> None:
         """Kill one agent and start it again."""
@@ -212,7 +225,7 @@
         self._wait_listed(entry, server)
         seconds = time.monotonic() - started
         pid = get_pid(server.agent)
-        say(
+        print_line(
             f'an agent killed and replaced: {seconds:.1f} s until it serves '
             f'with the whole configuration, {read_processor(pid):.1f} s of '
             'processor time; of the entry '
@@ -231,13 +244,13 @@
             'the agent has the configuration',
             seconds=60,
         )
-        self._region.wait_reach(entry, offset)
+        self._region.wait_configuration(entry, offset)
 
     def _show_all(self) -> None:
-        own = self._list_own()
+        own = self._list_children()
         rss = sorted(read_memory(get_pid(each)) for each in own)
-        shared = sum(read_share(get_pid(each)) for each in own)
-        say(
+        shared = sum(read_pss(get_pid(each)) for each in own)
+        print_line(
             f'{len(own)} processes: RSS {rss[0] / MIB:.1f} to '
             f'{rss[-1] / MIB:.1f} MiB, median {rss[len(rss) // 2] / MIB:.1f}; '
             f'PSS together {shared / MIB / 1024:.2f} GiB; '
@@ -246,18 +259,18 @@
 
 
 def wait_value(
-    find: Callable[[], dict[str, str] | None], what: str
+    find: Callable[[], dict[str, str] | None], description: str
 ) -> dict[str, str]:
     """Wait until something is found and return it."""
     found: list[dict[str, str]] = []
 
-    def look() -> bool:
+    def poll() -> bool:
         value = find()
         if value is not None:
             found.append(value)
         return bool(found)
 
-    wait_until(look, what, seconds=_LONG)
+    wait_until(poll, description, seconds=_WAIT_SECONDS)
     return found[0]
 
 
@@ -301,16 +314,16 @@
     return child.process.pid
 
 
-def show_memory(what: str, child: Child) -> None:
+def show_memory(description: str, child: Child) -> None:
     """Print what a process holds and held at most."""
     pid = get_pid(child)
-    say(
-        f'{what}: RSS {read_memory(pid) / MIB:.1f} MiB, at most '
-        f'{read_peak(pid) / MIB:.1f}, PSS {read_share(pid) / MIB:.1f}'
+    print_line(
+        f'{description}: RSS {read_memory(pid) / MIB:.1f} MiB, at most '
+        f'{read_peak(pid) / MIB:.1f}, PSS {read_pss(pid) / MIB:.1f}'
     )
 
 
-def say(text: str) -> None:
+def print_line(text: str) -> None:
     """Print a line at once."""
     print(text, flush=True)
 
@@ -329,7 +342,7 @@
     started = time.monotonic()
     with Region(layout, DIRECTORY, teams=options.teams) as region:
         Run(region).run()
-    say(f'{time.monotonic() - started:.0f} s in all')
+    print_line(f'{time.monotonic() - started:.0f} s in all')
 
 
 if __name__ == '__main__':
--- a/bench/capacity_probe.py
+++ b/bench/capacity_probe.py
@@ -14,10 +14,10 @@
 MIB = 1024 * KIB
 # An IPv4 header and a TCP header with timestamps, for each segment.
 HEADER_BYTES = 52
-_TICK = os.sysconf('SC_CLK_TCK')
-_USER, _SYSTEM = 11, 12
-_FIELDS = ('bytes_sent', 'bytes_received', 'segs_out', 'segs_in')
-_FIELD = re.compile(rf'\b({"|".join(_FIELDS)}):(\d+)')
+_TICKS_PER_SECOND = os.sysconf('SC_CLK_TCK')
+_UTIME_INDEX, _STIME_INDEX = 11, 12
+_SOCKET_FIELDS = ('bytes_sent', 'bytes_received', 'segs_out', 'segs_in')
+_FIELD = re.compile(rf'\b({"|".join(_SOCKET_FIELDS)}):(\d+)')
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,25 +54,30 @@
 
 def read_usage(pid: int, ports: Collection[int]) -> Usage:
     """Return what a process has used; bytes of its open connections only."""
-    sent, received, out, into = read_sockets(pid, ports)
+    sent, received, segments_out, segments_in = read_sockets(pid, ports)
     return Usage(
-        time.monotonic(), read_processor(pid), sent, received, out, into
+        time.monotonic(),
+        read_processor(pid),
+        sent,
+        received,
+        segments_out,
+        segments_in,
     )
 
 
-def compare(before: Usage, after: Usage) -> Rate:
+def compute_rate(before: Usage, after: Usage) -> Rate:
     """Return the mean use for each second between two moments."""
     seconds = after.at - before.at
     sent = after.sent - before.sent
     received = after.received - before.received
-    out = after.sent_segments - before.sent_segments
-    into = after.received_segments - before.received_segments
+    segments_out = after.sent_segments - before.sent_segments
+    segments_in = after.received_segments - before.received_segments
     return Rate(
         (after.processor - before.processor) / seconds,
         sent / seconds,
         received / seconds,
-        (sent + HEADER_BYTES * out) / seconds,
-        (received + HEADER_BYTES * into) / seconds,
+        (sent + HEADER_BYTES * segments_out) / seconds,
+        (received + HEADER_BYTES * segments_in) / seconds,
     )
 
 
@@ -80,7 +85,9 @@
     """Return the processor time that a process has used, in seconds."""
     text = Path(f'/proc/{pid}/stat').read_text(encoding='ascii')
     fields = text.rpartition(')')[2].split()
-    return (int(fields[_USER]) + int(fields[_SYSTEM])) / _TICK
+    return (
+        int(fields[_UTIME_INDEX]) + int(fields[_STIME_INDEX])
+    ) / _TICKS_PER_SECOND
 
 
 def read_memory(pid: int) -> int:
@@ -93,7 +100,7 @@
     return _read_kib(Path(f'/proc/{pid}/status'), 'VmHWM') * KIB
 
 
-def read_share(pid: int) -> int:
+def read_pss(pid: int) -> int:
     """Return the resident bytes, shared pages divided among their users."""
     return _read_kib(Path(f'/proc/{pid}/smaps_rollup'), 'Pss') * KIB
 
@@ -111,23 +118,23 @@
     Only those with one of the ports at either end count. The system counts
     them; `ss` of iproute2 shows them.
     """
-    shown = subprocess.run(
+    output = subprocess.run(
         ['ss', '-tinpHO', 'state', 'established'],  # noqa: S607 - on the path
         capture_output=True,
         check=True,
         text=True,
     ).stdout
-    totals = dict.fromkeys(_FIELDS, 0)
-    for line in shown.splitlines():
+    totals = dict.fromkeys(_SOCKET_FIELDS, 0)
+    for line in output.splitlines():
         if f'pid={pid},' not in line or not _uses(line, ports):
             continue
         for name, count in _FIELD.findall(line):
             totals[name] += int(count)
-    sent, received, out, into = totals.values()
-    return sent, received, out, into
+    sent, received, segments_out, segments_in = totals.values()
+    return sent, received, segments_out, segments_in
 
 
 def _uses(line: str, ports: Collection[int]) -> bool:
-    near, far = line.split()[2:4]
-    ends = {int(each.rpartition(':')[2]) for each in (near, far)}
-    return not ends.isdisjoint(ports)
+    local, peer = line.split()[2:4]
+    endpoint_ports = {int(each.rpartition(':')[2]) for each in (local, peer)}
+    return not endpoint_ports.isdisjoint(ports)
--- a/bench/capacity_region.py
+++ b/bench/capacity_region.py
@@ -31,11 +31,11 @@
 
 CONFIGURATION = '/logs/configuration'
 _EXAMPLE = 'agency'
-_RECORDS = 500
-_STARTS = 4
-_SHARED = 34
-_PAUSE = 0.5
-_LONG = 120.0
+_RECORDS_PER_APPEND = 500
+_PARALLEL_STARTS = 4
+_SERVERS_PER_STANDIN = 34
+_POLL_SECONDS = 0.5
+_TIMEOUT_SECONDS = 120.0
 
 
 def make_layout(engines: int, plains: int, stores: int) -> Layout:
@@ -65,15 +65,15 @@
     def _add_backends(self) -> Iterator[tuple[Child, int]]:
         """Let several processes share the backend servers of a service."""
         for item in self.layout.backends:
-            for start in range(0, item.count, _SHARED):
-                count = min(_SHARED, item.count - start)
+            for start in range(0, item.count, _SERVERS_PER_STANDIN):
+                count = min(_SERVERS_PER_STANDIN, item.count - start)
                 name = f'{item.kind}-{item.service}-{start}'
                 yield self._add_standin(name, item.kind.value, count), count
 
     def _start_own(self) -> None:
         self._fill_log()
-        for start in range(0, len(self.servers), _STARTS):
-            batch = self.servers[start : start + _STARTS]
+        for start in range(0, len(self.servers), _PARALLEL_STARTS):
+            batch = self.servers[start : start + _PARALLEL_STARTS]
             for server in batch:
                 server.agent.start()
             for server in batch:
@@ -83,8 +83,8 @@
         """Append every object, many records to one append."""
         started = time.monotonic()
         records = list(_list_records(self._teams))
-        for start in range(0, len(records), _RECORDS):
-            self._append(records[start : start + _RECORDS])
+        for start in range(0, len(records), _RECORDS_PER_APPEND):
+            self._append(records[start : start + _RECORDS_PER_APPEND])
         self.fill_seconds = time.monotonic() - started
 
     def _append(self, records: Sequence[bytes]) -> None:
@@ -105,13 +105,13 @@
         entry.child.start()
         return entry
 
-    def wait_entry(self, entry: Entry) -> None:
+    def wait_entry_ready(self, entry: Entry) -> None:
         """Wait until an entry is ready."""
         wait_listening(entry.child, entry.address)
         wait_until(
             functools.partial(self.is_ready, entry),
             f'{entry.name} is ready',
-            seconds=_LONG,
+            seconds=_TIMEOUT_SECONDS,
         )
 
     def read_status(self, entry: Entry, offset: int | None = None) -> Any:
@@ -120,16 +120,16 @@
         path = f'/admin/v1/status{query}'
         return call(entry.address, 'GET', path, token=OPERATOR_TOKEN).json
 
-    def wait_reach(self, entry: Entry, offset: int) -> None:
+    def wait_configuration(self, entry: Entry, offset: int) -> None:
         """Wait until every agent is heard by an entry and has an offset."""
         wanted = len(self.servers) + 1
-        limit = time.monotonic() + _LONG
+        limit = time.monotonic() + _TIMEOUT_SECONDS
         while time.monotonic() < limit:
             reach = self.read_status(entry, offset)['reach']
             if reach['have'] == reach['total'] == wanted:
                 return
             # Each status takes the entry some milliseconds.
-            time.sleep(_PAUSE)
+            time.sleep(_POLL_SECONDS)
         raise NotMet(f'{offset} is not everywhere: {reach}')
 
     def publish(self, entry: Entry, changes: Sequence[Any]) -> int:
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -48,19 +48,19 @@
 COUNTS = (1_000, 10_000, 100_000)
 BATCHES = (1, 8, 64)
 _ROUNDS = 3
-_TIMED = 10_000
+_TIMED_CLAIMS = 10_000
 _HEADERS = (('content-type', 'application/json'),)
 _BODY = b'{"booking": "quito-0042", "room": "sala 3", "seats": 24, "at": 1800}'
 
 
-class _Anyone:
+class _AllowAll:
     def allows(self, team: str, service: str) -> bool | None:
         """Allow every team."""
         return None
 
 
 @dataclass(frozen=True, slots=True)
-class Log:
+class EncodedLog:
     """Hold batches as the log keeps them."""
 
     batches: tuple[bytes, ...]
@@ -75,10 +75,10 @@
 def main() -> None:
     """Print every figure."""
     for batch in BATCHES:
-        _show_log(batch)
+        _print_log(batch)
     for count in COUNTS:
-        _show_memory(count)
-    _show_steps()
+        _print_memory(count)
+    _print_steps()
 
 
 def make_claim_record(number: int) -> ClaimRecord:
@@ -96,7 +96,7 @@
     )
 
 
-def make_log(count: int, batch: int, *, outcomes: bool) -> Log:
+def make_log(count: int, batch: int, *, outcomes: bool) -> EncodedLog:
     """Build a log of claims in batches, each batch followed by outcomes."""
     batches: list[bytes] = []
     for start in range(0, count, batch):
@@ -106,10 +106,10 @@
         batches.append(encode_batch(claims))
         if outcomes:
             batches.append(encode_batch(_make_outcomes(numbers, offset)))
-    return Log(tuple(batches), count)
+    return EncodedLog(tuple(batches), count)
 
 
-def read(log: Log) -> ClaimTable:
+def replay(log: EncodedLog) -> ClaimTable:
     """Apply a whole log to a new table."""
     table = ClaimTable()
     for offset, data in enumerate(log.batches):
@@ -132,47 +132,50 @@
     ]
 
 
-def _show_log(batch: int) -> None:
-    claims = make_log(_TIMED, batch, outcomes=False)
-    whole = make_log(_TIMED, batch, outcomes=True)
-    micros = _time(lambda: read(claims)) / _TIMED
-    whole_micros = _time(lambda: read(whole)) / _TIMED
+def _print_log(batch: int) -> None:
+    claims = make_log(_TIMED_CLAIMS, batch, outcomes=False)
+    with_outcomes = make_log(_TIMED_CLAIMS, batch, outcomes=True)
+    micros = _time(lambda: replay(claims)) / _TIMED_CLAIMS
+    with_outcomes_micros = _time(lambda: replay(with_outcomes)) / _TIMED_CLAIMS
     print(
         f'batch {batch:3}: {claims.bytes_each:6.1f} B a claim, '
-        f'{whole.bytes_each:6.1f} B with its outcome; '
+        f'{with_outcomes.bytes_each:6.1f} B with its outcome; '
         f'applied in {micros:5.1f} us ({1e6 / micros:,.0f} a second), '
-        f'{whole_micros:5.1f} us with its outcome'
+        f'{with_outcomes_micros:5.1f} us with its outcome'
     )
 
 
-def _show_memory(count: int) -> None:
+def _print_memory(count: int) -> None:
     for outcomes in (False, True):
         log = make_log(count, 64, outcomes=outcomes)
         gc.collect()
         tracemalloc.start()
-        table = read(log)
-        held, _ = tracemalloc.get_traced_memory()
+        table = replay(log)
+        held_bytes, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
-        what = 'claims with outcomes' if outcomes else 'claims'
+        label = 'claims with outcomes' if outcomes else 'claims'
         print(
-            f'{count:7} {what:20}: {held / len(table):6.0f} B each, '
-            f'{held / 2**20:6.1f} MiB in all'
+            f'{count:7} {label:20}: {held_bytes / len(table):6.0f} B each, '
+            f'{held_bytes / 2**20:6.1f} MiB in all'
         )
 
 
-def _show_steps() -> None:
-    table = read(make_log(_TIMED, 64, outcomes=True))
+def _print_steps() -> None:
+    table = replay(make_log(_TIMED_CLAIMS, 64, outcomes=True))
     key = make_key('team-1', 'taquilla', '77')
-    _show('key of a claim', lambda: make_key('team-1', 'taquilla', '77'))
-    _show('verdict', lambda: table.get_verdict(key, 'x'))
-    _show('list 1,000 to carry', lambda: table.list_due_renewals(1e18, 1_000))
+    _print_step('key of a claim', lambda: make_key('team-1', 'taquilla', '77'))
+    _print_step('verdict', lambda: table.get_verdict(key, 'x'))
+    _print_step(
+        'list 1,000 to carry', lambda: table.list_due_renewals(1e18, 1_000)
+    )
     print(f'{"gate, one claimed run":24}: {_time_gate():8.1f} us')
     print(
-        f'{"machine, claimed call":24}: {_time(_run_machines) / 1_000:8.1f} us'
+        f'{"machine, claimed call":24}: '
+        f'{_time(_run_state_machines) / 1_000:8.1f} us'
     )
 
 
-def _show(name: str, step: Callable[[], object]) -> None:
+def _print_step(name: str, step: Callable[[], object]) -> None:
     micros = _time(lambda: _repeat(step)) / 100
     print(f'{name:24}: {micros:8.1f} us')
 
@@ -182,13 +185,13 @@
         step()
 
 
-def _time(act: Callable[[], object]) -> float:
+def _time(action: Callable[[], object]) -> float:
     """Return the least microseconds of processor time of some rounds."""
     times = []
     for _ in range(_ROUNDS):
         gc.collect()
         start = time.process_time_ns()
-        act()
+        action()
         times.append((time.process_time_ns() - start) / 1_000)
     return min(times)
 
@@ -201,7 +204,7 @@
             'taquilla',
             settings=GateSettings(),
             quarantine=make_quarantine(QuarantineSettings()),
-            rights=_Anyone(),
+            rights=_AllowAll(),
         )
         gate.set_phase(AgentPhase.SERVING)
         gate.record_heartbeat(1)
@@ -234,7 +237,7 @@
     )
 
 
-def _run_machines() -> None:
+def _run_state_machines() -> None:
     budget = RetryBudget(RetrySettings(), Random(1))
     replica = Replica(
         agent='taquilla-0',
--- a/bench/deciding.py
+++ b/bench/deciding.py
@@ -22,7 +22,7 @@
 _DECISIONS = 400
 _ROUNDS = 9
 _TARGET_MICROS = 200.0
-_HOLDERS = 3
+_COPIES_PER_PROMPT = 3
 _SERVICE = 'models'
 
 
@@ -59,7 +59,7 @@
         fleet.hear(make_replica(name, BackendKind.ENGINE, 1))
     fleet.hear(make_replica('store-0', BackendKind.STORE, 1), store=True)
     for visit in visits:
-        for name in random.sample(names, min(_HOLDERS, size)):
+        for name in random.sample(names, min(_COPIES_PER_PROMPT, size)):
             fleet.apply(name, visit.segments[:-1], ())
         fleet.apply('store-0', visit.segments, ())
     return fleet
@@ -92,7 +92,7 @@
         router.record_sent(demand, plan, SECOND)
         router.record_finished(demand.request, SECOND)
 
-    return _time(decide, demands)
+    return _time_decisions(decide, demands)
 
 
 def measure_admission(size: int, demands: Sequence[Demand]) -> float:
@@ -104,22 +104,24 @@
         admission.admit(demand, fleet, SECOND)
         admission.record_finished(demand.request, SECOND)
 
-    return _time(decide, demands)
+    return _time_decisions(decide, demands)
 
 
-def _time(decide: Callable[[Demand], None], demands: Sequence[Demand]) -> float:
+def _time_decisions(
+    decide: Callable[[Demand], None], demands: Sequence[Demand]
+) -> float:
     """Return the least of some rounds, since other work only adds time."""
     rounds = []
     for number in range(_ROUNDS):
-        named = [
+        renamed = [
             replace(each, request=f'{each.request}-{number}')
             for each in demands
         ]
         start = time.process_time_ns()
-        for demand in named:
+        for demand in renamed:
             decide(demand)
         spent = time.process_time_ns() - start
-        rounds.append(spent / 1_000 / len(named))
+        rounds.append(spent / 1_000 / len(renamed))
     return min(rounds)
 
 
--- a/bench/desk.py
+++ b/bench/desk.py
@@ -13,8 +13,8 @@
 
 _CALLS_PER_SECOND = 20.0
 _APPENDS_PER_SECOND = 300.0
-_GROUP = 16
-_PATIENCE: Millis = 60 * SECOND
+_CALLS_PER_APPEND = 16
+_CALLER_TIMEOUT: Millis = 60 * SECOND
 _JITTER = 0.5
 
 
@@ -43,12 +43,12 @@
         self.events = Events()
         self._random = Random(f'desk-{seed}')
         self._jitter = _JITTER if jitter else 0.0
-        self._out = False
+        self._log_down = False
         self._free_at: Millis = 0.0
-        self._tries: dict[int, int] = {}
+        self._tries_by_second: dict[int, int] = {}
         self.calls: list[Call] = []
 
-    def run(self, length: Millis, out: tuple[Millis, Millis]) -> DeskResult:
+    def run(self, length: Millis, outage: tuple[Millis, Millis]) -> DeskResult:
         """Run bookings for a time with the log out for a part of it."""
         at = 0.0
         number = 0
@@ -58,27 +58,31 @@
             call = Call(number, at)
             self.calls.append(call)
             self.events.add(at, self._try, call)
-        self.events.add(out[0], self._stop_log)
-        self.events.add(out[1], self._start_log)
-        self.events.run(length + _PATIENCE)
-        after = [n for t, n in self._tries.items() if t * SECOND >= out[1]]
+        self.events.add(outage[0], self._stop_log)
+        self.events.add(outage[1], self._start_log)
+        self.events.run(length + _CALLER_TIMEOUT)
+        after = [
+            n
+            for t, n in self._tries_by_second.items()
+            if t * SECOND >= outage[1]
+        ]
         return DeskResult(self.calls, max(after, default=0))
 
     def _stop_log(self) -> None:
-        self._out = True
+        self._log_down = True
 
     def _start_log(self) -> None:
-        self._out = False
+        self._log_down = False
 
     def _try(self, call: Call) -> None:
         now = self.events.now
         second = int(now // SECOND)
-        self._tries[second] = self._tries.get(second, 0) + 1
+        self._tries_by_second[second] = self._tries_by_second.get(second, 0) + 1
         call.tries += 1
-        if self._out:
+        if self._log_down:
             self._refuse(call)
             return
-        wait = SECOND / _APPENDS_PER_SECOND / _GROUP
+        wait = SECOND / _APPENDS_PER_SECOND / _CALLS_PER_APPEND
         self._free_at = max(now, self._free_at) + wait
         call.done = self._free_at
 
@@ -87,5 +91,5 @@
         after *= 1 + self._jitter * hash_to_fraction(
             f'{call.number}-{call.tries}'
         )
-        if self.events.now + after < call.at + _PATIENCE:
+        if self.events.now + after < call.at + _CALLER_TIMEOUT:
             self.events.add(after, self._try, call)
--- a/bench/engine.py
+++ b/bench/engine.py
@@ -101,12 +101,12 @@
         """
         coming: set[SegmentHint] = set()
         total = 0.0
-        head = self._prefilling
-        if head is not None:
-            coming.update(head.segments)
-            spent = self._events.now - self._chunk_start
-            left = head.left - spent * self._rate / SECOND
-            if head.priority > through:
+        current = self._prefilling
+        if current is not None:
+            coming.update(current.segments)
+            elapsed = self._events.now - self._chunk_start
+            left = current.left - elapsed * self._rate / SECOND
+            if current.priority > through:
                 left = min(left, _CHUNK_TOKENS)
             total += max(0.0, left)
         for queue in self._queues[: through + 1]:
@@ -128,12 +128,12 @@
     def _count_job(self, job: Job, coming: set[SegmentHint]) -> float:
         if job.left >= 0:
             return job.left
-        known = 0
+        cached_count = 0
         for segment in job.segments:
             if segment not in coming and segment not in self.cache:
                 break
-            known += 1
-        return max(0, job.tokens - known * SEGMENT_TOKENS)
+            cached_count += 1
+        return max(0, job.tokens - cached_count * SEGMENT_TOKENS)
 
     def _advance(self) -> None:
         if self._prefilling is not None or not self.up:
@@ -152,7 +152,7 @@
     def _take_next(self) -> Job | None:
         for queue in self._queues[:BACKGROUND]:
             if queue:
-                if not self._has_slot() and not self._pause_one():
+                if not self._has_slot() and not self._pause_background():
                     return None
                 return self._drop_late(queue.popleft())
         if not self._has_slot():
@@ -173,11 +173,11 @@
     def _has_slot(self) -> bool:
         return len(self._decoding) < self._slots
 
-    def _pause_one(self) -> bool:
+    def _pause_background(self) -> bool:
         for job in self._decoding.values():
             if job.priority == BACKGROUND:
-                spent = self._events.now - job.decoding_since
-                job.decode_left = max(0.0, job.decode_left - spent)
+                elapsed = self._events.now - job.decoding_since
+                job.decode_left = max(0.0, job.decode_left - elapsed)
                 job.epoch += 1
                 del self._decoding[job.request]
                 self._paused.append(job)
@@ -185,17 +185,17 @@
         return False
 
     def _run_chunk(self, job: Job) -> None:
-        count = job.left
+        tokens = job.left
         if job.priority:
-            count = min(count, _CHUNK_TOKENS)
+            tokens = min(tokens, _CHUNK_TOKENS)
         self._chunk_start = self._events.now
-        wait = count * SECOND / self._rate
-        self._events.add(wait, self._end_chunk, job, count, self.life)
+        wait = tokens * SECOND / self._rate
+        self._events.add(wait, self._end_chunk, job, tokens, self.life)
 
-    def _end_chunk(self, job: Job, count: float, life: int) -> None:
+    def _end_chunk(self, job: Job, tokens: float, life: int) -> None:
         if life != self.life:
             return
-        job.left -= count
+        job.left -= tokens
         self._prefilling = None
         if job.left > 0:
             self._queues[job.priority].appendleft(job)
--- a/bench/events.py
+++ b/bench/events.py
@@ -19,15 +19,17 @@
         ] = []
         self._sequence = 0
 
-    def add(self, wait: Millis, call: Callable[..., None], *given: Any) -> None:
+    def add(
+        self, wait: Millis, callback: Callable[..., None], *arguments: Any
+    ) -> None:
         """Call back after a wait."""
         self._sequence += 1
-        entry = (self.now + wait, self._sequence, call, given)
+        entry = (self.now + wait, self._sequence, callback, arguments)
         heapq.heappush(self._heap, entry)
 
     def run(self, until: Millis) -> None:
         """Run all callbacks up to a moment."""
         while self._heap and self._heap[0][0] <= until:
-            self.now, _, call, given = heapq.heappop(self._heap)
-            call(*given)
+            self.now, _, callback, arguments = heapq.heappop(self._heap)
+            callback(*arguments)
         self.now = until
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -17,9 +17,9 @@
 from tests.matrix.faults import Kind, find_reason
 from tests.matrix.points import Point
 
-_MARKS = {State.HELD: 'held', State.BROKEN: 'BROKEN'}
-_WIDTH = max(len(kind) for kind in Kind) + 2
-_COLUMN = 8
+_STATE_LABELS = {State.HELD: 'held', State.BROKEN: 'BROKEN'}
+_KIND_WIDTH = max(len(kind) for kind in Kind) + 2
+_COLUMN_WIDTH = 8
 
 
 def main() -> int:
@@ -30,8 +30,8 @@
     _print_reasons()
     _print_broken([*singles, *pairs])
     print()
-    print(_count('single faults', singles))
-    print(_count('pairs of faults', pairs))
+    print(_summarize('single faults', singles))
+    print(_summarize('pairs of faults', pairs))
     results = [*singles, *pairs]
     return int(any(each.state is State.BROKEN for each in results))
 
@@ -46,17 +46,20 @@
     for number, point in enumerate(Point, 1):
         print(f'{number:>3} {point}')
     print()
-    head = ''.join(f'{number:>{_COLUMN}}' for number, _ in enumerate(Point, 1))
-    print(' ' * _WIDTH + head)
+    header = ''.join(
+        f'{number:>{_COLUMN_WIDTH}}' for number, _ in enumerate(Point, 1)
+    )
+    print(' ' * _KIND_WIDTH + header)
     for kind in Kind:
-        print(f'{kind:<{_WIDTH}}' + _format_row(kind, found))
+        print(f'{kind:<{_KIND_WIDTH}}' + _format_row(kind, found))
 
 
 def _format_row(
     kind: Kind, found: Mapping[tuple[Kind, Point], Sequence[Result]]
 ) -> str:
     return ''.join(
-        f'{_format(found.get((kind, point), ())):>{_COLUMN}}' for point in Point
+        f'{_format(found.get((kind, point), ())):>{_COLUMN_WIDTH}}'
+        for point in Point
     )
 
 
@@ -64,7 +67,7 @@
     if not results:
         return str(State.NOT_APPLICABLE)
     broken = any(each.state is State.BROKEN for each in results)
-    return _MARKS[State.BROKEN if broken else State.HELD]
+    return _STATE_LABELS[State.BROKEN if broken else State.HELD]
 
 
 def _print_reasons() -> None:
@@ -85,7 +88,7 @@
             print(f'BROKEN {result.cell}: {result.detail}')
 
 
-def _count(name: str, results: Sequence[Result]) -> str:
+def _summarize(name: str, results: Sequence[Result]) -> str:
     held = sum(each.state is State.HELD for each in results)
     return (
         f'{name}: {len(results)} run, {held} held, {len(results) - held} broken'
--- a/bench/fetch.py
+++ b/bench/fetch.py
@@ -44,11 +44,11 @@
 _SERVICE = 'asistente'
 _DIGEST = weights.make_digest('modelo', '1')
 _NAMESPACE = make_namespace(TEAM, _SERVICE, 'modelo', _DIGEST, '')
-_TAIL = 'x' * 900
-_NANOS = 1e6
-_PAUSE = 0.05
+_PROMPT_TAIL = 'x' * 900
+_NANOS_PER_MS = 1e6
+_PAUSE_SECONDS = 0.05
 _QUANTILE = 0.9
-_START = """
+_START_SCRIPT = """
 import runpy, sys
 sys.path.insert(0, {tree!r})
 runpy.run_module('oleanderdyke.agent.main', run_name='__main__')
@@ -78,13 +78,13 @@
 
 
 @dataclass(slots=True)
-class Side:
+class MeasuredTree:
     """Hold the processes that one source tree is measured in."""
 
     name: str
     store: str
     engine: str
-    keeper: str
+    store_agent_address: str
     agents: dict[str, Child]
     entry: FakeEntry
     figures: Figures = field(default_factory=Figures)
@@ -95,7 +95,7 @@
     line = f'regla {number:06d}; '
     length = size.segments * cache.SEGMENT_BYTES
     head = (line * (length // len(line) + 1))[: length - len('user\0')]
-    return head + _TAIL
+    return head + _PROMPT_TAIL
 
 
 def split_text(text: str) -> tuple[bytes, ...]:
@@ -103,7 +103,7 @@
     return split_segments(_NAMESPACE, f'user\0{text}\n'.encode())
 
 
-class Stand:
+class Environment:
     """Start what is measured and drive it."""
 
     def __init__(self, size: Size, directory: Path) -> None:
@@ -116,8 +116,8 @@
         """End every process that was started here."""
         for child in self._children:
             if not child.running:
-                end = child.log.read_text(errors='replace')[-1_000:]
-                print(f'{child.name} ended by itself: {end}', flush=True)
+                log_tail = child.log.read_text(errors='replace')[-1_000:]
+                print(f'{child.name} ended by itself: {log_tail}', flush=True)
             child.kill()
         self._ports.close()
 
@@ -166,27 +166,29 @@
                 }
             )
         )
-        code = _START.format(tree=str(tree / 'src'))
+        code = _START_SCRIPT.format(tree=str(tree / 'src'))
         child = Child(
             name, ['-c', code, '--settings', str(path)], self._directory
         )
         self._children.append(child)
         child.start()
-        place = f'{LOOPBACK}:{port}'
-        wait_for(lambda: accepts(place), f'{name} listens')
-        return child, place
+        listen_address = f'{LOOPBACK}:{port}'
+        wait_for(lambda: accepts(listen_address), f'{name} listens')
+        return child, listen_address
 
 
-async def fill(address: str, size: Size, count: int) -> None:
+async def fill_store(address: str, size: Size, count: int) -> None:
     """Keep the segments of numbered prompts in a store."""
     store = HttpBackend(address)
     async with anyio.create_task_group() as tasks:
         for number in range(count):
             segments = split_text(make_text(number, size))
-            tasks.start_soon(_fill_one, store, segments[: size.segments])
+            tasks.start_soon(_store_segments, store, segments[: size.segments])
 
 
-async def _fill_one(store: HttpBackend, segments: Sequence[bytes]) -> None:
+async def _store_segments(
+    store: HttpBackend, segments: Sequence[bytes]
+) -> None:
     for segment in segments:
         data = cache.make_kv(segment)
         name = f'{segment.hex()}-i-1'
@@ -208,27 +210,29 @@
 
 
 @asynccontextmanager
-async def _enter(
-    stand: Stand, name: str, tree: Path, store: str, engine: str
-) -> AsyncGenerator[Side, None]:
-    keeper, keeper_at = stand.start_agent(
+async def _start_measured(
+    environment: Environment, name: str, tree: Path, store: str, engine: str
+) -> AsyncGenerator[MeasuredTree, None]:
+    store_agent, store_agent_address = environment.start_agent(
         f'{name}-store', 'store', 'memoria', store, tree
     )
-    agent, agent_at = stand.start_agent(
+    agent, agent_address = environment.start_agent(
         f'{name}-engine', 'engine', _SERVICE, engine, tree
     )
     world = make_world(_DIGEST)
     async with anyio.create_task_group() as tasks:
-        keeping = await _dial(keeper_at, world)
-        tasks.start_soon(keeping.read)
-        await keeping.wait_serving()
-        entry = await _dial(agent_at, world)
+        store_entry = await _dial(store_agent_address, world)
+        tasks.start_soon(store_entry.read)
+        await store_entry.wait_serving()
+        entry = await _dial(agent_address, world)
         tasks.start_soon(entry.read)
         await wait_until(lambda: entry.beat is not None)
         await entry.tell_offset()
         await entry.wait_weights(_DIGEST)
-        agents = {'engine agent': agent, 'store agent': keeper}
-        yield Side(name, store, engine, keeper_at, agents, entry)
+        agents = {'engine agent': agent, 'store agent': store_agent}
+        yield MeasuredTree(
+            name, store, engine, store_agent_address, agents, entry
+        )
         tasks.cancel_scope.cancel()
 
 
@@ -238,13 +242,13 @@
     return FakeEntry(link, world)
 
 
-async def ask(side: Side, size: Size, number: int) -> None:
+async def send_prompt(measured: MeasuredTree, size: Size, number: int) -> None:
     """Ask one prompt and note when its first token came."""
     text = make_text(number, size)
     segments = split_text(text)
     kept = segments[: size.segments]
-    plan = FetchPlan('memoria', side.keeper, kept)
-    chat = side.entry.make_chat(f'{side.name}-{number}')
+    plan = FetchPlan('memoria', measured.store_agent_address, kept)
+    chat = measured.entry.make_chat(f'{measured.name}-{number}')
     chat = replace(chat, segments=segments, fetch=plan)
     body = {
         'messages': [{'role': 'user', 'content': text}],
@@ -252,34 +256,36 @@
         'max_tokens': 2,
     }
     started = time.perf_counter()
-    outcome = await side.entry.send(chat, json.dumps(body).encode())
+    outcome = await measured.entry.send(chat, json.dumps(body).encode())
     while not outcome.chunks and not outcome.over:
         await anyio.sleep(0.0005)
-    side.figures.first_token.append((time.perf_counter() - started) * 1e3)
+    measured.figures.first_token.append((time.perf_counter() - started) * 1e3)
     await wait_until(lambda: outcome.over)
     if outcome.end is None:
         raise RuntimeError(f'no answer: {outcome.failed}')
-    side.figures.recomputed.append(outcome.end.recomputed_tokens)
+    measured.figures.recomputed.append(outcome.end.recomputed_tokens)
     used = outcome.end.prompt_tokens - outcome.end.recomputed_tokens
-    side.figures.used_bytes += used * cache.KV_BYTES_PER_TOKEN
+    measured.figures.used_bytes += used * cache.KV_BYTES_PER_TOKEN
 
 
-async def measure(side: Side, size: Size, numbers: Sequence[int]) -> None:
+async def measure(
+    measured: MeasuredTree, size: Size, numbers: Sequence[int]
+) -> None:
     """Ask some prompts at once and add up what they used."""
-    before = {name: _read_processor(c) for name, c in side.agents.items()}
-    read = await _count_read(side)
+    before = {name: _read_processor(c) for name, c in measured.agents.items()}
+    read = await _count_read(measured)
     async with anyio.create_task_group() as tasks:
         for number in numbers:
-            tasks.start_soon(ask, side, size, number)
-    figures = side.figures
-    for name, child in side.agents.items():
+            tasks.start_soon(send_prompt, measured, size, number)
+    figures = measured.figures
+    for name, child in measured.agents.items():
         spent = _read_processor(child) - before[name]
         figures.processor[name] = figures.processor.get(name, 0.0) + spent
-    figures.read_bytes += await _count_read(side) - read
+    figures.read_bytes += await _count_read(measured) - read
 
 
-async def _count_read(side: Side) -> int:
-    found = await _exchange(HttpBackend(side.store), 'GET', '/stats')
+async def _count_read(measured: MeasuredTree) -> int:
+    found = await _exchange(HttpBackend(measured.store), 'GET', '/stats')
     return int(json.loads(found)['read_bytes'])
 
 
@@ -287,50 +293,55 @@
     if child.process is None:
         return 0.0
     path = Path(f'/proc/{child.process.pid}/schedstat')
-    return int(path.read_text().split()[0]) / _NANOS
+    return int(path.read_text().split()[0]) / _NANOS_PER_MS
 
 
-async def run(size: Size, trees: Sequence[tuple[str, Path]]) -> list[Side]:
+async def run(
+    size: Size, trees: Sequence[tuple[str, Path]]
+) -> list[MeasuredTree]:
     """Measure each tree in turns; the first round warms up."""
     count = (size.rounds + 1) * size.readers
     with tempfile.TemporaryDirectory() as directory:
-        stand = Stand(size, Path(directory))
+        environment = Environment(size, Path(directory))
         try:
-            return await _run_in(stand, size, trees, count)
+            return await _run_in(environment, size, trees, count)
         finally:
-            stand.close()
+            environment.close()
 
 
 async def _run_in(
-    stand: Stand, size: Size, trees: Sequence[tuple[str, Path]], count: int
-) -> list[Side]:
-    stores, engines = stand.start_platform(len(trees))
-    sides: list[Side] = []
+    environment: Environment,
+    size: Size,
+    trees: Sequence[tuple[str, Path]],
+    count: int,
+) -> list[MeasuredTree]:
+    stores, engines = environment.start_platform(len(trees))
+    measured_trees: list[MeasuredTree] = []
     async with AsyncExitStack() as stack:
         for (name, tree), store, engine in zip(
             trees, stores, engines, strict=True
         ):
-            await fill(store, size, count)
-            sides.append(
+            await fill_store(store, size, count)
+            measured_trees.append(
                 await stack.enter_async_context(
-                    _enter(stand, name, tree, store, engine)
+                    _start_measured(environment, name, tree, store, engine)
                 )
             )
-        for turn in range(size.rounds + 1):
-            first = turn * size.readers
+        for round_number in range(size.rounds + 1):
+            first = round_number * size.readers
             numbers = range(first, first + size.readers)
-            for side in sides[:: 1 if turn % 2 else -1]:
-                await measure(side, size, numbers)
-                await anyio.sleep(_PAUSE)
-            if not turn:
-                for side in sides:
-                    side.figures = Figures()
-    return sides
+            for measured in measured_trees[:: 1 if round_number % 2 else -1]:
+                await measure(measured, size, numbers)
+                await anyio.sleep(_PAUSE_SECONDS)
+            if not round_number:
+                for measured in measured_trees:
+                    measured.figures = Figures()
+    return measured_trees
 
 
-def show(side: Side) -> None:
+def print_figures(measured: MeasuredTree) -> None:
     """Print the figures of one side."""
-    figures = side.figures
+    figures = measured.figures
     asked = len(figures.first_token)
     ordered = sorted(figures.first_token)
     high = ordered[int(_QUANTILE * (asked - 1))]
@@ -340,7 +351,7 @@
         for name, total in figures.processor.items()
     )
     print(
-        f'{side.name:>8}: first token median '
+        f'{measured.name:>8}: first token median '
         f'{statistics.median(ordered):.1f} ms, {_QUANTILE:.0%} {high:.1f} ms; '
         f'recomputed {statistics.mean(figures.recomputed):.0f} tokens; '
         f'link {figures.read_bytes / asked:,.0f} bytes, '
@@ -362,8 +373,8 @@
         trees.append(('against', against.resolve()))
     size = Size(**options)
     print(size, flush=True)
-    for side in anyio.run(run, size, trees):
-        show(side)
+    for measured in anyio.run(run, size, trees):
+        print_figures(measured)
 
 
 if __name__ == '__main__':
--- a/bench/history.py
+++ b/bench/history.py
@@ -57,7 +57,7 @@
 
     def visit(self, visit: Visit) -> tuple[int, int, int]:
         """Run one visit; return its cached, fetched, computed segments."""
-        engine = self._pick(visit)
+        engine = self._choose_engine(visit)
         segments = visit.segments
         held = engine.count_leading(segments)
         covered = 0
@@ -68,7 +68,7 @@
         engine.use(segments)
         return held, covered, len(segments) - held - covered
 
-    def _pick(self, visit: Visit) -> EngineCache:
+    def _choose_engine(self, visit: Visit) -> EngineCache:
         if self._system.scattered:
             return self._random.choice(self.engines)
         best = max(each.count_leading(visit.segments) for each in self.engines)
@@ -96,7 +96,7 @@
 
 
 @lru_cache(maxsize=32)
-def _warm(deployment: str, system: System, seed: int) -> bytes:
+def _warm_pickled(deployment: str, system: System, seed: int) -> bytes:
     history = History(
         DEPLOYMENTS[deployment],
         system,
@@ -110,13 +110,13 @@
 
 def warm(deployment: str, system: System, seed: int) -> History:
     """Return the caches as days of visits left them."""
-    alike = System(
+    cache_key = System(
         'history',
         keeper=system.keeper,
         exports=system.exports,
         scattered=system.scattered,
     )
-    data = _warm(deployment, alike, seed)
+    data = _warm_pickled(deployment, cache_key, seed)
     history = pickle.loads(data)  # noqa: S301 - made by this process
     assert isinstance(history, History)
     return history
--- a/bench/iblt.py
+++ b/bench/iblt.py
@@ -12,19 +12,19 @@
 
 CELL_BYTES = 12
 FIRST_CELLS = 50
-_WORD = (1 << 64) - 1
+_WORD_MASK = (1 << 64) - 1
 _COUNT_MASK = (1 << 16) - 1
-_SHARES = (0.1959, 0.1904, 0.6137)
+_KEY_TYPE_SHARES = (0.1959, 0.1904, 0.6137)
 # Degrees by key type, for the cell types 1 to 4 and then all further ones.
 _DEGREES = ((3, 1, 1, 1, 1), (4, 4, 4, 4, 5), (2, 1, 1, 1, 1))
 _TYPE_SALT = 0x9E3779B97F4A7C15
 _CHECK_SALT = 0xC2B2AE3D27D4EB4F
-_PLACE_SALT = 0xD6E8FEB86659FD93
+_INDEX_SALT = 0xD6E8FEB86659FD93
 _MIX_SALT = 0xFF51AFD7ED558CCD
 
 
 def _mix(value: int) -> int:
-    value = (value ^ (value >> 33)) * _MIX_SALT & _WORD
+    value = (value ^ (value >> 33)) * _MIX_SALT & _WORD_MASK
     return value ^ (value >> 29)
 
 
@@ -33,10 +33,10 @@
 
 
 def _choose_degrees(key: int) -> tuple[int, ...]:
-    share = _mix(key ^ _TYPE_SALT) / (_WORD + 1)
-    if share < _SHARES[0]:
+    share = _mix(key ^ _TYPE_SALT) / (_WORD_MASK + 1)
+    if share < _KEY_TYPE_SHARES[0]:
         return _DEGREES[0]
-    if share < _SHARES[0] + _SHARES[1]:
+    if share < _KEY_TYPE_SHARES[0] + _KEY_TYPE_SHARES[1]:
         return _DEGREES[1]
     return _DEGREES[2]
 
@@ -46,20 +46,20 @@
     return FIRST_CELLS * ((1 << levels) - 1)
 
 
-def list_places(key: int, levels: int) -> Iterator[int]:
+def list_cell_indexes(key: int, levels: int) -> Iterator[int]:
     """Yield the cells of a key, by rising cell type."""
     degrees = _choose_degrees(key)
     base, size = 0, FIRST_CELLS
-    state = _mix(key ^ _PLACE_SALT)
+    state = _mix(key ^ _INDEX_SALT)
     for level in range(levels):
-        taken: list[int] = []
+        used: list[int] = []
         for _ in range(degrees[min(level, 4)]):
-            state = _mix(state + _PLACE_SALT & _WORD)
-            place = state % size
-            while place in taken:
-                place = (place + 1) % size
-            taken.append(place)
-            yield base + place
+            state = _mix(state + _INDEX_SALT & _WORD_MASK)
+            index = state % size
+            while index in used:
+                index = (index + 1) % size
+            used.append(index)
+            yield base + index
         base += size
         size *= 2
 
@@ -90,18 +90,18 @@
     def encode(self, start: int, end: int) -> bytes:
         """Return cells as they travel."""
         return b''.join(
-            (self.counts[place] & _COUNT_MASK).to_bytes(2, 'big')
-            + self.checks[place].to_bytes(2, 'big')
-            + self.keys[place].to_bytes(8, 'big')
-            for place in range(start, end)
+            (self.counts[index] & _COUNT_MASK).to_bytes(2, 'big')
+            + self.checks[index].to_bytes(2, 'big')
+            + self.keys[index].to_bytes(8, 'big')
+            for index in range(start, end)
         )
 
     def _change(self, key: int, by: int) -> None:
         check = _check(key)
-        for place in list_places(key, self.levels):
-            self.counts[place] += by
-            self.checks[place] ^= check
-            self.keys[place] ^= key
+        for index in list_cell_indexes(key, self.levels):
+            self.counts[index] += by
+            self.checks[index] ^= check
+            self.keys[index] ^= key
 
 
 @dataclass(slots=True)
@@ -115,7 +115,7 @@
     _counts: list[int] = field(default_factory=list)
     _checks: list[int] = field(default_factory=list)
     _keys: list[int] = field(default_factory=list)
-    _open: int = 0
+    _nonempty_cells: int = 0
 
     def take(self, data: bytes) -> bool:
         """Take the next cells; tell whether the difference is complete."""
@@ -123,47 +123,47 @@
         for offset in range(0, len(data), CELL_BYTES):
             self._append(data[offset : offset + CELL_BYTES])
         self.received = len(self._counts)
-        self._open += sum(
-            not self._is_empty(place) for place in range(start, self.received)
+        self._nonempty_cells += sum(
+            not self._is_empty(index) for index in range(start, self.received)
         )
         for key in self.only_remote:
             self._remove(key, 1, start)
         for key in self.only_local:
             self._remove(key, -1, start)
         self._peel(list(range(start, self.received)))
-        return self._open == 0 and self.received >= FIRST_CELLS
+        return self._nonempty_cells == 0 and self.received >= FIRST_CELLS
 
     def _count_levels(self) -> int:
         # The smallest number of cell types that covers the cells received.
         return ((self.received + FIRST_CELLS - 1) // FIRST_CELLS).bit_length()
 
     def _append(self, cell: bytes) -> None:
-        place = len(self._counts)
-        count = int.from_bytes(cell[:2], 'big') - self.local.counts[place]
+        index = len(self._counts)
+        count = int.from_bytes(cell[:2], 'big') - self.local.counts[index]
         # The count travels modulo 2**16; differences stay far below half.
         count = (count + (1 << 15) & _COUNT_MASK) - (1 << 15)
-        check = int.from_bytes(cell[2:4], 'big') ^ self.local.checks[place]
+        check = int.from_bytes(cell[2:4], 'big') ^ self.local.checks[index]
         self._counts.append(count)
         self._checks.append(check)
-        key = int.from_bytes(cell[4:], 'big') ^ self.local.keys[place]
+        key = int.from_bytes(cell[4:], 'big') ^ self.local.keys[index]
         self._keys.append(key)
 
-    def _is_empty(self, place: int) -> bool:
+    def _is_empty(self, index: int) -> bool:
         return not (
-            self._counts[place] or self._keys[place] or self._checks[place]
+            self._counts[index] or self._keys[index] or self._checks[index]
         )
 
-    def _is_pure(self, place: int) -> bool:
-        if abs(self._counts[place]) != 1:
+    def _is_pure(self, index: int) -> bool:
+        if abs(self._counts[index]) != 1:
             return False
-        return _check(self._keys[place]) == self._checks[place]
+        return _check(self._keys[index]) == self._checks[index]
 
     def _peel(self, queue: list[int]) -> None:
         while queue:
-            place = queue.pop()
-            if not self._is_pure(place):
+            index = queue.pop()
+            if not self._is_pure(index):
                 continue
-            key, count = self._keys[place], self._counts[place]
+            key, count = self._keys[index], self._counts[index]
             known = self.only_remote if count > 0 else self.only_local
             if key in known:
                 continue
@@ -172,14 +172,14 @@
 
     def _remove(self, key: int, count: int, start: int) -> Iterable[int]:
         check = _check(key)
-        touched = []
-        for place in list_places(key, self._count_levels()):
-            if not start <= place < self.received:
+        changed = []
+        for index in list_cell_indexes(key, self._count_levels()):
+            if not start <= index < self.received:
                 continue
-            was_empty = self._is_empty(place)
-            self._counts[place] -= count
-            self._checks[place] ^= check
-            self._keys[place] ^= key
-            self._open += was_empty - self._is_empty(place)
-            touched.append(place)
-        return touched
+            was_empty = self._is_empty(index)
+            self._counts[index] -= count
+            self._checks[index] ^= check
+            self._keys[index] ^= key
+            self._nonempty_cells += was_empty - self._is_empty(index)
+            changed.append(index)
+        return changed
--- a/bench/link.py
+++ b/bench/link.py
@@ -16,7 +16,7 @@
     """Hold one transfer; `tag` is the service at which it ends."""
 
     count: float
-    tag: float
+    finish_service: float
     done: Callable[[], None]
     open: bool = True
 
@@ -28,7 +28,7 @@
         self._events = events
         self._rate = rate
         self._service = 0.0
-        self._read: Millis = 0.0
+        self._updated_at: Millis = 0.0
         self._heap: list[tuple[float, int, Transfer]] = []
         self._active = 0
         self._sequence = 0
@@ -50,19 +50,19 @@
         """Change the rate at once."""
         self._advance()
         self._rate = rate
-        self._plan()
+        self._schedule_next()
 
     def count_left(self, transfer: Transfer) -> float:
         """Return the bytes that a transfer still needs."""
         self._advance()
-        return max(0.0, transfer.tag - self._service)
+        return max(0.0, transfer.finish_service - self._service)
 
     def count_waiting(self) -> float:
         """Return the bytes that all transfers still need."""
         self._advance()
         return sum(
-            max(0.0, tag - self._service)
-            for tag, _, transfer in self._heap
+            max(0.0, finish_service - self._service)
+            for finish_service, _, transfer in self._heap
             if transfer.open
         )
 
@@ -71,40 +71,42 @@
         self._advance()
         transfer = Transfer(count, self._service + count, done)
         self._sequence += 1
-        heapq.heappush(self._heap, (transfer.tag, self._sequence, transfer))
+        heapq.heappush(
+            self._heap, (transfer.finish_service, self._sequence, transfer)
+        )
         self._active += 1
         self.meter.record_requested(int(count), self._events.now)
-        self._plan()
+        self._schedule_next()
         return transfer
 
     def cancel(self, transfer: Transfer) -> float:
         """Stop a transfer; return the bytes that it had carried."""
         if not transfer.open:
             return transfer.count
-        left = self.count_left(transfer)
+        remaining = self.count_left(transfer)
         transfer.open = False
         self._active -= 1
-        self.meter.record_cancelled(int(left), self._events.now)
-        self._plan()
-        return transfer.count - left
+        self.meter.record_cancelled(int(remaining), self._events.now)
+        self._schedule_next()
+        return transfer.count - remaining
 
     def _advance(self) -> None:
         now = self._events.now
         if self._active:
-            gained = (now - self._read) * self._rate / SECOND
-            self._service += gained / self._active
-            self.carried += gained
-            self.meter.record_sent(int(gained), now)
-        self._read = now
+            sent_bytes = (now - self._updated_at) * self._rate / SECOND
+            self._service += sent_bytes / self._active
+            self.carried += sent_bytes
+            self.meter.record_sent(int(sent_bytes), now)
+        self._updated_at = now
 
-    def _plan(self) -> None:
+    def _schedule_next(self) -> None:
         self._epoch += 1
         while self._heap and not self._heap[0][2].open:
             heapq.heappop(self._heap)
         if not self._heap:
             return
-        left = max(0.0, self._heap[0][0] - self._service)
-        wait = left * self._active * SECOND / self._rate
+        remaining = max(0.0, self._heap[0][0] - self._service)
+        wait = remaining * self._active * SECOND / self._rate
         self._events.add(wait, self._finish, self._epoch)
 
     def _finish(self, epoch: int) -> None:
@@ -112,11 +114,11 @@
             return
         self._advance()
         _, _, transfer = heapq.heappop(self._heap)
-        self._service = max(self._service, transfer.tag)
+        self._service = max(self._service, transfer.finish_service)
         transfer.open = False
         self._active -= 1
         if not self._active:
-            left = self.meter.bytes_in_flight
-            self.meter.record_cancelled(left, self._events.now)
-        self._plan()
+            remaining = self.meter.bytes_in_flight
+            self.meter.record_cancelled(remaining, self._events.now)
+        self._schedule_next()
         transfer.done()
--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -42,7 +42,7 @@
 _DIRECTORY = ROOT / 'build' / 'log-cost'
 _ROUNDS = 5
 # Turns of a second: other work on the machine slows both alike.
-_TURNS = 15
+_TURN_COUNT = 15
 # Under the budget of the log, so that no line is dropped and each is paid for.
 _CALLS_A_SECOND = 50
 _WARM_CALLS = 50
@@ -51,7 +51,7 @@
 _START_SECONDS = 20
 _OK = 200
 _NS_PER_MICRO = 1e3
-_WAYS = ('with', 'without')
+_VARIANTS = ('with', 'without')
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,9 +62,9 @@
     lines: float
     size: float
 
-    def since(self, before: Run) -> Run:
+    def per_call_since(self, before: Run) -> Run:
         """Return the means of the calls since an earlier reading."""
-        count = _TURNS * _CALLS_A_SECOND
+        count = _TURN_COUNT * _CALLS_A_SECOND
         return Run(
             (self.processor - before.processor) / count,
             (self.lines - before.lines) / count,
@@ -72,7 +72,7 @@
         )
 
 
-class Served:
+class EntryProcess:
     """Hold an entry, and read what it writes as a collector does."""
 
     def __init__(self, address: tuple[str, int], process: Process) -> None:
@@ -104,7 +104,7 @@
     if options.silent:
         return _run_silent(rest)
     rounds = [anyio.run(_measure) for _ in range(options.rounds)]
-    _show(rounds)
+    _print_summary(rounds)
     return 0
 
 
@@ -126,27 +126,29 @@
     """Start both, and call each for a second in turns."""
     async with AsyncExitStack() as stack:
         served = {
-            way: await stack.enter_async_context(_serving(way)) for way in _WAYS
+            variant: await stack.enter_async_context(_running_entry(variant))
+            for variant in _VARIANTS
         }
         for each in served.values():
-            await _call_often(each, _WARM_CALLS)
-        before = {way: each.read() for way, each in served.items()}
-        for _ in range(_TURNS):
+            await _send_calls(each, _WARM_CALLS)
+        before = {variant: each.read() for variant, each in served.items()}
+        for _ in range(_TURN_COUNT):
             for each in served.values():
-                await _call_often(each, _CALLS_A_SECOND)
+                await _send_calls(each, _CALLS_A_SECOND)
         runs = {
-            way: each.read().since(before[way]) for way, each in served.items()
+            variant: each.read().per_call_since(before[variant])
+            for variant, each in served.items()
         }
-    for way, run in runs.items():
+    for variant, run in runs.items():
         print(
-            f'{way:8} {run.processor:7.1f} us of processor a call, '
+            f'{variant:8} {run.processor:7.1f} us of processor a call, '
             f'{run.lines:.2f} lines, {run.size:.0f} bytes',
             flush=True,
         )
     return runs
 
 
-async def _call_often(served: Served, count: int) -> None:
+async def _send_calls(served: EntryProcess, count: int) -> None:
     """Call at a fixed pace, whatever the answers take."""
     loop = asyncio.get_running_loop()
     started = loop.time()
@@ -159,39 +161,41 @@
 
 
 async def _call(address: tuple[str, int], path: str, request: str) -> None:
-    found = await call(address, path, oleanderdyke_request_id=request)
-    assert found.status == _OK, found
+    response = await call(address, path, oleanderdyke_request_id=request)
+    assert response.status == _OK, response
 
 
 @asynccontextmanager
-async def _serving(way: str) -> AsyncGenerator[Served, None]:
+async def _running_entry(variant: str) -> AsyncGenerator[EntryProcess, None]:
     """Run an entry before two servers, which answer at once."""
     _DIRECTORY.mkdir(parents=True, exist_ok=True)
     store = RecordStore()
     store.put(OPERATOR, 'config', CONFIGURATION)
     async with AsyncExitStack() as stack:
         ports = stack.enter_context(Ports())
-        callers, readiness = ports.reserve(), ports.reserve()
-        (where,) = await stack.enter_async_context(server.serving(store))
+        caller_port, readiness_port = ports.reserve(), ports.reserve()
+        (store_address,) = await stack.enter_async_context(
+            server.serving(store)
+        )
         for number in range(2):
             _, address = await stack.enter_async_context(
                 serving_replica(_answer)
             )
             store.put(SERVERS, f'i-{number}', make_record(address))
-        path = _DIRECTORY / f'{way}.conf'
+        path = _DIRECTORY / f'{variant}.conf'
         path.write_text(
             format_settings(
-                where,
-                callers=callers,
-                readiness=readiness,
+                store_address,
+                callers=caller_port,
+                readiness=readiness_port,
                 grace_seconds=_GRACE_SECONDS,
             )
         )
         tasks = await stack.enter_async_context(anyio.create_task_group())
-        process = await stack.enter_async_context(_start(way, path))
-        served = Served(('127.0.0.1', callers), process)
+        process = await stack.enter_async_context(_start_process(variant, path))
+        served = EntryProcess(('127.0.0.1', caller_port), process)
         tasks.start_soon(served.follow)
-        await _wait_ready(('127.0.0.1', readiness))
+        await _wait_ready(('127.0.0.1', readiness_port))
         yield served
         process.terminate()
         await process.wait()
@@ -205,10 +209,12 @@
 
 
 @asynccontextmanager
-async def _start(way: str, settings: Path) -> AsyncGenerator[Process, None]:
+async def _start_process(
+    variant: str, settings: Path
+) -> AsyncGenerator[Process, None]:
     module = 'oleanderdyke.entry.main'
     options = ['--platform']
-    if way == 'without':
+    if variant == 'without':
         module, options = 'bench.log_cost', ['--silent', '--platform']
     command = [sys.executable, '-m', module, *options]
     env = {**os.environ, 'OLEANDERDYKE_SETTINGS': str(settings)}
@@ -222,18 +228,18 @@
     with anyio.fail_after(_START_SECONDS):
         while True:
             try:
-                found = await call(address, '/api/readiness', method='GET')
+                response = await call(address, '/api/readiness', method='GET')
             except OSError:
-                found = None
-            if found is not None and found.status == _OK:
+                response = None
+            if response is not None and response.status == _OK:
                 return
             await anyio.sleep(0.05)
 
 
-def _show(rounds: Sequence[dict[str, Run]]) -> None:
-    for way in _WAYS:
-        used = [each[way].processor for each in rounds]
-        print(f'{way:8} {_spread(used)} us of processor a call')
+def _print_summary(rounds: Sequence[dict[str, Run]]) -> None:
+    for variant in _VARIANTS:
+        used = [each[variant].processor for each in rounds]
+        print(f'{variant:8} {_spread(used)} us of processor a call')
     costs = [
         each['with'].processor - each['without'].processor for each in rounds
     ]
