--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measure decisions and costs."""
+"""Benchmark routing, admission, caching and process costs."""
--- a/bench/agent.py
+++ b/bench/agent.py
@@ -1,4 +1,4 @@
-"""Fake the agents: fetch before a run, export after it."""
+"""Simulate agents, which fetch and export cached segments."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 from oleanderdyke.kernel.demand import SEGMENT_TOKENS, SegmentHint
 from oleanderdyke.kernel.routing import Costs, should_drop_fetch
 
+# How often a running fetch is compared with recomputing its segments.
 _CHECK_INTERVAL: Millis = 100.0
 
 
 @dataclass(slots=True)
 class StoreNode:
-    """Hold a store, its link and whether it answers."""
+    """A store server, its link and whether it is reachable."""
 
     name: str
     cache: StoreCache
@@ -29,7 +30,7 @@
 
 @dataclass(slots=True)
 class _Fetch:
-    """Hold one fetch and the jobs that wait for it."""
+    """A running fetch and the callbacks of the jobs that wait for it."""
 
     segments: Sequence[SegmentHint]
     store: StoreNode
@@ -38,7 +39,7 @@
 
 
 class EngineAgent:
-    """Bring segments in once for all who wait, and offer new ones."""
+    """Fetch each segment once for all waiting jobs, and export new segments."""
 
     def __init__(
         self,
@@ -62,13 +63,13 @@
 
     @property
     def link_bytes(self) -> float:
-        """Return the bytes carried both ways."""
+        """Return the bytes fetched and exported so far."""
         return self.fetched_bytes + self.exported_bytes
 
     def run(
         self, job: Job, store: StoreNode | None, wanted: Sequence[SegmentHint]
     ) -> None:
-        """Fetch what is wanted and missing, then hand the job over."""
+        """Fetch the wanted segments not yet cached, then submit the job."""
         missing = [each for each in wanted if each not in self.engine.cache]
         fetches: list[_Fetch] = []
         if store is not None and store.up and missing:
@@ -94,14 +95,14 @@
             fetch.waiters.append(on_fetch_end)
 
     def _lower_priority(self, job: Job) -> None:
-        """Let a job go behind short ones where its fetch was not whole."""
+        """Queue a job behind short ones if an incomplete fetch made it long."""
         held = self.engine.cache.count_leading(job.segments)
         missing = job.tokens - held * SEGMENT_TOKENS
         if self._costs is not None and missing > self._costs.short_tokens:
             job.priority = max(job.priority, LONG)
 
     def count_fetching(self, segments: Sequence[SegmentHint]) -> float:
-        """Return the bytes under way of the given segments."""
+        """Return the bytes still to be fetched for the given segments."""
         fetches = {
             id(self._fetches[each]): self._fetches[each]
             for each in segments
@@ -114,16 +115,16 @@
         )
 
     def is_coming(self, segment: SegmentHint) -> bool:
-        """Tell whether a segment is being fetched."""
+        """Return whether a segment is being fetched."""
         return segment in self._fetches
 
     def offer(self, store: StoreNode, segments: Sequence[SegmentHint]) -> None:
-        """Export segments behind what else is to be exported."""
+        """Queue segments for export to a store."""
         self._exports.append((store, segments))
         self._export()
 
     def drop_all(self) -> None:
-        """Lose the fetches and exports with the engine."""
+        """Cancel all fetches and queued exports after an engine crash."""
         for fetch in list(self._fetches.values()):
             self._cancel(fetch)
         self._exports.clear()
@@ -198,7 +199,7 @@
         self._finish(fetch, complete, carried_bytes)
 
     def lose_store(self, store: StoreNode) -> None:
-        """End the fetches from a store that is lost."""
+        """Cancel the fetches from a store that has become unreachable."""
         for fetch in list(self._fetches.values()):
             if fetch.store is store:
                 self._cancel(fetch)
--- a/bench/agent_chunks.py
+++ b/bench/agent_chunks.py
@@ -1,8 +1,9 @@
-"""Count what an agent does for each chunk of a streamed answer.
+"""Count the function calls that an agent makes per streamed chunk.
 
-Run `python -m bench.agent_chunks`. Server, agent and reader share this process,
-so calls are shown by module; they don't depend on the load of the machine. The
-processor time is that of all three, without the profiler.
+Run `python -m bench.agent_chunks`. The server, the agent and the reader share
+this process, so calls are listed by module. Call counts do not depend on the
+load of the machine. The processor time covers all three and is taken in a
+separate run without the profiler.
 """
 
 from __future__ import annotations
@@ -65,9 +66,9 @@
 
 
 async def _measure(profile: cProfile.Profile | None) -> float:
-    """Return the processor time of one long answer, in seconds."""
+    """Return the processor time of one streamed answer, in seconds."""
     listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
-    port = listener.extra(SocketAttribute.local_port)  # noqa: S610 - a socket's
+    port = listener.extra(SocketAttribute.local_port)  # noqa: S610 - not Django
     settings = make_settings(BackendKind.PLAIN, f'127.0.0.1:{port}', 'x')
     async with anyio.create_task_group() as group:
         group.start_soon(listener.serve, _serve_answer)
@@ -92,7 +93,7 @@
 
 
 def main() -> None:
-    """Print the calls for each chunk by module."""
+    """Print the number of calls per chunk, by module."""
     processor_seconds = anyio.run(_measure, None)
     profile = cProfile.Profile()
     anyio.run(_measure, profile)
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -1,4 +1,4 @@
-"""Route as simple systems do, to compare with."""
+"""Provide simple routers as baselines for comparison."""
 
 from __future__ import annotations
 
@@ -22,12 +22,14 @@
 from oleanderdyke.policies.settings import PolicySettings
 
 _NO_REPLICA = Refusal(ErrorKind.NO_REPLICA, 'no serving replica', 1_000.0)
+# A replica is overloaded when its outstanding requests exceed the mean times
+# the factor plus the slack.
 _OVERLOAD_FACTOR = 1.5
 _OVERLOAD_SLACK = 4
 
 
 class CountingRouter:
-    """Hold what the baselines share: own outstanding requests."""
+    """Route by outstanding requests, and optionally by cached prefix."""
 
     def __init__(
         self, settings: PolicySettings, *, by_prefix: bool, fetches: bool
@@ -47,7 +49,7 @@
         *,
         exclude: frozenset[str] = frozenset(),
     ) -> Plan | Refusal:
-        """Return the chosen replica and fetch all or nothing."""
+        """Choose a replica; with `fetches`, fetch all that a store can add."""
         replicas = [
             each
             for each in fleet.replicas(demand.service)
@@ -63,25 +65,25 @@
         return Plan(replica.agent, 'baseline', store, held, covered)
 
     def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
-        """Count a dispatch."""
+        """Count a dispatched request as outstanding."""
         self._backlog.record_sent(demand.request, plan.agent, 0, now)
 
     def record_first_token(self, request: str, now: Millis) -> None:
-        """Learn nothing."""
+        """Ignore the event; baselines do not use first-token times."""
 
     def record_finished(self, request: str, now: Millis) -> None:
-        """Forget a request."""
+        """Remove a finished request from the outstanding ones."""
         self._backlog.record_finished(request, now)
 
     def record_segments_removed(
         self, agent: str, segments: Sequence[SegmentHint]
     ) -> None:
-        """Learn nothing."""
+        """Ignore the event; baselines do not correct the reported caches."""
 
     def record_segments_listed(
         self, agent: str, segments: Sequence[SegmentHint]
     ) -> None:
-        """Learn nothing."""
+        """Ignore the event; baselines do not correct the reported caches."""
 
     def _choose_replica(
         self,
@@ -90,7 +92,11 @@
         replicas: Sequence[Replica],
         random: Random,
     ) -> Replica:
-        """Return the least busy, or the longest prefix unless overloaded."""
+        """Return the least-loaded replica.
+
+        With `by_prefix`, prefer the replica with the longest cached prefix
+        unless it is overloaded.
+        """
         counts = {
             each.agent: self._count_outstanding(each) for each in replicas
         }
@@ -132,17 +138,17 @@
 
 @ROUTERS.register('prefix-affinity')
 def make_prefix_affinity(settings: PolicySettings) -> Router:
-    """Build the router to the longest prefix, which fetches the rest."""
+    """Build a router to the longest cached prefix that fetches the rest."""
     return CountingRouter(settings, by_prefix=True, fetches=True)
 
 
 @ROUTERS.register('always-fetch')
 def make_always_fetch(settings: PolicySettings) -> Router:
-    """Build the router to the least busy, which fetches what it lacks."""
+    """Build a least-loaded router that fetches missing segments."""
     return CountingRouter(settings, by_prefix=False, fetches=True)
 
 
 @ROUTERS.register('always-recompute')
 def make_always_recompute(settings: PolicySettings) -> Router:
-    """Build the router to the longest prefix that fetches nothing."""
+    """Build a router to the longest cached prefix that never fetches."""
     return CountingRouter(settings, by_prefix=True, fetches=False)
--- a/bench/bounds.py
+++ b/bench/bounds.py
@@ -1,4 +1,4 @@
-"""Hold brief runs against the regression bounds."""
+"""Check the results of short simulations against regression bounds."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """Bound the figures of one run."""
+    """Upper and lower limits for the measures of one run."""
 
     deployment: str
     scenario: str
@@ -28,18 +28,18 @@
 
     @property
     def task(self) -> Task:
-        """Return the run that is bounded."""
+        """Return the run that the limits apply to."""
         return Task(self.deployment, self.scenario, self.system, self.seed)
 
 
 def load_bounds() -> tuple[Bound, ...]:
-    """Read the bounds."""
+    """Load the bounds from `BOUNDS_FILE`."""
     data = yaml.safe_load(BOUNDS_FILE.read_text())
     return cattrs.structure(data, tuple[Bound, ...])
 
 
 def find_breaches(bound: Bound, measures: Measures) -> Iterator[str]:
-    """Name every figure that is out of its bound."""
+    """Yield a message for each measure outside its limits."""
     for name, limit in bound.at_most.items():
         value = getattr(measures, name)
         if value > limit:
--- a/bench/caches.py
+++ b/bench/caches.py
@@ -1,4 +1,4 @@
-"""Hold cached segments in engines and stores."""
+"""Simulate the segment caches of engines and stores."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class EngineCache:
-    """Keep the segments used last, as engines do."""
+    """LRU cache of an engine; `limit` is in segments."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
@@ -36,11 +36,11 @@
     def count_leading(
         self, segments: Sequence[SegmentHint], start: int = 0
     ) -> int:
-        """Count the segments from `start` on that are kept in a row."""
+        """Count the consecutive cached segments from index `start`."""
         return count_leading(self._cached, segments, start)
 
     def use(self, segments: Sequence[SegmentHint]) -> None:
-        """Keep segments as used now, the first of them as the last to go."""
+        """Cache segments as used now; of these, the first is evicted last."""
         added = [each for each in segments if each not in self._cached]
         for segment in reversed(segments):
             self._cached[segment] = None
@@ -52,16 +52,19 @@
             self.notify(added, removed)
 
     def clear(self) -> None:
-        """Lose everything."""
+        """Remove all segments without a notification."""
         self._cached.clear()
 
     def list_all(self) -> Iterable[SegmentHint]:
-        """Return the kept segments, the oldest first."""
+        """Return the cached segments, least recently used first."""
         return tuple(self._cached)
 
 
 class StoreCache:
-    """Keep what a keeper finds worth most, judged on samples."""
+    """Cache of a store that evicts the least valuable segment of a sample.
+
+    `limit` is in segments; `length` is the size of a segment in bytes.
+    """
 
     def __init__(
         self,
@@ -85,18 +88,21 @@
     def count_leading(
         self, segments: Sequence[SegmentHint], start: int = 0
     ) -> int:
-        """Count the segments from `start` on that are kept in a row."""
+        """Count the consecutive cached segments from index `start`."""
         return count_leading(self._positions, segments, start)
 
     def record_use(self, segments: Sequence[SegmentHint], now: Millis) -> None:
-        """Tell the keeper of reads, the first of them as the last."""
+        """Report reads to the retention policy, last segment first."""
         for segment in reversed(segments):
             self._retention.record_use(segment, now)
 
     def write(
         self, segments: Sequence[SegmentHint], now: Millis
     ) -> Sequence[SegmentHint]:
-        """Keep segments in order; return those that found room."""
+        """Write segments in order; return those that were added.
+
+        Stops at the first segment that has no room.
+        """
         added: list[SegmentHint] = []
         removed: list[SegmentHint] = []
         for segment in segments:
@@ -113,7 +119,7 @@
         return added
 
     def list_all(self) -> Iterable[SegmentHint]:
-        """Return the kept segments."""
+        """Return the cached segments in no particular order."""
         return tuple(self._order)
 
     def _make_room(
@@ -154,7 +160,7 @@
     segments: Sequence[SegmentHint],
     start: int,
 ) -> int:
-    """Count the segments from `start` on that are kept in a row."""
+    """Count the consecutive cached segments from index `start`."""
     for index in range(start, len(segments)):
         if segments[index] not in cached:
             return index - start
--- a/bench/callers.py
+++ b/bench/callers.py
@@ -1,4 +1,4 @@
-"""Fake the callers: they wait, come back when told, and give up."""
+"""Describe simulated callers and the outcome of their requests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerHabits:
-    """Say how callers retry; impatient ones ignore Retry-After."""
+    """Retry behaviour of callers; impatient callers ignore Retry-After."""
 
     tries: int = 4
     impatient: bool = False
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """Record what became of one visit."""
+    """The outcome of one visit."""
 
     visit: Visit
     deadline: Millis
@@ -33,12 +33,12 @@
 
     @property
     def in_time(self) -> bool:
-        """Tell whether the whole answer came before the deadline."""
+        """Return whether the answer was complete by the deadline."""
         return self.finished is not None and self.finished <= self.deadline
 
     @property
     def ttft(self) -> Millis | None:
-        """Return the time to first token since the caller first asked."""
+        """Return the time from the first attempt to the first token."""
         if self.first_token is None:
             return None
         return self.first_token - self.visit.at
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,8 +1,8 @@
-"""Run the processes of a region and measure one of each kind.
+"""Measure the resource use of the processes of a whole region.
 
-Run `python -m bench.capacity`; it takes about four minutes on a busy machine
-and ends every process that it started, also where it fails. Needs `ss` of
-iproute2.
+Run `python -m bench.capacity`. It samples one agent of each kind and takes
+about four minutes on a busy machine. All processes that it starts are stopped,
+also on failure. Needs `ss` of iproute2.
 """
 
 from __future__ import annotations
@@ -42,26 +42,26 @@
 
 @dataclass(frozen=True, slots=True)
 class MonitoredProcess:
-    """Name a process to measure and the ports of the links it has."""
+    """A process to measure and the ports of its links."""
 
     name: str
     pid: int
     ports: Collection[int]
 
     def read(self) -> Usage:
-        """Return what it has used."""
+        """Return the resources used so far."""
         return read_usage(self.pid, self.ports)
 
 
 class Run:
-    """Take the measurements one after the other."""
+    """Run all measurements in sequence on one region."""
 
     def __init__(self, region: Region) -> None:
         self._region = region
         self._teams_created = 0
 
     def run(self) -> None:
-        """Measure everything."""
+        """Run and print every measurement."""
         region = self._region
         print_line(
             f'{len(region.servers)} agents listen; {region.appends} appends '
@@ -85,7 +85,7 @@
                 yield server
 
     def _start_entries(self) -> tuple[Entry, Entry]:
-        """Start two entries, which share the work of filling the agents."""
+        """Start two entries, which send the configuration to the agents."""
         region = self._region
         started = time.monotonic()
         entries = region.add_entry(), region.add_entry()
@@ -120,7 +120,7 @@
         show_memory(f'  entry {entry.name}', entry.child)
 
     def _truncate_log(self) -> None:
-        """Let the log forget what the newest snapshot covers."""
+        """Truncate the log up to the newest snapshot."""
         region = self._region
         log = region.platform['log']
         line = wait_value(self._find_snapshot, 'a snapshot is appended')
@@ -178,7 +178,7 @@
         )
 
     def _time_change(self, entry: Entry, count: int) -> float:
-        """Return the seconds from publishing to the last process's log line."""
+        """Return the seconds until the last process has applied new changes."""
         before = time.time()
         offset = self._region.publish(entry, list(self._make_changes(count)))
         children = self._list_children()
@@ -216,7 +216,7 @@
         print_line(f'  processor time of {server.name} meanwhile: {used:.2f} s')
 
     def _measure_agent(self, entry: Entry) -> None:
-        """Kill one agent and start it again."""
+        """Measure the restart of a killed agent."""
         server = next(self._list_samples())
         before = read_processor(get_pid(entry.child))
         server.agent.kill()
@@ -261,7 +261,7 @@
 def wait_value(
     find: Callable[[], dict[str, str] | None], description: str
 ) -> dict[str, str]:
-    """Wait until something is found and return it."""
+    """Poll `find` until it returns a value, and return that value."""
     found: list[dict[str, str]] = []
 
     def poll() -> bool:
@@ -275,7 +275,10 @@
 
 
 def find_started(child: Child) -> float:
-    """Return when a process last wrote that it runs, in seconds."""
+    """Return the time of the last `process_started` event, in seconds.
+
+    0 if there is none.
+    """
     return max(
         (
             float(line['at']) / 1_000
@@ -287,7 +290,10 @@
 
 
 def find_applied(child: Child, offset: int) -> float:
-    """Return when a process first had an offset, in seconds, 0 for not yet."""
+    """Return when a process first applied an offset, in seconds.
+
+    0 if it has not applied the offset yet.
+    """
     for line in read_lines(child.log):
         if line.get('event') != 'configuration_applied':
             continue
@@ -297,7 +303,7 @@
 
 
 def read_lines(path: Path) -> list[dict[str, str]]:
-    """Read the lines of an event log since the last start."""
+    """Parse the lines of an event log since the last process start."""
     found: list[dict[str, str]] = []
     for text in path.read_text(errors='replace').splitlines():
         line = parse_line(text)
@@ -308,14 +314,17 @@
 
 
 def get_pid(child: Child) -> int:
-    """Return the process id of a started child."""
+    """Return the process ID of a child.
+
+    Raises `ValueError` if it was never started.
+    """
     if child.process is None:
-        raise ValueError(f'{child.name} was never started')
+        raise ValueError(f'process {child.name} was never started')
     return child.process.pid
 
 
 def show_memory(description: str, child: Child) -> None:
-    """Print what a process holds and held at most."""
+    """Print the current and peak memory of a process."""
     pid = get_pid(child)
     print_line(
         f'{description}: RSS {read_memory(pid) / MIB:.1f} MiB, at most '
@@ -324,19 +333,19 @@
 
 
 def print_line(text: str) -> None:
-    """Print a line at once."""
+    """Print a line and flush it."""
     print(text, flush=True)
 
 
 def main() -> None:
-    """Run once with the sizes given."""
+    """Parse the options and run all measurements."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--engines', type=int, default=100)
     parser.add_argument('--plains', type=int, default=17)
     parser.add_argument('--stores', type=int, default=10)
     parser.add_argument('--teams', type=int, default=42_000)
     options = parser.parse_args()
-    # The end of this process must be the end of the others.
+    # Turn SIGTERM into KeyboardInterrupt, so that `Region` stops children.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     layout = make_layout(options.engines, options.plains, options.stores)
     started = time.monotonic()
--- a/bench/capacity_probe.py
+++ b/bench/capacity_probe.py
@@ -1,4 +1,4 @@
-"""Read what one process takes: memory, processor time, bytes on its links."""
+"""Read the memory, processor time and link traffic of a process."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 KIB = 1024
 MIB = 1024 * KIB
-# An IPv4 header and a TCP header with timestamps, for each segment.
+# IPv4 header plus TCP header with timestamps, per TCP segment.
 HEADER_BYTES = 52
 _TICKS_PER_SECOND = os.sysconf('SC_CLK_TCK')
+# Positions in /proc/PID/stat after the command name.
 _UTIME_INDEX, _STIME_INDEX = 11, 12
 _SOCKET_FIELDS = ('bytes_sent', 'bytes_received', 'segs_out', 'segs_in')
 _FIELD = re.compile(rf'\b({"|".join(_SOCKET_FIELDS)}):(\d+)')
@@ -22,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Hold what a process had used at a moment; times in seconds."""
+    """Total resource use of a process at one time; times in seconds."""
 
     at: float
     processor: float
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rate:
-    """Hold what a process used in each second of a while."""
+    """Mean resource use of a process per second."""
 
     processor: float
     sent: float
@@ -53,7 +54,7 @@
 
 
 def read_usage(pid: int, ports: Collection[int]) -> Usage:
-    """Return what a process has used; bytes of its open connections only."""
+    """Return the resource use so far; bytes are of open connections only."""
     sent, received, segments_out, segments_in = read_sockets(pid, ports)
     return Usage(
         time.monotonic(),
@@ -66,7 +67,7 @@
 
 
 def compute_rate(before: Usage, after: Usage) -> Rate:
-    """Return the mean use for each second between two moments."""
+    """Return the mean use per second between two readings."""
     seconds = after.at - before.at
     sent = after.sent - before.sent
     received = after.received - before.received
@@ -82,7 +83,7 @@
 
 
 def read_processor(pid: int) -> float:
-    """Return the processor time that a process has used, in seconds."""
+    """Return the user and system time of a process, in seconds."""
     text = Path(f'/proc/{pid}/stat').read_text(encoding='ascii')
     fields = text.rpartition(')')[2].split()
     return (
@@ -91,32 +92,35 @@
 
 
 def read_memory(pid: int) -> int:
-    """Return the resident bytes."""
+    """Return the resident set size, in bytes."""
     return _read_kib(Path(f'/proc/{pid}/status'), 'VmRSS') * KIB
 
 
 def read_peak(pid: int) -> int:
-    """Return the most resident bytes so far."""
+    """Return the peak resident set size, in bytes."""
     return _read_kib(Path(f'/proc/{pid}/status'), 'VmHWM') * KIB
 
 
 def read_pss(pid: int) -> int:
-    """Return the resident bytes, shared pages divided among their users."""
+    """Return the proportional set size, in bytes.
+
+    Each shared page is divided among the processes that map it.
+    """
     return _read_kib(Path(f'/proc/{pid}/smaps_rollup'), 'Pss') * KIB
 
 
 def _read_kib(path: Path, name: str) -> int:
     found = re.search(rf'^{name}:\s+(\d+) kB', path.read_text(), re.MULTILINE)
     if found is None:
-        raise ValueError(f'{path} has no {name}')
+        raise ValueError(f'{path} has no field {name} in kB')
     return int(found[1])
 
 
 def read_sockets(pid: int, ports: Collection[int]) -> tuple[int, int, int, int]:
-    """Return bytes sent, received, segments out, in, of open connections.
+    """Return bytes sent, bytes received, TCP segments out and segments in.
 
-    Only those with one of the ports at either end count. The system counts
-    them; `ss` of iproute2 shows them.
+    Covers the open connections that have one of the ports at either end. The
+    counters are those of the kernel, as `ss` of iproute2 shows them.
     """
     output = subprocess.run(
         ['ss', '-tinpHO', 'state', 'established'],  # noqa: S607 - on the path
--- a/bench/capacity_region.py
+++ b/bench/capacity_region.py
@@ -39,7 +39,7 @@
 
 
 def make_layout(engines: int, plains: int, stores: int) -> Layout:
-    """Describe one region; backend servers of a service share a process."""
+    """Return the layout of one region with the given numbers of servers."""
     return Layout(
         name=_EXAMPLE,
         region='sierra-norte',
@@ -54,7 +54,7 @@
 
 
 class Region(Deployment):
-    """Start agents first, entries one by one when told."""
+    """A deployment that starts all agents first and entries on request."""
 
     def __init__(self, layout: Layout, directory: Path, *, teams: int) -> None:
         super().__init__(layout, directory, entries=0, shared=True)
@@ -63,7 +63,7 @@
         self.fill_seconds = 0.0
 
     def _add_backends(self) -> Iterator[tuple[Child, int]]:
-        """Let several processes share the backend servers of a service."""
+        """Split the backend servers of a service among several processes."""
         for item in self.layout.backends:
             for start in range(0, item.count, _SERVERS_PER_STANDIN):
                 count = min(_SERVERS_PER_STANDIN, item.count - start)
@@ -80,7 +80,7 @@
                 wait_listening(server.agent, server.agent_address)
 
     def _fill_log(self) -> None:
-        """Append every object, many records to one append."""
+        """Append every object to the log, several records per append."""
         started = time.monotonic()
         records = list(_list_records(self._teams))
         for start in range(0, len(records), _RECORDS_PER_APPEND):
@@ -99,7 +99,7 @@
         return reply.status == 200
 
     def add_entry(self) -> Entry:
-        """Start one more entry; return at once."""
+        """Start one more entry without waiting until it is ready."""
         self._add_entry(len(self.entries))
         entry = self.entries[-1]
         entry.child.start()
@@ -115,25 +115,34 @@
         )
 
     def read_status(self, entry: Entry, offset: int | None = None) -> Any:
-        """Return the status that an entry shows."""
+        """Return the status that an entry reports on its admin interface."""
         query = '' if offset is None else f'?offset={offset}'
         path = f'/admin/v1/status{query}'
         return call(entry.address, 'GET', path, token=OPERATOR_TOKEN).json
 
     def wait_configuration(self, entry: Entry, offset: int) -> None:
-        """Wait until every agent is heard by an entry and has an offset."""
+        """Wait until an entry sees a configuration offset at every process.
+
+        Raises `NotMet` after the timeout.
+        """
         wanted = len(self.servers) + 1
         limit = time.monotonic() + _TIMEOUT_SECONDS
         while time.monotonic() < limit:
             reach = self.read_status(entry, offset)['reach']
             if reach['have'] == reach['total'] == wanted:
                 return
-            # Each status takes the entry some milliseconds.
+            # Poll slowly: a status request costs the entry some milliseconds.
             time.sleep(_POLL_SECONDS)
-        raise NotMet(f'{offset} is not everywhere: {reach}')
+        raise NotMet(
+            f'configuration offset {offset} is not at all {wanted} processes: '
+            f'{reach}'
+        )
 
     def publish(self, entry: Entry, changes: Sequence[Any]) -> int:
-        """Publish through an entry; return the highest offset."""
+        """Publish changes through an entry; return the highest offset.
+
+        Raises `ValueError` if the entry refuses them.
+        """
         reply = call(
             entry.address,
             'POST',
@@ -142,7 +151,9 @@
             token=OPERATOR_TOKEN,
         )
         if reply.status != 200:
-            raise ValueError(f'refused: {reply.body!r}')
+            raise ValueError(
+                f'publishing failed with status {reply.status}: {reply.body!r}'
+            )
         return max(int(each['offset']) for each in reply.json['outcomes'])
 
     @property
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -1,7 +1,7 @@
-"""Measure claims: bytes in the log, memory, and processor time.
+"""Measure the log bytes, memory and processor time of claims.
 
-Run `python -m bench.claims`. Bytes and memory are exact counts of encoded
-records and of tracemalloc; times are the best of several rounds.
+Run `python -m bench.claims`. Log bytes are counted from encoded records and
+memory is counted by tracemalloc; times are the minimum of several rounds.
 """
 
 from __future__ import annotations
@@ -61,19 +61,19 @@
 
 @dataclass(frozen=True, slots=True)
 class EncodedLog:
-    """Hold batches as the log keeps them."""
+    """Batches of records as they are stored in the log."""
 
     batches: tuple[bytes, ...]
     claims: int
 
     @property
     def bytes_each(self) -> float:
-        """Return the log's bytes for one claim."""
+        """Return the mean log bytes per claim."""
         return sum(map(len, self.batches)) / self.claims
 
 
 def main() -> None:
-    """Print every figure."""
+    """Run every measurement and print the results."""
     for batch in BATCHES:
         _print_log(batch)
     for count in COUNTS:
@@ -82,7 +82,7 @@
 
 
 def make_claim_record(number: int) -> ClaimRecord:
-    """Build a claim as an entry writes it."""
+    """Return a claim record as an entry appends it."""
     digest = hashlib.blake2b(str(number).encode(), digest_size=16)
     return ClaimRecord(
         key=make_key('team-1', 'taquilla', str(number)),
@@ -97,7 +97,10 @@
 
 
 def make_log(count: int, batch: int, *, outcomes: bool) -> EncodedLog:
-    """Build a log of claims in batches, each batch followed by outcomes."""
+    """Build a log of claims in batches.
+
+    With `outcomes`, each batch is followed by one of outcome records.
+    """
     batches: list[bytes] = []
     for start in range(0, count, batch):
         numbers = range(start, min(count, start + batch))
@@ -110,7 +113,7 @@
 
 
 def replay(log: EncodedLog) -> ClaimTable:
-    """Apply a whole log to a new table."""
+    """Apply all batches of a log to a new table."""
     table = ClaimTable()
     for offset, data in enumerate(log.batches):
         table.apply(offset, float(offset), data)
@@ -186,7 +189,7 @@
 
 
 def _time(action: Callable[[], object]) -> float:
-    """Return the least microseconds of processor time of some rounds."""
+    """Return the minimum processor time of several rounds, in microseconds."""
     times = []
     for _ in range(_ROUNDS):
         gc.collect()
@@ -212,7 +215,7 @@
         for number in range(1_000):
             request = str(number)
             if gate.admit(_make_dispatch(request, number), 0.0) != Accepted():
-                raise AssertionError('the gate refused')
+                raise AssertionError(f'gate refused dispatch {request}')
             gate.finish(request, 1, answer)
 
     return _time(run) / 1_000
@@ -277,7 +280,7 @@
         for event in events:
             machine.handle_event(event, 0.0)
         if not machine.done:
-            raise AssertionError('the machine is not done')
+            raise AssertionError('request state machine did not finish')
 
 
 if __name__ == '__main__':
--- a/bench/clairvoyant.py
+++ b/bench/clairvoyant.py
@@ -1,4 +1,4 @@
-"""Keep by the true time of the next use, to bound what keeping can do."""
+"""Retain segments by their true next use, as an upper bound."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Clairvoyant:
-    """Know every use of every segment in advance."""
+    """Retention policy that knows all uses of segments in advance."""
 
     def __init__(self, visits: Sequence[Visit]) -> None:
         self._uses: dict[SegmentHint, list[Millis]] = {}
@@ -22,7 +22,7 @@
     def estimate_value(
         self, segment: SegmentHint, length: int, gap: Millis, now: Millis
     ) -> float:
-        """Return more for what is used sooner."""
+        """Return a higher value for an earlier next use, or 0 for none."""
         uses = self._uses.get(segment, [])
         index = bisect_right(uses, now)
         if index == len(uses):
@@ -30,4 +30,4 @@
         return 1.0 / (1.0 + uses[index] - now)
 
     def record_use(self, segment: SegmentHint, now: Millis) -> None:
-        """Learn nothing."""
+        """Ignore the use; all uses are known from the trace."""
--- a/bench/deciding.py
+++ b/bench/deciding.py
@@ -1,4 +1,4 @@
-"""Measure the processor time of one decision as the fleet grows."""
+"""Measure the processor time per decision for several fleet sizes."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def make_replica(name: str, kind: BackendKind, beat: int) -> Replica:
-    """Build one agent with a common load."""
+    """Return a replica with a typical load."""
     load = Load(
         running=3,
         waiting=1,
@@ -52,7 +52,7 @@
 
 
 def make_fleet(size: int, visits: Sequence[Visit], random: Random) -> LateFleet:
-    """Build a fleet in which a few engines and the store hold each prompt."""
+    """Build a fleet in which a few engines and the store cache each prompt."""
     fleet = LateFleet()
     names = [f'engine-{index}' for index in range(size)]
     for name in names:
@@ -66,7 +66,7 @@
 
 
 def make_demand(visit: Visit) -> Demand:
-    """Turn a visit into what the decisions see."""
+    """Return the routing demand of a visit."""
     return Demand(
         request=f'r{visit.number}',
         team=visit.team,
@@ -81,7 +81,7 @@
 
 
 def measure_routing(size: int, demands: Sequence[Demand]) -> float:
-    """Return the microseconds of one choice and its notes."""
+    """Return the microseconds of choosing a replica and recording it."""
     fleet = make_fleet(size, _VISITS, Random('fleet'))
     router = make_predicted(PRESETS['agency'])
     random = Random('choices')
@@ -110,7 +110,10 @@
 def _time_decisions(
     decide: Callable[[Demand], None], demands: Sequence[Demand]
 ) -> float:
-    """Return the least of some rounds, since other work only adds time."""
+    """Return the minimum microseconds per decision over several rounds.
+
+    Other work on the machine can only add time, never reduce it.
+    """
     rounds = []
     for number in range(_ROUNDS):
         renamed = [
@@ -129,7 +132,7 @@
 
 
 def main() -> None:
-    """Print the costs and the slopes between sizes."""
+    """Print the cost per fleet size and the slopes between sizes."""
     demands = [make_demand(each) for each in _VISITS[:_DECISIONS]]
     print(f'{"replicas":>9}{"routing us":>12}{"admission us":>14}')
     costs = {}
--- a/bench/desk.py
+++ b/bench/desk.py
@@ -1,4 +1,4 @@
-"""Fake the calls that may run only once, and the log that they need."""
+"""Simulate calls that run at most once, and the log they depend on."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """Record one booking."""
+    """One booking call and its completion time, if any."""
 
     number: int
     at: Millis
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DeskResult:
-    """Sum up what became of the bookings."""
+    """The calls of one run and the most tries in a second after the outage."""
 
     calls: Sequence[Call]
     busiest_second: int
 
 
 class Desk:
-    """Refuse bookings as not run while the log is out."""
+    """Simulate bookings, which are refused while the log is unavailable."""
 
     def __init__(self, seed: int, *, jitter: bool = True) -> None:
         self.events = Events()
@@ -49,7 +49,7 @@
         self.calls: list[Call] = []
 
     def run(self, length: Millis, outage: tuple[Millis, Millis]) -> DeskResult:
-        """Run bookings for a time with the log out for a part of it."""
+        """Simulate bookings for `length` with the log down during `outage`."""
         at = 0.0
         number = 0
         while at < length:
--- a/bench/engine.py
+++ b/bench/engine.py
@@ -1,4 +1,4 @@
-"""Fake an engine: slots, a prefill queue, a prefix cache, decoding."""
+"""Simulate an engine with prefill queues, a prefix cache and slots."""
 
 from __future__ import annotations
 
@@ -19,7 +19,11 @@
 
 @dataclass(slots=True)
 class Job:
-    """Hold one request inside an engine."""
+    """A request inside an engine.
+
+    `left` is the number of tokens to prefill, negative before the first chunk;
+    `epoch` counts how often its decoding was paused.
+    """
 
     request: str
     tokens: int
@@ -38,10 +42,13 @@
 
 
 class Engine:
-    """Prefill in order, interactive work first, and decode in slots.
+    """Prefill jobs by priority, first come first served, and decode in slots.
 
-    Prefill goes by chunks, between which background work gives way. Where
-    slots are short, interactive work pauses background answers.
+    Long and background prefills run in chunks, between which jobs of higher
+    priority go first. When all slots are taken, interactive jobs pause the
+    decoding of background jobs. `rate` is in tokens per second and `step` is
+    the time to decode one token. `life` increases when the engine loses its
+    work, so that callbacks scheduled before that are ignored.
     """
 
     def __init__(
@@ -68,12 +75,12 @@
         self.background_tokens = 0
 
     def submit(self, job: Job) -> None:
-        """Take a request."""
+        """Queue a job for prefill."""
         self._queues[job.priority].append(job)
         self._advance()
 
     def crash(self) -> None:
-        """Lose all work and all cache."""
+        """Drop all jobs and the cache and stop running."""
         self.up = False
         self.life += 1
         self._queues = _make_queues()
@@ -83,7 +90,7 @@
         self.cache.clear()
 
     def measure(self) -> Load:
-        """Return the load as it is now."""
+        """Return the current load."""
         waiting = sum(len(queue) for queue in self._queues)
         running = len(self._decoding) + (self._prefilling is not None)
         return Load(
@@ -95,9 +102,9 @@
         )
 
     def count_tokens(self, through: int = BACKGROUND) -> float:
-        """Count the tokens to prefill up to a priority.
+        """Count the tokens left to prefill for priorities up to `through`.
 
-        What waits behind an equal prefix counts as cached.
+        Prefixes that an earlier job will compute count as cached.
         """
         coming: set[SegmentHint] = set()
         total = 0.0
@@ -116,7 +123,10 @@
         return total
 
     def list_coming(self) -> set[SegmentHint]:
-        """Return the segments that queued work will leave in the cache."""
+        """Return the segments that running and queued prefills will cache.
+
+        Queued background jobs are left out.
+        """
         coming: set[SegmentHint] = set()
         if self._prefilling is not None:
             coming.update(self._prefilling.segments)
@@ -164,7 +174,7 @@
         return background.popleft() if background else None
 
     def _drop_late(self, job: Job) -> Job | None:
-        """Return a job unless its caller's time is over."""
+        """Return a job, or the next one if its deadline has passed."""
         if job.deadline > self._events.now:
             return job
         self._events.add(0.0, job.on_late)
--- a/bench/events.py
+++ b/bench/events.py
@@ -1,4 +1,4 @@
-"""Run callbacks in virtual time."""
+"""Run callbacks in simulated time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Events:
-    """Hold the callbacks to come, in order of time and of adding."""
+    """Scheduled callbacks, ordered by time and then by insertion."""
 
     def __init__(self) -> None:
         self.now: Millis = 0.0
@@ -22,13 +22,13 @@
     def add(
         self, wait: Millis, callback: Callable[..., None], *arguments: Any
     ) -> None:
-        """Call back after a wait."""
+        """Schedule a callback after a delay."""
         self._sequence += 1
         entry = (self.now + wait, self._sequence, callback, arguments)
         heapq.heappush(self._heap, entry)
 
     def run(self, until: Millis) -> None:
-        """Run all callbacks up to a moment."""
+        """Run all callbacks due by `until` and advance the time to it."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, callback, arguments = heapq.heappop(self._heap)
             callback(*arguments)
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -23,7 +23,7 @@
 
 
 def main() -> int:
-    """Run the matrix and print it; return 1 where a cell is broken."""
+    """Run and print the fault matrix; return 1 if any cell is broken."""
     singles = run_cells(list(list_cells()))
     pairs = run_cells([*list_racing(), *list_pairs()])
     _print_table(singles)
--- a/bench/fetch.py
+++ b/bench/fetch.py
@@ -1,9 +1,9 @@
-"""Measure how kept context comes back through real agents.
+"""Measure fetches of cached segments from a store through real agents.
 
 Run `python -m bench.fetch`. It starts a store, an engine and their agents as
-processes, dispatches prompts whose segments lie in the store, and reports the
-time from dispatch to first token, link bytes and processor time. `--against
-DIRECTORY` measures the agents of another source tree in turns with these.
+processes, dispatches prompts whose segments are in the store, and reports the
+time from dispatch to first token, the link bytes and the processor time.
+`--against DIRECTORY` alternates with the agents of another source tree.
 """
 
 from __future__ import annotations
@@ -57,7 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """Size the run; a rate of zero means no bound."""
+    """Dimensions of a run; a rate of zero means unlimited.
+
+    `link` is in bytes per second and `prefill` in tokens per second.
+    """
 
     rounds: int = 40
     segments: int = 19
@@ -68,7 +71,7 @@
 
 @dataclass(slots=True)
 class Figures:
-    """Hold what one source tree's agents were measured at."""
+    """Measurements of the agents of one source tree; times in milliseconds."""
 
     first_token: list[float] = field(default_factory=list)
     recomputed: list[int] = field(default_factory=list)
@@ -79,7 +82,7 @@
 
 @dataclass(slots=True)
 class MeasuredTree:
-    """Hold the processes that one source tree is measured in."""
+    """A measured source tree with its agents and backend addresses."""
 
     name: str
     store: str
@@ -91,7 +94,7 @@
 
 
 def make_text(number: int, size: Size) -> str:
-    """Return a prompt that fills the given segments and a little more."""
+    """Return a prompt of `size.segments` full segments plus a tail."""
     line = f'regla {number:06d}; '
     length = size.segments * cache.SEGMENT_BYTES
     head = (line * (length // len(line) + 1))[: length - len('user\0')]
@@ -99,12 +102,12 @@
 
 
 def split_text(text: str) -> tuple[bytes, ...]:
-    """Return the segments of a prompt."""
+    """Return the IDs of the complete segments of a prompt."""
     return split_segments(_NAMESPACE, f'user\0{text}\n'.encode())
 
 
 class Environment:
-    """Start what is measured and drive it."""
+    """Start and stop the processes of a measurement."""
 
     def __init__(self, size: Size, directory: Path) -> None:
         self._size = size
@@ -113,16 +116,16 @@
         self._children: list[Child] = []
 
     def close(self) -> None:
-        """End every process that was started here."""
+        """Kill all processes; print the log of any that exited early."""
         for child in self._children:
             if not child.running:
                 log_tail = child.log.read_text(errors='replace')[-1_000:]
-                print(f'{child.name} ended by itself: {log_tail}', flush=True)
+                print(f'{child.name} exited early: {log_tail}', flush=True)
             child.kill()
         self._ports.close()
 
     def start_platform(self, count: int) -> tuple[Sequence[str], Sequence[str]]:
-        """Start stand-ins; return the addresses of stores and engines."""
+        """Start stand-in backends; return the store and engine addresses."""
         weight = self._start_standin('weights', 1)[0]
         stores = self._start_standin(
             'store', count, '--link-bytes-per-second', str(self._size.link)
@@ -149,7 +152,7 @@
     def start_agent(
         self, name: str, kind: str, service: str, address: str, tree: Path
     ) -> tuple[Child, str]:
-        """Start an agent of a source tree; return it and its address."""
+        """Start an agent from a source tree; return its process and address."""
         port = self._ports.reserve()
         path = self._directory / f'{name}.yaml'
         path.write_text(
@@ -178,7 +181,7 @@
 
 
 async def fill_store(address: str, size: Size, count: int) -> None:
-    """Keep the segments of numbered prompts in a store."""
+    """Write the segments of the first `count` prompts to a store."""
     store = HttpBackend(address)
     async with anyio.create_task_group() as tasks:
         for number in range(count):
@@ -243,7 +246,7 @@
 
 
 async def send_prompt(measured: MeasuredTree, size: Size, number: int) -> None:
-    """Ask one prompt and note when its first token came."""
+    """Send one prompt and record its time to first token."""
     text = make_text(number, size)
     segments = split_text(text)
     kept = segments[: size.segments]
@@ -262,7 +265,7 @@
     measured.figures.first_token.append((time.perf_counter() - started) * 1e3)
     await wait_until(lambda: outcome.over)
     if outcome.end is None:
-        raise RuntimeError(f'no answer: {outcome.failed}')
+        raise RuntimeError(f'prompt {number} got no answer: {outcome.failed}')
     measured.figures.recomputed.append(outcome.end.recomputed_tokens)
     used = outcome.end.prompt_tokens - outcome.end.recomputed_tokens
     measured.figures.used_bytes += used * cache.KV_BYTES_PER_TOKEN
@@ -271,7 +274,7 @@
 async def measure(
     measured: MeasuredTree, size: Size, numbers: Sequence[int]
 ) -> None:
-    """Ask some prompts at once and add up what they used."""
+    """Send prompts concurrently and add the resources that they used."""
     before = {name: _read_processor(c) for name, c in measured.agents.items()}
     read = await _count_read(measured)
     async with anyio.create_task_group() as tasks:
@@ -299,7 +302,7 @@
 async def run(
     size: Size, trees: Sequence[tuple[str, Path]]
 ) -> list[MeasuredTree]:
-    """Measure each tree in turns; the first round warms up."""
+    """Measure the source trees alternately; the first round is a warm-up."""
     count = (size.rounds + 1) * size.readers
     with tempfile.TemporaryDirectory() as directory:
         environment = Environment(size, Path(directory))
@@ -340,7 +343,7 @@
 
 
 def print_figures(measured: MeasuredTree) -> None:
-    """Print the figures of one side."""
+    """Print the measurements of one source tree."""
     figures = measured.figures
     asked = len(figures.first_token)
     ordered = sorted(figures.first_token)
@@ -361,9 +364,11 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Parse the options, measure and print the results."""
     parser = argparse.ArgumentParser(prog='bench.fetch')
-    parser.add_argument('--against', type=Path, help='another source tree')
+    parser.add_argument(
+        '--against', type=Path, help='source tree to compare with'
+    )
     for name, value in asdict(Size()).items():
         parser.add_argument(f'--{name}', type=type(value), default=value)
     options = vars(parser.parse_args())
--- a/bench/history.py
+++ b/bench/history.py
@@ -1,4 +1,4 @@
-"""Warm the caches by days of visits, without queues."""
+"""Warm the simulated caches with days of visits, without queueing."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 def make_trace(
     deployment: str, seed: int, rate: float, length: Millis, busy_team: str
 ) -> Trace:
-    """Draw a trace once for all systems."""
+    """Return the trace of a workload, cached for all systems."""
     workload = Workload(DEPLOYMENTS[deployment], seed)
     return workload.make_trace(rate, length, busy_team=busy_team)
 
 
 def count_segments(deployment: Deployment, size: float) -> int:
-    """Return how many segments a size holds."""
+    """Return the number of whole segments in `size` bytes."""
     return int(size // (SEGMENT_TOKENS * deployment.kv_bytes_per_token))
 
 
 class History:
-    """Replay visits on bare caches."""
+    """Replay visits on the caches alone, without queues or links."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         self.chooser = make_chooser(system, settings)
 
     def visit(self, visit: Visit) -> tuple[int, int, int]:
-        """Run one visit; return its cached, fetched, computed segments."""
+        """Replay a visit; count its cached, fetched and computed segments."""
         engine = self._choose_engine(visit)
         segments = visit.segments
         held = engine.count_leading(segments)
@@ -91,7 +91,7 @@
 def make_chooser(
     system: System, settings: PolicySettings
 ) -> ExportPolicy | None:
-    """Build the chooser of a system that has one."""
+    """Return the export policy of a system that selects its exports."""
     return ExportPolicy(settings) if system.exports == 'returning' else None
 
 
@@ -109,7 +109,7 @@
 
 
 def warm(deployment: str, system: System, seed: int) -> History:
-    """Return the caches as days of visits left them."""
+    """Return a fresh copy of the caches after the history of visits."""
     cache_key = System(
         'history',
         keeper=system.keeper,
--- a/bench/iblt.py
+++ b/bench/iblt.py
@@ -1,8 +1,8 @@
-"""Find the difference of two sets with a rate-compatible MET IBLT.
+"""Reconcile two sets with a rate-compatible MET IBLT.
 
-The design is that of section V of the paper named in
+The design follows section V of the paper cited in
 docs/decisions/0003-directory-repair.md. A cell takes 12 bytes: 2 for the
-count, 2 for a check of the key, 8 for the key.
+count, 2 for the checksum of the keys and 8 for their XOR.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 _WORD_MASK = (1 << 64) - 1
 _COUNT_MASK = (1 << 16) - 1
 _KEY_TYPE_SHARES = (0.1959, 0.1904, 0.6137)
-# Degrees by key type, for the cell types 1 to 4 and then all further ones.
+# Degrees by key type: one for each of cell types 1 to 4, one for all others.
 _DEGREES = ((3, 1, 1, 1, 1), (4, 4, 4, 4, 5), (2, 1, 1, 1, 1))
 _TYPE_SALT = 0x9E3779B97F4A7C15
 _CHECK_SALT = 0xC2B2AE3D27D4EB4F
@@ -42,12 +42,12 @@
 
 
 def count_cells(levels: int) -> int:
-    """Return the number of cells of the first cell types."""
+    """Return the number of cells in the first `levels` cell types."""
     return FIRST_CELLS * ((1 << levels) - 1)
 
 
 def list_cell_indexes(key: int, levels: int) -> Iterator[int]:
-    """Yield the cells of a key, by rising cell type."""
+    """Yield the cell indexes of a key, by increasing cell type."""
     degrees = _choose_degrees(key)
     base, size = 0, FIRST_CELLS
     state = _mix(key ^ _INDEX_SALT)
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True)
 class Table:
-    """Hold the cells of one set for a number of cell types."""
+    """The IBLT of one set with a given number of cell types."""
 
     levels: int
     counts: list[int] = field(init=False)
@@ -80,15 +80,15 @@
         self.keys = [0] * size
 
     def insert(self, key: int) -> None:
-        """Add a key."""
+        """Add a key to the set."""
         self._change(key, 1)
 
     def delete(self, key: int) -> None:
-        """Remove a key."""
+        """Remove a key from the set."""
         self._change(key, -1)
 
     def encode(self, start: int, end: int) -> bytes:
-        """Return cells as they travel."""
+        """Encode the cells from `start` up to `end`."""
         return b''.join(
             (self.counts[index] & _COUNT_MASK).to_bytes(2, 'big')
             + self.checks[index].to_bytes(2, 'big')
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True)
 class Decoder:
-    """Peel the difference from the cells received so far."""
+    """Decode the set difference by peeling the cells received so far."""
 
     local: Table
     received: int = 0
@@ -118,7 +118,7 @@
     _nonempty_cells: int = 0
 
     def take(self, data: bytes) -> bool:
-        """Take the next cells; tell whether the difference is complete."""
+        """Add the next cells; return whether the difference is complete."""
         start = self.received
         for offset in range(0, len(data), CELL_BYTES):
             self._append(data[offset : offset + CELL_BYTES])
@@ -134,13 +134,13 @@
         return self._nonempty_cells == 0 and self.received >= FIRST_CELLS
 
     def _count_levels(self) -> int:
-        # The smallest number of cell types that covers the cells received.
+        # Smallest number of cell types that covers the received cells.
         return ((self.received + FIRST_CELLS - 1) // FIRST_CELLS).bit_length()
 
     def _append(self, cell: bytes) -> None:
         index = len(self._counts)
         count = int.from_bytes(cell[:2], 'big') - self.local.counts[index]
-        # The count travels modulo 2**16; differences stay far below half.
+        # Counts are encoded modulo 2**16; differences stay far below 2**15.
         count = (count + (1 << 15) & _COUNT_MASK) - (1 << 15)
         check = int.from_bytes(cell[2:4], 'big') ^ self.local.checks[index]
         self._counts.append(count)
--- a/bench/link.py
+++ b/bench/link.py
@@ -1,4 +1,4 @@
-"""Share a link's rate between transfers."""
+"""Simulate a link that divides its rate equally among transfers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 @dataclass(slots=True)
 class Transfer:
-    """Hold one transfer; `tag` is the service at which it ends."""
+    """A transfer of `count` bytes.
+
+    It is complete when the service per transfer, in bytes since the start of
+    the link, reaches `finish_service`.
+    """
 
     count: float
     finish_service: float
@@ -22,7 +26,10 @@
 
 
 class Link:
-    """Carry transfers with equal shares."""
+    """A link whose active transfers get equal shares of the rate.
+
+    `rate` is in bytes per second, `carried` in bytes.
+    """
 
     def __init__(self, events: Events, rate: float) -> None:
         self._events = events
@@ -38,27 +45,27 @@
 
     @property
     def active_share(self) -> float:
-        """Return the bytes a second that each transfer gets."""
+        """Return the rate per active transfer, in bytes per second."""
         return self._rate / max(1, self._active)
 
     @property
     def rate(self) -> float:
-        """Return the bytes a second of the link."""
+        """Return the rate of the link, in bytes per second."""
         return self._rate
 
     def set_rate(self, rate: float) -> None:
-        """Change the rate at once."""
+        """Change the rate with immediate effect."""
         self._advance()
         self._rate = rate
         self._schedule_next()
 
     def count_left(self, transfer: Transfer) -> float:
-        """Return the bytes that a transfer still needs."""
+        """Return the remaining bytes of a transfer."""
         self._advance()
         return max(0.0, transfer.finish_service - self._service)
 
     def count_waiting(self) -> float:
-        """Return the bytes that all transfers still need."""
+        """Return the remaining bytes of all active transfers."""
         self._advance()
         return sum(
             max(0.0, finish_service - self._service)
@@ -67,7 +74,7 @@
         )
 
     def start(self, count: float, done: Callable[[], None]) -> Transfer:
-        """Start a transfer that calls `done` at its end."""
+        """Start a transfer of `count` bytes; call `done` on completion."""
         self._advance()
         transfer = Transfer(count, self._service + count, done)
         self._sequence += 1
@@ -80,7 +87,7 @@
         return transfer
 
     def cancel(self, transfer: Transfer) -> float:
-        """Stop a transfer; return the bytes that it had carried."""
+        """Cancel a transfer; return the bytes that it has carried."""
         if not transfer.open:
             return transfer.count
         remaining = self.count_left(transfer)
--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -1,7 +1,8 @@
-"""Measure what log lines cost an entry on the users' platform.
+"""Measure the cost of logging in an entry on the users' platform.
 
-Run `python -m bench.log_cost`: the same calls at the same pace, in turns to two
-real processes, one of which has no log. It ends every process that it started.
+Run `python -m bench.log_cost`. It sends the same calls at the same rate
+alternately to two entry processes, one of which does not log. All processes
+that it starts are stopped.
 """
 
 from __future__ import annotations
@@ -41,9 +42,10 @@
 
 _DIRECTORY = ROOT / 'build' / 'log-cost'
 _ROUNDS = 5
-# Turns of a second: other work on the machine slows both alike.
+# One-second turns, so that other work on the machine slows both equally.
 _TURN_COUNT = 15
-# Under the budget of the log, so that no line is dropped and each is paid for.
+# Below the rate limit of the log: no line is dropped, so the cost of every
+# line is measured.
 _CALLS_A_SECOND = 50
 _WARM_CALLS = 50
 _EVENTS = 20
@@ -56,14 +58,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """Hold what one run took; `processor` is in microseconds a call."""
+    """Processor time in microseconds, log lines and log bytes.
+
+    Totals since the process start, or means per call.
+    """
 
     processor: float
     lines: float
     size: float
 
     def per_call_since(self, before: Run) -> Run:
-        """Return the means of the calls since an earlier reading."""
+        """Return the means per call since an earlier reading."""
         count = _TURN_COUNT * _CALLS_A_SECOND
         return Run(
             (self.processor - before.processor) / count,
@@ -73,7 +78,7 @@
 
 
 class EntryProcess:
-    """Hold an entry, and read what it writes as a collector does."""
+    """An entry process whose log output is read as a collector would."""
 
     def __init__(self, address: tuple[str, int], process: Process) -> None:
         self.address = address
@@ -82,24 +87,28 @@
         self._size = 0
 
     async def follow(self) -> None:
-        """Read until the process ends."""
+        """Count the log output until the process ends."""
         assert self._process.stdout is not None
         async for piece in self._process.stdout:
             self._lines += piece.count(b'\n')
             self._size += len(piece)
 
     def read(self) -> Run:
-        """Return what it used and wrote since its start."""
+        """Return the totals since the process start."""
         text = Path(f'/proc/{self._process.pid}/schedstat').read_text()
         used = int(text.split()[0]) / _NS_PER_MICRO
         return Run(used, self._lines, self._size)
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run in turns, and print the figures."""
+    """Run the rounds and print a summary."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--rounds', type=int, default=_ROUNDS)
-    parser.add_argument('--silent', action='store_true', help='be the entry')
+    parser.add_argument(
+        '--silent',
+        action='store_true',
+        help='run as the entry that does not log',
+    )
     options, rest = parser.parse_known_args(arguments)
     if options.silent:
         return _run_silent(rest)
@@ -109,7 +118,7 @@
 
 
 def _run_silent(arguments: Sequence[str]) -> int:
-    """Be an entry that logs nothing."""
+    """Run an entry that does not log."""
     parser = make_parser()
     path = parser.parse_args(arguments).settings
     settings = find_host_settings(path, os.environ)
@@ -123,7 +132,7 @@
 
 
 async def _measure() -> dict[str, Run]:
-    """Start both, and call each for a second in turns."""
+    """Start both entries and call them alternately for a second each."""
     async with AsyncExitStack() as stack:
         served = {
             variant: await stack.enter_async_context(_running_entry(variant))
@@ -149,7 +158,7 @@
 
 
 async def _send_calls(served: EntryProcess, count: int) -> None:
-    """Call at a fixed pace, whatever the answers take."""
+    """Send calls at a fixed rate, regardless of the response times."""
     loop = asyncio.get_running_loop()
     started = loop.time()
     async with anyio.create_task_group() as tasks:
@@ -167,7 +176,7 @@
 
 @asynccontextmanager
 async def _running_entry(variant: str) -> AsyncGenerator[EntryProcess, None]:
-    """Run an entry before two servers, which answer at once."""
+    """Run an entry in front of two servers that answer immediately."""
     _DIRECTORY.mkdir(parents=True, exist_ok=True)
     store = RecordStore()
     store.put(OPERATOR, 'config', CONFIGURATION)
--- a/tests/test_bench_bounds.py
+++ b/tests/test_bench_bounds.py
@@ -24,6 +24,6 @@
 
 
 def test_policy_beats_recomputing_in_the_same_run():
-    mine = run_once(Task('agency', 'brief', 'policy', 1))
-    other = run(Task('agency', 'brief', 'always-recompute', 1))
-    assert mine.ttft_95 <= 0.75 * other.ttft_95
+    policy = run_once(Task('agency', 'brief', 'policy', 1))
+    baseline = run(Task('agency', 'brief', 'always-recompute', 1))
+    assert policy.ttft_95 <= 0.75 * baseline.ttft_95
