--- a/bench/agent.py
+++ b/bench/agent.py
@@ -96,8 +96,8 @@
 
     def _lower_priority(self, job: Job) -> None:
         """Queue a job behind short ones if an incomplete fetch made it long."""
-        held = self.engine.cache.count_leading(job.segments)
-        missing = job.tokens - held * SEGMENT_TOKENS
+        cached_count = self.engine.cache.count_leading(job.segments)
+        missing = job.tokens - cached_count * SEGMENT_TOKENS
         if self._costs is not None and missing > self._costs.short_tokens:
             job.priority = max(job.priority, LONG)
 
@@ -216,12 +216,12 @@
         if not wanted or not store.up or not store.cache.open:
             self._export()
             return
-        taken = store.cache.write(wanted, self._events.now)
-        if not taken:
+        written = store.cache.write(wanted, self._events.now)
+        if not written:
             self._export()
             return
         self._exporting = True
-        byte_count = len(taken) * self._segment_bytes
+        byte_count = len(written) * self._segment_bytes
 
         def on_done() -> None:
             self._exporting = False
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -58,11 +58,13 @@
         if not replicas:
             return _NO_REPLICA
         replica = self._choose_replica(demand, fleet, replicas, random)
-        held = fleet.count_leading(replica.agent, demand.segments)
-        store, covered = '', 0
+        cached_count = fleet.count_leading(replica.agent, demand.segments)
+        store, fetched_count = '', 0
         if self._fetches:
-            store, covered = _find_store(demand, fleet, held)
-        return Plan(replica.agent, 'baseline', store, held, covered)
+            store, fetched_count = _find_store(demand, fleet, cached_count)
+        return Plan(
+            replica.agent, 'baseline', store, cached_count, fetched_count
+        )
 
     def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Count a dispatched request as outstanding."""
@@ -127,13 +129,15 @@
         return max(reported, self._backlog.count_outstanding(replica.agent))
 
 
-def _find_store(demand: Demand, fleet: Fleet, held: int) -> tuple[str, int]:
-    best, covered = '', 0
+def _find_store(
+    demand: Demand, fleet: Fleet, cached_count: int
+) -> tuple[str, int]:
+    best, fetched_count = '', 0
     for store in fleet.stores(demand.service):
-        count = fleet.count_leading(store.agent, demand.segments, held)
-        if count > covered:
-            best, covered = store.agent, count
-    return best, covered
+        count = fleet.count_leading(store.agent, demand.segments, cached_count)
+        if count > fetched_count:
+            best, fetched_count = store.agent, count
+    return best, fetched_count
 
 
 @ROUTERS.register('prefix-affinity')
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -68,16 +68,16 @@
             f'filled the log in {region.fill_seconds:.1f} s'
         )
         for server in self._list_samples():
-            show_memory(f'agent {server.name} without peers', server.agent)
+            print_memory(f'agent {server.name} without peers', server.agent)
         first, second = self._start_entries()
         self._wait_for_agents(first, 'every agent has the configuration')
         self._wait_for_agents(second, 'the other entry knows it')
         self._truncate_log()
         self._measure_idle()
         self._measure_changes(first)
-        self._measure_replacement(second)
-        self._measure_agent(first)
-        self._show_all()
+        self._measure_entry_restart(second)
+        self._measure_agent_restart(first)
+        self._print_totals()
 
     def _list_samples(self) -> Iterator[Server]:
         for server in self._region.servers:
@@ -117,7 +117,7 @@
             f'{links.processor:.1f} s of processor time in all; links out '
             f'{links.sent / MIB:.2f} MiB, in {links.received / MIB:.2f} MiB'
         )
-        show_memory(f'  entry {entry.name}', entry.child)
+        print_memory(f'  entry {entry.name}', entry.child)
 
     def _truncate_log(self) -> None:
         """Truncate the log up to the newest snapshot."""
@@ -170,8 +170,10 @@
 
     def _measure_changes(self, entry: Entry) -> None:
         singles = [self._time_change(entry, 1) for _ in range(_SINGLE_CHANGES)]
-        shown = ', '.join(f'{each:.2f}' for each in singles)
-        print_line(f'one change in force in every process after {shown} s')
+        seconds_text = ', '.join(f'{each:.2f}' for each in singles)
+        print_line(
+            f'one change in force in every process after {seconds_text} s'
+        )
         seconds = self._time_change(entry, _BATCH_SIZE)
         print_line(
             f'{_BATCH_SIZE} changes in one append: after {seconds:.2f} s'
@@ -203,7 +205,7 @@
         agents = [server.agent for server in self._region.servers]
         return agents + [entry.child for entry in self._region.entries]
 
-    def _measure_replacement(self, entry: Entry) -> None:
+    def _measure_entry_restart(self, entry: Entry) -> None:
         server = next(self._list_samples())
         used = read_processor(get_pid(server.agent))
         entry.child.kill()
@@ -215,7 +217,7 @@
         used = read_processor(get_pid(server.agent)) - used
         print_line(f'  processor time of {server.name} meanwhile: {used:.2f} s')
 
-    def _measure_agent(self, entry: Entry) -> None:
+    def _measure_agent_restart(self, entry: Entry) -> None:
         """Measure the restart of a killed agent."""
         server = next(self._list_samples())
         before = read_processor(get_pid(entry.child))
@@ -231,7 +233,7 @@
             'processor time; of the entry '
             f'{read_processor(get_pid(entry.child)) - before:.2f} s'
         )
-        show_memory(f'  agent {server.name}', server.agent)
+        print_memory(f'  agent {server.name}', server.agent)
 
     def _wait_listed(self, entry: Entry, server: Server) -> None:
         started = time.time()
@@ -246,12 +248,12 @@
         )
         self._region.wait_configuration(entry, offset)
 
-    def _show_all(self) -> None:
-        own = self._list_children()
-        rss = sorted(read_memory(get_pid(each)) for each in own)
-        shared = sum(read_pss(get_pid(each)) for each in own)
+    def _print_totals(self) -> None:
+        children = self._list_children()
+        rss = sorted(read_memory(get_pid(each)) for each in children)
+        shared = sum(read_pss(get_pid(each)) for each in children)
         print_line(
-            f'{len(own)} processes: RSS {rss[0] / MIB:.1f} to '
+            f'{len(children)} processes: RSS {rss[0] / MIB:.1f} to '
             f'{rss[-1] / MIB:.1f} MiB, median {rss[len(rss) // 2] / MIB:.1f}; '
             f'PSS together {shared / MIB / 1024:.2f} GiB; '
             f'{len(self._region.children)} processes in all'
@@ -323,7 +325,7 @@
     return child.process.pid
 
 
-def show_memory(description: str, child: Child) -> None:
+def print_memory(description: str, child: Child) -> None:
     """Print the current and peak memory of a process."""
     pid = get_pid(child)
     print_line(
--- a/bench/desk.py
+++ b/bench/desk.py
@@ -61,12 +61,12 @@
         self.events.add(outage[0], self._stop_log)
         self.events.add(outage[1], self._start_log)
         self.events.run(length + _CALLER_TIMEOUT)
-        after = [
-            n
-            for t, n in self._tries_by_second.items()
-            if t * SECOND >= outage[1]
+        tries_after = [
+            count
+            for second, count in self._tries_by_second.items()
+            if second * SECOND >= outage[1]
         ]
-        return DeskResult(self.calls, max(after, default=0))
+        return DeskResult(self.calls, max(tries_after, default=0))
 
     def _stop_log(self) -> None:
         self._log_down = True
@@ -87,9 +87,9 @@
         call.done = self._free_at
 
     def _refuse(self, call: Call) -> None:
-        after = REPLIES[ErrorKind.LOG_UNAVAILABLE].retry_after or SECOND
-        after *= 1 + self._jitter * hash_to_fraction(
+        delay = REPLIES[ErrorKind.LOG_UNAVAILABLE].retry_after or SECOND
+        delay *= 1 + self._jitter * hash_to_fraction(
             f'{call.number}-{call.tries}'
         )
-        if self.events.now + after < call.at + _CALLER_TIMEOUT:
-            self.events.add(after, self._try, call)
+        if self.events.now + delay < call.at + _CALLER_TIMEOUT:
+            self.events.add(delay, self._try, call)
--- a/bench/engine.py
+++ b/bench/engine.py
@@ -152,10 +152,10 @@
         if job is None:
             return
         if job.left < 0:
-            held = self.cache.count_leading(job.segments)
-            job.computed = max(1, job.tokens - held * SEGMENT_TOKENS)
+            hit_count = self.cache.count_leading(job.segments)
+            job.computed = max(1, job.tokens - hit_count * SEGMENT_TOKENS)
             job.left = job.computed
-            self.cache.use(job.segments[:held])
+            self.cache.use(job.segments[:hit_count])
         self._prefilling = job
         self._run_chunk(job)
 
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -37,9 +37,9 @@
 
 
 def _print_table(results: Iterable[Result]) -> None:
-    found: dict[tuple[Kind, Point], list[Result]] = defaultdict(list)
+    by_cell: dict[tuple[Kind, Point], list[Result]] = defaultdict(list)
     for result in results:
-        found[result.cell.kinds[0], result.cell.point].append(result)
+        by_cell[result.cell.kinds[0], result.cell.point].append(result)
     print('fault x step; a cell holds before and after the step, in every')
     print('scenario that passes through it; n/a has its reason below')
     print()
@@ -51,14 +51,14 @@
     )
     print(' ' * _KIND_WIDTH + header)
     for kind in Kind:
-        print(f'{kind:<{_KIND_WIDTH}}' + _format_row(kind, found))
+        print(f'{kind:<{_KIND_WIDTH}}' + _format_row(kind, by_cell))
 
 
 def _format_row(
-    kind: Kind, found: Mapping[tuple[Kind, Point], Sequence[Result]]
+    kind: Kind, by_cell: Mapping[tuple[Kind, Point], Sequence[Result]]
 ) -> str:
     return ''.join(
-        f'{_format(found.get((kind, point), ())):>{_COLUMN_WIDTH}}'
+        f'{_format(by_cell.get((kind, point), ())):>{_COLUMN_WIDTH}}'
         for point in Point
     )
 
--- a/bench/fetch.py
+++ b/bench/fetch.py
@@ -249,8 +249,8 @@
     """Send one prompt and record its time to first token."""
     text = make_text(number, size)
     segments = split_text(text)
-    kept = segments[: size.segments]
-    plan = FetchPlan('memoria', measured.store_agent_address, kept)
+    fetched_segments = segments[: size.segments]
+    plan = FetchPlan('memoria', measured.store_agent_address, fetched_segments)
     chat = measured.entry.make_chat(f'{measured.name}-{number}')
     chat = replace(chat, segments=segments, fetch=plan)
     body = {
--- a/bench/history.py
+++ b/bench/history.py
@@ -38,7 +38,7 @@
         self,
         deployment: Deployment,
         system: System,
-        keeper: RetentionPolicy,
+        retention: RetentionPolicy,
         seed: int,
     ) -> None:
         limit = count_segments(deployment, deployment.cache_bytes)
@@ -49,7 +49,7 @@
         self.engines = [EngineCache(limit) for _ in range(deployment.engines)]
         self.store = StoreCache(
             count_segments(deployment, deployment.store_bytes),
-            keeper,
+            retention,
             self._random,
             length,
         )
@@ -59,14 +59,20 @@
         """Replay a visit; count its cached, fetched and computed segments."""
         engine = self._choose_engine(visit)
         segments = visit.segments
-        held = engine.count_leading(segments)
-        covered = 0
+        cached_count = engine.count_leading(segments)
+        fetched_count = 0
         if self._system.exports != 'none':
-            covered = self.store.count_leading(segments, held)
-            self.store.record_use(segments[held : held + covered], visit.at)
+            fetched_count = self.store.count_leading(segments, cached_count)
+            self.store.record_use(
+                segments[cached_count : cached_count + fetched_count], visit.at
+            )
             self._export(segments, visit.at)
         engine.use(segments)
-        return held, covered, len(segments) - held - covered
+        return (
+            cached_count,
+            fetched_count,
+            len(segments) - cached_count - fetched_count,
+        )
 
     def _choose_engine(self, visit: Visit) -> EngineCache:
         if self._system.scattered:
--- a/bench/iblt.py
+++ b/bench/iblt.py
@@ -96,10 +96,10 @@
             for index in range(start, end)
         )
 
-    def _change(self, key: int, by: int) -> None:
+    def _change(self, key: int, delta: int) -> None:
         check = _check(key)
         for index in list_cell_indexes(key, self.levels):
-            self.counts[index] += by
+            self.counts[index] += delta
             self.checks[index] ^= check
             self.keys[index] ^= key
 
@@ -164,10 +164,10 @@
             if not self._is_pure(index):
                 continue
             key, count = self._keys[index], self._counts[index]
-            known = self.only_remote if count > 0 else self.only_local
-            if key in known:
+            decoded = self.only_remote if count > 0 else self.only_local
+            if key in decoded:
                 continue
-            known.add(key)
+            decoded.add(key)
             queue.extend(self._remove(key, count, 0))
 
     def _remove(self, key: int, count: int, start: int) -> Iterable[int]:
--- a/bench/log_cost.py
+++ b/bench/log_cost.py
@@ -51,7 +51,7 @@
 _EVENTS = 20
 _GRACE_SECONDS = 2
 _START_SECONDS = 20
-_OK = 200
+_OK_STATUS = 200
 _NS_PER_MICRO = 1e3
 _VARIANTS = ('with', 'without')
 
@@ -171,7 +171,7 @@
 
 async def _call(address: tuple[str, int], path: str, request: str) -> None:
     response = await call(address, path, oleanderdyke_request_id=request)
-    assert response.status == _OK, response
+    assert response.status == _OK_STATUS, response
 
 
 @asynccontextmanager
@@ -240,7 +240,7 @@
                 response = await call(address, '/api/readiness', method='GET')
             except OSError:
                 response = None
-            if response is not None and response.status == _OK:
+            if response is not None and response.status == _OK_STATUS:
                 return
             await anyio.sleep(0.05)
 
