--- a/src/oleanderdyke/entry/edge.py
+++ b/src/oleanderdyke/entry/edge.py
@@ -1,4 +1,4 @@
-"""Read requests of callers and refuse what is malformed."""
+"""Parse HTTP requests of callers and reject malformed ones."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 Send: TypeAlias = Callable[[Event], Awaitable[None]]
 
 _REQUEST_ID_BYTES = 16
-_TOKEN_LIMIT = 512
-_KEY_LIMIT = 200
+_TOKEN_MAX_CHARS = 512
+_KEY_MAX_CHARS = 200
 _NEVER_FORWARDED = HOP_BY_HOP | {
     'authorization',
     'content-length',
@@ -34,18 +34,18 @@
     'idempotency-key',
 }
 _NEVER_RETURNED = HOP_BY_HOP | {'content-length', 'date', 'server'}
-_OWN_PREFIX = 'oleander-'
+_INTERNAL_PREFIX = 'oleander-'
 _NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 _VALUE = re.compile(r'[\t\x20-\x7e]*\Z')
 
 
 class CallerGone(Exception):
-    """The caller closed its connection."""
+    """Raised when the caller has closed its connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """Hold the head of one request; `target` keeps its percent signs."""
+    """Hold the head of one request; `target` stays percent-encoded."""
 
     request: str
     method: str
@@ -62,12 +62,12 @@
 
 
 def make_request_id() -> str:
-    """Return an id that nobody can guess."""
+    """Return a new unguessable request id."""
     return secrets.token_hex(_REQUEST_ID_BYTES)
 
 
 def parse_head(scope: Scope, request: str) -> Head:
-    """Read the head; raise BAD_REQUEST for text that is not ASCII."""
+    """Parse the request head; raise BAD_REQUEST for non-ASCII text."""
     try:
         headers = tuple(
             (name.decode('ascii').lower(), content.decode('ascii'))
@@ -82,9 +82,9 @@
 
 
 def split_path(target: str, count: int) -> tuple[str, ...]:
-    """Split off `count` decoded parts; the rest stays as it was sent.
+    """Decode the first `count` path segments; leave the rest encoded.
 
-    Raise NOT_FOUND for a part that is not UTF-8.
+    Raise NOT_FOUND for a segment that is not UTF-8.
     """
     parts = target.split('/', count + 1)[1:]
     try:
@@ -97,7 +97,7 @@
 
 
 def make_not_found() -> OleanderError:
-    """Return the one answer for all that is unknown or not allowed."""
+    """Return the error for unknown and for forbidden resources alike."""
     return OleanderError(ErrorKind.NOT_FOUND, 'nothing here for this token')
 
 
@@ -106,50 +106,50 @@
     found = head.find('authorization') or ''
     scheme, _, token = found.partition(' ')
     token = token.strip()
-    if scheme.lower() != 'bearer' or not 0 < len(token) <= _TOKEN_LIMIT:
+    if scheme.lower() != 'bearer' or not 0 < len(token) <= _TOKEN_MAX_CHARS:
         raise make_unauthenticated()
     return hashlib.sha256(token.encode('ascii')).hexdigest()
 
 
 def make_unauthenticated() -> OleanderError:
-    """Return the answer for a missing or unknown token."""
+    """Return the error for a missing or unknown bearer token."""
     return OleanderError(
-        ErrorKind.UNAUTHENTICATED, 'a known bearer token is needed'
+        ErrorKind.UNAUTHENTICATED, 'missing or unknown bearer token'
     )
 
 
-def find_key(head: Head) -> str:
-    """Return the idempotency key or nothing; raise BAD_REQUEST."""
+def find_idempotency_key(head: Head) -> str:
+    """Return the idempotency key, empty if absent; raise BAD_REQUEST."""
     key = head.find('idempotency-key')
     if key is None:
         return ''
-    if not key or len(key) > _KEY_LIMIT:
-        fault = f'Idempotency-Key must have 1 to {_KEY_LIMIT} characters'
+    if not key or len(key) > _KEY_MAX_CHARS:
+        fault = f'Idempotency-Key must have 1 to {_KEY_MAX_CHARS} characters'
         raise OleanderError(ErrorKind.BAD_REQUEST, fault)
     return key
 
 
 def forward_headers(headers: Headers) -> Headers:
-    """Drop what belongs to this connection or to this system."""
+    """Drop hop-by-hop, credential and internal request headers."""
     named = _find_connection_names(headers)
     return tuple(
         (name, content)
         for name, content in headers
         if name not in _NEVER_FORWARDED
         and name not in named
-        and not name.startswith(_OWN_PREFIX)
+        and not name.startswith(_INTERNAL_PREFIX)
     )
 
 
 def return_headers(headers: Headers) -> Headers:
-    """Drop what a backend server may not say to a caller."""
+    """Drop hop-by-hop, internal and malformed response headers."""
     named = _find_connection_names(headers)
     return tuple(
         (name.lower(), content.strip())
         for name, content in headers
         if name.lower() not in _NEVER_RETURNED
         and name.lower() not in named
-        and not name.lower().startswith(_OWN_PREFIX)
+        and not name.lower().startswith(_INTERNAL_PREFIX)
         and _NAME.match(name)
         and _VALUE.match(content)
     )
@@ -165,7 +165,7 @@
 
 
 class Body:
-    """Read the body of one request within its limit."""
+    """Read the body of one request with a size limit and a timeout."""
 
     def __init__(
         self, receive: Receive, limit: int, timeout: Millis, head: Head
@@ -174,40 +174,40 @@
         self._limit = limit
         self._timeout = timeout
         self._length = head.find('content-length')
-        self._taken = 0
+        self._received = 0
         self.ended = False
         self._check_length()
 
     def set_limit(self, limit: int) -> None:
-        """Lower the limit to that of a service; raise BODY_TOO_LARGE."""
+        """Lower the limit to that of the service; raise BODY_TOO_LARGE."""
         self._limit = min(self._limit, limit)
         self._check_length()
 
     async def read(self) -> bytes:
-        """Return the whole body; raise OleanderError or CallerGone."""
+        """Return the complete body; raise OleanderError or CallerGone."""
         return await self.read_up_to(self._limit + 1)
 
     async def read_up_to(self, bound: int) -> bytes:
-        """Return the body, or its beginning once that passes `bound`."""
+        """Read parts until the body ends or at least `bound` bytes are read."""
         parts = bytearray()
         while not self.ended and len(parts) < bound:
             parts += await self.read_part()
         return bytes(parts)
 
     async def read_part(self) -> bytes:
-        """Return the next part; `ended` is set by the last one."""
+        """Return the next part; set `ended` on the last one."""
         event = await self._receive_in_time()
         if event['type'] != 'http.request':
             raise CallerGone
         part: bytes = event.get('body', b'')
-        self._taken += len(part)
-        if self._taken > self._limit:
+        self._received += len(part)
+        if self._received > self._limit:
             raise self._make_too_large()
         self.ended = not event.get('more_body', False)
         return part
 
-    async def wait_gone(self) -> None:
-        """Return when the caller has closed; call it after the body."""
+    async def wait_disconnected(self) -> None:
+        """Wait until the caller disconnects; call it after the body ended."""
         while (await self._receive())['type'] != 'http.disconnect':
             continue
 
--- a/src/oleanderdyke/entry/inbox.py
+++ b/src/oleanderdyke/entry/inbox.py
@@ -1,4 +1,4 @@
-"""Queue the events of one request."""
+"""Queue the events of one request for its driver."""
 
 from __future__ import annotations
 
@@ -15,82 +15,82 @@
 
 @dataclass(frozen=True, slots=True)
 class Released:
-    """The admission has decided about a queued request."""
+    """The admission has decided on a queued request."""
 
     decision: Admitted | Refusal
 
 
 @dataclass(frozen=True, slots=True)
 class UploadFailed:
-    """The body ended in a fault of the caller."""
+    """Reading or sending the request body failed."""
 
     fault: Exception
 
 
 @dataclass(frozen=True, slots=True)
-class Undeliverable:
-    """A part of the answer can't be passed on."""
+class DeliveryFailed:
+    """A chunk of the answer could not be forwarded."""
 
     fault: OleanderError
 
 
 @dataclass(frozen=True, slots=True)
-class Decided:
-    """Hold actions that could not be done while bytes were read."""
+class PendingActions:
+    """Hold actions that could not be executed in the direct handler."""
 
     actions: tuple[Action, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class CreditDue:
-    """The agent may be granted more chunks."""
+    """Credit for more chunks is due to the agent."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandedOver:
-    """The stream goes on through another entry."""
+    """The stream is to be resumed through another entry."""
 
 
 Item: TypeAlias = (
     Event
     | Released
     | UploadFailed
-    | Undeliverable
-    | Decided
+    | DeliveryFailed
+    | PendingActions
     | CreditDue
     | HandedOver
 )
 
 
 class Inbox:
-    """Give the items of one request in order.
+    """Queue the items of one request in order.
 
-    While its reader waits, an item is offered to `shortcut` first, which
-    tells whether it is dealt with.
+    While the reader waits, each item is first offered to `direct_handler`,
+    which returns whether it has handled the item.
     """
 
     def __init__(self) -> None:
         self._items: deque[Item] = deque()
         self._waiting: asyncio.Future[None] | None = None
-        self.shortcut: Callable[[Item], bool] | None = None
+        self.direct_handler: Callable[[Item], bool] | None = None
 
     def __len__(self) -> int:
         return len(self._items)
 
     def put(self, item: Item) -> None:
-        """Add an item."""
+        """Queue an item, unless `direct_handler` handles it."""
         waiting = self._waiting
         if waiting is None or waiting.done():
             self._items.append(item)
             return
-        if self.shortcut is not None and self.shortcut(item):
+        if self.direct_handler is not None and self.direct_handler(item):
             return
         self._items.append(item)
         if not waiting.done():
             waiting.set_result(None)
 
     async def take(self) -> Item:
-        """Wait for the next item."""
+        """Remove and return the next item; wait for it if there is none."""
         while not self._items:
             self._waiting = asyncio.get_running_loop().create_future()
             try:
