--- a/bench/capacity_region.py
+++ b/bench/capacity_region.py
@@ -31,15 +31,15 @@
 
 CONFIGURATION = '/logs/configuration'
 _EXAMPLE = 'agency'
-_RECORDS = 500
-_STARTS = 4
-_SHARED = 34
-_PAUSE = 0.5
-_LONG = 120.0
+_RECORDS_PER_APPEND = 500
+_PARALLEL_STARTS = 4
+_SERVERS_PER_STANDIN = 34
+_POLL_SECONDS = 0.5
+_TIMEOUT_SECONDS = 120.0
 
 
 def make_layout(engines: int, plains: int, stores: int) -> Layout:
-    """Describe one region; backend servers of a service share a process."""
+    """Return the layout of one region with the given numbers of servers."""
     return Layout(
         name=_EXAMPLE,
         region='sierra-norte',
@@ -54,7 +54,7 @@
 
 
 class Region(Deployment):
-    """Start agents first, entries one by one when told."""
+    """A deployment that starts all agents first and entries on request."""
 
     def __init__(self, layout: Layout, directory: Path, *, teams: int) -> None:
         super().__init__(layout, directory, entries=0, shared=True)
@@ -63,28 +63,28 @@
         self.fill_seconds = 0.0
 
     def _add_backends(self) -> Iterator[tuple[Child, int]]:
-        """Let several processes share the backend servers of a service."""
+        """Split the backend servers of a service among several processes."""
         for item in self.layout.backends:
-            for start in range(0, item.count, _SHARED):
-                count = min(_SHARED, item.count - start)
+            for start in range(0, item.count, _SERVERS_PER_STANDIN):
+                count = min(_SERVERS_PER_STANDIN, item.count - start)
                 name = f'{item.kind}-{item.service}-{start}'
                 yield self._add_standin(name, item.kind.value, count), count
 
     def _start_own(self) -> None:
         self._fill_log()
-        for start in range(0, len(self.servers), _STARTS):
-            batch = self.servers[start : start + _STARTS]
+        for start in range(0, len(self.servers), _PARALLEL_STARTS):
+            batch = self.servers[start : start + _PARALLEL_STARTS]
             for server in batch:
                 server.agent.start()
             for server in batch:
                 wait_listening(server.agent, server.agent_address)
 
     def _fill_log(self) -> None:
-        """Append every object, many records to one append."""
+        """Append every object to the log, several records per append."""
         started = time.monotonic()
         records = list(_list_records(self._teams))
-        for start in range(0, len(records), _RECORDS):
-            self._append(records[start : start + _RECORDS])
+        for start in range(0, len(records), _RECORDS_PER_APPEND):
+            self._append(records[start : start + _RECORDS_PER_APPEND])
         self.fill_seconds = time.monotonic() - started
 
     def _append(self, records: Sequence[bytes]) -> None:
@@ -99,41 +99,50 @@
         return reply.status == 200
 
     def add_entry(self) -> Entry:
-        """Start one more entry; return at once."""
+        """Start one more entry without waiting until it is ready."""
         self._add_entry(len(self.entries))
         entry = self.entries[-1]
         entry.child.start()
         return entry
 
-    def wait_entry(self, entry: Entry) -> None:
+    def wait_entry_ready(self, entry: Entry) -> None:
         """Wait until an entry is ready."""
         wait_listening(entry.child, entry.address)
         wait_until(
             functools.partial(self.is_ready, entry),
             f'{entry.name} is ready',
-            seconds=_LONG,
+            seconds=_TIMEOUT_SECONDS,
         )
 
     def read_status(self, entry: Entry, offset: int | None = None) -> Any:
-        """Return the status that an entry shows."""
+        """Return the status that an entry reports on its admin interface."""
         query = '' if offset is None else f'?offset={offset}'
         path = f'/admin/v1/status{query}'
         return call(entry.address, 'GET', path, token=OPERATOR_TOKEN).json
 
-    def wait_reach(self, entry: Entry, offset: int) -> None:
-        """Wait until every agent is heard by an entry and has an offset."""
+    def wait_configuration(self, entry: Entry, offset: int) -> None:
+        """Wait until an entry sees a configuration offset at every process.
+
+        Raises `NotMet` after the timeout.
+        """
         wanted = len(self.servers) + 1
-        limit = time.monotonic() + _LONG
+        limit = time.monotonic() + _TIMEOUT_SECONDS
         while time.monotonic() < limit:
             reach = self.read_status(entry, offset)['reach']
             if reach['have'] == reach['total'] == wanted:
                 return
-            # Each status takes the entry some milliseconds.
-            time.sleep(_PAUSE)
-        raise NotMet(f'{offset} is not everywhere: {reach}')
+            # Poll slowly: a status request costs the entry some milliseconds.
+            time.sleep(_POLL_SECONDS)
+        raise NotMet(
+            f'configuration offset {offset} is not at all {wanted} processes: '
+            f'{reach}'
+        )
 
     def publish(self, entry: Entry, changes: Sequence[Any]) -> int:
-        """Publish through an entry; return the highest offset."""
+        """Publish changes through an entry; return the highest offset.
+
+        Raises `ValueError` if the entry refuses them.
+        """
         reply = call(
             entry.address,
             'POST',
@@ -142,7 +151,9 @@
             token=OPERATOR_TOKEN,
         )
         if reply.status != 200:
-            raise ValueError(f'refused: {reply.body!r}')
+            raise ValueError(
+                f'publishing failed with status {reply.status}: {reply.body!r}'
+            )
         return max(int(each['offset']) for each in reply.json['outcomes'])
 
     @property
--- a/bench/deciding.py
+++ b/bench/deciding.py
@@ -1,4 +1,4 @@
-"""Measure the processor time of one decision as the fleet grows."""
+"""Measure the processor time per decision for several fleet sizes."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 _DECISIONS = 400
 _ROUNDS = 9
 _TARGET_MICROS = 200.0
-_HOLDERS = 3
+_COPIES_PER_PROMPT = 3
 _SERVICE = 'models'
 
 
 def make_replica(name: str, kind: BackendKind, beat: int) -> Replica:
-    """Build one agent with a common load."""
+    """Return a replica with a typical load."""
     load = Load(
         running=3,
         waiting=1,
@@ -52,21 +52,21 @@
 
 
 def make_fleet(size: int, visits: Sequence[Visit], random: Random) -> LateFleet:
-    """Build a fleet in which a few engines and the store hold each prompt."""
+    """Build a fleet in which a few engines and the store cache each prompt."""
     fleet = LateFleet()
     names = [f'engine-{index}' for index in range(size)]
     for name in names:
         fleet.hear(make_replica(name, BackendKind.ENGINE, 1))
     fleet.hear(make_replica('store-0', BackendKind.STORE, 1), store=True)
     for visit in visits:
-        for name in random.sample(names, min(_HOLDERS, size)):
+        for name in random.sample(names, min(_COPIES_PER_PROMPT, size)):
             fleet.apply(name, visit.segments[:-1], ())
         fleet.apply('store-0', visit.segments, ())
     return fleet
 
 
 def make_demand(visit: Visit) -> Demand:
-    """Turn a visit into what the decisions see."""
+    """Return the routing demand of a visit."""
     return Demand(
         request=f'r{visit.number}',
         team=visit.team,
@@ -81,7 +81,7 @@
 
 
 def measure_routing(size: int, demands: Sequence[Demand]) -> float:
-    """Return the microseconds of one choice and its notes."""
+    """Return the microseconds of choosing a replica and recording it."""
     fleet = make_fleet(size, _VISITS, Random('fleet'))
     router = make_predicted(PRESETS['agency'])
     random = Random('choices')
@@ -92,7 +92,7 @@
         router.record_sent(demand, plan, SECOND)
         router.record_finished(demand.request, SECOND)
 
-    return _time(decide, demands)
+    return _time_decisions(decide, demands)
 
 
 def measure_admission(size: int, demands: Sequence[Demand]) -> float:
@@ -104,22 +104,27 @@
         admission.admit(demand, fleet, SECOND)
         admission.record_finished(demand.request, SECOND)
 
-    return _time(decide, demands)
+    return _time_decisions(decide, demands)
 
 
-def _time(decide: Callable[[Demand], None], demands: Sequence[Demand]) -> float:
-    """Return the least of some rounds, since other work only adds time."""
+def _time_decisions(
+    decide: Callable[[Demand], None], demands: Sequence[Demand]
+) -> float:
+    """Return the minimum microseconds per decision over several rounds.
+
+    Other work on the machine can only add time, never reduce it.
+    """
     rounds = []
     for number in range(_ROUNDS):
-        named = [
+        renamed = [
             replace(each, request=f'{each.request}-{number}')
             for each in demands
         ]
         start = time.process_time_ns()
-        for demand in named:
+        for demand in renamed:
             decide(demand)
         spent = time.process_time_ns() - start
-        rounds.append(spent / 1_000 / len(named))
+        rounds.append(spent / 1_000 / len(renamed))
     return min(rounds)
 
 
@@ -127,7 +132,7 @@
 
 
 def main() -> None:
-    """Print the costs and the slopes between sizes."""
+    """Print the cost per fleet size and the slopes between sizes."""
     demands = [make_demand(each) for each in _VISITS[:_DECISIONS]]
     print(f'{"replicas":>9}{"routing us":>12}{"admission us":>14}')
     costs = {}
--- a/bench/engine.py
+++ b/bench/engine.py
@@ -1,4 +1,4 @@
-"""Fake an engine: slots, a prefill queue, a prefix cache, decoding."""
+"""Simulate an engine with prefill queues, a prefix cache and slots."""
 
 from __future__ import annotations
 
@@ -19,7 +19,11 @@
 
 @dataclass(slots=True)
 class Job:
-    """Hold one request inside an engine."""
+    """A request inside an engine.
+
+    `left` is the number of tokens to prefill, negative before the first chunk;
+    `epoch` counts how often its decoding was paused.
+    """
 
     request: str
     tokens: int
@@ -38,10 +42,13 @@
 
 
 class Engine:
-    """Prefill in order, interactive work first, and decode in slots.
+    """Prefill jobs by priority, first come first served, and decode in slots.
 
-    Prefill goes by chunks, between which background work gives way. Where
-    slots are short, interactive work pauses background answers.
+    Long and background prefills run in chunks, between which jobs of higher
+    priority go first. When all slots are taken, interactive jobs pause the
+    decoding of background jobs. `rate` is in tokens per second and `step` is
+    the time to decode one token. `life` increases when the engine loses its
+    work, so that callbacks scheduled before that are ignored.
     """
 
     def __init__(
@@ -68,12 +75,12 @@
         self.background_tokens = 0
 
     def submit(self, job: Job) -> None:
-        """Take a request."""
+        """Queue a job for prefill."""
         self._queues[job.priority].append(job)
         self._advance()
 
     def crash(self) -> None:
-        """Lose all work and all cache."""
+        """Drop all jobs and the cache and stop running."""
         self.up = False
         self.life += 1
         self._queues = _make_queues()
@@ -83,7 +90,7 @@
         self.cache.clear()
 
     def measure(self) -> Load:
-        """Return the load as it is now."""
+        """Return the current load."""
         waiting = sum(len(queue) for queue in self._queues)
         running = len(self._decoding) + (self._prefilling is not None)
         return Load(
@@ -95,18 +102,18 @@
         )
 
     def count_tokens(self, through: int = BACKGROUND) -> float:
-        """Count the tokens to prefill up to a priority.
+        """Count the tokens left to prefill for priorities up to `through`.
 
-        What waits behind an equal prefix counts as cached.
+        Prefixes that an earlier job will compute count as cached.
         """
         coming: set[SegmentHint] = set()
         total = 0.0
-        head = self._prefilling
-        if head is not None:
-            coming.update(head.segments)
-            spent = self._events.now - self._chunk_start
-            left = head.left - spent * self._rate / SECOND
-            if head.priority > through:
+        current = self._prefilling
+        if current is not None:
+            coming.update(current.segments)
+            elapsed = self._events.now - self._chunk_start
+            left = current.left - elapsed * self._rate / SECOND
+            if current.priority > through:
                 left = min(left, _CHUNK_TOKENS)
             total += max(0.0, left)
         for queue in self._queues[: through + 1]:
@@ -116,7 +123,10 @@
         return total
 
     def list_coming(self) -> set[SegmentHint]:
-        """Return the segments that queued work will leave in the cache."""
+        """Return the segments that running and queued prefills will cache.
+
+        Queued background jobs are left out.
+        """
         coming: set[SegmentHint] = set()
         if self._prefilling is not None:
             coming.update(self._prefilling.segments)
@@ -128,12 +138,12 @@
     def _count_job(self, job: Job, coming: set[SegmentHint]) -> float:
         if job.left >= 0:
             return job.left
-        known = 0
+        cached_count = 0
         for segment in job.segments:
             if segment not in coming and segment not in self.cache:
                 break
-            known += 1
-        return max(0, job.tokens - known * SEGMENT_TOKENS)
+            cached_count += 1
+        return max(0, job.tokens - cached_count * SEGMENT_TOKENS)
 
     def _advance(self) -> None:
         if self._prefilling is not None or not self.up:
@@ -142,17 +152,17 @@
         if job is None:
             return
         if job.left < 0:
-            held = self.cache.count_leading(job.segments)
-            job.computed = max(1, job.tokens - held * SEGMENT_TOKENS)
+            hit_count = self.cache.count_leading(job.segments)
+            job.computed = max(1, job.tokens - hit_count * SEGMENT_TOKENS)
             job.left = job.computed
-            self.cache.use(job.segments[:held])
+            self.cache.use(job.segments[:hit_count])
         self._prefilling = job
         self._run_chunk(job)
 
     def _take_next(self) -> Job | None:
         for queue in self._queues[:BACKGROUND]:
             if queue:
-                if not self._has_slot() and not self._pause_one():
+                if not self._has_slot() and not self._pause_background():
                     return None
                 return self._drop_late(queue.popleft())
         if not self._has_slot():
@@ -164,7 +174,7 @@
         return background.popleft() if background else None
 
     def _drop_late(self, job: Job) -> Job | None:
-        """Return a job unless its caller's time is over."""
+        """Return a job, or the next one if its deadline has passed."""
         if job.deadline > self._events.now:
             return job
         self._events.add(0.0, job.on_late)
@@ -173,11 +183,11 @@
     def _has_slot(self) -> bool:
         return len(self._decoding) < self._slots
 
-    def _pause_one(self) -> bool:
+    def _pause_background(self) -> bool:
         for job in self._decoding.values():
             if job.priority == BACKGROUND:
-                spent = self._events.now - job.decoding_since
-                job.decode_left = max(0.0, job.decode_left - spent)
+                elapsed = self._events.now - job.decoding_since
+                job.decode_left = max(0.0, job.decode_left - elapsed)
                 job.epoch += 1
                 del self._decoding[job.request]
                 self._paused.append(job)
@@ -185,17 +195,17 @@
         return False
 
     def _run_chunk(self, job: Job) -> None:
-        count = job.left
+        tokens = job.left
         if job.priority:
-            count = min(count, _CHUNK_TOKENS)
+            tokens = min(tokens, _CHUNK_TOKENS)
         self._chunk_start = self._events.now
-        wait = count * SECOND / self._rate
-        self._events.add(wait, self._end_chunk, job, count, self.life)
+        wait = tokens * SECOND / self._rate
+        self._events.add(wait, self._end_chunk, job, tokens, self.life)
 
-    def _end_chunk(self, job: Job, count: float, life: int) -> None:
+    def _end_chunk(self, job: Job, tokens: float, life: int) -> None:
         if life != self.life:
             return
-        job.left -= count
+        job.left -= tokens
         self._prefilling = None
         if job.left > 0:
             self._queues[job.priority].appendleft(job)
--- a/bench/history.py
+++ b/bench/history.py
@@ -1,4 +1,4 @@
-"""Warm the caches by days of visits, without queues."""
+"""Warm the simulated caches with days of visits, without queueing."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 def make_trace(
     deployment: str, seed: int, rate: float, length: Millis, busy_team: str
 ) -> Trace:
-    """Draw a trace once for all systems."""
+    """Return the trace of a workload, cached for all systems."""
     workload = Workload(DEPLOYMENTS[deployment], seed)
     return workload.make_trace(rate, length, busy_team=busy_team)
 
 
 def count_segments(deployment: Deployment, size: float) -> int:
-    """Return how many segments a size holds."""
+    """Return the number of whole segments in `size` bytes."""
     return int(size // (SEGMENT_TOKENS * deployment.kv_bytes_per_token))
 
 
 class History:
-    """Replay visits on bare caches."""
+    """Replay visits on the caches alone, without queues or links."""
 
     def __init__(
         self,
         deployment: Deployment,
         system: System,
-        keeper: RetentionPolicy,
+        retention: RetentionPolicy,
         seed: int,
     ) -> None:
         limit = count_segments(deployment, deployment.cache_bytes)
@@ -49,26 +49,32 @@
         self.engines = [EngineCache(limit) for _ in range(deployment.engines)]
         self.store = StoreCache(
             count_segments(deployment, deployment.store_bytes),
-            keeper,
+            retention,
             self._random,
             length,
         )
         self.chooser = make_chooser(system, settings)
 
     def visit(self, visit: Visit) -> tuple[int, int, int]:
-        """Run one visit; return its cached, fetched, computed segments."""
-        engine = self._pick(visit)
+        """Replay a visit; count its cached, fetched and computed segments."""
+        engine = self._choose_engine(visit)
         segments = visit.segments
-        held = engine.count_leading(segments)
-        covered = 0
+        cached_count = engine.count_leading(segments)
+        fetched_count = 0
         if self._system.exports != 'none':
-            covered = self.store.count_leading(segments, held)
-            self.store.record_use(segments[held : held + covered], visit.at)
+            fetched_count = self.store.count_leading(segments, cached_count)
+            self.store.record_use(
+                segments[cached_count : cached_count + fetched_count], visit.at
+            )
             self._export(segments, visit.at)
         engine.use(segments)
-        return held, covered, len(segments) - held - covered
+        return (
+            cached_count,
+            fetched_count,
+            len(segments) - cached_count - fetched_count,
+        )
 
-    def _pick(self, visit: Visit) -> EngineCache:
+    def _choose_engine(self, visit: Visit) -> EngineCache:
         if self._system.scattered:
             return self._random.choice(self.engines)
         best = max(each.count_leading(visit.segments) for each in self.engines)
@@ -91,12 +97,12 @@
 def make_chooser(
     system: System, settings: PolicySettings
 ) -> ExportPolicy | None:
-    """Build the chooser of a system that has one."""
+    """Return the export policy of a system that selects its exports."""
     return ExportPolicy(settings) if system.exports == 'returning' else None
 
 
 @lru_cache(maxsize=32)
-def _warm(deployment: str, system: System, seed: int) -> bytes:
+def _warm_pickled(deployment: str, system: System, seed: int) -> bytes:
     history = History(
         DEPLOYMENTS[deployment],
         system,
@@ -109,14 +115,14 @@
 
 
 def warm(deployment: str, system: System, seed: int) -> History:
-    """Return the caches as days of visits left them."""
-    alike = System(
+    """Return a fresh copy of the caches after the history of visits."""
+    cache_key = System(
         'history',
         keeper=system.keeper,
         exports=system.exports,
         scattered=system.scattered,
     )
-    data = _warm(deployment, alike, seed)
+    data = _warm_pickled(deployment, cache_key, seed)
     history = pickle.loads(data)  # noqa: S301 - made by this process
     assert isinstance(history, History)
     return history
