--- a/examples/demo.py
+++ b/examples/demo.py
@@ -17,14 +17,14 @@
 
 BUILD = ROOT / 'build' / 'demo'
 _RULEBOOK_LINES = 400
-_MOST_RECOMPUTED = 0.2
+_MAX_RECOMPUTED_SHARE = 0.2
 _SETTLE_SECONDS = 1.5
 _CREATED = 201
 _OK = 200
 
 
 @dataclass(frozen=True, slots=True)
-class Story:
+class DemoCase:
     """Name what the demo does in one deployment."""
 
     layout: str
@@ -42,7 +42,7 @@
     status_path: str
 
 
-AGENCY = Story(
+AGENCY = DemoCase(
     layout='agency',
     model_service='asistente',
     plain_service='taquilla',
@@ -57,7 +57,7 @@
     post_body='room of the clocks, Saturday, 10:00, 24 children',
     status_path='/bookings/status',
 )
-COUNCIL = Story(
+COUNCIL = DemoCase(
     layout='council',
     model_service='verdict-models',
     plain_service='claims-desk',
@@ -80,43 +80,43 @@
     def __init__(self) -> None:
         self.failed: list[str] = []
 
-    def say(self, text: str) -> None:
+    def print_line(self, text: str) -> None:
         """Print one line."""
         print(text, flush=True)
 
-    def expect(self, what: str, *, met: bool, found: Any = '') -> None:
+    def expect(self, description: str, *, met: bool, found: Any = '') -> None:
         """Print whether an expectation was met."""
-        self.say(f'  {"ok  " if met else "FAIL"} {what}')
+        self.print_line(f'  {"ok  " if met else "FAIL"} {description}')
         if not met:
-            self.failed.append(what)
-            self.say(f'       found: {found}')
+            self.failed.append(description)
+            self.print_line(f'       found: {found}')
 
 
-class Show:
+class DemoRun:
     """Run the steps of one story."""
 
-    def __init__(self, story: Story, report: Report) -> None:
-        self._story = story
+    def __init__(self, case: DemoCase, report: Report) -> None:
+        self._case = case
         self._report = report
-        self._directory = BUILD / story.layout
+        self._directory = BUILD / case.layout
         lines = range(_RULEBOOK_LINES)
-        self._rulebook = ''.join(story.rulebook.format(n, n) for n in lines)
+        self._rulebook = ''.join(case.rulebook.format(n, n) for n in lines)
 
     def run(self) -> None:
         """Start the deployment, run every step, stop it."""
-        layout = load_layout(self._story.layout)
-        self._report.say(f'== {layout.name} ({layout.region})')
+        layout = load_layout(self._case.layout)
+        self._report.print_line(f'== {layout.name} ({layout.region})')
         started = time.monotonic()
         with Deployment(layout, self._directory, shared=True) as deployment:
             self._deployment = deployment
             count = len(deployment.children)
             seconds = time.monotonic() - started
-            self._report.say(
+            self._report.print_line(
                 f'  {count} processes listen after {seconds:.1f} s'
             )
             for step in self._list_steps():
-                self._try(step)
-            self._try(self._stop)
+                self._run_step(step)
+            self._run_step(self._stop)
 
     def _list_steps(self) -> tuple[Callable[[], None], ...]:
         return (
@@ -128,7 +128,7 @@
             self._write_letter,
         )
 
-    def _try(self, step: Callable[[], None]) -> None:
+    def _run_step(self, step: Callable[[], None]) -> None:
         try:
             step()
         # Whatever a step meets is a finding; the next steps still run.
@@ -139,12 +139,12 @@
             )
 
     def _publish(self) -> None:
-        story = self._story
+        case = self._case
         started = time.monotonic()
         publish(self._deployment)
         self._deployment.wait_ready()
         seconds = time.monotonic() - started
-        wait_served(self._deployment, story.model_service, story.team)
+        wait_served(self._deployment, case.model_service, case.team)
         served = time.monotonic() - started
         self._report.expect(
             f'configuration published, every entry ready after {seconds:.1f} s,'
@@ -153,8 +153,8 @@
         )
 
     def _ask(self) -> None:
-        reply = self._ask_question(0)
-        self._show_answer('rulebook question streamed', reply)
+        reply = self._send_question(0)
+        self._check_answer('rulebook question streamed', reply)
         self._report.expect(
             'its context was computed',
             met=reply.recomputed_share == 1,
@@ -162,17 +162,18 @@
         )
 
     def _evict_and_ask_again(self) -> None:
-        wait_until(self._is_kept, 'a store keeps the context')
+        wait_until(self._is_stored, 'a store keeps the context')
         evict(self._deployment)
         before = count_read_bytes(self._deployment)
-        reply = self._ask_question(1)
+        reply = self._send_question(1)
         moved = count_read_bytes(self._deployment) - before
-        self._show_answer(
+        self._check_answer(
             f'same question after eviction, {moved:,} link bytes', reply
         )
         self._report.expect(
-            f'at most {_MOST_RECOMPUTED:.0%} recomputed, the rest came back',
-            met=reply.recomputed_share <= _MOST_RECOMPUTED and moved > 0,
+            f'at most {_MAX_RECOMPUTED_SHARE:.0%} recomputed, '
+            'the rest came back',
+            met=reply.recomputed_share <= _MAX_RECOMPUTED_SHARE and moved > 0,
             found=reply.usage,
         )
         wrong = [
@@ -191,52 +192,51 @@
         return stats['corrupt_imports'], stats['corrupt_used']
 
     def _post_twice(self) -> None:
-        story = self._story
+        case = self._case
         key = {'idempotency-key': f'demo-{time.time_ns()}'}
-        path = f'/v1/services/{story.plain_service}{story.post_path}'
+        path = f'/v1/services/{case.plain_service}{case.post_path}'
         replies = [
             call(
                 entry.address,
                 'POST',
                 path,
-                story.post_body.encode(),
-                token=make_token(story.team),
+                case.post_body.encode(),
+                token=make_token(case.team),
                 headers=key,
             )
             for entry in self._deployment.entries[:2]
         ]
         runs = sum(
             sum(self._deployment.read_stats(item.address)['runs'].values())
-            for item in self._deployment.find(story.plain_service)
+            for item in self._deployment.find(case.plain_service)
         )
         bodies = [reply.body for reply in replies]
         same = bodies[0] == bodies[1] and replies[0].status == _CREATED
         self._report.expect(
-            f'{story.post_path} sent twice by two entries: one run, '
-            'same answer',
+            f'{case.post_path} sent twice by two entries: one run, same answer',
             met=same and runs == 1,
             found=(runs, replies),
         )
 
     def _read_status(self) -> None:
-        story = self._story
+        case = self._case
         reply = call(
             self._deployment.entries[-1].address,
             'GET',
-            f'/v1/services/{story.plain_service}{story.status_path}',
-            token=make_token(story.team),
+            f'/v1/services/{case.plain_service}{case.status_path}',
+            token=make_token(case.team),
         )
         self._report.expect(
-            f'{story.status_path} answered',
+            f'{case.status_path} answered',
             met=reply.status == _OK and reply.json['status'] == 'received',
             found=reply,
         )
 
     def _write_letter(self) -> None:
-        story = self._story
+        case = self._case
         body = make_chat(
-            story.model_service,
-            story.letter,
+            case.model_service,
+            case.letter,
             stream=False,
             background=True,
             max_tokens=24,
@@ -246,16 +246,16 @@
             'POST',
             '/v1/chat/completions',
             body,
-            token=make_token(story.letter_team),
+            token=make_token(case.letter_team),
         )
-        wanted = self._expect_text(story.letter, 24)
+        expected = self._make_answer(case.letter, 24)
         runs = sum(
             self._deployment.read_stats(address)['background_runs']
             for address in list_addresses(self._deployment, BackendKind.ENGINE)
         )
         self._report.expect(
             'letter written in the background class',
-            met=reply.status == _OK and reply.text == wanted and runs == 1,
+            met=reply.status == _OK and reply.text == expected and runs == 1,
             found=(runs, reply),
         )
 
@@ -278,34 +278,34 @@
             found=done.stderr,
         )
 
-    def _ask_question(self, entry: int) -> Reply:
-        story = self._story
+    def _send_question(self, entry: int) -> Reply:
+        case = self._case
         return ask(
             self._deployment.entries[entry].address,
-            story.model_service,
-            self._rulebook + story.question,
-            token=make_token(story.team),
+            case.model_service,
+            self._rulebook + case.question,
+            token=make_token(case.team),
         )
 
-    def _show_answer(self, what: str, reply: Reply) -> None:
-        wanted = self._expect_text(self._rulebook + self._story.question, 8)
-        whole = reply.status == _OK and reply.done and reply.text == wanted
-        self._report.expect(f'{what}: whole', met=whole, found=reply)
-        if whole:
-            self._report.say(
+    def _check_answer(self, description: str, reply: Reply) -> None:
+        expected = self._make_answer(self._rulebook + self._case.question, 8)
+        complete = reply.status == _OK and reply.done and reply.text == expected
+        self._report.expect(f'{description}: whole', met=complete, found=reply)
+        if complete:
+            self._report.print_line(
                 f'       first token {reply.first_token:.0f} ms, '
                 f'{reply.usage["prompt_tokens"]} tokens, '
                 f'recomputed {reply.recomputed_share:.1%}'
             )
 
-    def _expect_text(self, text: str, count: int) -> str:
-        digest = weights.make_digest(self._story.model, self._story.version)
+    def _make_answer(self, text: str, count: int) -> str:
+        digest = weights.make_digest(self._case.model, self._case.version)
         messages = make_chat('', text)['messages']
         return answers.make_text(messages, digest, count)
 
-    def _is_kept(self) -> bool:
-        wanted = len(self._rulebook) // cache.SEGMENT_BYTES
-        return count_cached_tokens(self._deployment) >= wanted
+    def _is_stored(self) -> bool:
+        expected = len(self._rulebook) // cache.SEGMENT_BYTES
+        return count_cached_tokens(self._deployment) >= expected
 
 
 def make_token(team: str) -> str:
@@ -328,13 +328,13 @@
 def wait_served(deployment: Deployment, service: str, team: str) -> None:
     """Wait until every entry reaches the engines, once they are loaded."""
 
-    def answers_through(entry: Entry) -> bool:
+    def is_reached(entry: Entry) -> bool:
         reply = ask(entry.address, service, 'ready?', token=make_token(team))
         return reply.status == _OK
 
     for entry in deployment.entries:
         wait_until(
-            functools.partial(answers_through, entry),
+            functools.partial(is_reached, entry),
             f'{entry.name} reaches {service}',
         )
 
@@ -373,15 +373,15 @@
     """Run the demo; return 0 when every expectation was met."""
     started = time.monotonic()
     report = Report()
-    for story in (AGENCY, COUNCIL):
+    for case in (AGENCY, COUNCIL):
         try:
-            Show(story, report).run()
+            DemoRun(case, report).run()
         except NotMet as error:
-            report.expect(f'{story.layout} starts', met=False, found=error)
+            report.expect(f'{case.layout} starts', met=False, found=error)
     seconds = time.monotonic() - started
-    report.say(f'== {len(report.failed)} failed, {seconds:.1f} s in all')
-    for what in report.failed:
-        report.say(f'  failed: {what}')
+    report.print_line(f'== {len(report.failed)} failed, {seconds:.1f} s in all')
+    for description in report.failed:
+        report.print_line(f'  failed: {description}')
     return 1 if report.failed else 0
 
 
--- a/examples/hosted.py
+++ b/examples/hosted.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shown:
+class HostedDemo:
     """Hold what runs: the platform's store, and where the entry listens."""
 
     store: RecordStore
@@ -50,16 +50,16 @@
 
 async def run() -> int:
     """Serve calls, lose a server under a stream, stop; return the faults."""
-    async with _serving() as shown:
-        return await _tell(shown.callers, shown.store)
+    async with _running_demo() as demo:
+        return await _run_calls(demo.callers, demo.store)
 
 
 async def hold() -> None:
     """Keep an entry up before its stand-ins until Ctrl-C."""
-    async with _serving() as shown:
-        host, port = shown.callers
+    async with _running_demo() as demo:
+        host, port = demo.callers
         print(f'an entry with two backend servers, log in {_BUILD}')
-        print(f'ready: http://{host}:{shown.readiness[1]}/api/readiness')
+        print(f'ready: http://{host}:{demo.readiness[1]}/api/readiness')
         print('in another terminal:')
         for path in ('/once/1', '/stream/1'):
             print(
@@ -74,7 +74,7 @@
 
 
 @asynccontextmanager
-async def _serving() -> AsyncGenerator[Shown, None]:
+async def _running_demo() -> AsyncGenerator[HostedDemo, None]:
     """Run an entry as a process, and in this one what it needs."""
     _BUILD.mkdir(parents=True, exist_ok=True)
     store = RecordStore()
@@ -90,22 +90,22 @@
             store.put(SERVERS, f'i-{number}', make_record(address))
         ports = stack.enter_context(Ports())
         callers, readiness = ((LOOPBACK, ports.reserve()) for _ in range(2))
-        shown = Shown(store, callers, readiness)
-        await stack.enter_async_context(_running(shown, store_address))
-        await _wait_ready(shown.readiness)
-        yield shown
+        demo = HostedDemo(store, callers, readiness)
+        await stack.enter_async_context(_running_entry(demo, store_address))
+        await _wait_ready(demo.readiness)
+        yield demo
 
 
 @asynccontextmanager
-async def _running(
-    shown: Shown, store_address: str
+async def _running_entry(
+    demo: HostedDemo, store_address: str
 ) -> AsyncGenerator[None, None]:
     settings = _BUILD / 'boot.conf'
     settings.write_text(
         format_settings(
             store_address,
-            callers=shown.callers[1],
-            readiness=shown.readiness[1],
+            callers=demo.callers[1],
+            readiness=demo.readiness[1],
             grace_seconds=_GRACE_SECONDS,
         )
     )
@@ -127,28 +127,28 @@
         print(f'entry stopped with {entry.returncode}; log in {_BUILD}')
 
 
-async def _tell(address: tuple[str, int], store: RecordStore) -> int:
+async def _run_calls(address: tuple[str, int], store: RecordStore) -> int:
     faults = 0
     booked = await call(address, '/once/1', body=b'two seats')
-    faults += _say('a booking', booked, 200)
+    faults += _check('a booking', booked, 200)
     unknown = await call(address, '/once/1', oleanderdyke_key='nobody')
-    faults += _say('an unknown key', unknown, 401)
+    faults += _check('an unknown key', unknown, 401)
     streams = [await call(address, '/stream/1') for _ in range(4)]
-    whole = b''.join(make_event(number) for number in range(1, 7))
+    expected_body = b''.join(make_event(number) for number in range(1, 7))
     for found in streams:
-        faults += _say('a stream whose server breaks off', found, 200)
-        faults += found.body != whole
+        faults += _check('a stream whose server breaks off', found, 200)
+        faults += found.body != expected_body
     store.put(OPERATOR, f'version/{MODEL}', {'model': MODEL, 'version': 2})
     store.put(OPERATOR, 'config', {**CONFIGURATION, 'version': 9, 'routes': []})
     await anyio.sleep(0.3)
     gone = await call(address, '/once/1')
-    faults += _say('after a new configuration', gone, 404)
+    faults += _check('after a new configuration', gone, 404)
     return faults
 
 
-def _say(what: str, found: ReceivedAnswer, expected: int) -> int:
+def _check(description: str, found: ReceivedAnswer, expected: int) -> int:
     mark = 'as expected' if found.status == expected else f'not {expected}'
-    print(f'{what}: {found.status}, {len(found.body)} bytes, {mark}')
+    print(f'{description}: {found.status}, {len(found.body)} bytes, {mark}')
     return int(found.status != expected)
 
 
--- a/examples/run.py
+++ b/examples/run.py
@@ -16,7 +16,7 @@
 from examples.demo import (
     AGENCY,
     COUNCIL,
-    Story,
+    DemoCase,
     make_token,
     publish,
     wait_served,
@@ -30,7 +30,7 @@
 from tests.processes import ROOT, NotMet
 
 BUILD = ROOT / 'build' / 'run'
-_STORIES = {story.layout: story for story in (AGENCY, COUNCIL)}
+_CASES = {case.layout: case for case in (AGENCY, COUNCIL)}
 _PLATFORM = 'platform'
 _POLL_SECONDS = 0.2
 _VARIABLES = 'env.sh'
@@ -45,24 +45,26 @@
     # Whoever sends SIGTERM wants what Ctrl-C does, also in the background.
     for number in (signal.SIGINT, signal.SIGTERM):
         signal.signal(number, signal.default_int_handler)
-    story = _STORIES[options.layout]
-    directory = BUILD / story.layout
-    say(f'starting {story.layout}, logs in {directory.relative_to(ROOT)}/')
-    layout = load_layout(story.layout)
+    case = _CASES[options.layout]
+    directory = BUILD / case.layout
+    print_line(
+        f'starting {case.layout}, logs in {directory.relative_to(ROOT)}/'
+    )
+    layout = load_layout(case.layout)
     try:
         with Deployment(layout, directory) as deployment:
-            _prepare(deployment, story)
-            _show(deployment, story)
-            return _hold(deployment)
+            _prepare(deployment, case)
+            _print_overview(deployment, case)
+            return _wait_for_interrupt(deployment)
     except NotMet as error:
-        say(f'error: {error}')
+        print_line(f'error: {error}')
         return 1
     except KeyboardInterrupt:
-        say('stopped before it was up')
+        print_line('stopped before it was up')
         return 1
 
 
-def say(text: str) -> None:
+def print_line(text: str) -> None:
     """Print one line at once."""
     print(text, flush=True)
 
@@ -74,37 +76,39 @@
     parser.add_argument(
         'layout',
         nargs='?',
-        choices=[*sorted(_STORIES), _PLATFORM],
+        choices=[*sorted(_CASES), _PLATFORM],
         default='agency',
         help="%(default)s unless named; platform: as on the users' platform",
     )
     return parser
 
 
-def _prepare(deployment: Deployment, story: Story) -> None:
+def _prepare(deployment: Deployment, case: DemoCase) -> None:
     publish(deployment)
     deployment.wait_ready()
-    wait_served(deployment, story.model_service, story.team)
+    wait_served(deployment, case.model_service, case.team)
 
 
-def _show(deployment: Deployment, story: Story) -> None:
+def _print_overview(deployment: Deployment, case: DemoCase) -> None:
     path = _write_variables(deployment)
-    say('\nentries, for callers and operators:')
+    print_line('\nentries, for callers and operators:')
     for entry in deployment.entries:
-        say(f'  http://{entry.address}  {entry.name}, pid {entry.child.pid}')
-    say('\nbackend servers, each behind its agent:')
+        print_line(
+            f'  http://{entry.address}  {entry.name}, pid {entry.child.pid}'
+        )
+    print_line('\nbackend servers, each behind its agent:')
     for server in deployment.servers:
-        say(
+        print_line(
             f'  {server.name:<20} agent pid {server.agent.pid}, '
             f'server pid {server.backend.pid}'
         )
-    teams = ', '.join(map(make_token, _list_teams(story)))
-    say(f'\ntokens of teams: {teams}')
-    say(f'token of the operator: {OPERATOR_TOKEN}')
-    say('\nin another terminal:')
-    for line in _list_commands(deployment, story, path):
-        say(f'  {line}')
-    say('\nCtrl-C stops everything gracefully')
+    teams = ', '.join(map(make_token, _list_teams(case)))
+    print_line(f'\ntokens of teams: {teams}')
+    print_line(f'token of the operator: {OPERATOR_TOKEN}')
+    print_line('\nin another terminal:')
+    for line in _list_commands(deployment, case, path):
+        print_line(f'  {line}')
+    print_line('\nCtrl-C stops everything gracefully')
 
 
 def _write_variables(deployment: Deployment) -> Path:
@@ -119,46 +123,46 @@
     return path.relative_to(ROOT)
 
 
-def _list_teams(story: Story) -> Iterator[str]:
-    text = (EXAMPLES / story.layout / 'configuration.yaml').read_text()
+def _list_teams(case: DemoCase) -> Iterator[str]:
+    text = (EXAMPLES / case.layout / 'configuration.yaml').read_text()
     for document in yaml.safe_load_all(text):
         if document['kind'] == 'team':
             yield document['name']
 
 
 def _list_commands(
-    deployment: Deployment, story: Story, path: Path
+    deployment: Deployment, case: DemoCase, path: Path
 ) -> Iterator[str]:
-    token, address = make_token(story.team), deployment.entries[0].address
+    token, address = make_token(case.team), deployment.entries[0].address
     logs = path.parent / '*.log'
     yield f'. {path}'
     yield (
         f'curl -N http://{address}/v1/chat/completions '
         f"-H 'authorization: Bearer {token}' "
-        f'-d \'{{"model": "{story.model_service}", "stream": true, '
+        f'-d \'{{"model": "{case.model_service}", "stream": true, '
         '"max_tokens": 8, "messages": '
-        f'[{{"role": "user", "content": "{story.question}"}}]}}\''
+        f'[{{"role": "user", "content": "{case.question}"}}]}}\''
     )
     yield (
-        f'curl http://{address}/v1/services/{story.plain_service}'
-        f"{story.post_path} -H 'authorization: Bearer {token}' "
-        f"-H 'idempotency-key: first-try' -d '{story.post_body}'"
+        f'curl http://{address}/v1/services/{case.plain_service}'
+        f"{case.post_path} -H 'authorization: Bearer {token}' "
+        f"-H 'idempotency-key: first-try' -d '{case.post_body}'"
     )
     yield 'oleanderctl status'
     yield f'oleanderctl timeline {logs}'
 
 
-def _hold(deployment: Deployment) -> int:
+def _wait_for_interrupt(deployment: Deployment) -> int:
     try:
         while True:
             time.sleep(_POLL_SECONDS)
     except KeyboardInterrupt:
-        say('\nstopping')
+        print_line('\nstopping')
     # A second Ctrl-C ends the waiting; leaving the deployment kills the rest.
     codes = deployment.stop()
     for name, code in codes.items():
         if code:
-            say(f'{name} ended with {code}')
+            print_line(f'{name} ended with {code}')
     return 1 if any(codes.values()) else 0
 
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from tools.days import Play, list_words
+from tools.days import DayRun, make_command
 
 DAYS = sorted((Path(__file__).parents[1] / 'deploy' / 'days').glob('*.toml'))
 SECONDS = 34.0
 
 
 @pytest.mark.parametrize('path', DAYS, ids=lambda path: path.stem)
-def test_a_day_says_what_it_is_for_and_fits_any_deployment(path):
+def test_day_has_a_purpose_line_and_fits_any_deployment(path):
     text = path.read_text()
     assert re.match(r'# \w[^\n]{20,80}\.\n[^#]', text)
     day = tomllib.loads(text)
@@ -27,8 +27,11 @@
         assert all(entry[key][0] == '@' for key in places & entry.keys())
 
 
-def test_the_small_twin_of_a_site_is_played_where_that_is_asked_for():
-    play = Play(Path('bench'), Path('large.toml'), Path('day.toml'))
-    whole = ['bench', 'run', 'large.toml', 'day.toml']
-    assert list_words(play) == whole
-    assert list_words(replace(play, is_small=True)) == [*whole, '--small']
+def test_small_option_runs_the_small_variant_of_a_site():
+    day_run = DayRun(Path('bench'), Path('large.toml'), Path('day.toml'))
+    command = ['bench', 'run', 'large.toml', 'day.toml']
+    assert make_command(day_run) == command
+    assert make_command(replace(day_run, is_small=True)) == [
+        *command,
+        '--small',
+    ]
--- a/tools/days.py
+++ b/tools/days.py
@@ -18,11 +18,11 @@
 _DAYS = _ROOT / 'deploy' / 'days'
 # A day of hundreds of machines takes some nine minutes.
 _DAY_LIMIT_SECONDS = 1_200
-_BROKEN = 'BROKEN'
+_BROKEN_MARK = 'BROKEN'
 
 
 @dataclass(frozen=True, slots=True)
-class Play:
+class DayRun:
     """Name a day on a site, and whether its small twin is played."""
 
     bench: Path
@@ -34,15 +34,15 @@
 def main(arguments: Sequence[str] | None = None) -> int:
     """Play every day on every site; return 1 where a rule is broken."""
     options = _make_parser().parse_args(arguments)
-    plays = [
-        Play(options.bench, site, day, is_small=options.small)
+    runs = [
+        DayRun(options.bench, site, day, is_small=options.small)
         for site in options.sites
         for day in sorted(_DAYS.glob('*.toml'))
     ]
     with ThreadPoolExecutor(options.jobs) as pool:
-        lines = list(pool.map(_play, plays))
+        lines = list(pool.map(_run_day, runs))
     sys.stdout.write('\n'.join(lines) + '\n')
-    return int(any(_BROKEN in line for line in lines))
+    return int(any(_BROKEN_MARK in line for line in lines))
 
 
 def _make_parser() -> argparse.ArgumentParser:
@@ -60,27 +60,27 @@
     return parser
 
 
-def _play(play: Play) -> str:
-    run = subprocess.run(  # noqa: S603 - the operator names the bench
-        list_words(play),
+def _run_day(day_run: DayRun) -> str:
+    process = subprocess.run(  # noqa: S603 - the operator names the bench
+        make_command(day_run),
         cwd=_ROOT,
         capture_output=True,
         text=True,
         timeout=_DAY_LIMIT_SECONDS,
         check=False,
     )
-    found = list(_find_lines(play.day.stem, run.stdout))
-    result = '; '.join(found) or f'{play.day.stem}: no result'
-    return f'{play.site.stem}: {result}'
+    result_lines = list(_find_result_lines(day_run.day.stem, process.stdout))
+    result = '; '.join(result_lines) or f'{day_run.day.stem}: no result'
+    return f'{day_run.site.stem}: {result}'
 
 
-def list_words(play: Play) -> list[str]:
+def make_command(day_run: DayRun) -> list[str]:
     """Return the command that plays a day."""
-    words = [str(play.bench), 'run', str(play.site), str(play.day)]
-    return [*words, '--small'] if play.is_small else words
+    command = [str(day_run.bench), 'run', str(day_run.site), str(day_run.day)]
+    return [*command, '--small'] if day_run.is_small else command
 
 
-def _find_lines(day: str, output: str) -> Iterator[str]:
+def _find_result_lines(day: str, output: str) -> Iterator[str]:
     """Yield the line of the day, and the first fault where there is one."""
     for line in output.splitlines():
         if line.startswith(day) or 'first that is wrong' in line:
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -26,7 +26,9 @@
 
 FOLDER = Path(__file__).parent.parent / 'docs' / 'reference'
 _COLUMNS = 'COLUMNS'
-_NOTE = 'Made by `make reference` from the code; edit the code instead.'
+_GENERATED_NOTICE = (
+    'Made by `make reference` from the code; edit the code instead.'
+)
 
 
 def render_pages() -> Mapping[str, str]:
@@ -55,7 +57,7 @@
 
 
 def _render(title: str, lines: Iterator[str]) -> str:
-    return '\n'.join([f'# {title}', '', _NOTE, '', *lines, ''])
+    return '\n'.join([f'# {title}', '', _GENERATED_NOTICE, '', *lines, ''])
 
 
 def _list_errors() -> Iterator[str]:
@@ -123,13 +125,13 @@
     yield _format_help(parser)
     yield '```'
     yield ''
-    for name, inner in _list_commands_of(parser):
+    for name, inner in _list_subcommands(parser):
         # The time line's own parser knows its options.
         if name != 'timeline':
             yield from _list_help(inner, f'{heading}#')
 
 
-def _list_commands_of(
+def _list_subcommands(
     parser: argparse.ArgumentParser,
 ) -> Iterator[tuple[str, argparse.ArgumentParser]]:
     for action in parser._actions:  # noqa: SLF001  # no public way
@@ -139,18 +141,18 @@
 
 def _format_help(parser: argparse.ArgumentParser) -> str:
     """Return the help as on a terminal of 80 columns."""
-    before = os.environ.get(_COLUMNS)
+    previous = os.environ.get(_COLUMNS)
     os.environ[_COLUMNS] = '80'
     try:
         return parser.format_help().rstrip()
     finally:
         del os.environ[_COLUMNS]
-        if before is not None:
-            os.environ[_COLUMNS] = before
+        if previous is not None:
+            os.environ[_COLUMNS] = previous
 
 
 def _list_settings(settings_type: type) -> Iterator[str]:
-    yield f'{_first_paragraph(settings_type)}'
+    yield f'{_get_first_paragraph(settings_type)}'
     yield ''
     yield 'Durations are in milliseconds, sizes in bytes.'
     yield ''
@@ -167,8 +169,8 @@
         if dataclasses.is_dataclass(target):
             yield from _list_fields(typing.cast('type', target), f'{key}.')
             continue
-        default = _show_default(item)
-        yield f'| `{key}` | {_show_type(target)} | {default} |'
+        default = _format_default(item)
+        yield f'| `{key}` | {_format_type(target)} | {default} |'
 
 
 def _strip_optional(target: object) -> object:
@@ -179,7 +181,7 @@
     return inner[0] if optional and len(inner) == 1 else target
 
 
-def _show_type(target: object) -> str:
+def _format_type(target: object) -> str:
     if isinstance(target, type) and issubclass(target, enum.Enum):
         return ', '.join(str(member.value) for member in target)
     if isinstance(target, type) and not typing.get_args(target):
@@ -187,15 +189,15 @@
     return str(target).replace('collections.abc.', '').replace('|', 'or')
 
 
-def _show_default(item: dataclasses.Field[object]) -> str:
+def _format_default(item: dataclasses.Field[object]) -> str:
     if item.default is not dataclasses.MISSING:
-        return f'`{_plain(item.default)}`'
+        return f'`{_to_plain_value(item.default)}`'
     if item.default_factory is not dataclasses.MISSING:
-        return f'`{_plain(item.default_factory())}`'
+        return f'`{_to_plain_value(item.default_factory())}`'
     return 'required'
 
 
-def _plain(found: object) -> object:
+def _to_plain_value(found: object) -> object:
     if isinstance(found, enum.Enum):
         return found.value
     if isinstance(found, float) and found >= MINUTE and not found % SECOND:
@@ -203,7 +205,7 @@
     return found
 
 
-def _first_paragraph(settings_type: type) -> str:
+def _get_first_paragraph(settings_type: type) -> str:
     text = (settings_type.__doc__ or '').split('\n\n')[0]
     return ' '.join(text.split())
 
