--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""Run the product on one machine."""
+"""Run example deployments on one machine."""
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,4 +1,4 @@
-"""Run both deployments of today's sizes on loopback and show what happens."""
+"""Run both example deployments on loopback and check their answers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DemoCase:
-    """Name what the demo does in one deployment."""
+    """Describe the requests that the demo sends to one deployment."""
 
     layout: str
     model_service: str
@@ -75,17 +75,17 @@
 
 
 class Report:
-    """Print what happened and remember which expectations failed."""
+    """Print the results and collect the expectations that failed."""
 
     def __init__(self) -> None:
         self.failed: list[str] = []
 
     def print_line(self, text: str) -> None:
-        """Print one line."""
+        """Print one line without buffering."""
         print(text, flush=True)
 
     def expect(self, description: str, *, met: bool, found: Any = '') -> None:
-        """Print whether an expectation was met."""
+        """Print whether an expectation was met; record it if it was not."""
         self.print_line(f'  {"ok  " if met else "FAIL"} {description}')
         if not met:
             self.failed.append(description)
@@ -93,7 +93,7 @@
 
 
 class DemoRun:
-    """Run the steps of one story."""
+    """Run the demo against one deployment."""
 
     def __init__(self, case: DemoCase, report: Report) -> None:
         self._case = case
@@ -103,7 +103,7 @@
         self._rulebook = ''.join(case.rulebook.format(n, n) for n in lines)
 
     def run(self) -> None:
-        """Start the deployment, run every step, stop it."""
+        """Start the deployment, run every step and stop it."""
         layout = load_layout(self._case.layout)
         self._report.print_line(f'== {layout.name} ({layout.region})')
         started = time.monotonic()
@@ -131,7 +131,7 @@
     def _run_step(self, step: Callable[[], None]) -> None:
         try:
             step()
-        # Whatever a step meets is a finding; the next steps still run.
+        # Any error of a step is reported; the next steps still run.
         except Exception as error:
             name = step.__name__.strip('_').replace('_', ' ')
             self._report.expect(
@@ -309,12 +309,12 @@
 
 
 def make_token(team: str) -> str:
-    """Return the token of a team in the example configurations."""
+    """Return the access token of a team in the example configurations."""
     return f'example-{team}'
 
 
 def publish(deployment: Deployment) -> None:
-    """Publish the example configuration; raise NotMet when it is refused."""
+    """Publish the example configuration; raise NotMet if it is rejected."""
     wait_until(
         lambda: all(map(deployment.is_live, deployment.entries)),
         'every entry answers',
@@ -326,7 +326,7 @@
 
 
 def wait_served(deployment: Deployment, service: str, team: str) -> None:
-    """Wait until every entry reaches the engines, once they are loaded."""
+    """Wait until every entry gets answers from the loaded engines."""
 
     def is_reached(entry: Entry) -> bool:
         reply = ask(entry.address, service, 'ready?', token=make_token(team))
@@ -340,7 +340,7 @@
 
 
 def evict(deployment: Deployment) -> None:
-    """Fill every engine's cache with other context and let the news spread."""
+    """Fill every engine's cache with other context and wait for the updates."""
     options = deployment.layout.standins['engine']
     length = (options['cache_segments'] + 1) * cache.SEGMENT_BYTES
     chat = make_chat('', 'x' * length, max_tokens=1, stream=False)
@@ -351,13 +351,13 @@
 
 
 def count_cached_tokens(deployment: Deployment) -> int:
-    """Count the objects in the stores."""
+    """Return the number of objects in all stores."""
     addresses = list_addresses(deployment, BackendKind.STORE)
     return sum(len(call(each, 'GET', '/objects').json) for each in addresses)
 
 
 def count_read_bytes(deployment: Deployment) -> int:
-    """Count the bytes that the stores have sent over their links."""
+    """Return the bytes that all stores have sent over their links."""
     addresses = list_addresses(deployment, BackendKind.STORE)
     return sum(
         int(deployment.read_stats(each)['read_bytes']) for each in addresses
@@ -370,7 +370,7 @@
 
 
 def main() -> int:
-    """Run the demo; return 0 when every expectation was met."""
+    """Run the demo; return 0 if every expectation was met."""
     started = time.monotonic()
     report = Report()
     for case in (AGENCY, COUNCIL):
--- a/examples/hosted.py
+++ b/examples/hosted.py
@@ -1,4 +1,4 @@
-"""Show an entry as it runs on the users' platform, on loopback."""
+"""Run an entry in platform mode against stand-ins on loopback."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostedDemo:
-    """Hold what runs: the platform's store, and where the entry listens."""
+    """Hold the record store and the addresses on which the entry listens."""
 
     store: RecordStore
     callers: tuple[str, int]
@@ -49,13 +49,13 @@
 
 
 async def run() -> int:
-    """Serve calls, lose a server under a stream, stop; return the faults."""
+    """Send calls, break off a stream and stop; return the number of faults."""
     async with _running_demo() as demo:
         return await _run_calls(demo.callers, demo.store)
 
 
 async def hold() -> None:
-    """Keep an entry up before its stand-ins until Ctrl-C."""
+    """Run an entry with its stand-ins until Ctrl-C."""
     async with _running_demo() as demo:
         host, port = demo.callers
         print(f'an entry with two backend servers, log in {_BUILD}')
@@ -75,7 +75,7 @@
 
 @asynccontextmanager
 async def _running_demo() -> AsyncGenerator[HostedDemo, None]:
-    """Run an entry as a process, and in this one what it needs."""
+    """Run an entry as a child process and its stand-ins in this process."""
     _BUILD.mkdir(parents=True, exist_ok=True)
     store = RecordStore()
     store.put(OPERATOR, 'config', CONFIGURATION)
@@ -114,7 +114,7 @@
             *(sys.executable, '-m', 'oleanderdyke.entry.main', '--platform'),
             env={**os.environ, 'OLEANDERDYKE_SETTINGS': str(settings)},
             stdout=log,
-            # Ctrl-C is for this process; it stops the entry.
+            # Keep Ctrl-C from the entry: this process stops it gracefully.
             start_new_session=True,
         )
     try:
@@ -182,7 +182,7 @@
 
 
 def main() -> int:
-    """Run the show; return 0 where all went as expected."""
+    """Run the demo; return 0 if every call was answered as expected."""
     faults = anyio.run(run)
     print(f'{faults} faults; the key of the team was {KEY}')
     return int(bool(faults))
--- a/examples/run.py
+++ b/examples/run.py
@@ -1,4 +1,4 @@
-"""Keep one example deployment up on loopback until Ctrl-C."""
+"""Run one example deployment on loopback until Ctrl-C."""
 
 from __future__ import annotations
 
@@ -42,7 +42,8 @@
     if options.layout == _PLATFORM:
         anyio.run(hosted.hold)
         return 0
-    # Whoever sends SIGTERM wants what Ctrl-C does, also in the background.
+    # Handle SIGTERM like Ctrl-C. Set SIGINT explicitly: a background process
+    # of a non-interactive shell starts with it ignored.
     for number in (signal.SIGINT, signal.SIGTERM):
         signal.signal(number, signal.default_int_handler)
     case = _CASES[options.layout]
@@ -65,7 +66,7 @@
 
 
 def print_line(text: str) -> None:
-    """Print one line at once."""
+    """Print one line without buffering."""
     print(text, flush=True)
 
 
@@ -158,7 +159,8 @@
             time.sleep(_POLL_SECONDS)
     except KeyboardInterrupt:
         print_line('\nstopping')
-    # A second Ctrl-C ends the waiting; leaving the deployment kills the rest.
+    # A second Ctrl-C interrupts the graceful stop; leaving the context of the
+    # deployment then kills the remaining processes.
     codes = deployment.stop()
     for name, code in codes.items():
         if code:
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Make files that are derived from the code."""
+"""Generate files from the code and run days on deployments."""
--- a/tools/days.py
+++ b/tools/days.py
@@ -1,6 +1,6 @@
-"""Play the days of our own on the users' deployments, one line each.
+"""Run the fault days of deploy/days on deployments; print a line for each.
 
-Needs the users' bench, which is not part of this repository.
+Needs the users' bench program, which is not part of this repository.
 """
 
 from __future__ import annotations
@@ -16,14 +16,17 @@
 
 _ROOT = Path(__file__).parents[1]
 _DAYS = _ROOT / 'deploy' / 'days'
-# A day of hundreds of machines takes some nine minutes.
+# A day with hundreds of machines takes about nine minutes.
 _DAY_LIMIT_SECONDS = 1_200
 _BROKEN_MARK = 'BROKEN'
 
 
 @dataclass(frozen=True, slots=True)
 class DayRun:
-    """Name a day on a site, and whether its small twin is played."""
+    """Describe one run of a day on a site.
+
+    `is_small` selects the small variant of a large site.
+    """
 
     bench: Path
     site: Path
@@ -32,7 +35,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Play every day on every site; return 1 where a rule is broken."""
+    """Run every day on every site; return 1 if any run broke a rule."""
     options = _make_parser().parse_args(arguments)
     runs = [
         DayRun(options.bench, site, day, is_small=options.small)
@@ -54,7 +57,7 @@
     parser.add_argument(
         '--small',
         action='store_true',
-        help='play the small twins of large sites',
+        help='run the small variants of large sites',
     )
     parser.add_argument('sites', nargs='+', type=Path)
     return parser
@@ -75,13 +78,13 @@
 
 
 def make_command(day_run: DayRun) -> list[str]:
-    """Return the command that plays a day."""
+    """Return the command line that runs a day."""
     command = [str(day_run.bench), 'run', str(day_run.site), str(day_run.day)]
     return [*command, '--small'] if day_run.is_small else command
 
 
 def _find_result_lines(day: str, output: str) -> Iterator[str]:
-    """Yield the line of the day, and the first fault where there is one."""
+    """Yield the summary line of the day and the first fault, if any."""
     for line in output.splitlines():
         if line.startswith(day) or 'first that is wrong' in line:
             yield re.sub(r'\s+', ' ', line)
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -1,4 +1,4 @@
-"""Write the reference pages from the code, so that they can't drift."""
+"""Generate the reference pages from the code."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def render_pages() -> Mapping[str, str]:
-    """Return each page's text by its file name."""
+    """Return the text of each page by file name."""
     return {
         'errors.md': _render('Errors', _list_errors()),
         'events.md': _render('Events', _list_events()),
@@ -49,7 +49,7 @@
 
 
 def main() -> int:
-    """Write every page; return the exit code."""
+    """Write every page into the reference folder; return the exit code."""
     FOLDER.mkdir(parents=True, exist_ok=True)
     for name, text in render_pages().items():
         (FOLDER / name).write_text(text, encoding='utf-8')
@@ -126,7 +126,7 @@
     yield '```'
     yield ''
     for name, inner in _list_subcommands(parser):
-        # The time line's own parser knows its options.
+        # `timeline` parses its own options; its parser is listed separately.
         if name != 'timeline':
             yield from _list_help(inner, f'{heading}#')
 
@@ -134,13 +134,13 @@
 def _list_subcommands(
     parser: argparse.ArgumentParser,
 ) -> Iterator[tuple[str, argparse.ArgumentParser]]:
-    for action in parser._actions:  # noqa: SLF001  # no public way
+    for action in parser._actions:  # noqa: SLF001  # argparse has no public accessor
         if isinstance(action.choices, dict):
             yield from action.choices.items()
 
 
 def _format_help(parser: argparse.ArgumentParser) -> str:
-    """Return the help as on a terminal of 80 columns."""
+    """Return the help text wrapped for a terminal of 80 columns."""
     previous = os.environ.get(_COLUMNS)
     os.environ[_COLUMNS] = '80'
     try:
