--- a/bench/main.py
+++ b/bench/main.py
@@ -19,7 +19,7 @@
 _SEEDS = 3
 _PROCESSES = 3
 _QUICK = ('steady', 'peak-0.9')
-_CALIBRATE = (3.0, 4.0, 5.0, 6.0, 7.0, 8.0, 9.0, 10.0)
+_CALIBRATION_RATES = (3.0, 4.0, 5.0, 6.0, 7.0, 8.0, 9.0, 10.0)
 
 
 def make_parser() -> argparse.ArgumentParser:
@@ -87,11 +87,13 @@
     tasks = [
         Task(deployment, 'peak-1.0', system, seed, rate)
         for deployment, system, rate, seed in product(
-            deployments, systems, _CALIBRATE, range(1, seeds + 1)
+            deployments, systems, _CALIBRATION_RATES, range(1, seeds + 1)
         )
     ]
     results = run_all(tasks)
-    for deployment, system, rate in product(deployments, systems, _CALIBRATE):
+    for deployment, system, rate in product(
+        deployments, systems, _CALIBRATION_RATES
+    ):
         found = [
             measures.in_time
             for task, measures in results.items()
@@ -106,21 +108,21 @@
     """Print what a ten-minute outage of the log does to bookings."""
     print('\nlog-out: bookings (run at most once), log out for 600 s')
     print('retries    in 60 s  tries  busiest s  back s')
-    out = (WARM_UP, WARM_UP + 600 * SECOND)
+    outage = (WARM_UP, WARM_UP + 600 * SECOND)
     for jitter, seed in product((True, False), range(1, seeds + 1)):
-        result = Desk(seed, jitter=jitter).run(out[1] + 60 * SECOND, out)
+        result = Desk(seed, jitter=jitter).run(outage[1] + 60 * SECOND, outage)
         done = [each.done for each in result.calls if each.done is not None]
-        late = [
+        recovered = [
             each.done
             for each in result.calls
-            if each.done is not None and each.at < out[1] <= each.done
+            if each.done is not None and each.at < outage[1] <= each.done
         ]
         tries = sum(each.tries for each in result.calls) / len(result.calls)
-        back = (max(late, default=out[1]) - out[1]) / SECOND
+        recovery = (max(recovered, default=outage[1]) - outage[1]) / SECOND
         print(
             f'{"jittered" if jitter else "plain":10}'
             f'{len(done) / len(result.calls):9.3f}{tries:7.1f}'
-            f'{result.busiest_second:11}{back:8.2f}'
+            f'{result.busiest_second:11}{recovery:8.2f}'
         )
 
 
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -33,13 +33,13 @@
     """Hold what one state of a size takes."""
 
     count: int
-    held: int
+    held_bytes: int
     seconds: float
 
     @property
-    def each(self) -> float:
+    def bytes_each(self) -> float:
         """Return the bytes for one."""
-        return self.held / self.count
+        return self.held_bytes / self.count
 
 
 def main() -> None:
@@ -106,16 +106,17 @@
     state = fill(count)
     seconds = time.perf_counter() - started
     gc.collect()
-    held = tracemalloc.get_traced_memory()[0] - before
+    held_bytes = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     del state
-    return Sample(count, held, seconds)
+    return Sample(count, held_bytes, seconds)
 
 
-def _show(what: str, sample: Sample) -> None:
+def _show(noun: str, sample: Sample) -> None:
     print(
-        f'{sample.count:>7} {what}: {sample.held / _MIB:6.2f} MiB, '
-        f'{sample.each:6.1f} bytes each (traced fill {sample.seconds:.1f} s)'
+        f'{sample.count:>7} {noun}: {sample.held_bytes / _MIB:6.2f} MiB, '
+        f'{sample.bytes_each:6.1f} bytes each '
+        f'(traced fill {sample.seconds:.1f} s)'
     )
 
 
@@ -123,9 +124,9 @@
     catalog = _fill_catalog(count)
     started = time.perf_counter()
     first = next(catalog.iterate_snapshot())
-    freeze = time.perf_counter() - started
+    freezing = time.perf_counter() - started
     chunks = catalog.snapshot()
-    whole = time.perf_counter() - started - freeze
+    encoding = time.perf_counter() - started - freezing
     other = Catalog()
     started = time.perf_counter()
     other.restore(chunks)
@@ -133,8 +134,9 @@
     size = sum(map(len, chunks))
     print(
         f'snapshot of {count} teams: {size / _MIB:.2f} MiB in {len(chunks)} '
-        f'chunks of {len(first)} bytes at most; to freeze {freeze * 1e3:.0f} '
-        f'ms, to encode {whole * 1e3:.0f} ms, to restore {restore * 1e3:.0f} ms'
+        f'chunks of {len(first)} bytes at most; to freeze {freezing * 1e3:.0f} '
+        f'ms, to encode {encoding * 1e3:.0f} ms, '
+        f'to restore {restore * 1e3:.0f} ms'
     )
 
 
--- a/bench/oracle.py
+++ b/bench/oracle.py
@@ -54,14 +54,14 @@
     ) -> Plan | Refusal:
         """Return the cheapest plan over all replicas."""
         options = [
-            self._weigh(demand, each)
+            self._estimate(demand, each)
             for each in fleet.replicas(demand.service)
             if is_eligible(each, demand, exclude)
             and self._world.agents[each.agent].engine.up
         ]
         if not options:
             return _NO_REPLICA
-        pushed = self._pressure.estimate_displaced(
+        displaced = self._pressure.estimate_displaced(
             {
                 plan.agent: demand.tokens
                 - (plan.cached + plan.joined) * SEGMENT_TOKENS
@@ -72,14 +72,14 @@
         weight = self._world.settings.w_pressure
         return min(
             options,
-            key=lambda each: each[0].cost + weight * pushed[each[1].agent],
+            key=lambda each: each[0].cost + weight * displaced[each[1].agent],
         )[1]
 
     def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
         """Count what a cache turns over, as the policy does."""
         cached = plan.cached + plan.joined
-        brought = demand.tokens - cached * SEGMENT_TOKENS
-        self._pressure.record_added(plan.agent, brought, now)
+        added = demand.tokens - cached * SEGMENT_TOKENS
+        self._pressure.record_added(plan.agent, added, now)
 
     def record_first_token(self, request: str, now: Millis) -> None:
         """Learn nothing."""
@@ -97,7 +97,7 @@
     ) -> None:
         """Learn nothing."""
 
-    def _weigh(
+    def _estimate(
         self, demand: Demand, replica: Replica
     ) -> tuple[PrefillPlan, Plan]:
         world = self._world
@@ -106,46 +106,48 @@
         rate = world.deployment.prefill_rate
         segments = demand.segments
         held = engine.cache.count_leading(segments)
-        coming = engine.list_coming()
+        pending = engine.list_coming()
         joined = held
         while joined < len(segments) and agent.is_coming(segments[joined]):
             joined += 1
-        reach = joined
-        while reach < len(segments) and segments[reach] in coming:
-            reach += 1
+        reachable = joined
+        while reachable < len(segments) and segments[reachable] in pending:
+            reachable += 1
         store = world.store
-        covered = store.cache.count_leading(segments, reach) if store.up else 0
+        covered = (
+            store.cache.count_leading(segments, reachable) if store.up else 0
+        )
         link = LinkView(
             store.link.count_waiting(),
             store.link.rate,
             world.deployment.latency,
         )
         fetching = agent.count_fetching(segments[held:joined])
-        standing = ReplicaEstimate(
+        estimate = ReplicaEstimate(
             wait=engine.count_tokens(LONG_PRIORITY) * SECOND / rate,
             short_wait=engine.count_tokens(SHORT_PRIORITY) * SECOND / rate,
             tokens_per_second=rate,
             tokens=demand.tokens,
-            cached=reach,
+            cached=reachable,
             ready=fetching * SECOND / store.link.active_share,
             covered=covered,
             link=link,
         )
-        source = plan_prefill(self._costs, standing)
+        prefill = plan_prefill(self._costs, estimate)
         joins = joined - held
-        cached, fetched = reach, source.fetched
+        cached, fetched = reachable, prefill.fetched
         if joins:
-            cached, fetched = held, reach - held + source.fetched
+            cached, fetched = held, reachable - held + prefill.fetched
         plan = Plan(
             replica.agent,
             'oracle',
             store=store.name if fetched else '',
             cached=cached,
             fetched=fetched,
-            predicted=source.time,
+            predicted=prefill.time,
             joined=joins,
             priority=SHORT_PRIORITY
-            if source.rest <= self._costs.short_tokens
+            if prefill.rest <= self._costs.short_tokens
             else LONG_PRIORITY,
         )
-        return source, plan
+        return prefill, plan
--- a/bench/path.py
+++ b/bench/path.py
@@ -33,43 +33,43 @@
 TEAMS = 42_000
 
 _DIRECTORY = ROOT / 'build' / 'path'
-_MODEL = 'verdict-models'
-_PLAIN = 'claims-desk'
+_MODEL_SERVICE = 'verdict-models'
+_PLAIN_SERVICE = 'claims-desk'
 _TEAM = 'caseworkers'
 _SIZES = {BackendKind.ENGINE: 1, BackendKind.PLAIN: 1}
 _TOKENS = 400
 _CALLS = 400
-_WARM_CALLS = 40
+_WARM_UP_CALLS = 40
 _IDLE_SECONDS = 4.0
 _BATCH = 500
-_FOLLOW_SECONDS = 120.0
+_CATCH_UP_SECONDS = 120.0
 _OK = 200
-_MEASURED = b'data: '
+_EVENT_PREFIX = b'data: '
 _MS_PER_SECOND = 1e3
 _NS_PER_MS = 1e6
 _KIB_PER_MIB = 1024
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Use:
+class ProcessorTime:
     """Hold the processor time of two processes, in ms."""
 
     entry: float
     agent: float
     at: float
 
-    def since(self, before: Use) -> Use:
+    def since(self, before: ProcessorTime) -> ProcessorTime:
         """Return the use between two readings; `at` is the time between."""
-        return Use(
+        return ProcessorTime(
             self.entry - before.entry,
             self.agent - before.agent,
             self.at - before.at,
         )
 
-    def less_idle(self, idle: Use) -> Use:
+    def subtract_idle(self, idle: ProcessorTime) -> ProcessorTime:
         """Take off what the processes use without any work."""
         share = self.at / idle.at
-        return Use(
+        return ProcessorTime(
             self.entry - idle.entry * share,
             self.agent - idle.agent * share,
             self.at,
@@ -83,21 +83,21 @@
         self._entry = entry
         self._agent = agent
 
-    def read(self) -> Use:
+    def read(self) -> ProcessorTime:
         """Return the use so far."""
-        return Use(
-            _read_processor(self._entry),
-            _read_processor(self._agent),
+        return ProcessorTime(
+            _read_processor_time(self._entry),
+            _read_processor_time(self._agent),
             time.monotonic() * _MS_PER_SECOND,
         )
 
-    def measure(self, act: Callable[[], object]) -> Use:
+    def measure(self, action: Callable[[], object]) -> ProcessorTime:
         """Return what an action costs both processes."""
         before = self.read()
-        act()
+        action()
         return self.read().since(before)
 
-    def measure_idle(self) -> Use:
+    def measure_idle(self) -> ProcessorTime:
         """Return what both use while nothing is asked of them."""
         return self.measure(lambda: time.sleep(_IDLE_SECONDS))
 
@@ -110,10 +110,10 @@
     with _running(_DIRECTORY) as deployment:
         publish(deployment)
         deployment.wait_ready()
-        wait_served(deployment, _MODEL, _TEAM)
+        wait_served(deployment, _MODEL_SERVICE, _TEAM)
         entry = deployment.entries[0]
-        _show_memory('idle entry', entry.child)
-        _show_memory('idle agent', deployment.find(_MODEL)[0].agent)
+        _print_memory('idle entry', entry.child)
+        _print_memory('idle agent', deployment.find(_MODEL_SERVICE)[0].agent)
         if 'streams' in parts:
             _measure_streams(deployment)
         if 'calls' in parts:
@@ -139,17 +139,22 @@
 
 
 def _measure_streams(deployment: Deployment) -> None:
-    entry, agent = deployment.entries[0], deployment.find(_MODEL)[0].agent
+    entry, agent = (
+        deployment.entries[0],
+        deployment.find(_MODEL_SERVICE)[0].agent,
+    )
     probe = Probe(entry.child, agent)
     for count in STREAM_COUNTS:
         chunks: list[int] = []
         idle = probe.measure_idle()
-        whole = probe.measure(
+        total = probe.measure(
             lambda count=count, chunks=chunks: chunks.extend(  # type: ignore[misc]
                 _run_streams(entry, count)
             )
         )
-        _show_use(f'{count} streams, a chunk', whole, idle, sum(chunks))
+        _print_processor_time(
+            f'{count} streams, a chunk', total, idle, sum(chunks)
+        )
 
 
 def _run_streams(entry: Entry, count: int) -> list[int]:
@@ -160,7 +165,7 @@
 def _run_stream(entry: Entry, number: int) -> int:
     """Read one stream and return its events."""
     text = f'question {number} of {time.monotonic_ns()}'
-    body = make_chat(_MODEL, text, max_tokens=_TOKENS)
+    body = make_chat(_MODEL_SERVICE, text, max_tokens=_TOKENS)
     with (
         httpcore.ConnectionPool() as pool,
         open_stream(
@@ -173,7 +178,7 @@
         ) as response,
     ):
         data = response.read()
-    count = data.count(_MEASURED)
+    count = data.count(_EVENT_PREFIX)
     if count < _TOKENS:
         raise NotMet(f'a stream ended after {count} events')
     return count
@@ -183,7 +188,7 @@
 
 
 def _measure_calls(deployment: Deployment) -> None:
-    entry, server = deployment.entries[0], deployment.find(_PLAIN)[0]
+    entry, server = deployment.entries[0], deployment.find(_PLAIN_SERVICE)[0]
     probe = Probe(entry.child, server.agent)
     idle = probe.measure_idle()
     direct: list[float] = []
@@ -192,20 +197,20 @@
 
         def call_both() -> None:
             direct.append(_time_call(pool, server.address, '/status'))
-            path = f'/v1/services/{_PLAIN}/status'
+            path = f'/v1/services/{_PLAIN_SERVICE}/status'
             through.append(_time_call(pool, entry.address, path))
 
-        def call_often() -> None:
+        def call_repeatedly() -> None:
             for _ in range(_CALLS):
                 call_both()
 
-        for _ in range(_WARM_CALLS):
+        for _ in range(_WARM_UP_CALLS):
             call_both()
         direct.clear()
         through.clear()
-        whole = probe.measure(call_often)
+        total = probe.measure(call_repeatedly)
     added = statistics.median(through) - statistics.median(direct)
-    _show_use('a plain call', whole, idle, _CALLS)
+    _print_processor_time('a plain call', total, idle, _CALLS)
     print(
         f'a plain call: direct {statistics.median(direct):.2f} ms, through '
         f'both {statistics.median(through):.2f} ms, added {added:.2f} ms '
@@ -231,7 +236,7 @@
     entry = deployment.entries[0]
     before = call(entry.address, 'GET', '/ready').json['offset']
     anyio.run(_append_teams, deployment.platform['log'])
-    for what in ('that read them as they came', 'started afterwards'):
+    for label in ('that read them as they came', 'started afterwards'):
         wait_until(
             lambda: (
                 deployment.is_ready(entry)
@@ -239,10 +244,10 @@
                 >= before + TEAMS
             ),
             'the entry knows the teams',
-            seconds=_FOLLOW_SECONDS,
+            seconds=_CATCH_UP_SECONDS,
         )
         time.sleep(_IDLE_SECONDS)
-        _show_memory(f'entry with {TEAMS} teams {what}', entry.child)
+        _print_memory(f'entry with {TEAMS} teams {label}', entry.child)
         entry.child.stop()
         entry.child.start()
 
@@ -272,29 +277,31 @@
     return child.process.pid
 
 
-def _read_processor(child: Child) -> float:
+def _read_processor_time(child: Child) -> float:
     text = Path(f'/proc/{_find_pid(child)}/schedstat').read_text()
     return int(text.split()[0]) / _NS_PER_MS
 
 
-def _show_memory(what: str, child: Child) -> None:
+def _print_memory(label: str, child: Child) -> None:
     lines = Path(f'/proc/{_find_pid(child)}/status').read_text().splitlines()
     sizes = {name: rest for name, _, rest in (x.partition(':') for x in lines)}
     now, peak = (int(sizes[name].split()[0]) for name in ('VmRSS', 'VmHWM'))
     print(
-        f'{what}: {now / _KIB_PER_MIB:.1f} MiB resident, '
+        f'{label}: {now / _KIB_PER_MIB:.1f} MiB resident, '
         f'{peak / _KIB_PER_MIB:.1f} at its highest'
     )
 
 
-def _show_use(what: str, whole: Use, idle: Use, count: int) -> None:
-    net = whole.less_idle(idle)
+def _print_processor_time(
+    label: str, total: ProcessorTime, idle: ProcessorTime, count: int
+) -> None:
+    net = total.subtract_idle(idle)
     both = net.entry + net.agent
     print(
-        f'{what}: entry {net.entry / count:.3f} ms, agent '
+        f'{label}: entry {net.entry / count:.3f} ms, agent '
         f'{net.agent / count:.3f} ms, both {both / count:.3f} ms of processor '
-        f'({count} counted; with idle use {whole.entry / count:.3f} and '
-        f'{whole.agent / count:.3f})'
+        f'({count} counted; with idle use {total.entry / count:.3f} and '
+        f'{total.agent / count:.3f})'
     )
 
 
--- a/bench/reconcile.py
+++ b/bench/reconcile.py
@@ -24,8 +24,8 @@
 _HINT_BYTES = 8
 # Cells come in groups that grow with what was sent, so that the number of
 # attempts to decode stays small.
-_GROUP_SHARE = 16
-_LEAST_GROUP = 10
+_GROUP_DIVISOR = 16
+_MIN_GROUP_CELLS = 10
 _MESSAGE_BYTES = 16
 _LEVELS = 11
 
@@ -83,25 +83,25 @@
     return log, number
 
 
-def _carry(messages: Iterable[SegmentEvents], held: set[bytes]) -> int:
-    carried = 0
+def _transfer(messages: Iterable[SegmentEvents], held: set[bytes]) -> int:
+    transferred = 0
     for message in messages:
         data = encode(message)
-        carried += len(data)
+        transferred += len(data)
         received = decode(data)
         assert isinstance(received, SegmentEvents)
         if received.full:
             held.clear()
         held.difference_update(received.removed)
         held.update(received.added)
-    return carried
+    return transferred
 
 
 def measure_list(case: Case) -> Cost:
     log, _ = _make_log(case)
     held = set(case.before)
     request = len(encode(SegmentListRequest()))
-    cost = _time(lambda: request + _carry(log.list_all(), held))
+    cost = _time(lambda: request + _transfer(log.list_all(), held))
     assert held == case.after
     return cost
 
@@ -110,7 +110,7 @@
     log, number = _make_log(case)
     held = set(case.before)
     request = len(encode(SegmentListRequest(after=number)))
-    cost = _time(lambda: request + _carry(log.list_after(number), held))
+    cost = _time(lambda: request + _transfer(log.list_after(number), held))
     assert held == case.after
     return cost
 
@@ -123,7 +123,7 @@
     start, end = 0, FIRST_CELLS
     while start < count_cells(_LEVELS):
         yield start, end
-        size = max(_LEAST_GROUP, end // _GROUP_SHARE)
+        size = max(_MIN_GROUP_CELLS, end // _GROUP_DIVISOR)
         start, end = end, min(end + size, count_cells(_LEVELS))
 
 
@@ -154,7 +154,7 @@
     return table
 
 
-def _change(table: Table, case: Case) -> float:
+def _apply_changes(table: Table, case: Case) -> float:
     """Bring a table up to date; return the milliseconds of one change."""
     start = time.process_time()
     for key in _to_keys(case.new):
@@ -165,14 +165,14 @@
     return spent * 1_000 / (len(case.new) + len(case.gone))
 
 
-def _undo(table: Table, case: Case) -> None:
+def _revert_changes(table: Table, case: Case) -> None:
     for key in _to_keys(case.new):
         table.delete(key)
     for key in _to_keys(case.gone):
         table.insert(key)
 
 
-def _show(values: Sequence[float], unit: str) -> str:
+def _format_spread(values: Sequence[float], unit: str) -> str:
     middle = statistics.median(values)
     return f'{middle:,.2f} {unit} ({min(values):,.2f} to {max(values):,.2f})'
 
@@ -180,8 +180,8 @@
 def _print_row(
     size: int, difference: int, name: str, costs: list[Cost]
 ) -> None:
-    exchanged = _show([cost.exchanged / 1_000 for cost in costs], 'kB')
-    spent = _show([cost.milliseconds for cost in costs], 'ms')
+    exchanged = _format_spread([cost.exchanged / 1_000 for cost in costs], 'kB')
+    spent = _format_spread([cost.milliseconds for cost in costs], 'ms')
     print(f'| {size:,} | {difference:,} | {name} | {exchanged} | {spent} |')
 
 
@@ -196,19 +196,22 @@
         receiver = _build(before)
         for difference in differences:
             case = make_case(before, difference, seed + difference)
-            changes.append(_change(sender, case))
+            changes.append(_apply_changes(sender, case))
             found = {
                 'full list': measure_list(case),
                 'event log': measure_log(case),
                 'MET IBLT': measure_table(case, (sender, receiver)),
             }
-            _undo(sender, case)
+            _revert_changes(sender, case)
             for name, cost in found.items():
                 costs.setdefault((difference, name), []).append(cost)
     for (difference, name), found_costs in costs.items():
         _print_row(size, difference, name, found_costs)
-    print(f'\nIBLT of {size:,}: build {_show(builds, "ms")},')
-    print(f'one change {_show([each * 1_000 for each in changes], "us")}\n')
+    print(f'\nIBLT of {size:,}: build {_format_spread(builds, "ms")},')
+    print(
+        'one change '
+        f'{_format_spread([each * 1_000 for each in changes], "us")}\n'
+    )
 
 
 def _measure_memory() -> int:
--- a/bench/report.py
+++ b/bench/report.py
@@ -11,13 +11,13 @@
 from bench.system import BASELINES, ORACLE, POLICY, SYSTEMS
 from oleanderdyke.clock import SECOND, Millis
 
-_ALLOWED = 1.02
-_SIMPLE = BASELINES[:4]
+_MAX_RATIO = 1.02
+_ROUTING_BASELINES = BASELINES[:4]
 # A council's reader waits longer than a visitor at a door.
 COUNCIL_BOUND: Millis = 6 * SECOND
 # Below this, a system is not answering the load it is compared at.
-_ANSWERS = 0.95
-_HEAD = (
+_MIN_IN_TIME = 0.95
+_HEADER = (
     f'{"system":18}{"ttft50":>8}{"ttft95":>8}{"spread":>14}{"ttft99":>8}'
     f'{"recomp":>8}{"link MB":>9}{"cost":>7}{"good/s":>8}{"in time":>8}'
     f'{"refused":>8}{"fair":>6}{"small":>7}{"letters":>8}{"back s":>7}'
@@ -38,7 +38,7 @@
 def print_table(results: Results, deployment: str, scenario: str) -> None:
     """Print one row for each system: means over the seeds."""
     print(f'\n{deployment} / {scenario}')
-    print(_HEAD)
+    print(_HEADER)
     for system in SYSTEMS:
         found = find(results, deployment, scenario, system)
         if found:
@@ -49,9 +49,9 @@
     def mean(name: str) -> float:
         return fmean(getattr(each, name) for each in found)
 
-    lows = min(each.ttft_95 for each in found)
-    highs = max(each.ttft_95 for each in found)
-    spread = f'{lows:.0f}-{highs:.0f}'
+    lowest = min(each.ttft_95 for each in found)
+    highest = max(each.ttft_95 for each in found)
+    spread = f'{lowest:.0f}-{highest:.0f}'
     return (
         f'{system:18}{mean("ttft_50"):8.0f}{mean("ttft_95"):8.0f}'
         f'{spread:>14}{mean("ttft_99"):8.0f}{mean("recomputed"):8.3f}'
@@ -95,7 +95,7 @@
         verdicts += _judge_overload(results, deployment, shown)
     for deployment, scenario in sorted(shown):
         verdicts += _judge_recovery(results, deployment, scenario)
-        verdicts += _judge_worse(results, deployment, scenario)
+        verdicts += _judge_against_baselines(results, deployment, scenario)
     return verdicts
 
 
@@ -110,19 +110,19 @@
     def read(system: str) -> float:
         return mean_of(results, 'agency', scenario, system, 'ttft_95')
 
-    ours, oracle = read(POLICY.name), read(ORACLE.name)
-    best = min(_SIMPLE, key=lambda each: read(each.name)).name
-    gain = 1 - ours / read(best)
+    policy, oracle = read(POLICY.name), read(ORACLE.name)
+    best = min(_ROUTING_BASELINES, key=lambda each: read(each.name)).name
+    gain = 1 - policy / read(best)
     return [
         Verdict(
             f'agency {scenario} ttft95 25% under the best baseline',
             gain >= 0.25,
-            f'{ours:.0f} ms against {read(best):.0f} ({best}): {gain:.1%}',
+            f'{policy:.0f} ms against {read(best):.0f} ({best}): {gain:.1%}',
         ),
         Verdict(
             f'agency {scenario} ttft95 within 10% of the oracle',
-            ours <= 1.1 * oracle,
-            f'{ours:.0f} ms against {oracle:.0f}: {ours / oracle - 1:+.1%}',
+            policy <= 1.1 * oracle,
+            f'{policy:.0f} ms against {oracle:.0f}: {policy / oracle - 1:+.1%}',
         ),
     ]
 
@@ -131,45 +131,46 @@
     def read(system: str, name: str) -> float:
         return mean_of(results, 'council', scenario, system, name)
 
-    fit = [
+    eligible = [
         each.name
-        for each in _SIMPLE
+        for each in _ROUTING_BASELINES
         if read(each.name, 'ttft_95') <= COUNCIL_BOUND
-        and read(each.name, 'in_time') >= _ANSWERS
+        and read(each.name, 'in_time') >= _MIN_IN_TIME
     ]
-    ours = read(POLICY.name, 'cost')
+    policy = read(POLICY.name, 'cost')
     oracle = read(ORACLE.name, 'cost')
-    within = Verdict(
+    oracle_verdict = Verdict(
         f'council {scenario} cost within 10% of the oracle',
-        ours <= 1.1 * oracle,
-        f'{ours:.0f} against {oracle:.0f}: {ours / oracle - 1:+.1%}',
+        policy <= 1.1 * oracle,
+        f'{policy:.0f} against {oracle:.0f}: {policy / oracle - 1:+.1%}',
     )
-    if not fit:
+    if not eligible:
         # Nobody keeps the bound, so all that answer in time are compared.
-        fit = [
+        eligible = [
             each.name
-            for each in _SIMPLE
-            if read(each.name, 'in_time') >= _ANSWERS
+            for each in _ROUTING_BASELINES
+            if read(each.name, 'in_time') >= _MIN_IN_TIME
         ]
-    if not fit:
-        return [within]
-    best = min(fit, key=lambda name: read(name, 'cost'))
-    gain = 1 - ours / read(best, 'cost')
+    if not eligible:
+        return [oracle_verdict]
+    best = min(eligible, key=lambda name: read(name, 'cost'))
+    gain = 1 - policy / read(best, 'cost')
     verdicts = [
         Verdict(
             f'council {scenario} cost 20% under the best baseline',
             gain >= 0.2,
-            f'{ours:.0f} against {read(best, "cost"):.0f} ({best}): {gain:.1%}',
+            f'{policy:.0f} against {read(best, "cost"):.0f} '
+            f'({best}): {gain:.1%}',
         ),
-        within,
+        oracle_verdict,
     ]
     for name in ('recomputed', 'link_bytes'):
-        mine, other = read(POLICY.name, name), read(best, name)
+        own, other = read(POLICY.name, name), read(best, name)
         verdicts.append(
             Verdict(
                 f'council {scenario} {name} no worse than {best}',
-                mine <= other,
-                f'{mine:.4g} against {other:.4g}',
+                own <= other,
+                f'{own:.4g} against {other:.4g}',
             )
         )
     return verdicts
@@ -189,13 +190,13 @@
     for load in ('peak-2.0', 'peak-4.0'):
         if (deployment, load) not in shown:
             continue
-        kept = read(load, 'goodput') / read('peak-1.0', 'goodput')
+        goodput = read(load, 'goodput') / read('peak-1.0', 'goodput')
         small = read(load, 'small_teams') / read('peak-1.0', 'small_teams')
         verdicts += [
             Verdict(
                 f'{deployment} {load} goodput at least 95% of peak-1.0',
-                kept >= 0.95,
-                f'{kept:.1%}',
+                goodput >= 0.95,
+                f'{goodput:.1%}',
             ),
             Verdict(
                 f'{deployment} {load} small teams keep their share',
@@ -222,7 +223,7 @@
     ]
 
 
-def _judge_worse(
+def _judge_against_baselines(
     results: Results, deployment: str, scenario: str
 ) -> list[Verdict]:
     """Compare the main measure with every baseline that answers the load.
@@ -233,18 +234,22 @@
     def read(system: str, name: str) -> float:
         return mean_of(results, deployment, scenario, system, name)
 
-    best_answered = max(
+    best_in_time = max(
         read(each.name, 'in_time') for each in (*BASELINES, POLICY)
     )
-    if best_answered < _ANSWERS:
+    if best_in_time < _MIN_IN_TIME:
         return [_compare(read, deployment, scenario, 'goodput', BASELINES)]
-    fit = [each for each in BASELINES if read(each.name, 'in_time') >= _ANSWERS]
+    eligible = [
+        each for each in BASELINES if read(each.name, 'in_time') >= _MIN_IN_TIME
+    ]
     if deployment == 'council':
-        fit = [
-            each for each in fit if read(each.name, 'ttft_95') <= COUNCIL_BOUND
+        eligible = [
+            each
+            for each in eligible
+            if read(each.name, 'ttft_95') <= COUNCIL_BOUND
         ]
     name = 'ttft_95' if deployment == 'agency' else 'cost'
-    return [_compare(read, deployment, scenario, name, fit)]
+    return [_compare(read, deployment, scenario, name, eligible)]
 
 
 def _compare(
@@ -252,21 +257,21 @@
     deployment: str,
     scenario: str,
     name: str,
-    fit: Sequence[object],
+    eligible: Sequence[object],
 ) -> Verdict:
     target = f'{deployment} {scenario} {name} no worse than any baseline'
-    ours = read(POLICY.name, name)
-    names = [each.name for each in BASELINES if each in fit]
+    policy = read(POLICY.name, name)
+    names = [each.name for each in BASELINES if each in eligible]
     if not names:
         return Verdict(
-            target, met=True, detail=f'{ours:.4g}; no baseline keeps up'
+            target, met=True, detail=f'{policy:.4g}; no baseline keeps up'
         )
     more = name == 'goodput'
     best = (max if more else min)(names, key=lambda each: read(each, name))
     other = read(best, name)
-    worse = other / ours if more else ours / other
+    worse = other / policy if more else policy / other
     return Verdict(
         target,
-        worse <= _ALLOWED,
-        f'{ours:.4g} against {other:.4g} ({best}): {worse - 1:+.1%} worse',
+        worse <= _MAX_RATIO,
+        f'{policy:.4g} against {other:.4g} ({best}): {worse - 1:+.1%} worse',
     )
--- a/bench/reporting.py
+++ b/bench/reporting.py
@@ -15,8 +15,8 @@
 from oleanderdyke.kernel.demand import Replica, SegmentHint
 from oleanderdyke.links.messages import AgentPhase, BackendKind, Load
 
-_SILENT_AFTER: Millis = 3 * SECOND
-_PERFECT_EVERY: Millis = 50.0
+_SILENCE_LIMIT: Millis = 3 * SECOND
+_PERFECT_INTERVAL: Millis = 50.0
 
 
 class Reporter:
@@ -39,8 +39,8 @@
         self._perfect = perfect
         self._agents = agents
         self._store = store
-        self._note_removed = record_segments_removed
-        self._beat = 0
+        self._record_removed = record_segments_removed
+        self._sequence = 0
         self.fleet = TrueFleet() if perfect else LateFleet()
         self.versions = dict.fromkeys(agents, 0)
         self.leaving: set[str] = set()
@@ -67,25 +67,27 @@
     ) -> None:
         self.fleet.apply(name, added, removed)
         if removed:
-            self._note_removed(name, removed)
+            self._record_removed(name, removed)
 
     def report_all(self) -> None:
         """Report now, and again and again."""
-        self._beat += 1
+        self._sequence += 1
         for name in self._agents:
             self.report(name)
         self._report_store()
-        every = _PERFECT_EVERY if self._perfect else self._lags.report_every
-        self._events.add(every, self.report_all)
+        interval = (
+            _PERFECT_INTERVAL if self._perfect else self._lags.report_every
+        )
+        self._events.add(interval, self.report_all)
 
     def report(self, name: str) -> None:
         """Report one engine if it serves."""
         engine = self._agents[name].engine
         if not engine.up or name in self.leaving:
             return
-        replica = self._show(name, engine.measure(), engine.life)
+        replica = self._make_replica(name, engine.measure(), engine.life)
         age = 0.0 if self._perfect else self._lags.report_age
-        self._events.add(age, self._hear, replica, engine.life)
+        self._events.add(age, self._receive_report, replica, engine.life)
 
     def _report_store(self) -> None:
         if not self._store.up:
@@ -95,12 +97,12 @@
             link_bytes_in_flight=int(link.count_waiting()),
             link_bytes_per_second=link.meter.estimate_rate(self._events.now),
         )
-        replica = self._show(STORE, load, 0)
+        replica = self._make_replica(STORE, load, 0)
         age = 0.0 if self._perfect else self._lags.report_age
-        self._events.add(age, self._hear_store, replica)
+        self._events.add(age, self._receive_store_report, replica)
 
-    def _show(self, name: str, load: Load, life: int) -> Replica:
-        places = self._deployment.data_centres
+    def _make_replica(self, name: str, load: Load, life: int) -> Replica:
+        centres = self._deployment.data_centres
         store = name == STORE
         return Replica(
             agent=name,
@@ -108,45 +110,45 @@
             incarnation=str(life),
             backend=BackendKind.STORE if store else BackendKind.ENGINE,
             service='store' if store else SERVICE,
-            data_centre=places[int(name[-1]) % len(places)],
+            data_centre=centres[int(name[-1]) % len(centres)],
             phase=AgentPhase.SERVING,
             load=load,
-            beat=self._beat,
+            beat=self._sequence,
             heard=self._events.now,
             weight_digest=f'w{self.versions.get(name, 0)}',
         )
 
-    def _hear(self, replica: Replica, life: int) -> None:
+    def _receive_report(self, replica: Replica, life: int) -> None:
         name = replica.agent
         if self._agents[name].engine.life != life or name in self.leaving:
             return
         self.fleet.hear(replace(replica, heard=self._events.now))
 
-    def _hear_store(self, replica: Replica) -> None:
+    def _receive_store_report(self, replica: Replica) -> None:
         if self._store.up:
             heard = replace(replica, heard=self._events.now)
             self.fleet.hear(heard, store=True)
 
-    def expect_silence(self, name: str) -> None:
+    def schedule_removal(self, name: str) -> None:
         """Let the entries notice later that an engine is gone."""
         life = self._agents[name].engine.life
-        self._events.add(_SILENT_AFTER, self._notice_silence, name, life)
+        self._events.add(_SILENCE_LIMIT, self._remove_if_silent, name, life)
 
-    def expect_store_silence(self) -> None:
+    def schedule_store_removal(self) -> None:
         """Let the entries notice later that the store is gone."""
-        self._events.add(_SILENT_AFTER, self.fleet.lose, STORE)
+        self._events.add(_SILENCE_LIMIT, self.fleet.lose, STORE)
 
-    def start_leaving(self, name: str) -> None:
+    def start_draining(self, name: str) -> None:
         """Tell at once that an engine takes nothing new."""
         self.leaving.add(name)
         self.fleet.lose(name)
 
-    def end_leaving(self, name: str, version: int) -> None:
+    def finish_reload(self, name: str, version: int) -> None:
         """Tell that an engine serves other weights now."""
         self.versions[name] = version
         self.leaving.discard(name)
         self.report(name)
 
-    def _notice_silence(self, name: str, life: int) -> None:
+    def _remove_if_silent(self, name: str, life: int) -> None:
         if self._agents[name].engine.life == life:
             self.fleet.lose(name)
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -52,7 +52,7 @@
     scenario.prepare(world)
     world.load_window(trace.window)
     world.run(WARM_UP)
-    world.mark()
+    world.start_measuring()
     world.run(scenario.length)
     measured = world.measure_link(), world.count_background()
     world.run(scenario.length + deployment.deadline + SECOND)
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -11,9 +11,9 @@
 from oleanderdyke.clock import SECOND, Millis
 
 WARM_UP: Millis = 60 * SECOND
-_FAULT_AT = WARM_UP + 60 * SECOND
-_RELOAD: Millis = 8 * SECOND
-_STAGGER: Millis = 6 * SECOND
+_FAULT_TIME = WARM_UP + 60 * SECOND
+_RELOAD_TIME: Millis = 8 * SECOND
+_RELOAD_INTERVAL: Millis = 6 * SECOND
 
 
 def _do_nothing(world: World) -> None:
@@ -44,11 +44,11 @@
 
 def _slow_link(world: World) -> None:
     link = world.store.link
-    world.events.add(_FAULT_AT, link.set_rate, link.rate / 10)
+    world.events.add(_FAULT_TIME, link.set_rate, link.rate / 10)
 
 
 def _lose_store(world: World) -> None:
-    world.events.add(_FAULT_AT, world.lose_store)
+    world.events.add(_FAULT_TIME, world.lose_store)
 
 
 def _fill_store(world: World) -> None:
@@ -56,34 +56,34 @@
 
 
 def _lose_replica(world: World) -> None:
-    world.events.add(_FAULT_AT, world.crash, 'engine-0')
-    world.events.add(_FAULT_AT + 60 * SECOND, world.restart, 'engine-0')
+    world.events.add(_FAULT_TIME, world.crash, 'engine-0')
+    world.events.add(_FAULT_TIME + 60 * SECOND, world.restart, 'engine-0')
 
 
 def _lose_all(world: World) -> None:
     for name in world.agents:
-        world.events.add(_FAULT_AT, world.crash, name)
-        world.events.add(_FAULT_AT + 30 * SECOND, world.restart, name)
+        world.events.add(_FAULT_TIME, world.crash, name)
+        world.events.add(_FAULT_TIME + 30 * SECOND, world.restart, name)
 
 
 def _lose_data_centre(world: World) -> None:
     """Lose the engines in the first of three data centres."""
     for index, name in enumerate(world.agents):
         if index % len(world.deployment.data_centres) == 0:
-            world.events.add(_FAULT_AT, world.crash, name)
-            world.events.add(_FAULT_AT + 40 * SECOND, world.restart, name)
+            world.events.add(_FAULT_TIME, world.crash, name)
+            world.events.add(_FAULT_TIME + 40 * SECOND, world.restart, name)
 
 
 def _swap_weights(world: World) -> None:
     """Reload one engine after the other; ask for the new at half-way."""
     for index, name in enumerate(world.agents):
-        at = _FAULT_AT + index * _STAGGER
-        world.events.add(at, world.reload, name, 1, _RELOAD)
-    half = len(world.agents) // 2 * _STAGGER
-    world.events.add(_FAULT_AT + half + _RELOAD, world.change_version, 1)
+        at = _FAULT_TIME + index * _RELOAD_INTERVAL
+        world.events.add(at, world.reload, name, 1, _RELOAD_TIME)
+    half = len(world.agents) // 2 * _RELOAD_INTERVAL
+    world.events.add(_FAULT_TIME + half + _RELOAD_TIME, world.change_version, 1)
 
 
-_FULL_OUTAGE = Outage(_FAULT_AT, _FAULT_AT + 30 * SECOND)
+_FULL_OUTAGE = Outage(_FAULT_TIME, _FAULT_TIME + 30 * SECOND)
 SCENARIOS = (
     Scenario('steady', 0.5, length=360 * SECOND),
     Scenario('peak-0.7', 0.7),
@@ -99,13 +99,13 @@
         'replica-lost',
         0.7,
         prepare=_lose_replica,
-        outage=Outage(_FAULT_AT, _FAULT_AT + 60 * SECOND),
+        outage=Outage(_FAULT_TIME, _FAULT_TIME + 60 * SECOND),
     ),
     Scenario(
         'data-centre-lost',
         0.5,
         prepare=_lose_data_centre,
-        outage=Outage(_FAULT_AT, _FAULT_AT + 40 * SECOND),
+        outage=Outage(_FAULT_TIME, _FAULT_TIME + 40 * SECOND),
     ),
     Scenario('service-lost', 0.7, prepare=_lose_all, outage=_FULL_OUTAGE),
     Scenario('reports-0.2s', 0.9, lags=Lags(0.2 * SECOND, 0.2 * SECOND)),
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -38,30 +38,30 @@
 AGENTS = 410
 TEAM_COUNTS = (1_000, 10_000, 42_000)
 _ROUNDS = 5
-_BEATS = 2_000
+_REPETITIONS = 2_000
 _HINTS = 100
 _CHANGES = 200
-_MICROS = 1e6
+_MICROS_PER_SECOND = 1e6
 
 ResultT = TypeVar('ResultT')
 
 
 def main() -> None:
     """Print every slope."""
-    show_beats()
-    anyio.run(show_sent_beats)
-    show_segments()
+    print_heartbeats()
+    anyio.run(print_sent_messages)
+    print_segment_hints()
     for count in TEAM_COUNTS:
-        show_configuration(count)
+        print_configuration(count)
 
 
-def show_beats() -> None:
+def print_heartbeats() -> None:
     """Print what a heartbeat costs beyond the socket, and an agent's state."""
     beat = make_beat()
     data = encode(beat)
     print(f'heartbeat: {len(data)} bytes')
-    show('  encoded', lambda: encode(beat))
-    show('  decoded', lambda: decode(data))
+    print_time('  encoded', lambda: encode(beat))
+    print_time('  decoded', lambda: decode(data))
     gc.collect()
     tracemalloc.start()
     fleet = make_fleet(AGENTS)
@@ -69,14 +69,14 @@
     tracemalloc.stop()
     sequence = iter(range(1, 1_000_000))
 
-    def take() -> None:
+    def apply() -> None:
         following = replace(
             beat, incarnation=f'{7:016x}', sequence=next(sequence)
         )
         if not fleet.on_heartbeat('agent-7', following, 1.0):
             raise AssertionError('the heartbeat was not taken')
 
-    show(f'  taken into a fleet of {AGENTS}', take)
+    print_time(f'  taken into a fleet of {AGENTS}', apply)
     print(f'agent in the fleet state: {held / AGENTS:.0f} bytes')
 
 
@@ -114,7 +114,7 @@
     return fleet
 
 
-async def show_sent_beats() -> None:
+async def print_sent_messages() -> None:
     """Print what a message costs both ends of a link, sockets included."""
     for sample in make_samples()[1:3]:
         micros = await time_link(sample.message)
@@ -124,18 +124,18 @@
 async def time_link(message: Message) -> float:
     """Return the processor time of one message that comes alone, in us."""
     async with linked(1) as pairs:
-        near, far = pairs[0]
+        sender, receiver = pairs[0]
         best = float('inf')
         for _ in range(_ROUNDS):
             started = time.process_time()
-            for _ in range(_BEATS):
-                await near.send(message)
-                await far.receive()
+            for _ in range(_REPETITIONS):
+                await sender.send(message)
+                await receiver.receive()
             best = min(best, time.process_time() - started)
-    return best / _BEATS * _MICROS
+    return best / _REPETITIONS * _MICROS_PER_SECOND
 
 
-def show_segments() -> None:
+def print_segment_hints() -> None:
     """Print what one hint costs that an agent adds, and one it removes."""
     random = Random(1)
     hints = tuple(random.randbytes(8) for _ in range(_HINTS))
@@ -149,20 +149,24 @@
     directory = Directory()
     directory.apply_events('agent', SegmentEvents(0, full=True), 0.0)
 
-    def take() -> None:
+    def apply() -> None:
         for each in data:
             events = decode(each)
             if isinstance(events, SegmentEvents):
                 directory.apply_events('agent', events, 0.0)
 
     started = time.process_time()
-    take()
-    spent = (time.process_time() - started) / (len(data) * _HINTS) * _MICROS
+    apply()
+    spent = (
+        (time.process_time() - started)
+        / (len(data) * _HINTS)
+        * _MICROS_PER_SECOND
+    )
     size = len(data[0]) / _HINTS
     print(f'segment hint: {size:.1f} bytes, {spent:.2f} us to take')
 
 
-def show_configuration(count: int) -> None:
+def print_configuration(count: int) -> None:
     """Print what changes and snapshots cost at a number of teams."""
     catalog = Catalog()
     for number in range(count):
@@ -171,18 +175,19 @@
     started = time.process_time()
     for number, data in enumerate(records):
         catalog.apply_record(count + number, data)
-    spent = (time.process_time() - started) / _CHANGES * _MICROS
+    spent = (time.process_time() - started) / _CHANGES * _MICROS_PER_SECOND
     message = ConfigurationDifference(0, 1, ((1, records[0]),))
     print(
         f'{count:,} teams: a change of {len(records[0])} bytes in a message '
         f'of {len(encode(message))}, {spent:.0f} us to apply'
     )
-    chunks, made = time_once(catalog.snapshot)
-    _, loaded = time_once(lambda: Catalog().restore(chunks))
+    chunks, making_time = time_once(catalog.snapshot)
+    _, loading_time = time_once(lambda: Catalog().restore(chunks))
     size = sum(map(len, chunks))
     print(
         f'  snapshot of {size:,} bytes in {len(chunks)} records: '
-        f'{made * 1e3:.0f} ms to make, {loaded * 1e3:.0f} ms to load'
+        f'{making_time * 1e3:.0f} ms to make, '
+        f'{loading_time * 1e3:.0f} ms to load'
     )
 
 
@@ -200,22 +205,22 @@
     return encode_change(change)
 
 
-def time_once(act: Callable[[], ResultT]) -> tuple[ResultT, float]:
+def time_once(action: Callable[[], ResultT]) -> tuple[ResultT, float]:
     """Return a result and the processor time that it took, in seconds."""
     started = time.process_time()
-    result = act()
+    result = action()
     return result, time.process_time() - started
 
 
-def show(what: str, act: Callable[[], object]) -> None:
+def print_time(label: str, action: Callable[[], object]) -> None:
     """Print the least processor time of an act."""
     best = float('inf')
     for _ in range(_ROUNDS):
         started = time.process_time()
-        for _ in range(_BEATS):
-            act()
+        for _ in range(_REPETITIONS):
+            action()
         best = min(best, time.process_time() - started)
-    print(f'{what}: {best / _BEATS * _MICROS:.1f} us')
+    print(f'{label}: {best / _REPETITIONS * _MICROS_PER_SECOND:.1f} us')
 
 
 if __name__ == '__main__':
--- a/bench/store_memory.py
+++ b/bench/store_memory.py
@@ -37,7 +37,7 @@
 _DIGEST = digest_segment(_DATA)
 
 
-class GapKeeper:
+class GapRetention:
     """Remember nothing and find the worth in the expected gap."""
 
     def estimate_value(
@@ -85,10 +85,10 @@
         self.index.log.drain()
 
 
-def make_writer(count: int, keeper: RetentionPolicy) -> _Writer:
+def make_writer(count: int, retention: RetentionPolicy) -> _Writer:
     """Build a full index."""
     limits = StoreLimits(capacity_bytes=count * len(_DATA))
-    index = StoreIndex(limits, keeper, 'incarnation-1', Random(1))
+    index = StoreIndex(limits, retention, 'incarnation-1', Random(1))
     writer = _Writer(index, Random(2), {})
     writer.fill(count)
     return writer
@@ -106,9 +106,11 @@
     return held / count
 
 
-def measure_evictions(count: int, keeper: RetentionPolicy) -> tuple[float, int]:
+def measure_evictions(
+    count: int, retention: RetentionPolicy
+) -> tuple[float, int]:
     """Return microseconds for a write into a full index, and those kept."""
-    writer = make_writer(count, keeper)
+    writer = make_writer(count, retention)
     start = time.process_time()
     kept = sum(writer.write(0.5 * HOUR) for _ in range(EVICTIONS))
     spent = time.process_time() - start
@@ -117,35 +119,37 @@
 
 def measure_ranks(count: int) -> float:
     """Return the mean share of the entries that are poorer than a victim."""
-    writer = make_writer(count, GapKeeper())
+    writer = make_writer(count, GapRetention())
     gaps = dict(writer.gaps)
-    poorest = sorted(gaps.values())
-    ranks = []
+    sorted_gaps = sorted(gaps.values())
+    victim_gaps = []
     for _ in range(EVICTIONS // 5):
         writer.write(0.5 * HOUR)
         for events in writer.index.log.drain():
-            ranks += [gaps[each] for each in events.removed if each in gaps]
-    shares = [1 - bisect_right(poorest, gap) / count for gap in ranks]
+            victim_gaps += [
+                gaps[each] for each in events.removed if each in gaps
+            ]
+    shares = [1 - bisect_right(sorted_gaps, gap) / count for gap in victim_gaps]
     return sum(shares) / len(shares)
 
 
 def main(argv: list[str]) -> None:
     """Print one line for each size."""
     for count in [int(each) for each in argv] or ENTRIES:
-        plain = measure_bytes(count, GapKeeper)
-        learning = measure_bytes(
+        plain = measure_bytes(count, GapRetention)
+        with_policy = measure_bytes(
             count, lambda: make_expected_saving(PolicySettings())
         )
         micros, kept = measure_evictions(
             count, make_expected_saving(PolicySettings())
         )
-        flat, _ = measure_evictions(count, GapKeeper())
+        plain_micros, _ = measure_evictions(count, GapRetention())
         rank = measure_ranks(count)
         print(
             f'{count} entries: {plain:.0f} bytes each, '
-            f'{learning - plain:.0f} more by the keeper; evicting write '
+            f'{with_policy - plain:.0f} more by the keeper; evicting write '
             f'{micros:.0f} us ({kept} of {EVICTIONS} kept), '
-            f'{flat:.0f} us with a plain keeper; '
+            f'{plain_micros:.0f} us with a plain keeper; '
             f'{100 * rank:.1f}% poorer than the mean victim'
         )
 
--- a/bench/views.py
+++ b/bench/views.py
@@ -8,7 +8,7 @@
 from oleanderdyke.kernel.demand import Replica, SegmentHint
 
 
-class Kept(Protocol):
+class CachedSegments(Protocol):
     """Count what is kept."""
 
     def count_leading(
@@ -23,14 +23,14 @@
     def __init__(self) -> None:
         self._replicas: dict[str, Replica] = {}
         self._serving: dict[str, list[Replica]] = {}
-        self._kept: dict[str, set[SegmentHint]] = {}
+        self._segments: dict[str, set[SegmentHint]] = {}
         self._holders: dict[SegmentHint, set[str]] = {}
         self._stores: set[str] = set()
 
     def hear(self, replica: Replica, *, store: bool = False) -> None:
         """Take a report."""
-        known = self._replicas.get(replica.agent)
-        if known is not None and known.incarnation != replica.incarnation:
+        previous = self._replicas.get(replica.agent)
+        if previous is not None and previous.incarnation != replica.incarnation:
             self.forget_segments(replica.agent)
         self._replicas[replica.agent] = replica
         if store:
@@ -45,7 +45,7 @@
 
     def forget_segments(self, agent: str) -> None:
         """Drop what an agent held."""
-        for segment in self._kept.pop(agent, ()):
+        for segment in self._segments.pop(agent, ()):
             self._holders[segment].discard(agent)
 
     def apply(
@@ -55,12 +55,12 @@
         removed: Iterable[SegmentHint],
     ) -> None:
         """Take cache events."""
-        kept = self._kept.setdefault(agent, set())
+        held = self._segments.setdefault(agent, set())
         for segment in added:
-            kept.add(segment)
+            held.add(segment)
             self._holders.setdefault(segment, set()).add(agent)
         for segment in removed:
-            kept.discard(segment)
+            held.discard(segment)
             holders = self._holders.get(segment)
             if holders is not None:
                 holders.discard(agent)
@@ -91,9 +91,9 @@
         self, agent: str, segments: Sequence[SegmentHint], start: int = 0
     ) -> int:
         """Count the segments from `start` on that an agent holds in a row."""
-        kept = self._kept.get(agent) or set()
+        held = self._segments.get(agent) or set()
         for index in range(start, len(segments)):
-            if segments[index] not in kept:
+            if segments[index] not in held:
                 return index - start
         return max(0, len(segments) - start)
 
@@ -107,7 +107,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.caches: dict[str, Kept] = {}
+        self.caches: dict[str, CachedSegments] = {}
 
     def count_leading(
         self, agent: str, segments: Sequence[SegmentHint], start: int = 0
--- a/bench/wire.py
+++ b/bench/wire.py
@@ -38,8 +38,8 @@
 CALLS = 10_000
 LINKS = 200
 CHUNKS = 20_000
-TRIPS = 3_000
-MICROS = 1e6
+ROUND_TRIPS = 3_000
+MICROS_PER_SECOND = 1e6
 SETTINGS = LinkSettings()
 
 _IMPORTS = {
@@ -52,7 +52,7 @@
         ' oleanderdyke.clients.weights'
     ),
 }
-_SHOW_RSS = """
+_PRINT_RSS = """
 import asyncio
 asyncio.run(asyncio.sleep(0))
 for line in open('/proc/self/status'):
@@ -128,7 +128,7 @@
         for _ in range(CALLS):
             call()
         best = min(best, time.perf_counter() - start)
-    return best / CALLS * MICROS
+    return best / CALLS * MICROS_PER_SECOND
 
 
 def print_codec() -> None:
@@ -170,39 +170,41 @@
                 await anyio.sleep(0)
             pairs.append((link, accepted[-1]))
         yield pairs
-        for near, _ in pairs:
-            await near.close()
+        for sender, _ in pairs:
+            await sender.close()
 
 
 async def print_round_trip() -> None:
     message = make_samples()[3].message
     async with linked(1) as pairs:
-        near, far = pairs[0]
+        sender, receiver = pairs[0]
         start, used = time.perf_counter(), time.process_time()
-        for _ in range(TRIPS):
-            await near.send(message)
-            await far.send(await far.receive())
-            await near.receive()
-        wall = (time.perf_counter() - start) / TRIPS * MICROS
-        processor = (time.process_time() - used) / TRIPS * MICROS
+        for _ in range(ROUND_TRIPS):
+            await sender.send(message)
+            await receiver.send(await receiver.receive())
+            await sender.receive()
+        wall = (time.perf_counter() - start) / ROUND_TRIPS * MICROS_PER_SECOND
+        processor = (
+            (time.process_time() - used) / ROUND_TRIPS * MICROS_PER_SECOND
+        )
     print(f'round trip of a chunk: {wall:.1f} us, processor {processor:.1f} us')
 
 
 async def print_stream() -> None:
     message = make_samples()[3].message
     async with linked(1) as pairs:
-        near, far = pairs[0]
+        sender, receiver = pairs[0]
 
         async def send_all() -> None:
             for _ in range(CHUNKS):
-                await near.send(message)
+                await sender.send(message)
 
         used = time.process_time()
         async with anyio.create_task_group() as group:
             group.start_soon(send_all)
             for _ in range(CHUNKS):
-                await far.receive()
-        each = (time.process_time() - used) / CHUNKS * MICROS
+                await receiver.receive()
+        each = (time.process_time() - used) / CHUNKS * MICROS_PER_SECOND
     print(f'streamed chunk, sent and received: processor {each:.1f} us')
 
 
@@ -215,7 +217,7 @@
         held = read_rss() - before
         for pair in pairs:
             for link in pair:
-                group.start_soon(keep_reading, link)
+                group.start_soon(receive_until_closed, link)
         await anyio.sleep(1)
         sent = count_bytes(pairs)
         used = time.process_time()
@@ -231,7 +233,7 @@
     print(f'  control sent {sent / seconds / ends:.1f} bytes a second')
 
 
-async def keep_reading(link: Link) -> None:
+async def receive_until_closed(link: Link) -> None:
     try:
         while True:
             await link.receive()
@@ -253,13 +255,13 @@
 def print_memory() -> None:
     print('resident memory after importing, MiB:')
     for name, code in _IMPORTS.items():
-        shown = subprocess.run(  # noqa: S603 - a constant program of our own
-            [sys.executable, '-c', f'{code}\n{_SHOW_RSS}'],
+        process = subprocess.run(  # noqa: S603 - a constant program of our own
+            [sys.executable, '-c', f'{code}\n{_PRINT_RSS}'],
             capture_output=True,
             check=True,
             text=True,
         )
-        print(f'  {name:20}{int(shown.stdout) / 1024:8.1f}')
+        print(f'  {name:20}{int(process.stdout) / 1024:8.1f}')
 
 
 def main() -> None:
--- a/bench/workload.py
+++ b/bench/workload.py
@@ -15,7 +15,7 @@
 _DAY = 24 * HOUR
 _HINT_BYTES = 8
 _INDEX_BITS = 16
-_FIRST_OWN = 1 << 24
+_FIRST_PRIVATE_NUMBER = 1 << 24
 
 
 @dataclass(frozen=True, slots=True)
@@ -128,7 +128,7 @@
 
 
 @dataclass(slots=True)
-class _Own:
+class _PrivateText:
     """Hold a text that only one conversation or claim uses."""
 
     number: int
@@ -171,12 +171,12 @@
         self._deployment = deployment
         self._random = Random(f'{deployment.name}-{seed}')
         self._rulebooks = list(self._make_rulebooks())
-        self._weights = _accumulate(
+        self._weights = _make_cumulative(
             (rank + 1) ** -deployment.popularity
             for rank in range(deployment.rulebooks)
         )
-        self._next_own = _FIRST_OWN
-        self._returning: list[tuple[Millis, int, _Own]] = []
+        self._next_private_number = _FIRST_PRIVATE_NUMBER
+        self._returning: list[tuple[Millis, int, _PrivateText]] = []
         self._number = 0
 
     @property
@@ -206,7 +206,7 @@
             range(len(shares)), shares, k=self._deployment.rulebooks
         )
         for number, team in enumerate(teams):
-            tokens = _draw_log(self._random, low, high)
+            tokens = _draw_log_uniform(self._random, low, high)
             yield Rulebook(number, f't{team}', int(tokens))
 
     def _draw_history(self, days: int) -> Iterator[Visit]:
@@ -242,15 +242,19 @@
         rulebook = self._draw_rulebook()
         for _ in range(6):
             at += self._random.expovariate(2 / SECOND)
-            yield self._make(at, self._start_own(rulebook), letter=False)
+            yield self._make_visit(
+                at, self._start_private_text(rulebook), letter=False
+            )
 
     def _draw(self, at: Millis, team: str = '') -> Visit:
-        own = self._take_returning(at, team)
+        own = self._pick_returning(at, team)
         if own is not None:
-            return self._visit(at, own)
-        return self._visit(at, self._start_own(self._draw_rulebook(team)))
+            return self._make_random_visit(at, own)
+        return self._make_random_visit(
+            at, self._start_private_text(self._draw_rulebook(team))
+        )
 
-    def _take_returning(self, at: Millis, team: str) -> _Own | None:
+    def _pick_returning(self, at: Millis, team: str) -> _PrivateText | None:
         """Take a text that is due.
 
         History is a sample of the visits of days; in the window the returns
@@ -266,29 +270,33 @@
         own = self._returning[index][2]
         return own if not team or own.rulebook.team == team else None
 
-    def _visit(self, at: Millis, own: _Own) -> Visit:
+    def _make_random_visit(self, at: Millis, own: _PrivateText) -> Visit:
         share = self._deployment.letter_share
-        return self._make(at, own, letter=self._random.random() < share)
+        return self._make_visit(at, own, letter=self._random.random() < share)
 
     def _draw_rulebook(self, team: str = '') -> Rulebook:
         while True:
             point = self._random.random() * self._weights[-1]
-            rulebook = self._rulebooks[_find(self._weights, point)]
+            rulebook = self._rulebooks[
+                _find_first_reaching(self._weights, point)
+            ]
             if not team or rulebook.team == team:
                 return rulebook
 
-    def _start_own(self, rulebook: Rulebook) -> _Own:
-        self._next_own += 1
-        tokens = _draw_log(self._random, *self._deployment.own_tokens)
-        return _Own(self._next_own, rulebook, int(tokens))
+    def _start_private_text(self, rulebook: Rulebook) -> _PrivateText:
+        self._next_private_number += 1
+        tokens = _draw_log_uniform(self._random, *self._deployment.own_tokens)
+        return _PrivateText(self._next_private_number, rulebook, int(tokens))
 
-    def _make(self, at: Millis, own: _Own, *, letter: bool) -> Visit:
+    def _make_visit(
+        self, at: Millis, own: _PrivateText, *, letter: bool
+    ) -> Visit:
         deployment = self._deployment
         draw = self._random
         if at < 0 and draw.random() < deployment.return_chance:
-            gap = _draw_log(draw, *deployment.return_gap)
-            grown = _Own(own.number, own.rulebook, own.tokens + 100)
-            heapq.heappush(self._returning, (at + gap, self._number, grown))
+            gap = _draw_log_uniform(draw, *deployment.return_gap)
+            continued = _PrivateText(own.number, own.rulebook, own.tokens + 100)
+            heapq.heappush(self._returning, (at + gap, self._number, continued))
         tokens = own.rulebook.tokens + own.tokens
         complete = own.rulebook.complete
         segments = list_segments(
@@ -325,11 +333,11 @@
     return bytes((first,)) + segment[1:]
 
 
-def _draw_log(random: Random, low: float, high: float) -> float:
+def _draw_log_uniform(random: Random, low: float, high: float) -> float:
     return math.exp(random.uniform(math.log(low), math.log(high)))
 
 
-def _accumulate(weights: Iterator[float]) -> list[float]:
+def _make_cumulative(weights: Iterator[float]) -> list[float]:
     sums: list[float] = []
     total = 0.0
     for weight in weights:
@@ -338,7 +346,7 @@
     return sums
 
 
-def _find(sums: Sequence[float], point: float) -> int:
+def _find_first_reaching(sums: Sequence[float], point: float) -> int:
     low, high = 0, len(sums) - 1
     while low < high:
         middle = (low + high) // 2
--- a/bench/world.py
+++ b/bench/world.py
@@ -31,11 +31,11 @@
 from oleanderdyke.policies.routing import make_costs
 from oleanderdyke.policies.settings import PRESETS
 
-_ENTRIES = 3
-_TICK: Millis = 50.0
-_REFUSED_CONNECTION: Millis = 5.0
-_ATTEMPTS = 3
-_LETTER_TIME: Millis = 10 * HOUR
+_ENTRY_COUNT = 3
+_RELEASE_INTERVAL: Millis = 50.0
+_REFUSED_CONNECTION_DELAY: Millis = 5.0
+_MAX_ATTEMPTS = 3
+_BACKGROUND_TIME_LIMIT: Millis = 10 * HOUR
 
 
 class World:
@@ -62,8 +62,8 @@
         self.version = 0
         self.agents: dict[str, EngineAgent] = {}
         self._running: dict[str, Request] = {}
-        self._make_own_router = make_router
-        self._marked = 0.0, 0.0
+        self._router_factory = make_router
+        self._start_totals = 0.0, 0.0
         self._build(seed)
 
     def load_window(self, visits: Sequence[Visit]) -> None:
@@ -75,17 +75,17 @@
         """Run until a moment."""
         self.events.run(until)
 
-    def mark(self) -> None:
+    def start_measuring(self) -> None:
         """Measure the link and background work from here on."""
-        self._marked = self._sum_link(), self._sum_background()
+        self._start_totals = self._sum_link(), self._sum_background()
 
     def measure_link(self) -> float:
         """Return the bytes carried since the mark."""
-        return self._sum_link() - self._marked[0]
+        return self._sum_link() - self._start_totals[0]
 
     def count_background(self) -> float:
         """Return the background tokens generated since the mark."""
-        return self._sum_background() - self._marked[1]
+        return self._sum_background() - self._start_totals[1]
 
     def _sum_link(self) -> float:
         return sum(each.link_bytes for each in self.agents.values())
@@ -99,10 +99,10 @@
         agent = self.agents[name]
         agent.engine.crash()
         agent.drop_all()
-        self.reporter.expect_silence(name)
+        self.reporter.schedule_removal(name)
         for request in list(self._running.values()):
             if request.engine == name:
-                self.events.add(0.0, self._fail_attempt, request)
+                self.events.add(0.0, self._handle_failure, request)
 
     def restart(self, name: str) -> None:
         """Bring an engine back with cold caches."""
@@ -116,16 +116,16 @@
         self.store.up = False
         for agent in self.agents.values():
             agent.lose_store(self.store)
-        self.reporter.expect_store_silence()
+        self.reporter.schedule_store_removal()
 
     def reload(self, name: str, version: int, time: Millis) -> None:
         """Let an engine leave, finish its work and load other weights."""
-        self.reporter.start_leaving(name)
+        self.reporter.start_draining(name)
         self.events.add(time, self._end_reload, name, version)
 
     def _end_reload(self, name: str, version: int) -> None:
         self.agents[name].engine.cache.clear()
-        self.reporter.end_leaving(name, version)
+        self.reporter.finish_reload(name, version)
 
     def change_version(self, version: int) -> None:
         """Ask new requests for other weights."""
@@ -148,7 +148,7 @@
             perfect=self.system.perfect,
             agents=self.agents,
             store=self.store,
-            record_segments_removed=self._learn_removed,
+            record_segments_removed=self._record_segments_removed,
         )
         self.fleet = self.reporter.fleet
         self.reporter.publish(STORE, history.store)
@@ -156,7 +156,7 @@
             self.reporter.publish(name, agent.engine.cache)
         self.entries = self._make_entries(seed)
         self.reporter.report_all()
-        self._tick()
+        self._release_all()
 
     def _make_agent(self, cache: EngineCache) -> EngineAgent:
         deployment = self.deployment
@@ -177,42 +177,44 @@
         )
 
     def _make_entries(self, seed: int) -> list[Entry]:
-        count = 1 if self.system.perfect else _ENTRIES
+        count = 1 if self.system.perfect else _ENTRY_COUNT
         settings = replace(self.settings, entries=count)
-        places = self.deployment.data_centres
+        centres = self.deployment.data_centres
         return [
             Entry(
                 self._make_router(),
                 ADMISSIONS.find(self.system.admission)(settings, _find_terms),
                 Random(f'entry-{seed}-{index}'),
-                places[index % len(places)],
+                centres[index % len(centres)],
             )
             for index in range(count)
         ]
 
     def _make_router(self) -> Router:
-        if self._make_own_router is not None:
-            return self._make_own_router(self)
+        if self._router_factory is not None:
+            return self._router_factory(self)
         return ROUTERS.find(self.system.router)(self.settings)
 
-    def _learn_removed(self, name: str, removed: Sequence[SegmentHint]) -> None:
+    def _record_segments_removed(
+        self, name: str, removed: Sequence[SegmentHint]
+    ) -> None:
         for entry in self.entries:
             entry.router.record_segments_removed(name, removed)
 
-    def _tick(self) -> None:
+    def _release_all(self) -> None:
         for entry in self.entries:
             self._release(entry)
-        self.events.add(_TICK, self._tick)
+        self.events.add(_RELEASE_INTERVAL, self._release_all)
 
     def _arrive(self, visit: Visit) -> None:
-        patience = _LETTER_TIME
+        time_limit = _BACKGROUND_TIME_LIMIT
         if not visit.background:
-            patience = self.deployment.deadline
-        outcome = Outcome(visit, visit.at + patience)
+            time_limit = self.deployment.deadline
+        outcome = Outcome(visit, visit.at + time_limit)
         self.outcomes.append(outcome)
-        self._try(outcome)
+        self._submit(outcome)
 
-    def _try(self, outcome: Outcome) -> None:
+    def _submit(self, outcome: Outcome) -> None:
         outcome.tries += 1
         entry = self.random.choice(self.entries)
         visit = outcome.visit
@@ -234,9 +236,9 @@
         )
         request = Request(name, outcome, demand, entry)
         decision = entry.admission.admit(demand, self.fleet, self.events.now)
-        self._follow(request, decision)
+        self._apply_decision(request, decision)
 
-    def _follow(
+    def _apply_decision(
         self, request: Request, decision: Admitted | Queued | Refusal
     ) -> None:
         match decision:
@@ -252,7 +254,7 @@
             return
         now = self.events.now
         for name, decision in entry.admission.release(self.fleet, now):
-            self._follow(entry.held.pop(name), decision)
+            self._apply_decision(entry.held.pop(name), decision)
 
     def _refuse(self, outcome: Outcome, after: Millis) -> None:
         """Let the caller come back, or give up."""
@@ -266,9 +268,9 @@
         if late or outcome.tries >= tries:
             outcome.failed = True
             return
-        self.events.add(after, self._try, outcome)
+        self.events.add(after, self._submit, outcome)
 
-    def _dispatch(self, request: Request, *avoid: str) -> None:
+    def _dispatch(self, request: Request, *excluded: str) -> None:
         entry = request.entry
         now = self.events.now
         plan = entry.router.choose(
@@ -276,7 +278,7 @@
             self.fleet,
             now,
             entry.random,
-            exclude=frozenset(avoid),
+            exclude=frozenset(excluded),
         )
         if isinstance(plan, Refusal):
             entry.admission.record_finished(request.name, now)
@@ -294,12 +296,14 @@
         plan = request.plan
         assert plan is not None
         agent = self.agents[plan.agent]
-        fits = request.demand.weight_digest == (
+        has_version = request.demand.weight_digest == (
             f'w{self.reporter.versions[plan.agent]}'
         )
-        gone = plan.agent in self.reporter.leaving or not agent.engine.up
-        if gone or not fits:
-            self.events.add(_REFUSED_CONNECTION, self._fail_attempt, request)
+        unavailable = plan.agent in self.reporter.leaving or not agent.engine.up
+        if unavailable or not has_version:
+            self.events.add(
+                _REFUSED_CONNECTION_DELAY, self._handle_failure, request
+            )
             return
         store = self.store if plan.store else None
         end = plan.cached + plan.fetched
@@ -317,7 +321,7 @@
             deadline=demand.deadline,
             on_first_token=lambda count: self._start_answer(request, count),
             on_finished=lambda: self._finish(request),
-            on_late=lambda: self._drop_late(request),
+            on_late=lambda: self._fail_late(request),
         )
 
     def _start_answer(self, request: Request, computed: int) -> None:
@@ -329,10 +333,10 @@
         outcome.first_token = now + self.deployment.latency
         request.entry.router.record_first_token(request.name, now)
         request.entry.admission.record_first_token(request.name, now)
-        self._keep(request)
+        self._export(request)
         self._release(request.entry)
 
-    def _keep(self, request: Request) -> None:
+    def _export(self, request: Request) -> None:
         if self.system.exports == 'none':
             return
         segments = request.demand.segments
@@ -351,7 +355,7 @@
         request.outcome.finished = self.events.now + self.deployment.latency
         self._close(request)
 
-    def _drop_late(self, request: Request) -> None:
+    def _fail_late(self, request: Request) -> None:
         if request.done:
             return
         request.outcome.failed = True
@@ -365,13 +369,13 @@
         request.entry.admission.record_finished(request.name, now)
         self._release(request.entry)
 
-    def _fail_attempt(self, request: Request) -> None:
+    def _handle_failure(self, request: Request) -> None:
         """Try another replica, as idempotent work may, or give up."""
         if request.done:
             return
         now = self.events.now
         request.entry.router.record_finished(request.name, now)
-        if request.attempts < _ATTEMPTS and now < request.outcome.deadline:
+        if request.attempts < _MAX_ATTEMPTS and now < request.outcome.deadline:
             self._dispatch(request, request.engine)
             return
         self._running.pop(request.name, None)
