--- a/bench/main.py
+++ b/bench/main.py
@@ -1,4 +1,4 @@
-"""Measure the decisions against baselines and an oracle."""
+"""Compare the routing policies with baselines and an oracle."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Describe the command line."""
+    """Return the parser of the command line."""
     parser = argparse.ArgumentParser(prog='bench', description=__doc__)
     names = [each.name for each in SCENARIOS] + ['log-out']
     parser.add_argument('--scenario', action='append', choices=names)
@@ -42,14 +42,14 @@
 
 
 def run_all(tasks: Sequence[Task]) -> dict[Task, Measures]:
-    """Run tasks in a few processes; the order doesn't change any figure."""
+    """Run tasks in parallel; results don't depend on the order of the runs."""
     with Pool(_PROCESSES) as pool:
         measures = pool.map(run, tasks, chunksize=1)
     return dict(zip(tasks, measures, strict=True))
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the scenarios that the command line names."""
+    """Run the selected scenarios and print tables and verdicts."""
     options = make_parser().parse_args(arguments)
     deployments = options.deployment or list(DEPLOYMENTS)
     if options.calibrate:
@@ -77,7 +77,7 @@
 
 
 def calibrate(deployments: Sequence[str], seeds: int) -> None:
-    """Print up to which rate each simple baseline answers in time."""
+    """Print each routing baseline's share in time at increasing rates."""
     systems = [
         'least-outstanding',
         'prefix-affinity',
@@ -105,7 +105,7 @@
 
 
 def print_log_out(seeds: int) -> None:
-    """Print what a ten-minute outage of the log does to bookings."""
+    """Print how bookings fare during a ten-minute outage of the log."""
     print('\nlog-out: bookings (run at most once), log out for 600 s')
     print('retries    in 60 s  tries  busiest s  back s')
     outage = (WARM_UP, WARM_UP + 600 * SECOND)
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -1,4 +1,4 @@
-"""Sum up the outcomes of one run."""
+"""Compute the measures of one run from its outcomes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Measures:
-    """Hold the figures of one run."""
+    """Hold the measures of one run.
+
+    `recomputed`, `in_time`, `refused`, `fairness` and `small_teams` are
+    shares; `goodput` is requests per second, `background` tokens per second,
+    and `link_bytes` and `cost` are means per visit.
+    """
 
     ttft_50: Millis
     ttft_95: Millis
@@ -38,10 +43,11 @@
 def measure(
     world: World, scenario: Scenario, link: float, background: float
 ) -> Measures:
-    """Return the figures of the visits after the warm-up.
+    """Return the measures of the visits after the warm-up.
 
-    A visit that got no first token counts as one at its deadline. `link` and
-    `background` were counted over the same time.
+    A visit without a first token counts with its deadline as its time to first
+    token. `link` (bytes) and `background` (tokens) are totals over the same
+    period.
     """
     visits = [each for each in world.outcomes if each.visit.at >= WARM_UP]
     foreground = [each for each in visits if not each.visit.background]
@@ -87,16 +93,16 @@
 
 
 def _measure_small(foreground: Sequence[Outcome]) -> float:
-    """Return the share of the small teams' visits answered in time."""
+    """Return the share of visits of small teams that are answered in time."""
     small = [each for each in foreground if each.visit.team not in _LARGE_TEAMS]
     return sum(each.in_time for each in small) / max(1, len(small))
 
 
 def _measure_fairness(foreground: Sequence[Outcome]) -> float:
-    """Return Jain's index of what teams got of their fair share.
+    """Return Jain's fairness index over the teams.
 
-    The fair share of all answers is max-min by weight, and no more than a
-    team asked for.
+    It is computed over each team's ratio of answers in time to its fair share.
+    The fair share is weighted max-min, capped by the team's demand.
     """
     requested: dict[str, int] = {}
     served: dict[str, int] = {}
@@ -141,10 +147,11 @@
 def _measure_recovery(
     foreground: Sequence[Outcome], outage: Outage | None
 ) -> Millis:
-    """Return how long after an outage goodput is back for good.
+    """Return the time from the end of an outage until goodput has recovered.
 
-    Goodput of a second is the share of its arrivals answered in time; it is
-    back when five seconds in a row reach 95% of what they were before.
+    Goodput of a second is the share of its arrivals answered in time. It has
+    recovered when its mean over five seconds reaches 95% of the mean before
+    the outage.
     """
     if outage is None:
         return 0.0
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -1,6 +1,6 @@
 """Measure the memory of configured teams and of segment hints.
 
-Run `python -m bench.memory`; it prints bytes as tracemalloc counts them.
+Run `python -m bench.memory`; it prints the bytes that tracemalloc counts.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """Hold what one state of a size takes."""
+    """Hold the memory and build time of a state with `count` items."""
 
     count: int
     held_bytes: int
@@ -38,12 +38,12 @@
 
     @property
     def bytes_each(self) -> float:
-        """Return the bytes for one."""
+        """Return the bytes per item."""
         return self.held_bytes / self.count
 
 
 def main() -> None:
-    """Print one line for each size."""
+    """Print the memory and build time of every size."""
     for count in TEAM_COUNTS:
         sample = _measure(count, _fill_catalog)
         _show('teams', sample)
@@ -53,7 +53,7 @@
 
 
 def make_team(number: int) -> TeamSpec:
-    """Build a team as the users have them, one token and one administrator."""
+    """Build a typical team: one token and, for odd numbers, one for admins."""
     return TeamSpec(
         labels={'region': _REGIONS[number % len(_REGIONS)], 'size': 'small'},
         token_hashes=(_hash('token', number),),
--- a/bench/oracle.py
+++ b/bench/oracle.py
@@ -1,4 +1,4 @@
-"""Route with perfect knowledge of the present, at the same costs."""
+"""Route with exact knowledge of the current state and the same costs."""
 
 from __future__ import annotations
 
@@ -36,7 +36,10 @@
 
 
 class OracleRouter:
-    """Read queues, caches and links where they are; know no future."""
+    """Route by the current queues, caches and links, without delay.
+
+    Future arrivals are unknown to it.
+    """
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -52,7 +55,7 @@
         *,
         exclude: frozenset[str] = frozenset(),
     ) -> Plan | Refusal:
-        """Return the cheapest plan over all replicas."""
+        """Return the plan with the lowest cost over all eligible replicas."""
         options = [
             self._estimate(demand, each)
             for each in fleet.replicas(demand.service)
@@ -76,26 +79,26 @@
         )[1]
 
     def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
-        """Count what a cache turns over, as the policy does."""
+        """Record the tokens added to a cache, as the policy does."""
         cached = plan.cached + plan.joined
         added = demand.tokens - cached * SEGMENT_TOKENS
         self._pressure.record_added(plan.agent, added, now)
 
     def record_first_token(self, request: str, now: Millis) -> None:
-        """Learn nothing."""
+        """Ignore the event; the state is read directly."""
 
     def record_finished(self, request: str, now: Millis) -> None:
-        """Learn nothing."""
+        """Ignore the event; the state is read directly."""
 
     def record_segments_removed(
         self, agent: str, segments: Sequence[SegmentHint]
     ) -> None:
-        """Learn nothing."""
+        """Ignore the event; the state is read directly."""
 
     def record_segments_listed(
         self, agent: str, segments: Sequence[SegmentHint]
     ) -> None:
-        """Learn nothing."""
+        """Ignore the event; the state is read directly."""
 
     def _estimate(
         self, demand: Demand, replica: Replica
--- a/bench/parts.py
+++ b/bench/parts.py
@@ -1,4 +1,4 @@
-"""Hold the small parts of a run."""
+"""Define the entries, requests and reporting delays of a simulated run."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lags:
-    """Say how old reports and cache events are when they are heard."""
+    """Set the interval and the delays of reports and cache events."""
 
     report_every: Millis = 0.5 * SECOND
     report_age: Millis = 0.2 * SECOND
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class Entry:
-    """Hold one entry's decisions and the requests that it holds."""
+    """Hold the policies and the queued requests of one entry."""
 
     router: Router
     admission: Admission
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """Hold one try of a caller at one entry."""
+    """Hold one attempt of a caller at one entry."""
 
     name: str
     outcome: Outcome
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,7 +1,7 @@
-"""Measure what the path through entry and agent costs on real processes.
+"""Measure the overhead of entry and agent with real processes.
 
-Run `python -m bench.path`; parts can be named: streams calls memory. It ends
-every process that it started. Idle use of a process is taken off its figures.
+Run `python -m bench.path [streams] [calls] [memory]`. It stops every process
+that it started. The idle use of a process is subtracted from its figures.
 """
 
 from __future__ import annotations
@@ -52,14 +52,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProcessorTime:
-    """Hold the processor time of two processes, in ms."""
+    """Hold the processor time of the entry and the agent, in ms."""
 
     entry: float
     agent: float
     at: float
 
     def since(self, before: ProcessorTime) -> ProcessorTime:
-        """Return the use between two readings; `at` is the time between."""
+        """Return the difference of two readings; `at` becomes the interval."""
         return ProcessorTime(
             self.entry - before.entry,
             self.agent - before.agent,
@@ -67,7 +67,7 @@
         )
 
     def subtract_idle(self, idle: ProcessorTime) -> ProcessorTime:
-        """Take off what the processes use without any work."""
+        """Subtract the idle use, scaled to the length of this measurement."""
         share = self.at / idle.at
         return ProcessorTime(
             self.entry - idle.entry * share,
@@ -84,7 +84,7 @@
         self._agent = agent
 
     def read(self) -> ProcessorTime:
-        """Return the use so far."""
+        """Return the processor time used since the processes started."""
         return ProcessorTime(
             _read_processor_time(self._entry),
             _read_processor_time(self._agent),
@@ -92,18 +92,18 @@
         )
 
     def measure(self, action: Callable[[], object]) -> ProcessorTime:
-        """Return what an action costs both processes."""
+        """Return the processor time that an action takes in both processes."""
         before = self.read()
         action()
         return self.read().since(before)
 
     def measure_idle(self) -> ProcessorTime:
-        """Return what both use while nothing is asked of them."""
+        """Return the processor time of both processes without requests."""
         return self.measure(lambda: time.sleep(_IDLE_SECONDS))
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Measure the named parts, by default all."""
+    """Run the selected measurements, all by default."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('parts', nargs='*', default=PARTS)
     parts = parser.parse_args(arguments).parts
@@ -163,7 +163,7 @@
 
 
 def _run_stream(entry: Entry, number: int) -> int:
-    """Read one stream and return its events."""
+    """Read one stream to its end and return the number of its events."""
     text = f'question {number} of {time.monotonic_ns()}'
     body = make_chat(_MODEL_SERVICE, text, max_tokens=_TOKENS)
     with (
@@ -180,7 +180,7 @@
         data = response.read()
     count = data.count(_EVENT_PREFIX)
     if count < _TOKENS:
-        raise NotMet(f'a stream ended after {count} events')
+        raise NotMet(f'a stream ended after {count} of {_TOKENS} events')
     return count
 
 
@@ -268,7 +268,7 @@
     )
 
 
-# --- reading and showing ------------------------------------------------
+# --- reading and printing -----------------------------------------------
 
 
 def _find_pid(child: Child) -> int:
--- a/bench/reconcile.py
+++ b/bench/reconcile.py
@@ -1,4 +1,4 @@
-"""Compare ways to repair an entry's directory of cached segments."""
+"""Compare methods to resynchronise an entry's directory of segments."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 DIFFERENCES = (1, 10, 100, 1_000, 10_000)
 SEEDS = (1, 2, 3, 4, 5)
 _HINT_BYTES = 8
-# Cells come in groups that grow with what was sent, so that the number of
-# attempts to decode stays small.
+# Cells are sent in groups that grow with the number already sent, which keeps
+# the number of decoding attempts small.
 _GROUP_DIVISOR = 16
 _MIN_GROUP_CELLS = 10
 _MESSAGE_BYTES = 16
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """Hold the bytes both ways and the processor time of both ends."""
+    """Hold the bytes in both directions and the processor time of both ends."""
 
     exchanged: int
     milliseconds: float
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """Hold a sender's changes since the receiver's last event."""
+    """Hold the sender's changes since the last event that the receiver got."""
 
     before: frozenset[bytes]
     gone: tuple[bytes, ...]
@@ -48,11 +48,12 @@
 
     @property
     def after(self) -> set[bytes]:
-        """Return what the receiver must hold in the end."""
+        """Return the hints that the receiver must hold after the exchange."""
         return set(self.before) - set(self.gone) | set(self.new)
 
 
 def make_case(before: frozenset[bytes], difference: int, seed: int) -> Case:
+    """Return a case of `difference` changes, half of them removals."""
     random = Random(seed)
     lost = min(difference // 2, len(before))
     gone = random.sample(sorted(before), lost)
@@ -98,6 +99,7 @@
 
 
 def measure_list(case: Case) -> Cost:
+    """Measure the transfer of the complete list."""
     log, _ = _make_log(case)
     held = set(case.before)
     request = len(encode(SegmentListRequest()))
@@ -107,6 +109,7 @@
 
 
 def measure_log(case: Case) -> Cost:
+    """Measure the transfer of the events after the receiver's last one."""
     log, number = _make_log(case)
     held = set(case.before)
     request = len(encode(SegmentListRequest(after=number)))
@@ -134,11 +137,11 @@
         exchanged += len(data) + _MESSAGE_BYTES
         if decoder.take(data):
             return exchanged
-    raise AssertionError('the difference was not found')
+    raise AssertionError('the IBLT was not decoded with its last cells')
 
 
 def measure_table(case: Case, tables: tuple[Table, Table]) -> Cost:
-    """Measure the exchange; the tables are already built and changed."""
+    """Measure the exchange of an IBLT, without building the two tables."""
     sender, receiver = tables
     decoder = Decoder(receiver)
     cost = _time(lambda: _exchange(sender, decoder))
@@ -155,7 +158,7 @@
 
 
 def _apply_changes(table: Table, case: Case) -> float:
-    """Bring a table up to date; return the milliseconds of one change."""
+    """Apply the changes of a case; return the milliseconds per change."""
     start = time.process_time()
     for key in _to_keys(case.new):
         table.insert(key)
@@ -215,7 +218,7 @@
 
 
 def _measure_memory() -> int:
-    """Return the bytes of a full log whose hints nothing else holds."""
+    """Return the bytes of a full log, including the hints it holds."""
     tracemalloc.start()
     log = SegmentLog()
     for hint in _make_hints(Random(0), RECENT_EVENTS):
@@ -229,7 +232,7 @@
 
 
 def main() -> None:
-    """Print bytes and processor time as a table."""
+    """Print a table of bytes and processor times."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--sizes', type=int, nargs='+', default=SIZES)
     options = parser.parse_args()
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Print tables of figures and hold them against the targets."""
+"""Print tables of measures and compare them with the targets."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 _MAX_RATIO = 1.02
 _ROUTING_BASELINES = BASELINES[:4]
-# A council's reader waits longer than a visitor at a door.
+# The council's readers tolerate a longer wait than visitors at a door.
 COUNCIL_BOUND: Millis = 6 * SECOND
-# Below this, a system is not answering the load it is compared at.
+# A system with a lower share in time is overloaded and not comparable.
 _MIN_IN_TIME = 0.95
 _HEADER = (
     f'{"system":18}{"ttft50":>8}{"ttft95":>8}{"spread":>14}{"ttft99":>8}'
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """Tell whether one target was met, with the figures."""
+    """Hold whether one target was met, with the figures."""
 
     target: str
     met: bool
@@ -36,7 +36,7 @@
 
 
 def print_table(results: Results, deployment: str, scenario: str) -> None:
-    """Print one row for each system: means over the seeds."""
+    """Print a row of means over the seeds for each system."""
     print(f'\n{deployment} / {scenario}')
     print(_HEADER)
     for system in SYSTEMS:
@@ -65,7 +65,7 @@
 def find(
     results: Results, deployment: str, scenario: str, system: str
 ) -> Sequence[Measures]:
-    """Return the figures of all seeds of one cell."""
+    """Return the measures of all seeds of one system in one scenario."""
     return [
         measures
         for task, measures in results.items()
@@ -77,13 +77,13 @@
 def mean_of(
     results: Results, deployment: str, scenario: str, system: str, name: str
 ) -> float:
-    """Return the mean of one figure over the seeds."""
+    """Return the mean of one measure over the seeds."""
     found = find(results, deployment, scenario, system)
     return fmean(getattr(each, name) for each in found)
 
 
 def judge(results: Results) -> list[Verdict]:
-    """Hold the results against every target that they can show."""
+    """Compare the results with every target that they cover."""
     shown = {(task.deployment, task.scenario) for task in results}
     verdicts: list[Verdict] = []
     for scenario in ('steady', 'peak-0.9'):
@@ -100,7 +100,7 @@
 
 
 def print_verdicts(verdicts: Sequence[Verdict]) -> None:
-    """Print the targets, met or missed."""
+    """Print each target with `met` or `MISS`."""
     print('\nTargets')
     for each in verdicts:
         print(f'{"met " if each.met else "MISS"}  {each.target}: {each.detail}')
@@ -145,7 +145,7 @@
         f'{policy:.0f} against {oracle:.0f}: {policy / oracle - 1:+.1%}',
     )
     if not eligible:
-        # Nobody keeps the bound, so all that answer in time are compared.
+        # No baseline keeps the bound: compare all that answer in time.
         eligible = [
             each.name
             for each in _ROUTING_BASELINES
@@ -226,9 +226,9 @@
 def _judge_against_baselines(
     results: Results, deployment: str, scenario: str
 ) -> list[Verdict]:
-    """Compare the main measure with every baseline that answers the load.
+    """Compare the main measure with every baseline that sustains the load.
 
-    Where the load is more than a system can answer, goodput is compared.
+    If no system sustains the load, compare goodput instead.
     """
 
     def read(system: str, name: str) -> float:
--- a/bench/reporting.py
+++ b/bench/reporting.py
@@ -1,4 +1,4 @@
-"""Let the entries hear of the agents, as late as they do."""
+"""Deliver reports and cache events to the entries with delays."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Reporter:
-    """Send reports and cache events to the entries' view of the fleet."""
+    """Deliver reports and cache events to the entries' view of the fleet."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self.leaving: set[str] = set()
 
     def publish(self, name: str, cache: EngineCache | StoreCache) -> None:
-        """Let cache events reach the entries late."""
+        """Publish a cache's segments now and its later events with a delay."""
         self.fleet.apply(name, cache.list_all(), ())
 
         def notify(
@@ -70,7 +70,7 @@
             self._record_removed(name, removed)
 
     def report_all(self) -> None:
-        """Report now, and again and again."""
+        """Report all agents and the store now and at every interval."""
         self._sequence += 1
         for name in self._agents:
             self.report(name)
@@ -81,7 +81,7 @@
         self._events.add(interval, self.report_all)
 
     def report(self, name: str) -> None:
-        """Report one engine if it serves."""
+        """Report one engine unless it is down or draining."""
         engine = self._agents[name].engine
         if not engine.up or name in self.leaving:
             return
@@ -130,21 +130,21 @@
             self.fleet.hear(heard, store=True)
 
     def schedule_removal(self, name: str) -> None:
-        """Let the entries notice later that an engine is gone."""
+        """Remove an engine after the silence limit, unless it restarted."""
         life = self._agents[name].engine.life
         self._events.add(_SILENCE_LIMIT, self._remove_if_silent, name, life)
 
     def schedule_store_removal(self) -> None:
-        """Let the entries notice later that the store is gone."""
+        """Remove the store from the fleet after the silence limit."""
         self._events.add(_SILENCE_LIMIT, self.fleet.lose, STORE)
 
     def start_draining(self, name: str) -> None:
-        """Tell at once that an engine takes nothing new."""
+        """Remove an engine at once from the fleet; it takes no new requests."""
         self.leaving.add(name)
         self.fleet.lose(name)
 
     def finish_reload(self, name: str, version: int) -> None:
-        """Tell that an engine serves other weights now."""
+        """Report an engine that now serves another version of the weights."""
         self.versions[name] = version
         self.leaving.discard(name)
         self.report(name)
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -15,13 +15,16 @@
 from bench.world import World
 from oleanderdyke.clock import SECOND
 
-# Importing registers the plug-ins that systems name.
+# Importing these modules registers the plug-ins that systems refer to.
 PLUGINS = (oleanderdyke.policies, baselines)
 
 
 @dataclass(frozen=True, slots=True)
 class Task:
-    """Name one run; equal tasks give equal figures."""
+    """Identify one run; equal tasks give equal measures.
+
+    A `rate` of 0 uses the load of the scenario.
+    """
 
     deployment: str
     scenario: str
@@ -31,7 +34,7 @@
 
 
 def run(task: Task) -> Measures:
-    """Run a task in virtual time."""
+    """Simulate a task in virtual time and return its measures."""
     deployment = DEPLOYMENTS[task.deployment]
     scenario = BY_NAME[task.scenario]
     world = World(
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -1,4 +1,4 @@
-"""List the scenarios: load, lags, habits and what goes wrong when."""
+"""Define the scenarios: load, delays, caller behaviour and faults."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def _do_nothing(world: World) -> None:
-    """Leave a world as it is."""
+    """Inject no fault."""
 
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """Say when goodput is expected to suffer."""
+    """Hold the period in which lower goodput is expected."""
 
     start: Millis
     end: Millis
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """Describe one scenario; `load` is a share of the capacity."""
+    """Describe one scenario; `load` is relative to the capacity."""
 
     name: str
     load: float
@@ -67,7 +67,7 @@
 
 
 def _lose_data_centre(world: World) -> None:
-    """Lose the engines in the first of three data centres."""
+    """Crash the engines in the first data centre and restart them later."""
     for index, name in enumerate(world.agents):
         if index % len(world.deployment.data_centres) == 0:
             world.events.add(_FAULT_TIME, world.crash, name)
@@ -75,7 +75,7 @@
 
 
 def _swap_weights(world: World) -> None:
-    """Reload one engine after the other; ask for the new at half-way."""
+    """Reload the engines in turn; request the new weights from half-way on."""
     for index, name in enumerate(world.agents):
         at = _FAULT_TIME + index * _RELOAD_INTERVAL
         world.events.add(at, world.reload, name, 1, _RELOAD_TIME)
@@ -121,7 +121,7 @@
     ),
     Scenario('weight-swap', 0.9, prepare=_swap_weights),
 )
-# Short ones for the bounds that CI checks; no part of the report.
+# Short scenarios for the bounds that CI checks; not part of the report.
 BRIEF = (
     Scenario('brief', 0.9, length=120 * SECOND),
     Scenario('brief-overload', 2.0, length=100 * SECOND),
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,7 +1,7 @@
-"""Measure what one act of control costs: `python -m bench.slopes`.
+"""Measure the cost of single control-plane operations.
 
-Times are the least processor time of some rounds; bytes are exact, memory is
-counted by tracemalloc.
+Run `python -m bench.slopes`. Times are the minimum processor time of several
+rounds; bytes are exact; memory is counted by tracemalloc.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 def main() -> None:
-    """Print every slope."""
+    """Print the cost of every operation."""
     print_heartbeats()
     anyio.run(print_sent_messages)
     print_segment_hints()
@@ -56,7 +56,7 @@
 
 
 def print_heartbeats() -> None:
-    """Print what a heartbeat costs beyond the socket, and an agent's state."""
+    """Print the cost of a heartbeat without sockets and of agent state."""
     beat = make_beat()
     data = encode(beat)
     print(f'heartbeat: {len(data)} bytes')
@@ -74,7 +74,7 @@
             beat, incarnation=f'{7:016x}', sequence=next(sequence)
         )
         if not fleet.on_heartbeat('agent-7', following, 1.0):
-            raise AssertionError('the heartbeat was not taken')
+            raise AssertionError('the fleet did not accept the heartbeat')
 
     print_time(f'  taken into a fleet of {AGENTS}', apply)
     print(f'agent in the fleet state: {held / AGENTS:.0f} bytes')
@@ -115,14 +115,14 @@
 
 
 async def print_sent_messages() -> None:
-    """Print what a message costs both ends of a link, sockets included."""
+    """Print the cost of a message at both ends of a link, with sockets."""
     for sample in make_samples()[1:3]:
         micros = await time_link(sample.message)
         print(f'{sample.name} sent and received: {micros:.1f} us at both ends')
 
 
 async def time_link(message: Message) -> float:
-    """Return the processor time of one message that comes alone, in us."""
+    """Return the processor time of a message sent on its own, in us."""
     async with linked(1) as pairs:
         sender, receiver = pairs[0]
         best = float('inf')
@@ -136,7 +136,7 @@
 
 
 def print_segment_hints() -> None:
-    """Print what one hint costs that an agent adds, and one it removes."""
+    """Print the mean cost of adding or removing one segment hint."""
     random = Random(1)
     hints = tuple(random.randbytes(8) for _ in range(_HINTS))
     messages = [
@@ -167,7 +167,7 @@
 
 
 def print_configuration(count: int) -> None:
-    """Print what changes and snapshots cost at a number of teams."""
+    """Print the cost of changes and snapshots with `count` teams."""
     catalog = Catalog()
     for number in range(count):
         catalog.apply_record(number, make_record(number))
@@ -213,7 +213,7 @@
 
 
 def print_time(label: str, action: Callable[[], object]) -> None:
-    """Print the least processor time of an act."""
+    """Print the minimum processor time of an action."""
     best = float('inf')
     for _ in range(_ROUNDS):
         started = time.process_time()
--- a/bench/store_memory.py
+++ b/bench/store_memory.py
@@ -1,8 +1,9 @@
 """Measure the memory of a store's index and the time of evicting writes.
 
 Run `python -m bench.store_memory [ENTRIES...]`. Bytes are as tracemalloc counts
-them, with the log of hints and without what its keeper learns, which is shown
-apart. Times are processor times of a write from `begin` to `seal`.
+them, with the log of hints and without the state of the retention policy, which
+is shown separately. Times are processor times of a write from `begin` to
+`seal`.
 """
 
 from __future__ import annotations
@@ -38,16 +39,16 @@
 
 
 class GapRetention:
-    """Remember nothing and find the worth in the expected gap."""
+    """Rank segments by the expected gap alone, without state."""
 
     def estimate_value(
         self, _segment: SegmentHint, _length: int, gap: Millis, _now: Millis
     ) -> float:
-        """Return more for a shorter gap."""
+        """Return a higher value for a shorter gap."""
         return -gap
 
     def record_use(self, _segment: SegmentHint, _now: Millis) -> None:
-        """Learn nothing."""
+        """Ignore the use; the policy has no state."""
 
 
 @dataclass(slots=True)
@@ -59,7 +60,7 @@
     gaps: dict[SegmentHint, Millis]
 
     def write(self, gap: Millis) -> bool:
-        """Write one segment; tell whether it was kept."""
+        """Write one segment; return whether it was kept."""
         segment = self.random.randbytes(32)
         space = self.random.randrange(_NAMESPACES).to_bytes(32)
         write = SegmentWrite('w', space, segment, len(_DATA), _DIGEST, gap)
@@ -76,7 +77,7 @@
         return isinstance(sealed, WriteSealed)
 
     def fill(self, count: int) -> None:
-        """Write until the store is full."""
+        """Write `count` segments, which fill the store."""
         for number in range(count):
             gap = self.random.uniform(1.0, 48.0) * HOUR
             assert self.write(gap)
@@ -86,7 +87,7 @@
 
 
 def make_writer(count: int, retention: RetentionPolicy) -> _Writer:
-    """Build a full index."""
+    """Build an index filled with `count` segments and return its writer."""
     limits = StoreLimits(capacity_bytes=count * len(_DATA))
     index = StoreIndex(limits, retention, 'incarnation-1', Random(1))
     writer = _Writer(index, Random(2), {})
@@ -95,7 +96,7 @@
 
 
 def measure_bytes(count: int, make: Callable[[], RetentionPolicy]) -> float:
-    """Return the bytes that each entry takes."""
+    """Return the bytes of memory per entry."""
     gc.collect()
     tracemalloc.start()
     writer = make_writer(count, make())
@@ -109,7 +110,7 @@
 def measure_evictions(
     count: int, retention: RetentionPolicy
 ) -> tuple[float, int]:
-    """Return microseconds for a write into a full index, and those kept."""
+    """Return microseconds per write into a full index, and writes kept."""
     writer = make_writer(count, retention)
     start = time.process_time()
     kept = sum(writer.write(0.5 * HOUR) for _ in range(EVICTIONS))
@@ -118,7 +119,7 @@
 
 
 def measure_ranks(count: int) -> float:
-    """Return the mean share of the entries that are poorer than a victim."""
+    """Return the mean share of entries of lower value than an evicted one."""
     writer = make_writer(count, GapRetention())
     gaps = dict(writer.gaps)
     sorted_gaps = sorted(gaps.values())
@@ -134,7 +135,7 @@
 
 
 def main(argv: list[str]) -> None:
-    """Print one line for each size."""
+    """Print memory and eviction times for each number of entries."""
     for count in [int(each) for each in argv] or ENTRIES:
         plain = measure_bytes(count, GapRetention)
         with_policy = measure_bytes(
--- a/bench/system.py
+++ b/bench/system.py
@@ -1,4 +1,4 @@
-"""Describe a system under test: the decisions that differ."""
+"""Define the systems under test by the policies in which they differ."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class System:
-    """Name the plug-ins of one system."""
+    """Select the plug-ins and options of one system.
+
+    A system with `perfect` knowledge gets current reports without delay.
+    """
 
     name: str
     router: str = 'predicted'
--- a/bench/views.py
+++ b/bench/views.py
@@ -1,4 +1,4 @@
-"""Show the world to the decisions, as late as they see it."""
+"""Provide the entries' views of the fleet, delayed or current."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class CachedSegments(Protocol):
-    """Count what is kept."""
+    """Count the segments in a cache."""
 
     def count_leading(
         self, segments: Sequence[SegmentHint], start: int = 0
     ) -> int:
-        """Count the segments from `start` on that are kept in a row."""
+        """Count the consecutive segments from `start` that are cached."""
 
 
 class LateFleet:
-    """Hold the last heard reports and cache events of all agents."""
+    """Hold the last received reports and cache events of all agents."""
 
     def __init__(self) -> None:
         self._replicas: dict[str, Replica] = {}
@@ -28,7 +28,7 @@
         self._stores: set[str] = set()
 
     def hear(self, replica: Replica, *, store: bool = False) -> None:
-        """Take a report."""
+        """Store a report; a new incarnation drops the agent's segments."""
         previous = self._replicas.get(replica.agent)
         if previous is not None and previous.incarnation != replica.incarnation:
             self.forget_segments(replica.agent)
@@ -38,13 +38,13 @@
         self._serving.clear()
 
     def lose(self, agent: str) -> None:
-        """Take out a silent agent."""
+        """Remove an agent and its segments."""
         self._replicas.pop(agent, None)
         self.forget_segments(agent)
         self._serving.clear()
 
     def forget_segments(self, agent: str) -> None:
-        """Drop what an agent held."""
+        """Remove all segments of an agent."""
         for segment in self._segments.pop(agent, ()):
             self._holders[segment].discard(agent)
 
@@ -54,7 +54,7 @@
         added: Iterable[SegmentHint],
         removed: Iterable[SegmentHint],
     ) -> None:
-        """Take cache events."""
+        """Apply cache events of an agent."""
         held = self._segments.setdefault(agent, set())
         for segment in added:
             held.add(segment)
@@ -66,7 +66,7 @@
                 holders.discard(agent)
 
     def replicas(self, service: str) -> Sequence[Replica]:
-        """Return the serving agents of a service."""
+        """Return the replicas of a service, without stores."""
         if service not in self._serving:
             self._serving[service] = [
                 each
@@ -76,7 +76,7 @@
         return self._serving[service]
 
     def stores(self, service: str) -> Sequence[Replica]:
-        """Return the serving stores."""
+        """Return the stores by name, whatever the service."""
         return [
             self._replicas[name]
             for name in sorted(self._stores)
@@ -84,13 +84,13 @@
         ]
 
     def find(self, agent: str) -> Replica | None:
-        """Return an agent by name."""
+        """Return the last report of an agent, if it is in the fleet."""
         return self._replicas.get(agent)
 
     def count_leading(
         self, agent: str, segments: Sequence[SegmentHint], start: int = 0
     ) -> int:
-        """Count the segments from `start` on that an agent holds in a row."""
+        """Count the consecutive segments from `start` that an agent holds."""
         held = self._segments.get(agent) or set()
         for index in range(start, len(segments)):
             if segments[index] not in held:
@@ -98,12 +98,12 @@
         return max(0, len(segments) - start)
 
     def holders(self, segment: SegmentHint) -> Sequence[str]:
-        """Return the agents that hold a segment."""
+        """Return the names of the agents that hold a segment, sorted."""
         return sorted(self._holders.get(segment, ()))
 
 
 class TrueFleet(LateFleet):
-    """Answer with the caches themselves."""
+    """Read the caches directly instead of their delayed events."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -112,5 +112,5 @@
     def count_leading(
         self, agent: str, segments: Sequence[SegmentHint], start: int = 0
     ) -> int:
-        """Count the segments that an agent holds now."""
+        """Count the consecutive segments in the agent's cache now."""
         return self.caches[agent].count_leading(segments, start)
--- a/bench/wire.py
+++ b/bench/wire.py
@@ -1,4 +1,4 @@
-"""Measure what messages and links cost: `python -m bench.wire`."""
+"""Measure the cost of messages and links: `python -m bench.wire`."""
 
 from __future__ import annotations
 
@@ -63,13 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """Name a message to measure."""
+    """Pair a message with its name in the table."""
 
     name: str
     message: Message
 
 
 def make_samples() -> tuple[Sample, ...]:
+    """Return one message of each kind that is measured."""
     request = '01J8Z3K6M4T0V9QX2B7C5D1E8F'
     load = Load(3, 1, 2_000, 9_000.0, 16, 10**9, 5_000, 1e8)
     digest = 'ab' * 32
@@ -100,6 +101,7 @@
 
 
 def make_dispatch(request: str, digest: str) -> Dispatch:
+    """Return a dispatch of a chat request with 20 segments."""
     return Dispatch(
         request=request,
         attempt=1,
@@ -121,7 +123,7 @@
 
 
 def time_call(call: Callable[[], object]) -> float:
-    """Return the best mean of some rounds, in microseconds."""
+    """Return the lowest mean time of several rounds, in microseconds."""
     best = float('inf')
     for _ in range(ROUNDS):
         start = time.perf_counter()
@@ -132,12 +134,14 @@
 
 
 def print_codec() -> None:
+    """Print the size and coding times of every sample."""
     print(f'{"message":26}{"bytes":>8}{"encode us":>11}{"decode us":>11}')
     for sample in make_samples():
         print_sample(sample.name, sample.message)
 
 
 def print_sample(name: str, message: Message) -> None:
+    """Print the size and coding times of one message."""
     data = encode(message)
     encoding = time_call(lambda: encode(message))
     decoding = time_call(lambda: decode(data))
@@ -145,12 +149,13 @@
 
 
 def make_hello() -> Hello:
+    """Return the greeting of both ends."""
     return Hello(PROTOCOL_VERSION, Role.AGENT, 'bench', 'i', 'hall', 0)
 
 
 @asynccontextmanager
 async def linked(count: int) -> AsyncIterator[list[tuple[Link, Link]]]:
-    """Give pairs of links, the dialing side first."""
+    """Yield pairs of connected links, the dialing side first."""
     clock = make_clock()
     accepted: list[Link] = []
 
@@ -175,6 +180,7 @@
 
 
 async def print_round_trip() -> None:
+    """Print the time of a chunk that is sent and returned."""
     message = make_samples()[3].message
     async with linked(1) as pairs:
         sender, receiver = pairs[0]
@@ -191,6 +197,7 @@
 
 
 async def print_stream() -> None:
+    """Print the processor time per chunk of a stream."""
     message = make_samples()[3].message
     async with linked(1) as pairs:
         sender, receiver = pairs[0]
@@ -209,6 +216,7 @@
 
 
 async def print_idle_links() -> None:
+    """Print the memory, processor time and traffic of idle links."""
     seconds = 5
     gc.collect()
     before = read_rss()
@@ -234,6 +242,7 @@
 
 
 async def receive_until_closed(link: Link) -> None:
+    """Receive and discard messages until the link is closed."""
     try:
         while True:
             await link.receive()
@@ -242,20 +251,22 @@
 
 
 def count_bytes(pairs: list[tuple[Link, Link]]) -> int:
+    """Return the control bytes sent by all links."""
     return sum(link.counters.control_out for pair in pairs for link in pair)
 
 
 def read_rss() -> int:
-    """Return the resident memory in KiB."""
+    """Return the resident memory of this process in KiB."""
     status = pathlib.Path('/proc/self/status').read_text(encoding='ascii')
     (line,) = re.findall(r'VmRSS:\s+(\d+)', status)
     return int(line)
 
 
 def print_memory() -> None:
+    """Print the resident memory of a process after its imports."""
     print('resident memory after importing, MiB:')
     for name, code in _IMPORTS.items():
-        process = subprocess.run(  # noqa: S603 - a constant program of our own
+        process = subprocess.run(  # noqa: S603 - the program is a constant of this module
             [sys.executable, '-c', f'{code}\n{_PRINT_RSS}'],
             capture_output=True,
             check=True,
@@ -265,6 +276,7 @@
 
 
 def main() -> None:
+    """Run and print all measurements."""
     print_codec()
     anyio.run(print_round_trip)
     anyio.run(print_stream)
--- a/bench/workload.py
+++ b/bench/workload.py
@@ -1,4 +1,4 @@
-"""Make seeded arrival traces of both deployments."""
+"""Generate seeded arrival traces of both deployments."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """Describe the sizes, costs and habits of one deployment of today."""
+    """Describe the sizes, costs and traffic patterns of one deployment."""
 
     name: str
     data_centres: tuple[str, ...]
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rulebook:
-    """Hold one long text of a team."""
+    """Describe a long text of a team, the shared prefix of its prompts."""
 
     number: int
     team: str
@@ -110,13 +110,13 @@
 
     @property
     def complete(self) -> int:
-        """Count its complete segments."""
+        """Return the number of complete segments."""
         return self.tokens // SEGMENT_TOKENS
 
 
 @dataclass(frozen=True, slots=True)
 class Visit:
-    """Describe one request as its caller sends it."""
+    """Describe one request as sent by its caller."""
 
     at: Millis
     number: int
@@ -129,7 +129,7 @@
 
 @dataclass(slots=True)
 class _PrivateText:
-    """Hold a text that only one conversation or claim uses."""
+    """Describe the text after a rulebook that only one conversation uses."""
 
     number: int
     rulebook: Rulebook
@@ -138,7 +138,7 @@
 
 @dataclass(slots=True)
 class Trace:
-    """Hold the visits before and during the measured time."""
+    """Hold the visits before and during the measured period."""
 
     history: list[Visit] = field(default_factory=list)
     window: list[Visit] = field(default_factory=list)
@@ -148,7 +148,7 @@
 def list_segments(
     rulebook: int, count: int, own: int, own_count: int, version: int
 ) -> tuple[SegmentHint, ...]:
-    """Return the hints of a rulebook's segments and of what follows."""
+    """Return the hints of a rulebook's segments and of the text after it."""
     first = tuple(_make_hint(rulebook, i, version) for i in range(count))
     rest = tuple(_make_hint(own, i, version) for i in range(own_count))
     return first + rest
@@ -165,7 +165,7 @@
 
 
 class Workload:
-    """Draw visits of one deployment from one seed."""
+    """Generate the visits of one deployment from one seed."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self._deployment = deployment
@@ -181,7 +181,7 @@
 
     @property
     def teams(self) -> tuple[str, ...]:
-        """List the teams, the largest first."""
+        """Return the teams, the largest first."""
         return tuple(f't{i}' for i in range(len(self._deployment.teams)))
 
     def make_trace(
@@ -192,7 +192,10 @@
         days: int = 3,
         busy_team: str = '',
     ) -> Trace:
-        """Draw `days` of history, then a window at `rate` visits a second."""
+        """Generate `days` of history and a window at `rate` visits a second.
+
+        The window starts at 0; history has negative times.
+        """
         trace = Trace()
         trace.history = list(self._draw_history(days))
         trace.window = list(self._draw_window(rate, length, busy_team))
@@ -216,7 +219,7 @@
             yield self._draw(at)
 
     def _draw_hour(self, days: int) -> Millis:
-        """Draw a moment before 0; 0 is eleven o'clock."""
+        """Draw a time before 0, where 0 is eleven o'clock of the last day."""
         opening, closing = self._deployment.opening
         middle, width = (opening + closing) / 2, (closing - opening) / 4
         hour = self._random.gauss(middle, width) % 24
@@ -238,7 +241,7 @@
                 yield self._draw(at)
 
     def _draw_group(self, at: Millis) -> Iterator[Visit]:
-        """Draw a school class that asks about one rulebook at once."""
+        """Generate six visits with one rulebook, such as a school class."""
         rulebook = self._draw_rulebook()
         for _ in range(6):
             at += self._random.expovariate(2 / SECOND)
@@ -255,10 +258,11 @@
         )
 
     def _pick_returning(self, at: Millis, team: str) -> _PrivateText | None:
-        """Take a text that is due.
+        """Return the text of an earlier visit that is continued, if any.
 
-        History is a sample of the visits of days; in the window the returns
-        are drawn from all of it at the chance that visits return with.
+        In history, a text is continued when its gap has passed. History is only
+        a sample of the visits of its days, so the window draws from all its
+        returning texts, with the probability that a visit is a return.
         """
         if at < 0:
             due = self._returning and self._returning[0][0] <= at
@@ -324,7 +328,7 @@
 def change_version(
     segments: Sequence[SegmentHint], version: int
 ) -> tuple[SegmentHint, ...]:
-    """Return the hints that the same prompt has under other weights."""
+    """Return the hints of the same prompt with another weight version."""
     return tuple(_change_hint(segment, version) for segment in segments)
 
 
--- a/bench/world.py
+++ b/bench/world.py
@@ -1,4 +1,4 @@
-"""Drive the decisions with fake engines, stores, links and callers."""
+"""Simulate a deployment with engines, a store, links and callers."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class World:
-    """Hold all objects of one run."""
+    """Run the policies of one system in virtual time."""
 
     def __init__(
         self,
@@ -67,24 +67,24 @@
         self._build(seed)
 
     def load_window(self, visits: Sequence[Visit]) -> None:
-        """Plan the arrival of visits."""
+        """Schedule the arrivals of visits."""
         for visit in visits:
             self.events.add(visit.at, self._arrive, visit)
 
     def run(self, until: Millis) -> None:
-        """Run until a moment."""
+        """Process the events up to a time."""
         self.events.run(until)
 
     def start_measuring(self) -> None:
-        """Measure the link and background work from here on."""
+        """Start counting link bytes and background tokens."""
         self._start_totals = self._sum_link(), self._sum_background()
 
     def measure_link(self) -> float:
-        """Return the bytes carried since the mark."""
+        """Return the link bytes since the start of measuring."""
         return self._sum_link() - self._start_totals[0]
 
     def count_background(self) -> float:
-        """Return the background tokens generated since the mark."""
+        """Return the background tokens since the start of measuring."""
         return self._sum_background() - self._start_totals[1]
 
     def _sum_link(self) -> float:
@@ -95,7 +95,7 @@
         return sum(each.background_tokens for each in engines)
 
     def crash(self, name: str) -> None:
-        """Kill an engine with its agent."""
+        """Crash an engine and its agent; retry the requests that it runs."""
         agent = self.agents[name]
         agent.engine.crash()
         agent.drop_all()
@@ -105,21 +105,21 @@
                 self.events.add(0.0, self._handle_failure, request)
 
     def restart(self, name: str) -> None:
-        """Bring an engine back with cold caches."""
+        """Restart a crashed engine with empty caches."""
         agent = self.agents[name]
         agent.engine.up = True
         agent.engine.life += 1
         self.reporter.report(name)
 
     def lose_store(self) -> None:
-        """Kill the store."""
+        """Stop the store for the rest of the run."""
         self.store.up = False
         for agent in self.agents.values():
             agent.lose_store(self.store)
         self.reporter.schedule_store_removal()
 
     def reload(self, name: str, version: int, time: Millis) -> None:
-        """Let an engine leave, finish its work and load other weights."""
+        """Drain an engine and load other weights, ready after `time`."""
         self.reporter.start_draining(name)
         self.events.add(time, self._end_reload, name, version)
 
@@ -128,7 +128,7 @@
         self.reporter.finish_reload(name, version)
 
     def change_version(self, version: int) -> None:
-        """Ask new requests for other weights."""
+        """Require another weight version for new requests."""
         self.version = version
 
     def _build(self, seed: int) -> None:
@@ -257,7 +257,7 @@
             self._apply_decision(entry.held.pop(name), decision)
 
     def _refuse(self, outcome: Outcome, after: Millis) -> None:
-        """Let the caller come back, or give up."""
+        """Schedule the caller's next try, or give up."""
         outcome.refused += 1
         habits = self.habits
         tries = habits.tries
@@ -370,7 +370,7 @@
         self._release(request.entry)
 
     def _handle_failure(self, request: Request) -> None:
-        """Try another replica, as idempotent work may, or give up."""
+        """Retry on another replica, as the work is idempotent, or give up."""
         if request.done:
             return
         now = self.events.now
@@ -391,5 +391,5 @@
 
 
 def _find_terms(team: str) -> TeamTerms:
-    """Give the two largest teams twice the weight."""
+    """Return the terms of a team; the two largest have twice the weight."""
     return TeamTerms(weight=2.0 if team in {'t0', 't1'} else 1.0)
