--- a/bench/path.py
+++ b/bench/path.py
@@ -268,7 +268,7 @@
     )
 
 
-# --- reading and printing -----------------------------------------------
+# --- reading and printing ------------------------------------------------
 
 
 def _find_pid(child: Child) -> int:
