--- a/src/oleanderdyke/entry/chat.py
+++ b/src/oleanderdyke/entry/chat.py
@@ -1,4 +1,4 @@
-"""Read chat completion requests in the OpenAI form."""
+"""Parse chat completion requests in the OpenAI format."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 from oleanderdyke.kernel.blocks import PromptMessage, encode_prompt
 from oleanderdyke.kernel.routing import BACKGROUND_PRIORITY, SHORT_PRIORITY
 
-# A prompt of another form would not match its segments.
-_PROMPT_FIELDS = ('tools', 'tool_choice', 'functions', 'function_call')
-_OWN_FIELDS = frozenset(
+# These fields change how the engine renders the prompt, which would then
+# not match the segments computed from the messages.
+_UNSUPPORTED_FIELDS = ('tools', 'tool_choice', 'functions', 'function_call')
+_HANDLED_FIELDS = frozenset(
     (
         'background',
         'cache_salt',
@@ -29,13 +30,16 @@
 _MESSAGE_FIELDS = frozenset(('role', 'content'))
 _MESSAGE_LIMIT = 10_000
 _TOKEN_LIMIT = 1_000_000
-_NAME_LIMIT = 200
-_DEFAULT_TOKENS = 256
+_MODEL_NAME_LIMIT = 200
+_DEFAULT_MAX_TOKENS = 256
 
 
 @dataclass(frozen=True, slots=True)
 class Chat:
-    """Hold one checked chat request; `extra` goes to the engine as it is."""
+    """Hold one validated chat request.
+
+    `extra` holds the fields that are passed to the engine unchanged.
+    """
 
     model: str
     messages: tuple[PromptMessage, ...]
@@ -45,15 +49,15 @@
     extra: dict[str, Any]
 
     def move_to_background(self) -> Chat:
-        """Return the same request in the background class."""
+        """Return a copy of the request in the background class."""
         return replace(self, background=True)
 
     def make_prompt(self) -> bytes:
-        """Return the canonical prompt."""
+        """Return the canonical encoding of the messages."""
         return encode_prompt(self.messages)
 
     def make_engine_body(self, model: str, namespace: bytes) -> bytes:
-        """Return the engine's JSON; the namespace keeps its cache apart."""
+        """Return the JSON for the engine, with the namespace as cache salt."""
         priority = BACKGROUND_PRIORITY if self.background else SHORT_PRIORITY
         document = self.extra | {
             'model': model,
@@ -70,15 +74,15 @@
 
 
 def parse_chat(body: bytes) -> Chat:
-    """Check a chat request; raise BAD_REQUEST naming the field."""
+    """Parse a chat request; raise BAD_REQUEST naming the field."""
     document = parse_document(body)
-    for name in _PROMPT_FIELDS:
+    for name in _UNSUPPORTED_FIELDS:
         if name in document:
             raise make_bad_request(f'{name} is not supported')
     extra = {
         name: found
         for name, found in document.items()
-        if name not in _OWN_FIELDS
+        if name not in _HANDLED_FIELDS
     }
     _check_text(extra)
     return Chat(
@@ -93,7 +97,7 @@
 
 def _read_name(document: dict[str, Any]) -> str:
     found = document.get('model')
-    if not isinstance(found, str) or not 0 < len(found) <= _NAME_LIMIT:
+    if not isinstance(found, str) or not 0 < len(found) <= _MODEL_NAME_LIMIT:
         raise make_bad_request('model must be the name of a service or model')
     return found
 
@@ -108,7 +112,7 @@
 def _read_tokens(document: dict[str, Any]) -> int:
     found = document.get('max_completion_tokens', document.get('max_tokens'))
     if found is None:
-        return _DEFAULT_TOKENS
+        return _DEFAULT_MAX_TOKENS
     whole = isinstance(found, int) and not isinstance(found, bool)
     if whole and 0 < found <= _TOKEN_LIMIT:
         return int(found)
@@ -124,39 +128,41 @@
         yield _read_message(message, f'messages[{position}]')
 
 
-def _read_message(found: object, place: str) -> PromptMessage:
+def _read_message(found: object, location: str) -> PromptMessage:
     if not isinstance(found, dict) or found.keys() != _MESSAGE_FIELDS:
-        raise make_bad_request(f'{place} must have just role and content')
+        raise make_bad_request(f'{location} must have only role and content')
     role = found['role']
     if not isinstance(role, str) or role not in _ROLES:
         allowed = ', '.join(sorted(_ROLES))
-        raise make_bad_request(f'{place}.role must be one of {allowed}')
-    content = _read_content(found['content'], place)
+        raise make_bad_request(f'{location}.role must be one of {allowed}')
+    content = _read_content(found['content'], location)
     if '\0' in content:
-        raise make_bad_request(f'{place}.content holds a NUL')
+        raise make_bad_request(f'{location}.content holds a NUL character')
     _check_text(content)
     return PromptMessage(role, content)
 
 
-def _read_content(found: object, place: str) -> str:
+def _read_content(found: object, location: str) -> str:
     if isinstance(found, str):
         return found
     if isinstance(found, list):
-        return ''.join(_read_part(part, place) for part in found)
-    raise make_bad_request(f'{place}.content must be text')
+        return ''.join(_read_part(part, location) for part in found)
+    raise make_bad_request(f'{location}.content must be text')
 
 
-def _read_part(part: object, place: str) -> str:
+def _read_part(part: object, location: str) -> str:
     if isinstance(part, dict) and part.get('type') == 'text':
         found = part.get('text')
         if isinstance(found, str):
             return found
-    raise make_bad_request(f'{place}.content may hold parts of type text only')
+    raise make_bad_request(
+        f'{location}.content may hold parts of type text only'
+    )
 
 
 def _check_text(found: object) -> None:
     try:
         json.dumps(found, ensure_ascii=False, allow_nan=False).encode()
     except ValueError as error:
-        fault = 'the JSON holds half a surrogate pair or too large a number'
+        fault = 'the JSON holds a lone surrogate or an out-of-range number'
         raise make_bad_request(fault) from error
--- a/src/oleanderdyke/entry/targets.py
+++ b/src/oleanderdyke/entry/targets.py
@@ -1,4 +1,4 @@
-"""Judge the requests of an entry by the targets of their services."""
+"""Evaluate requests against the targets of their services."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 _DIGITS = 3
 
 
-def note_answered(
+def evaluate_answered(
     core: Core, call: Call, delivery: Delivery, end: AnswerEnd | None
 ) -> None:
-    """Judge a whole answer; only streams show when their tokens came."""
+    """Evaluate a complete answer; token times are known for streams only."""
     streamed = delivery.is_stream
     served = ServedRequest(
         call.request,
@@ -28,10 +28,10 @@
         0 if end is None else end.prompt_tokens,
         0 if end is None else end.recomputed_tokens,
     )
-    _judge(core, call, served)
+    _evaluate(core, call, served)
 
 
-def note_refused(
+def evaluate_refused(
     core: Core,
     call: Call,
     kind: ErrorKind,
@@ -39,24 +39,26 @@
     duration: Millis,
     delivery: Delivery | None = None,
 ) -> None:
-    """Count a refusal; without an own fault the caller is owed an answer.
+    """Count a refusal; it misses the targets unless the caller caused it.
 
-    An answer that broke off after its first token is judged by its times.
+    An answer that broke off after its first token is evaluated by its times.
     """
     core.targets.get(call.service).refusals[kind] += 1
     if delivery is not None and delivery.first_token is not None:
         times = delivery.first_token, delivery.between_tokens
-        _judge(core, call, ServedRequest(call.request, *times))
+        _evaluate(core, call, ServedRequest(call.request, *times))
     elif kind not in CALLER_FAULTS:
-        _judge(core, call, ServedRequest(call.request, duration, refused=kind))
+        _evaluate(
+            core, call, ServedRequest(call.request, duration, refused=kind)
+        )
 
 
-def _judge(core: Core, call: Call, served: ServedRequest) -> None:
+def _evaluate(core: Core, call: Call, served: ServedRequest) -> None:
     if call.background or call.spec.kind is not ServiceKind.MODEL:
         return
-    book = core.targets.get(call.service)
+    monitor = core.targets.get(call.service)
     clock = core.clock
-    missed = book.add(
+    missed = monitor.add(
         served, call.spec.targets, now=clock.now(), wall=clock.wall()
     )
     for item in missed:
