--- a/bench/oracle.py
+++ b/bench/oracle.py
@@ -1,4 +1,4 @@
-"""Route with perfect knowledge of the present, at the same costs."""
+"""Route with exact knowledge of the current state and the same costs."""
 
 from __future__ import annotations
 
@@ -36,7 +36,10 @@
 
 
 class OracleRouter:
-    """Read queues, caches and links where they are; know no future."""
+    """Route by the current queues, caches and links, without delay.
+
+    Future arrivals are unknown to it.
+    """
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -52,16 +55,16 @@
         *,
         exclude: frozenset[str] = frozenset(),
     ) -> Plan | Refusal:
-        """Return the cheapest plan over all replicas."""
+        """Return the plan with the lowest cost over all eligible replicas."""
         options = [
-            self._weigh(demand, each)
+            self._estimate(demand, each)
             for each in fleet.replicas(demand.service)
             if is_eligible(each, demand, exclude)
             and self._world.agents[each.agent].engine.up
         ]
         if not options:
             return _NO_REPLICA
-        pushed = self._pressure.estimate_displaced(
+        displaced = self._pressure.estimate_displaced(
             {
                 plan.agent: demand.tokens
                 - (plan.cached + plan.joined) * SEGMENT_TOKENS
@@ -72,32 +75,32 @@
         weight = self._world.settings.w_pressure
         return min(
             options,
-            key=lambda each: each[0].cost + weight * pushed[each[1].agent],
+            key=lambda each: each[0].cost + weight * displaced[each[1].agent],
         )[1]
 
     def record_sent(self, demand: Demand, plan: Plan, now: Millis) -> None:
-        """Count what a cache turns over, as the policy does."""
+        """Record the tokens added to a cache, as the policy does."""
         cached = plan.cached + plan.joined
-        brought = demand.tokens - cached * SEGMENT_TOKENS
-        self._pressure.record_added(plan.agent, brought, now)
+        added = demand.tokens - cached * SEGMENT_TOKENS
+        self._pressure.record_added(plan.agent, added, now)
 
     def record_first_token(self, request: str, now: Millis) -> None:
-        """Learn nothing."""
+        """Ignore the event; the state is read directly."""
 
     def record_finished(self, request: str, now: Millis) -> None:
-        """Learn nothing."""
+        """Ignore the event; the state is read directly."""
 
     def record_segments_removed(
         self, agent: str, segments: Sequence[SegmentHint]
     ) -> None:
-        """Learn nothing."""
+        """Ignore the event; the state is read directly."""
 
     def record_segments_listed(
         self, agent: str, segments: Sequence[SegmentHint]
     ) -> None:
-        """Learn nothing."""
+        """Ignore the event; the state is read directly."""
 
-    def _weigh(
+    def _estimate(
         self, demand: Demand, replica: Replica
     ) -> tuple[PrefillPlan, Plan]:
         world = self._world
@@ -106,46 +109,48 @@
         rate = world.deployment.prefill_rate
         segments = demand.segments
         held = engine.cache.count_leading(segments)
-        coming = engine.list_coming()
+        pending = engine.list_coming()
         joined = held
         while joined < len(segments) and agent.is_coming(segments[joined]):
             joined += 1
-        reach = joined
-        while reach < len(segments) and segments[reach] in coming:
-            reach += 1
+        reachable = joined
+        while reachable < len(segments) and segments[reachable] in pending:
+            reachable += 1
         store = world.store
-        covered = store.cache.count_leading(segments, reach) if store.up else 0
+        covered = (
+            store.cache.count_leading(segments, reachable) if store.up else 0
+        )
         link = LinkView(
             store.link.count_waiting(),
             store.link.rate,
             world.deployment.latency,
         )
         fetching = agent.count_fetching(segments[held:joined])
-        standing = ReplicaEstimate(
+        estimate = ReplicaEstimate(
             wait=engine.count_tokens(LONG_PRIORITY) * SECOND / rate,
             short_wait=engine.count_tokens(SHORT_PRIORITY) * SECOND / rate,
             tokens_per_second=rate,
             tokens=demand.tokens,
-            cached=reach,
+            cached=reachable,
             ready=fetching * SECOND / store.link.active_share,
             covered=covered,
             link=link,
         )
-        source = plan_prefill(self._costs, standing)
+        prefill = plan_prefill(self._costs, estimate)
         joins = joined - held
-        cached, fetched = reach, source.fetched
+        cached, fetched = reachable, prefill.fetched
         if joins:
-            cached, fetched = held, reach - held + source.fetched
+            cached, fetched = held, reachable - held + prefill.fetched
         plan = Plan(
             replica.agent,
             'oracle',
             store=store.name if fetched else '',
             cached=cached,
             fetched=fetched,
-            predicted=source.time,
+            predicted=prefill.time,
             joined=joins,
             priority=SHORT_PRIORITY
-            if source.rest <= self._costs.short_tokens
+            if prefill.rest <= self._costs.short_tokens
             else LONG_PRIORITY,
         )
-        return source, plan
+        return prefill, plan
--- a/bench/reconcile.py
+++ b/bench/reconcile.py
@@ -1,4 +1,4 @@
-"""Compare ways to repair an entry's directory of cached segments."""
+"""Compare methods to resynchronise an entry's directory of segments."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 DIFFERENCES = (1, 10, 100, 1_000, 10_000)
 SEEDS = (1, 2, 3, 4, 5)
 _HINT_BYTES = 8
-# Cells come in groups that grow with what was sent, so that the number of
-# attempts to decode stays small.
-_GROUP_SHARE = 16
-_LEAST_GROUP = 10
+# Cells are sent in groups that grow with the number already sent, which keeps
+# the number of decoding attempts small.
+_GROUP_DIVISOR = 16
+_MIN_GROUP_CELLS = 10
 _MESSAGE_BYTES = 16
 _LEVELS = 11
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """Hold the bytes both ways and the processor time of both ends."""
+    """Hold the bytes in both directions and the processor time of both ends."""
 
     exchanged: int
     milliseconds: float
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """Hold a sender's changes since the receiver's last event."""
+    """Hold the sender's changes since the last event that the receiver got."""
 
     before: frozenset[bytes]
     gone: tuple[bytes, ...]
@@ -48,11 +48,12 @@
 
     @property
     def after(self) -> set[bytes]:
-        """Return what the receiver must hold in the end."""
+        """Return the hints that the receiver must hold after the exchange."""
         return set(self.before) - set(self.gone) | set(self.new)
 
 
 def make_case(before: frozenset[bytes], difference: int, seed: int) -> Case:
+    """Return a case of `difference` changes, half of them removals."""
     random = Random(seed)
     lost = min(difference // 2, len(before))
     gone = random.sample(sorted(before), lost)
@@ -83,34 +84,36 @@
     return log, number
 
 
-def _carry(messages: Iterable[SegmentEvents], held: set[bytes]) -> int:
-    carried = 0
+def _transfer(messages: Iterable[SegmentEvents], held: set[bytes]) -> int:
+    transferred = 0
     for message in messages:
         data = encode(message)
-        carried += len(data)
+        transferred += len(data)
         received = decode(data)
         assert isinstance(received, SegmentEvents)
         if received.full:
             held.clear()
         held.difference_update(received.removed)
         held.update(received.added)
-    return carried
+    return transferred
 
 
 def measure_list(case: Case) -> Cost:
+    """Measure the transfer of the complete list."""
     log, _ = _make_log(case)
     held = set(case.before)
     request = len(encode(SegmentListRequest()))
-    cost = _time(lambda: request + _carry(log.list_all(), held))
+    cost = _time(lambda: request + _transfer(log.list_all(), held))
     assert held == case.after
     return cost
 
 
 def measure_log(case: Case) -> Cost:
+    """Measure the transfer of the events after the receiver's last one."""
     log, number = _make_log(case)
     held = set(case.before)
     request = len(encode(SegmentListRequest(after=number)))
-    cost = _time(lambda: request + _carry(log.list_after(number), held))
+    cost = _time(lambda: request + _transfer(log.list_after(number), held))
     assert held == case.after
     return cost
 
@@ -123,7 +126,7 @@
     start, end = 0, FIRST_CELLS
     while start < count_cells(_LEVELS):
         yield start, end
-        size = max(_LEAST_GROUP, end // _GROUP_SHARE)
+        size = max(_MIN_GROUP_CELLS, end // _GROUP_DIVISOR)
         start, end = end, min(end + size, count_cells(_LEVELS))
 
 
@@ -134,11 +137,11 @@
         exchanged += len(data) + _MESSAGE_BYTES
         if decoder.take(data):
             return exchanged
-    raise AssertionError('the difference was not found')
+    raise AssertionError('the IBLT was not decoded with its last cells')
 
 
 def measure_table(case: Case, tables: tuple[Table, Table]) -> Cost:
-    """Measure the exchange; the tables are already built and changed."""
+    """Measure the exchange of an IBLT, without building the two tables."""
     sender, receiver = tables
     decoder = Decoder(receiver)
     cost = _time(lambda: _exchange(sender, decoder))
@@ -154,8 +157,8 @@
     return table
 
 
-def _change(table: Table, case: Case) -> float:
-    """Bring a table up to date; return the milliseconds of one change."""
+def _apply_changes(table: Table, case: Case) -> float:
+    """Apply the changes of a case; return the milliseconds per change."""
     start = time.process_time()
     for key in _to_keys(case.new):
         table.insert(key)
@@ -165,14 +168,14 @@
     return spent * 1_000 / (len(case.new) + len(case.gone))
 
 
-def _undo(table: Table, case: Case) -> None:
+def _revert_changes(table: Table, case: Case) -> None:
     for key in _to_keys(case.new):
         table.delete(key)
     for key in _to_keys(case.gone):
         table.insert(key)
 
 
-def _show(values: Sequence[float], unit: str) -> str:
+def _format_spread(values: Sequence[float], unit: str) -> str:
     middle = statistics.median(values)
     return f'{middle:,.2f} {unit} ({min(values):,.2f} to {max(values):,.2f})'
 
@@ -180,8 +183,8 @@
 def _print_row(
     size: int, difference: int, name: str, costs: list[Cost]
 ) -> None:
-    exchanged = _show([cost.exchanged / 1_000 for cost in costs], 'kB')
-    spent = _show([cost.milliseconds for cost in costs], 'ms')
+    exchanged = _format_spread([cost.exchanged / 1_000 for cost in costs], 'kB')
+    spent = _format_spread([cost.milliseconds for cost in costs], 'ms')
     print(f'| {size:,} | {difference:,} | {name} | {exchanged} | {spent} |')
 
 
@@ -196,23 +199,26 @@
         receiver = _build(before)
         for difference in differences:
             case = make_case(before, difference, seed + difference)
-            changes.append(_change(sender, case))
+            changes.append(_apply_changes(sender, case))
             found = {
                 'full list': measure_list(case),
                 'event log': measure_log(case),
                 'MET IBLT': measure_table(case, (sender, receiver)),
             }
-            _undo(sender, case)
+            _revert_changes(sender, case)
             for name, cost in found.items():
                 costs.setdefault((difference, name), []).append(cost)
     for (difference, name), found_costs in costs.items():
         _print_row(size, difference, name, found_costs)
-    print(f'\nIBLT of {size:,}: build {_show(builds, "ms")},')
-    print(f'one change {_show([each * 1_000 for each in changes], "us")}\n')
+    print(f'\nIBLT of {size:,}: build {_format_spread(builds, "ms")},')
+    print(
+        'one change '
+        f'{_format_spread([each * 1_000 for each in changes], "us")}\n'
+    )
 
 
 def _measure_memory() -> int:
-    """Return the bytes of a full log whose hints nothing else holds."""
+    """Return the bytes of a full log, including the hints it holds."""
     tracemalloc.start()
     log = SegmentLog()
     for hint in _make_hints(Random(0), RECENT_EVENTS):
@@ -226,7 +232,7 @@
 
 
 def main() -> None:
-    """Print bytes and processor time as a table."""
+    """Print a table of bytes and processor times."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--sizes', type=int, nargs='+', default=SIZES)
     options = parser.parse_args()
--- a/bench/views.py
+++ b/bench/views.py
@@ -1,4 +1,4 @@
-"""Show the world to the decisions, as late as they see it."""
+"""Provide the entries' views of the fleet, delayed or current."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 from oleanderdyke.kernel.demand import Replica, SegmentHint
 
 
-class Kept(Protocol):
-    """Count what is kept."""
+class CachedSegments(Protocol):
+    """Count the segments in a cache."""
 
     def count_leading(
         self, segments: Sequence[SegmentHint], start: int = 0
     ) -> int:
-        """Count the segments from `start` on that are kept in a row."""
+        """Count the consecutive segments from `start` that are cached."""
 
 
 class LateFleet:
-    """Hold the last heard reports and cache events of all agents."""
+    """Hold the last received reports and cache events of all agents."""
 
     def __init__(self) -> None:
         self._replicas: dict[str, Replica] = {}
         self._serving: dict[str, list[Replica]] = {}
-        self._kept: dict[str, set[SegmentHint]] = {}
+        self._segments: dict[str, set[SegmentHint]] = {}
         self._holders: dict[SegmentHint, set[str]] = {}
         self._stores: set[str] = set()
 
     def hear(self, replica: Replica, *, store: bool = False) -> None:
-        """Take a report."""
-        known = self._replicas.get(replica.agent)
-        if known is not None and known.incarnation != replica.incarnation:
+        """Store a report; a new incarnation drops the agent's segments."""
+        previous = self._replicas.get(replica.agent)
+        if previous is not None and previous.incarnation != replica.incarnation:
             self.forget_segments(replica.agent)
         self._replicas[replica.agent] = replica
         if store:
@@ -38,14 +38,14 @@
         self._serving.clear()
 
     def lose(self, agent: str) -> None:
-        """Take out a silent agent."""
+        """Remove an agent and its segments."""
         self._replicas.pop(agent, None)
         self.forget_segments(agent)
         self._serving.clear()
 
     def forget_segments(self, agent: str) -> None:
-        """Drop what an agent held."""
-        for segment in self._kept.pop(agent, ()):
+        """Remove all segments of an agent."""
+        for segment in self._segments.pop(agent, ()):
             self._holders[segment].discard(agent)
 
     def apply(
@@ -54,19 +54,19 @@
         added: Iterable[SegmentHint],
         removed: Iterable[SegmentHint],
     ) -> None:
-        """Take cache events."""
-        kept = self._kept.setdefault(agent, set())
+        """Apply cache events of an agent."""
+        held = self._segments.setdefault(agent, set())
         for segment in added:
-            kept.add(segment)
+            held.add(segment)
             self._holders.setdefault(segment, set()).add(agent)
         for segment in removed:
-            kept.discard(segment)
+            held.discard(segment)
             holders = self._holders.get(segment)
             if holders is not None:
                 holders.discard(agent)
 
     def replicas(self, service: str) -> Sequence[Replica]:
-        """Return the serving agents of a service."""
+        """Return the replicas of a service, without stores."""
         if service not in self._serving:
             self._serving[service] = [
                 each
@@ -76,7 +76,7 @@
         return self._serving[service]
 
     def stores(self, service: str) -> Sequence[Replica]:
-        """Return the serving stores."""
+        """Return the stores by name, whatever the service."""
         return [
             self._replicas[name]
             for name in sorted(self._stores)
@@ -84,33 +84,33 @@
         ]
 
     def find(self, agent: str) -> Replica | None:
-        """Return an agent by name."""
+        """Return the last report of an agent, if it is in the fleet."""
         return self._replicas.get(agent)
 
     def count_leading(
         self, agent: str, segments: Sequence[SegmentHint], start: int = 0
     ) -> int:
-        """Count the segments from `start` on that an agent holds in a row."""
-        kept = self._kept.get(agent) or set()
+        """Count the consecutive segments from `start` that an agent holds."""
+        held = self._segments.get(agent) or set()
         for index in range(start, len(segments)):
-            if segments[index] not in kept:
+            if segments[index] not in held:
                 return index - start
         return max(0, len(segments) - start)
 
     def holders(self, segment: SegmentHint) -> Sequence[str]:
-        """Return the agents that hold a segment."""
+        """Return the names of the agents that hold a segment, sorted."""
         return sorted(self._holders.get(segment, ()))
 
 
 class TrueFleet(LateFleet):
-    """Answer with the caches themselves."""
+    """Read the caches directly instead of their delayed events."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.caches: dict[str, Kept] = {}
+        self.caches: dict[str, CachedSegments] = {}
 
     def count_leading(
         self, agent: str, segments: Sequence[SegmentHint], start: int = 0
     ) -> int:
-        """Count the segments that an agent holds now."""
+        """Count the consecutive segments in the agent's cache now."""
         return self.caches[agent].count_leading(segments, start)
--- a/bench/wire.py
+++ b/bench/wire.py
@@ -1,4 +1,4 @@
-"""Measure what messages and links cost: `python -m bench.wire`."""
+"""Measure the cost of messages and links: `python -m bench.wire`."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 CALLS = 10_000
 LINKS = 200
 CHUNKS = 20_000
-TRIPS = 3_000
-MICROS = 1e6
+ROUND_TRIPS = 3_000
+MICROS_PER_SECOND = 1e6
 SETTINGS = LinkSettings()
 
 _IMPORTS = {
@@ -52,7 +52,7 @@
         ' oleanderdyke.clients.weights'
     ),
 }
-_SHOW_RSS = """
+_PRINT_RSS = """
 import asyncio
 asyncio.run(asyncio.sleep(0))
 for line in open('/proc/self/status'):
@@ -63,13 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """Name a message to measure."""
+    """Pair a message with its name in the table."""
 
     name: str
     message: Message
 
 
 def make_samples() -> tuple[Sample, ...]:
+    """Return one message of each kind that is measured."""
     request = '01J8Z3K6M4T0V9QX2B7C5D1E8F'
     load = Load(3, 1, 2_000, 9_000.0, 16, 10**9, 5_000, 1e8)
     digest = 'ab' * 32
@@ -100,6 +101,7 @@
 
 
 def make_dispatch(request: str, digest: str) -> Dispatch:
+    """Return a dispatch of a chat request with 20 segments."""
     return Dispatch(
         request=request,
         attempt=1,
@@ -121,23 +123,25 @@
 
 
 def time_call(call: Callable[[], object]) -> float:
-    """Return the best mean of some rounds, in microseconds."""
+    """Return the lowest mean time of several rounds, in microseconds."""
     best = float('inf')
     for _ in range(ROUNDS):
         start = time.perf_counter()
         for _ in range(CALLS):
             call()
         best = min(best, time.perf_counter() - start)
-    return best / CALLS * MICROS
+    return best / CALLS * MICROS_PER_SECOND
 
 
 def print_codec() -> None:
+    """Print the size and coding times of every sample."""
     print(f'{"message":26}{"bytes":>8}{"encode us":>11}{"decode us":>11}')
     for sample in make_samples():
         print_sample(sample.name, sample.message)
 
 
 def print_sample(name: str, message: Message) -> None:
+    """Print the size and coding times of one message."""
     data = encode(message)
     encoding = time_call(lambda: encode(message))
     decoding = time_call(lambda: decode(data))
@@ -145,12 +149,13 @@
 
 
 def make_hello() -> Hello:
+    """Return the greeting of both ends."""
     return Hello(PROTOCOL_VERSION, Role.AGENT, 'bench', 'i', 'hall', 0)
 
 
 @asynccontextmanager
 async def linked(count: int) -> AsyncIterator[list[tuple[Link, Link]]]:
-    """Give pairs of links, the dialing side first."""
+    """Yield pairs of connected links, the dialing side first."""
     clock = make_clock()
     accepted: list[Link] = []
 
@@ -170,43 +175,48 @@
                 await anyio.sleep(0)
             pairs.append((link, accepted[-1]))
         yield pairs
-        for near, _ in pairs:
-            await near.close()
+        for sender, _ in pairs:
+            await sender.close()
 
 
 async def print_round_trip() -> None:
+    """Print the time of a chunk that is sent and returned."""
     message = make_samples()[3].message
     async with linked(1) as pairs:
-        near, far = pairs[0]
+        sender, receiver = pairs[0]
         start, used = time.perf_counter(), time.process_time()
-        for _ in range(TRIPS):
-            await near.send(message)
-            await far.send(await far.receive())
-            await near.receive()
-        wall = (time.perf_counter() - start) / TRIPS * MICROS
-        processor = (time.process_time() - used) / TRIPS * MICROS
+        for _ in range(ROUND_TRIPS):
+            await sender.send(message)
+            await receiver.send(await receiver.receive())
+            await sender.receive()
+        wall = (time.perf_counter() - start) / ROUND_TRIPS * MICROS_PER_SECOND
+        processor = (
+            (time.process_time() - used) / ROUND_TRIPS * MICROS_PER_SECOND
+        )
     print(f'round trip of a chunk: {wall:.1f} us, processor {processor:.1f} us')
 
 
 async def print_stream() -> None:
+    """Print the processor time per chunk of a stream."""
     message = make_samples()[3].message
     async with linked(1) as pairs:
-        near, far = pairs[0]
+        sender, receiver = pairs[0]
 
         async def send_all() -> None:
             for _ in range(CHUNKS):
-                await near.send(message)
+                await sender.send(message)
 
         used = time.process_time()
         async with anyio.create_task_group() as group:
             group.start_soon(send_all)
             for _ in range(CHUNKS):
-                await far.receive()
-        each = (time.process_time() - used) / CHUNKS * MICROS
+                await receiver.receive()
+        each = (time.process_time() - used) / CHUNKS * MICROS_PER_SECOND
     print(f'streamed chunk, sent and received: processor {each:.1f} us')
 
 
 async def print_idle_links() -> None:
+    """Print the memory, processor time and traffic of idle links."""
     seconds = 5
     gc.collect()
     before = read_rss()
@@ -215,7 +225,7 @@
         held = read_rss() - before
         for pair in pairs:
             for link in pair:
-                group.start_soon(keep_reading, link)
+                group.start_soon(receive_until_closed, link)
         await anyio.sleep(1)
         sent = count_bytes(pairs)
         used = time.process_time()
@@ -231,7 +241,8 @@
     print(f'  control sent {sent / seconds / ends:.1f} bytes a second')
 
 
-async def keep_reading(link: Link) -> None:
+async def receive_until_closed(link: Link) -> None:
+    """Receive and discard messages until the link is closed."""
     try:
         while True:
             await link.receive()
@@ -240,29 +251,32 @@
 
 
 def count_bytes(pairs: list[tuple[Link, Link]]) -> int:
+    """Return the control bytes sent by all links."""
     return sum(link.counters.control_out for pair in pairs for link in pair)
 
 
 def read_rss() -> int:
-    """Return the resident memory in KiB."""
+    """Return the resident memory of this process in KiB."""
     status = pathlib.Path('/proc/self/status').read_text(encoding='ascii')
     (line,) = re.findall(r'VmRSS:\s+(\d+)', status)
     return int(line)
 
 
 def print_memory() -> None:
+    """Print the resident memory of a process after its imports."""
     print('resident memory after importing, MiB:')
     for name, code in _IMPORTS.items():
-        shown = subprocess.run(  # noqa: S603 - a constant program of our own
-            [sys.executable, '-c', f'{code}\n{_SHOW_RSS}'],
+        process = subprocess.run(  # noqa: S603 - the program is a constant of this module
+            [sys.executable, '-c', f'{code}\n{_PRINT_RSS}'],
             capture_output=True,
             check=True,
             text=True,
         )
-        print(f'  {name:20}{int(shown.stdout) / 1024:8.1f}')
+        print(f'  {name:20}{int(process.stdout) / 1024:8.1f}')
 
 
 def main() -> None:
+    """Run and print all measurements."""
     print_codec()
     anyio.run(print_round_trip)
     anyio.run(print_stream)
--- a/bench/workload.py
+++ b/bench/workload.py
@@ -1,4 +1,4 @@
-"""Make seeded arrival traces of both deployments."""
+"""Generate seeded arrival traces of both deployments."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 _DAY = 24 * HOUR
 _HINT_BYTES = 8
 _INDEX_BITS = 16
-_FIRST_OWN = 1 << 24
+_FIRST_PRIVATE_NUMBER = 1 << 24
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """Describe the sizes, costs and habits of one deployment of today."""
+    """Describe the sizes, costs and traffic patterns of one deployment."""
 
     name: str
     data_centres: tuple[str, ...]
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rulebook:
-    """Hold one long text of a team."""
+    """Describe a long text of a team, the shared prefix of its prompts."""
 
     number: int
     team: str
@@ -110,13 +110,13 @@
 
     @property
     def complete(self) -> int:
-        """Count its complete segments."""
+        """Return the number of complete segments."""
         return self.tokens // SEGMENT_TOKENS
 
 
 @dataclass(frozen=True, slots=True)
 class Visit:
-    """Describe one request as its caller sends it."""
+    """Describe one request as sent by its caller."""
 
     at: Millis
     number: int
@@ -128,8 +128,8 @@
 
 
 @dataclass(slots=True)
-class _Own:
-    """Hold a text that only one conversation or claim uses."""
+class _PrivateText:
+    """Describe the text after a rulebook that only one conversation uses."""
 
     number: int
     rulebook: Rulebook
@@ -138,7 +138,7 @@
 
 @dataclass(slots=True)
 class Trace:
-    """Hold the visits before and during the measured time."""
+    """Hold the visits before and during the measured period."""
 
     history: list[Visit] = field(default_factory=list)
     window: list[Visit] = field(default_factory=list)
@@ -148,7 +148,7 @@
 def list_segments(
     rulebook: int, count: int, own: int, own_count: int, version: int
 ) -> tuple[SegmentHint, ...]:
-    """Return the hints of a rulebook's segments and of what follows."""
+    """Return the hints of a rulebook's segments and of the text after it."""
     first = tuple(_make_hint(rulebook, i, version) for i in range(count))
     rest = tuple(_make_hint(own, i, version) for i in range(own_count))
     return first + rest
@@ -165,23 +165,23 @@
 
 
 class Workload:
-    """Draw visits of one deployment from one seed."""
+    """Generate the visits of one deployment from one seed."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self._deployment = deployment
         self._random = Random(f'{deployment.name}-{seed}')
         self._rulebooks = list(self._make_rulebooks())
-        self._weights = _accumulate(
+        self._weights = _make_cumulative(
             (rank + 1) ** -deployment.popularity
             for rank in range(deployment.rulebooks)
         )
-        self._next_own = _FIRST_OWN
-        self._returning: list[tuple[Millis, int, _Own]] = []
+        self._next_private_number = _FIRST_PRIVATE_NUMBER
+        self._returning: list[tuple[Millis, int, _PrivateText]] = []
         self._number = 0
 
     @property
     def teams(self) -> tuple[str, ...]:
-        """List the teams, the largest first."""
+        """Return the teams, the largest first."""
         return tuple(f't{i}' for i in range(len(self._deployment.teams)))
 
     def make_trace(
@@ -192,7 +192,10 @@
         days: int = 3,
         busy_team: str = '',
     ) -> Trace:
-        """Draw `days` of history, then a window at `rate` visits a second."""
+        """Generate `days` of history and a window at `rate` visits a second.
+
+        The window starts at 0; history has negative times.
+        """
         trace = Trace()
         trace.history = list(self._draw_history(days))
         trace.window = list(self._draw_window(rate, length, busy_team))
@@ -206,7 +209,7 @@
             range(len(shares)), shares, k=self._deployment.rulebooks
         )
         for number, team in enumerate(teams):
-            tokens = _draw_log(self._random, low, high)
+            tokens = _draw_log_uniform(self._random, low, high)
             yield Rulebook(number, f't{team}', int(tokens))
 
     def _draw_history(self, days: int) -> Iterator[Visit]:
@@ -216,7 +219,7 @@
             yield self._draw(at)
 
     def _draw_hour(self, days: int) -> Millis:
-        """Draw a moment before 0; 0 is eleven o'clock."""
+        """Draw a time before 0, where 0 is eleven o'clock of the last day."""
         opening, closing = self._deployment.opening
         middle, width = (opening + closing) / 2, (closing - opening) / 4
         hour = self._random.gauss(middle, width) % 24
@@ -238,23 +241,28 @@
                 yield self._draw(at)
 
     def _draw_group(self, at: Millis) -> Iterator[Visit]:
-        """Draw a school class that asks about one rulebook at once."""
+        """Generate six visits with one rulebook, such as a school class."""
         rulebook = self._draw_rulebook()
         for _ in range(6):
             at += self._random.expovariate(2 / SECOND)
-            yield self._make(at, self._start_own(rulebook), letter=False)
+            yield self._make_visit(
+                at, self._start_private_text(rulebook), letter=False
+            )
 
     def _draw(self, at: Millis, team: str = '') -> Visit:
-        own = self._take_returning(at, team)
+        own = self._pick_returning(at, team)
         if own is not None:
-            return self._visit(at, own)
-        return self._visit(at, self._start_own(self._draw_rulebook(team)))
+            return self._make_random_visit(at, own)
+        return self._make_random_visit(
+            at, self._start_private_text(self._draw_rulebook(team))
+        )
 
-    def _take_returning(self, at: Millis, team: str) -> _Own | None:
-        """Take a text that is due.
+    def _pick_returning(self, at: Millis, team: str) -> _PrivateText | None:
+        """Return the text of an earlier visit that is continued, if any.
 
-        History is a sample of the visits of days; in the window the returns
-        are drawn from all of it at the chance that visits return with.
+        In history, a text is continued when its gap has passed. History is only
+        a sample of the visits of its days, so the window draws from all its
+        returning texts, with the probability that a visit is a return.
         """
         if at < 0:
             due = self._returning and self._returning[0][0] <= at
@@ -266,29 +274,33 @@
         own = self._returning[index][2]
         return own if not team or own.rulebook.team == team else None
 
-    def _visit(self, at: Millis, own: _Own) -> Visit:
+    def _make_random_visit(self, at: Millis, own: _PrivateText) -> Visit:
         share = self._deployment.letter_share
-        return self._make(at, own, letter=self._random.random() < share)
+        return self._make_visit(at, own, letter=self._random.random() < share)
 
     def _draw_rulebook(self, team: str = '') -> Rulebook:
         while True:
             point = self._random.random() * self._weights[-1]
-            rulebook = self._rulebooks[_find(self._weights, point)]
+            rulebook = self._rulebooks[
+                _find_first_reaching(self._weights, point)
+            ]
             if not team or rulebook.team == team:
                 return rulebook
 
-    def _start_own(self, rulebook: Rulebook) -> _Own:
-        self._next_own += 1
-        tokens = _draw_log(self._random, *self._deployment.own_tokens)
-        return _Own(self._next_own, rulebook, int(tokens))
+    def _start_private_text(self, rulebook: Rulebook) -> _PrivateText:
+        self._next_private_number += 1
+        tokens = _draw_log_uniform(self._random, *self._deployment.own_tokens)
+        return _PrivateText(self._next_private_number, rulebook, int(tokens))
 
-    def _make(self, at: Millis, own: _Own, *, letter: bool) -> Visit:
+    def _make_visit(
+        self, at: Millis, own: _PrivateText, *, letter: bool
+    ) -> Visit:
         deployment = self._deployment
         draw = self._random
         if at < 0 and draw.random() < deployment.return_chance:
-            gap = _draw_log(draw, *deployment.return_gap)
-            grown = _Own(own.number, own.rulebook, own.tokens + 100)
-            heapq.heappush(self._returning, (at + gap, self._number, grown))
+            gap = _draw_log_uniform(draw, *deployment.return_gap)
+            continued = _PrivateText(own.number, own.rulebook, own.tokens + 100)
+            heapq.heappush(self._returning, (at + gap, self._number, continued))
         tokens = own.rulebook.tokens + own.tokens
         complete = own.rulebook.complete
         segments = list_segments(
@@ -316,7 +328,7 @@
 def change_version(
     segments: Sequence[SegmentHint], version: int
 ) -> tuple[SegmentHint, ...]:
-    """Return the hints that the same prompt has under other weights."""
+    """Return the hints of the same prompt with another weight version."""
     return tuple(_change_hint(segment, version) for segment in segments)
 
 
@@ -325,11 +337,11 @@
     return bytes((first,)) + segment[1:]
 
 
-def _draw_log(random: Random, low: float, high: float) -> float:
+def _draw_log_uniform(random: Random, low: float, high: float) -> float:
     return math.exp(random.uniform(math.log(low), math.log(high)))
 
 
-def _accumulate(weights: Iterator[float]) -> list[float]:
+def _make_cumulative(weights: Iterator[float]) -> list[float]:
     sums: list[float] = []
     total = 0.0
     for weight in weights:
@@ -338,7 +350,7 @@
     return sums
 
 
-def _find(sums: Sequence[float], point: float) -> int:
+def _find_first_reaching(sums: Sequence[float], point: float) -> int:
     low, high = 0, len(sums) - 1
     while low < high:
         middle = (low + high) // 2
--- a/tools/days.py
+++ b/tools/days.py
@@ -1,6 +1,6 @@
-"""Play the days of our own on the users' deployments, one line each.
+"""Run the fault days of deploy/days on deployments; print a line for each.
 
-Needs the users' bench, which is not part of this repository.
+Needs the users' bench program, which is not part of this repository.
 """
 
 from __future__ import annotations
@@ -16,14 +16,17 @@
 
 _ROOT = Path(__file__).parents[1]
 _DAYS = _ROOT / 'deploy' / 'days'
-# A day of hundreds of machines takes some nine minutes.
+# A day with hundreds of machines takes about nine minutes.
 _DAY_LIMIT_SECONDS = 1_200
-_BROKEN = 'BROKEN'
+_BROKEN_MARK = 'BROKEN'
 
 
 @dataclass(frozen=True, slots=True)
-class Play:
-    """Name a day on a site, and whether its small twin is played."""
+class DayRun:
+    """Describe one run of a day on a site.
+
+    `is_small` selects the small variant of a large site.
+    """
 
     bench: Path
     site: Path
@@ -32,17 +35,17 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Play every day on every site; return 1 where a rule is broken."""
+    """Run every day on every site; return 1 if any run broke a rule."""
     options = _make_parser().parse_args(arguments)
-    plays = [
-        Play(options.bench, site, day, is_small=options.small)
+    runs = [
+        DayRun(options.bench, site, day, is_small=options.small)
         for site in options.sites
         for day in sorted(_DAYS.glob('*.toml'))
     ]
     with ThreadPoolExecutor(options.jobs) as pool:
-        lines = list(pool.map(_play, plays))
+        lines = list(pool.map(_run_day, runs))
     sys.stdout.write('\n'.join(lines) + '\n')
-    return int(any(_BROKEN in line for line in lines))
+    return int(any(_BROKEN_MARK in line for line in lines))
 
 
 def _make_parser() -> argparse.ArgumentParser:
@@ -54,34 +57,34 @@
     parser.add_argument(
         '--small',
         action='store_true',
-        help='play the small twins of large sites',
+        help='run the small variants of large sites',
     )
     parser.add_argument('sites', nargs='+', type=Path)
     return parser
 
 
-def _play(play: Play) -> str:
-    run = subprocess.run(  # noqa: S603 - the operator names the bench
-        list_words(play),
+def _run_day(day_run: DayRun) -> str:
+    process = subprocess.run(  # noqa: S603 - the operator names the bench
+        make_command(day_run),
         cwd=_ROOT,
         capture_output=True,
         text=True,
         timeout=_DAY_LIMIT_SECONDS,
         check=False,
     )
-    found = list(_find_lines(play.day.stem, run.stdout))
-    result = '; '.join(found) or f'{play.day.stem}: no result'
-    return f'{play.site.stem}: {result}'
+    result_lines = list(_find_result_lines(day_run.day.stem, process.stdout))
+    result = '; '.join(result_lines) or f'{day_run.day.stem}: no result'
+    return f'{day_run.site.stem}: {result}'
 
 
-def list_words(play: Play) -> list[str]:
-    """Return the command that plays a day."""
-    words = [str(play.bench), 'run', str(play.site), str(play.day)]
-    return [*words, '--small'] if play.is_small else words
+def make_command(day_run: DayRun) -> list[str]:
+    """Return the command line that runs a day."""
+    command = [str(day_run.bench), 'run', str(day_run.site), str(day_run.day)]
+    return [*command, '--small'] if day_run.is_small else command
 
 
-def _find_lines(day: str, output: str) -> Iterator[str]:
-    """Yield the line of the day, and the first fault where there is one."""
+def _find_result_lines(day: str, output: str) -> Iterator[str]:
+    """Yield the summary line of the day and the first fault, if any."""
     for line in output.splitlines():
         if line.startswith(day) or 'first that is wrong' in line:
             yield re.sub(r'\s+', ' ', line)
