--- a/tests/matrix/agent.py
+++ b/tests/matrix/agent.py
@@ -1,4 +1,4 @@
-"""Run an agent's own parts in simulated time."""
+"""Simulate an agent process built from the production components."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 class ModelAgent(Process):
-    """Run an agent: its gate, its runs and its copy of the configuration."""
+    """Simulate an agent with its gate, runs and configuration copy."""
 
     def __init__(
         self,
@@ -165,7 +165,7 @@
         return self.world.backends[self.slot]
 
     def make_hello(self) -> Hello:
-        """Build what this agent says first."""
+        """Build the first message that this agent sends on a link."""
         return Hello(
             PROTOCOL_VERSION,
             Role.AGENT,
@@ -178,7 +178,7 @@
         )
 
     def greet(self, end: End) -> None:
-        """Take a new link."""
+        """Register a newly opened link."""
         self._links += 1
         outbox: Any = ModelOutbox(f'{self._links}', end)
         self.outboxes[outbox.name] = outbox
@@ -188,14 +188,14 @@
         self.beats.greet(outbox)
 
     def receive(self, end: End, message: Message) -> None:
-        """Take a message over a link."""
+        """Dispatch a received message to its handler."""
         outbox = self._find(end)
         handler = self._handlers.get(type(message))
         if outbox is not None and handler is not None:
             handler(outbox, message)
 
     def lose(self, end: End) -> None:
-        """Learn that a link is gone."""
+        """Remove a closed link and end the work bound to it."""
         outbox = self._find(end)
         if outbox is not None:
             del self.outboxes[outbox.name]
@@ -203,13 +203,13 @@
             self.configuration.drop_link(outbox.name)
 
     async def before_send(self, message: Message) -> None:
-        """Do nothing: only what entries send is a step."""
+        """Do nothing: only messages sent by entries are fault points."""
 
     def after_send(self, message: Message) -> None:
-        """Do nothing."""
+        """Do nothing: messages sent by agents are no fault points."""
 
     def lose_backend(self) -> None:
-        """Do as the shell does when the backend server is lost."""
+        """Handle the loss of the backend server as the real agent does."""
         self.beats.set_phase(AgentPhase.STARTING)
         told = self.runs.crash()
         if self.orders is not None:
@@ -219,12 +219,12 @@
             self.runs.send(reader, (failed,))
 
     def stop(self) -> None:
-        """Take a stop signal."""
+        """Handle a stop signal by starting the drain."""
         self.world.decide_leaving(self)
         self.departure.signal()
 
     def forward(self, run: Run) -> None:
-        """Carry a run through the backend server, as the forwarder does."""
+        """Forward a run to the backend server as the real forwarder does."""
         if run.stopped:
             return
         run.forwarded = True
@@ -261,7 +261,7 @@
             drive(self.forwarder._pass_on(run, piece))
 
     def _watch(self, run: Run) -> None:
-        """Forget a run once its answer is sent or nobody wants it."""
+        """Remove a run once its response is sent or it was stopped."""
         if run.key not in self.runs._runs:
             return
         if run.stopped or run.buffer is None or run.buffer.is_sent:
@@ -294,7 +294,7 @@
             self._wait_stopped(args[0])
 
     def _wait_stopped(self, run: Run) -> None:
-        """Forget a run that was stopped before its end."""
+        """Remove a run that was stopped before it finished."""
         if run.key not in self.runs._runs:
             return
         if run.stopped:
--- a/tests/matrix/callers.py
+++ b/tests/matrix/callers.py
@@ -1,4 +1,4 @@
-"""Call an entry, and call again through another one."""
+"""Simulate clients that retry a request through other entries."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class Caller:
-    """Send one request until it is answered or clearly failed."""
+    """Send one request, retrying until a response or a final error."""
 
     def __init__(
         self,
@@ -83,11 +83,11 @@
         world.callers.append(self)
 
     def begin(self, delay: Millis = 0.0) -> None:
-        """Send the request, soon."""
+        """Schedule the first attempt after a delay."""
         self.world.outside.after(delay, self._send)
 
     def steal(self, token: str) -> None:
-        """Try to go on with the stream of somebody else."""
+        """Try to resume another caller's stream with its token."""
         if self.token:
             return
         self.token, self.done, self.outcome = token, False, ''
@@ -98,7 +98,7 @@
         self.world.outside.after(1.0, lambda: self._resume(request))
 
     def leave(self) -> None:
-        """Close the connection and forget about the answer."""
+        """Close the connection and discard the response."""
         self.gone = True
         self.done = True
         self.outcome = 'gone'
@@ -106,17 +106,17 @@
             self.entry.after(1.0, self.driver.effects.note_gone)
 
     def note_dead(self, process: object) -> None:
-        """Learn that the entry's connection is gone."""
+        """Lose the connection if it leads to the process that died."""
         if self._reply is not None and self.entry is process:
             self._reply.lose(5.0)
 
     def take_whole(self, request: str) -> None:
-        """Be served."""
+        """Record a complete response."""
         self.world.calls[request].whole = True
         self._end('whole')
 
     def take_refusal(self, request: str, refusal: Refuse) -> None:
-        """Be refused, and go on if that makes sense."""
+        """Record a refusal and retry where the request allows it."""
         self.world.calls[request].refusal = refusal
         self.refusals.append(refusal)
         if refusal.kind is ErrorKind.OUTCOME_UNKNOWN:
@@ -132,7 +132,7 @@
         self._again(refusal.retry_after or 100.0)
 
     def take_break(self, request: str) -> None:
-        """Lose the connection; go on with the stream or start again."""
+        """Handle a lost connection by resuming or repeating the request."""
         if self.token:
             self._again(100.0, resume=request)
         elif self.key or self.service == CHAT:
@@ -154,11 +154,11 @@
         )
 
     def _choose(self) -> ModelEntry | None:
-        """Return the next entry that the balancer thinks ready."""
+        """Return the next entry that the load balancer considers ready."""
         for step in range(len(ENTRIES)):
             name = ENTRIES[(self._turn + step) % len(ENTRIES)]
             entry = self.world.entries[name]
-            # A balancer finds out about a frozen one only by its probes.
+            # The load balancer detects a frozen entry only by its probes.
             if entry.alive and (entry.frozen or not entry.core.find_fault()):
                 return entry
         return None
@@ -266,7 +266,7 @@
 
 
 class _Reply:
-    """Collect one answer as the caller's connection gives it."""
+    """Collect the response received on one connection."""
 
     def __init__(self, caller: Caller, request: str) -> None:
         self._caller = caller
@@ -279,11 +279,11 @@
 
     @property
     def call(self) -> safety_model.Call | None:
-        """Return what the caller has got."""
+        """Return the recorded call to which the response belongs."""
         return self._world.calls.get(self._request)
 
     async def take(self, event: MutableMapping[str, Any]) -> None:
-        """Take what the entry sends; raise CallerGone."""
+        """Process an ASGI event from the entry; raise CallerGone."""
         if self._caller.gone and event['type'] != CLOSED:
             raise CallerGone
         if self._over or self._caller.gone:
@@ -297,13 +297,13 @@
             self._take_part(event['body'], more=event.get('more_body', False))
 
     def go_on_with(self, request: str) -> None:
-        """Add to the answer of an earlier request."""
+        """Append the received data to an earlier request's response."""
         self._request = request
 
     def refuse(
         self, kind: ErrorKind, ran: Ran, retry_after: Millis | None
     ) -> None:
-        """Refuse the request."""
+        """Report a refusal to the caller, unless the response has ended."""
         if not self._over and self.call is not None:
             self._over = True
             refusal = Refuse(kind, ran, retry_after)
@@ -312,11 +312,11 @@
             self._caller.take_refusal(self.call.request, refusal)
 
     def lose(self, delay: Millis) -> None:
-        """Lose the connection, soon."""
+        """Schedule the loss of the connection after a delay."""
         self._world.outside.after(delay, self._break)
 
     def find_position(self, body: bytes) -> Position:
-        """Return what of a stream has come."""
+        """Return the position of the last event received in a body."""
         return Position(body.count(b'\n\n') - 1)
 
     def _break(self) -> None:
--- a/tests/matrix/cells.py
+++ b/tests/matrix/cells.py
@@ -1,4 +1,4 @@
-"""Run every fault at every step, and some pairs of faults."""
+"""Run the fault matrix: single faults and fault pairs at each step."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 _RETENTION = 20 * SECOND
 _SEED = 4
 _GARBAGE = 200_000
-# What one fault delays, the other one overtakes.
+# Pairs in which the second fault overtakes work delayed by the first.
 _RACING = (
     (Kind.LINK_SLOW, Kind.WEIGHTS),
     (Kind.LINK_SLOW, Kind.DUPLICATE),
@@ -42,7 +42,7 @@
 
 
 class State(enum.StrEnum):
-    """Say how a cell came out."""
+    """Enumerate the outcomes of a cell."""
 
     HELD = 'held'
     BROKEN = 'broken'
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Cell:
-    """Place a fault, or two, just before or after a step."""
+    """Define one or two faults injected just before or after a step."""
 
     kinds: tuple[Kind, ...]
     point: Point
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class Result:
-    """Hold what became of a cell."""
+    """Hold the outcome of a cell and, on failure, its reason."""
 
     cell: Cell
     state: State
@@ -74,7 +74,7 @@
 
 
 def list_cells(*, sides: Sequence[bool] = (False, True)) -> Iterator[Cell]:
-    """List each single fault at each step that it has a meaning at."""
+    """List each single fault at each step that it applies to."""
     for kind, point, after in product(STRIKES, SCENARIOS, sides):
         if not find_reason(kind, point):
             for scenario in SCENARIOS[point]:
@@ -82,7 +82,7 @@
 
 
 def list_racing() -> Iterator[Cell]:
-    """List pairs of faults that race, before each step."""
+    """List the pairs of racing faults, injected before each step."""
     for (first, second), point in product(_RACING, SCENARIOS):
         if not find_pair_reason(first, second, point):
             for scenario in SCENARIOS[point]:
@@ -92,7 +92,7 @@
 
 
 def list_pairs(count: int = _PAIRS, seed: int = _SEED) -> Iterator[Cell]:
-    """List a fixed sample of two faults together."""
+    """List a sample of fault pairs, determined by the seed."""
     random = Random(seed)
     cells = list(list_cells())
     while count:
@@ -107,7 +107,7 @@
 
 
 def run_cell(cell: Cell, variants: Variants | None = None) -> Result:
-    """Play a cell's scenario with its faults, then check every promise."""
+    """Run a cell's scenario with its faults, then check all invariants."""
     world = play(cell, variants)
     if (cell.point, cell.after) not in world.points.passed:
         return Result(cell, State.BROKEN, 'the step was never reached')
@@ -119,7 +119,7 @@
 
 
 def play(cell: Cell, variants: Variants | None = None) -> World:
-    """Play a cell's scenario with its faults until the world is quiet."""
+    """Run a cell's scenario with its faults until the world is idle."""
     scenario = cell.scenario
     forgets = cell.point is Point.SNAPSHOT or Kind.RETENTION in cell.kinds
     world = World(variants, _RETENTION if forgets else HOUR)
@@ -138,13 +138,13 @@
 def run_cells(
     cells: Sequence[Cell], variants: Variants | None = None
 ) -> list[Result]:
-    """Run cells one after the other."""
+    """Run cells sequentially in one event loop."""
 
     async def run() -> list[Result]:
-        # The shells' parts make events, which asks for a loop.
+        # Production components create events, which need a running loop.
         return [run_cell(cell, variants) for cell in cells]
 
-    # Whole worlds at a time are garbage, so that looking often is in vain.
+    # Each world becomes garbage as a whole: frequent collections find little.
     before = gc.get_threshold()
     gc.set_threshold(_GARBAGE)
     try:
--- a/tests/matrix/checkers.py
+++ b/tests/matrix/checkers.py
@@ -1,4 +1,4 @@
-"""Check each promise on a world that has come to rest."""
+"""Check the system's invariants on a world that has become idle."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def check_blocks(world: World, _: Kinds) -> None:
-    """What an engine takes was written whole, for just that namespace."""
+    """Check that loaded segments were fully written in their namespace."""
     kv = world.kv
     if kv is None:
         return
@@ -37,14 +37,14 @@
 
 
 def check_weights(world: World, _: Kinds) -> None:
-    """Runs meet the weights that they were bound to."""
+    """Check that each run started on the weights it was bound to."""
     for start in world.starts:
         if start.wanted != start.loaded:
             raise Violation('weights', start)
 
 
 def check_leaving(world: World, _: Kinds) -> None:
-    """Nothing starts at an agent that has decided to leave."""
+    """Check that no run starts long after an agent decided to leave."""
     for start in world.starts:
         decided = world.decided.get((start.agent, start.incarnation))
         if decided is not None and start.at > decided + _LEAVE:
@@ -52,13 +52,13 @@
 
 
 def check_stops(world: World, kinds: Kinds) -> None:
-    """A planned stop cuts nothing off."""
+    """Check that a planned stop interrupts no run."""
     if any(world.cuts) and not kinds & LOSING:
         raise Violation('planned stop', world.cuts)
 
 
 def check_served(world: World, kinds: Kinds) -> None:
-    """Every caller is answered, and served where nothing was lost."""
+    """Check that callers finish, and succeed unless faults allow loss."""
     for caller in world.callers:
         if not caller.done:
             raise Violation('answered', caller.name)
@@ -71,7 +71,7 @@
 
 
 def check_poison(world: World, _: Kinds) -> None:
-    """A request crashes no more than two servers."""
+    """Check that a request crashes at most two backend servers."""
     counts = Counter(
         digest
         for backend in world.backends.values()
@@ -83,7 +83,7 @@
 
 
 def check_configuration(world: World, _: Kinds) -> None:
-    """All processes hold what the log says, in time and never going back."""
+    """Check that configurations follow the log in time and never regress."""
     if world.setbacks:
         raise Violation('going back', world.setbacks)
     if world.late:
@@ -98,7 +98,7 @@
 
 
 def check_races(world: World, _: Kinds) -> None:
-    """One operator at most wins a race, and each is told the truth."""
+    """Check that at most one racing operator wins and results are correct."""
     if not world.operators:
         return
     truth = _apply_log(world)
@@ -119,7 +119,7 @@
 
 
 def check_orders(world: World, _: Kinds) -> None:
-    """Engines come to the state that the configuration asks for."""
+    """Check that engines reach the state that the configuration requests."""
     for agent in world.agents.values():
         if agent.orders is None or agent.departure.is_leaving:
             continue
@@ -131,7 +131,7 @@
 
 def _reuse(check: Callable[[model.World], None]) -> Check:
     def run(world: World, _: Kinds) -> None:
-        check(world)  # type: ignore[arg-type]  # it reads runs and calls
+        check(world)  # type: ignore[arg-type]  # reads only runs and calls
 
     return run
 
@@ -154,7 +154,7 @@
 
 
 def check_all(world: World, kinds: Kinds) -> None:
-    """Raise Violation for the first promise that is broken."""
+    """Raise Violation for the first invariant that does not hold."""
     for checks in PROMISES.values():
         for check in checks:
             check(world, kinds)
--- a/tests/matrix/drivers.py
+++ b/tests/matrix/drivers.py
@@ -1,4 +1,4 @@
-"""Lead requests as an entry's drivers do, in simulated time."""
+"""Run the entry's request drivers in simulated time."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class _Wake:
-    """Stand in for what an inbox wakes its reader by."""
+    """Replace the future by which an inbox wakes its reader."""
 
     def __init__(self, process: Process, act: Callable[[], None]) -> None:
         self._process = process
@@ -34,11 +34,11 @@
         self._is_due = False
 
     def done(self) -> bool:
-        """Tell that the reader waits all the time."""
+        """Return False: the reader is always waiting."""
         return False
 
     def set_result(self, _: None = None) -> None:
-        """Act soon, once for all that came."""
+        """Schedule one wake-up for all items that have arrived."""
         if not self._is_due:
             self._is_due = True
             self._process.after(0, self._run)
@@ -51,13 +51,13 @@
 
 
 class _Caller:
-    """Stand in for the body of a request, which came whole."""
+    """Replace the reader of a request body that is already complete."""
 
     ended = True
 
 
 class _Turns:
-    """Take the items of an inbox one after the other."""
+    """Process the items of an inbox sequentially."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         inbox._waiting = _Wake(process, self.go_on)  # type: ignore[assignment]
 
     def go_on(self) -> None:
-        """Take what has come, unless an earlier turn still waits."""
+        """Process pending items unless an earlier turn is still waiting."""
         if not self._busy and not self.over:
             self._busy = True
             drive(self._take_all())
@@ -86,7 +86,7 @@
 
 
 class ModelRequest(RequestDriver):
-    """Lead a call as the driver does, with simulated waits."""
+    """Drive a call like the production driver, with simulated waits."""
 
     def __init__(self, entry: ModelEntry, call: Call, answer: Answer) -> None:
         self._entry = entry
@@ -101,11 +101,11 @@
 
     @property
     def effects(self) -> Any:
-        """Return what does the actions."""
+        """Return the object that carries out the driver's actions."""
         return self._effects
 
     async def begin(self) -> None:
-        """Admit, then let the machine begin; raise OleanderError."""
+        """Admit the call and start its state machine; raise OleanderError."""
         core, request = self._core, self._call.request
         core.running[request] = self
         try:
@@ -122,7 +122,7 @@
         self._turns.go_on()
 
     def finish(self) -> None:
-        """Forget the call."""
+        """Remove the call from the entry."""
         self._turns.over = True
         drive(_close(self._answer))
         self._core.running.pop(self._call.request, None)
@@ -146,7 +146,7 @@
 
 
 class ModelResume(ResumeDriver):
-    """Go on with a stream as the driver does."""
+    """Resume a stream like the production driver."""
 
     def __init__(
         self, entry: ModelEntry, ask: ResumeAsk, delivery: Delivery
@@ -157,7 +157,7 @@
         self._turns = _Turns(entry, self._inbox, self._take_turn)
 
     async def begin(self) -> None:
-        """Ask for the rest; raise OleanderError."""
+        """Request the rest of the stream; raise OleanderError."""
         core, ask = self._core, self._ask
         link = core.find_link(ask.stream.agent)
         if link is None:
@@ -171,7 +171,7 @@
         await link.send(Resume(ask.request, 1, ask.team, token, start))
 
     def finish(self) -> None:
-        """Forget the stream."""
+        """Remove the stream from the entry."""
         self._turns.over = True
         drive(_close(self._delivery._answer))
         self._core.running.pop(self._ask.request, None)
--- a/tests/matrix/entry.py
+++ b/tests/matrix/entry.py
@@ -1,4 +1,4 @@
-"""Run an entry's own parts in simulated time."""
+"""Simulate an entry process built from the production components."""
 
 from __future__ import annotations
 
@@ -55,13 +55,13 @@
 
 
 def make_settings(name: str, retention: Millis) -> EntrySettings:
-    """Build the settings of an entry."""
+    """Build an entry's settings with a given log retention."""
     log = LogSettings('log', retention=retention)
     return EntrySettings(name, 'centre', log, VmSettings('vms'))
 
 
 class LogPort:
-    """Append to the log for one entry."""
+    """Append to the simulated log service on behalf of one entry."""
 
     def __init__(self, entry: ModelEntry) -> None:
         self._entry = entry
@@ -69,7 +69,7 @@
     async def append(
         self, log: str, records: Sequence[bytes], *, timeout: Millis
     ) -> int:
-        """Append as `LogClient` does; raise LogUnavailable."""
+        """Append with the interface of `LogClient`; raise LogUnavailable."""
         world, entry = self._entry.world, self._entry
         point = world.points.name_append(log, records)
         world.points.strike(point, entry)
@@ -88,14 +88,14 @@
 
 
 class ModelClaimLog(ClaimLog):
-    """Append what is pending without tasks of its own."""
+    """Append pending claims without starting tasks."""
 
     def __init__(self, core: Core, port: Any, process: Process) -> None:
         super().__init__(core, port)
         self._process = process
 
     def flush(self) -> None:
-        """Append what is pending, as far as the bound allows."""
+        """Append pending claims up to the limit on concurrent appends."""
         while self._pending and self._active < entry_claims._APPENDS:
             self._active += 1
             drive(self._append_next(self._take_group()))
@@ -110,7 +110,7 @@
 
 
 class ModelEntry(Process):
-    """Run an entry: its links, its reading of the log and its requests."""
+    """Simulate an entry with its links, log readers and requests."""
 
     def __init__(self, world: World, name: str, incarnation: str) -> None:
         super().__init__(world.scheduler, name)
@@ -138,11 +138,11 @@
 
     @property
     def ready(self) -> bool:
-        """Tell what the balancer's probe is told."""
+        """Return the answer to the load balancer's readiness probe."""
         return self.active and not self.core.find_fault()
 
     def serve(self, call: Call, answer: Answer) -> ModelRequest:
-        """Take a call; raise OleanderError."""
+        """Start to serve a call; raise OleanderError."""
         self.stopper.begin(call.request)
         try:
             request = ModelRequest(self, call, answer)
@@ -153,7 +153,7 @@
         return request
 
     def resume(self, ask: ResumeAsk, answer: Answer) -> None:
-        """Go on with a stream; raise OleanderError."""
+        """Start to resume a stream; raise OleanderError."""
         self.stopper.begin(ask.request)
         delivery = Delivery(
             answer,
@@ -166,39 +166,39 @@
         self._run(ModelResume(self, ask, delivery).begin, answer)
 
     def receive(self, end: End, message: Message) -> None:
-        """Take a message of an agent."""
+        """Process a message from an agent."""
         drive(self.links.on_message(end, message))  # type: ignore[arg-type]
 
     def lose(self, end: End) -> None:
-        """Learn that a link is gone."""
+        """Handle the loss of a link."""
         if self.ends.get(end.address) is end:
             del self.ends[end.address]
         drive(self.links.on_down(end))  # type: ignore[arg-type]
 
     def greet(self, end: End) -> None:
-        """Take a new link."""
+        """Register a newly opened link."""
         self.ends[end.address] = end
         drive(self.links.on_up(end))  # type: ignore[arg-type]
 
     async def before_send(self, message: Message) -> None:
-        """Let a fault strike before a message is sent."""
+        """Inject a fault that is due before a message is sent."""
         self.world.points.strike(self.world.points.name_sent(message), self)
 
     def after_send(self, message: Message) -> None:
-        """Let a fault strike after a message was sent."""
+        """Inject a fault that is due after a message was sent."""
         point = self.world.points.name_sent(message)
         self.world.points.strike(point, self, after=True)
 
     def make_hello(self) -> Hello:
-        """Build what this entry says first."""
+        """Build the first message that this entry sends on a link."""
         return self.core.make_hello()
 
     def read_soon(self, log: str) -> None:
-        """Read a log, as after a long poll."""
+        """Schedule a read of a log, as when a long poll returns."""
         self.after(self.world.log.delay + 1.0, lambda: self._read(log))
 
     def stop(self) -> None:
-        """Take a stop signal."""
+        """Handle a stop signal by starting the drain."""
         self.world.points.strike(Point.LEAVING, self)
         self.do(lambda: self.stopper.take_signal('SIGTERM'))
         self.world.points.strike(Point.LEAVING, self, after=True)
--- a/tests/matrix/faults.py
+++ b/tests/matrix/faults.py
@@ -1,4 +1,4 @@
-"""Name the faults, and do each of them to a world."""
+"""Define the faults and inject them into a simulated world."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Kind(enum.StrEnum):
-    """Name a fault."""
+    """Enumerate the faults of the matrix."""
 
     ENTRY_KILLED = 'entry killed'
     AGENT_KILLED = 'agent killed'
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Scene:
-    """Show a fault where it strikes: the world and who is at work."""
+    """Give a fault its target: the world, a process, service and slot."""
 
     world: World
     process: Process
@@ -64,30 +64,30 @@
 
     @property
     def kv(self) -> Kv | None:
-        """Return the kept cache, where it is what takes part."""
+        """Return the KV scenario, or None if another scenario runs."""
         return self.world.kv
 
     @property
     def agent(self) -> ModelAgent:
-        """Return the agent that takes part."""
+        """Return the agent that the fault affects."""
         if isinstance(self.process, ModelAgent):
             return self.process
         return self.world.agents[self.slot]
 
     @property
     def entry(self) -> ModelEntry:
-        """Return the entry that takes part."""
+        """Return the entry that the fault affects."""
         if isinstance(self.process, ModelEntry):
             return self.process
         return self.world.entries['entry-1']
 
     @property
     def links(self) -> list[Link]:
-        """Return the links of the agent that takes part."""
+        """Return the links of the affected agent."""
         return self.world.find_links(self.agent)
 
     def later(self, delay: Millis, act: Callable[[], None]) -> None:
-        """End a fault after a while; the world stays busy until then."""
+        """Schedule the end of a fault, keeping the world busy until then."""
         self.world.keep_busy(delay)
         self.world.outside.after(delay, act)
 
@@ -124,7 +124,7 @@
 
 
 def _slow_link(scene: Scene) -> None:
-    """Slow one link; the agent hears other entries as before."""
+    """Slow one link of the agent and leave those to other entries alone."""
     own = scene.world.find_links(scene.entry)
     links = [link for link in scene.links if link in own]
 
@@ -187,7 +187,7 @@
     reader.reads_log = False
     world.log.retention = world.retention
     scene.later(_LONG, lambda: setattr(reader, 'reads_log', True))
-    # What was done before must still be known afterwards.
+    # Work finished before the fault must still be known after it.
     scene.later(_LONG + 3 * SECOND, lambda: _duplicate(scene))
 
 
@@ -198,7 +198,7 @@
 
 
 def _make_vms_stale(scene: Scene) -> None:
-    """Show a VM that is gone, and not yet the one that takes part."""
+    """List a VM that no longer exists and omit the affected one."""
     vms = {a.name: a.address for a in scene.world.agents.values()}
     vms.pop(scene.agent.name, None)
     _show_vms(scene, {**vms, 'gone': 'at-gone'})
@@ -233,7 +233,7 @@
 
 
 def _send_poison(scene: Scene) -> None:
-    """Send a request that crashes servers, and again when it has failed."""
+    """Send a request that crashes servers, and repeat it once it failed."""
     for place, delay in enumerate((0.0, 5 * SECOND)):
         name = f'{POISON}-{place}'
         Caller(
@@ -267,7 +267,7 @@
 
 
 def _replace_vm(scene: Scene) -> None:
-    """Let the old agent sleep while another one takes its address."""
+    """Freeze the old agent while a new one takes over its address."""
     old = scene.agent
     world = scene.world
     _freeze_for(scene, old, _AWHILE)
@@ -306,7 +306,7 @@
     Kind.RACE: _race,
 }
 
-# A run that can't be repeated may end unknown after one of these.
+# After these faults a run that can't be repeated may end as unknown.
 LOSING = frozenset(
     {
         Kind.AGENT_KILLED,
@@ -374,7 +374,7 @@
 
 
 def find_reason(kind: Kind, point: Point) -> str:
-    """Say why a fault has no meaning at a step, or nothing."""
+    """Return why a fault does not apply at a step, or an empty string."""
     for kinds, points, reason in _REASONS:
         if kind in kinds and point in points:
             return reason
@@ -382,7 +382,7 @@
 
 
 def find_pair_reason(first: Kind, second: Kind, point: Point) -> str:
-    """Say why two faults have no meaning together at a step, or nothing."""
+    """Return why a fault pair does not apply at a step, or an empty string."""
     if first is second:
         return 'it is one fault'
     if {first, second} == {Kind.FROZEN, Kind.RETENTION}:
--- a/tests/matrix/kv.py
+++ b/tests/matrix/kv.py
@@ -1,4 +1,4 @@
-"""Write, keep, copy and use cached segments in simulated time."""
+"""Simulate writing, storing, copying and loading KV cache segments."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Use:
-    """Remember what an engine took for a segment of a namespace."""
+    """Record the data that an engine loaded for a namespace's segment."""
 
     namespace: bytes
     segment: bytes
@@ -44,7 +44,7 @@
 
 
 class Kv:
-    """Let an engine write, another one read, and a store keep between them."""
+    """Simulate a writing engine, a reading engine and a store between them."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -69,21 +69,21 @@
         world.outside.after(_END, self._end)
 
     def note_dead(self, process: object) -> None:
-        """Do nothing: entries take no part."""
+        """Do nothing: entries have no role in this scenario."""
 
     def choose_freed(self) -> bytes:
-        """Return the segment to free next."""
+        """Return the segment to evict next."""
         return self._find_segments('team-1')[0]
 
     def kill(self, process: Process) -> None:
-        """Kill one of the three agents; it comes back as a new one."""
+        """Kill one of the three agents and later restart it as a new one."""
         process.kill()
         self.cut()
         self.world.keep_busy(_RESTART)
         self.world.outside.after(_RESTART, lambda: self._replace(process))
 
     def lose_store(self) -> None:
-        """Lose the store server; its agent finds out and opens it again."""
+        """Crash the store server; its agent detects this and reopens it."""
         store = self.store
         store.process.kill()
         self.agent.after(LATENCY, self.agent.close)
@@ -96,11 +96,11 @@
         self.world.outside.after(_RESTART, restart)
 
     def cut(self) -> None:
-        """Lose what is under way between the agents."""
+        """Drop the messages in flight between the agents."""
         self._epoch += 1
 
     def fall_silent(self) -> None:
-        """Lose all messages until the link is given up."""
+        """Drop all messages until the link times out."""
         self.silent = True
 
         def mend() -> None:
@@ -149,7 +149,7 @@
         for team in ('team-1', 'team-2'):
             number = next(self._numbers)
             (segment,) = self._find_segments(team)
-            # Two computations of a segment need not agree in every bit.
+            # Two computations of the same segment need not be bit-identical.
             data = bytes([number % 256]) * SIZE
             self.written[segment].add(data)
             write = SegmentWrite(
@@ -185,7 +185,7 @@
             self._send(agent, partial(agent.add_part, part))
 
     def _read(self) -> None:
-        """Ask for an own segment, and for one of another team."""
+        """Request a segment of the own team and one of another team."""
         own, other = (self._find_namespace(t) for t in ('team-1', 'team-2'))
         (segment,) = self._find_segments('team-1')
         for namespace in (own, other):
--- a/tests/matrix/loop.py
+++ b/tests/matrix/loop.py
@@ -1,4 +1,4 @@
-"""Let processes live in simulated time, one event after the other."""
+"""Schedule events of simulated processes in simulated time."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 class Null:
-    """Take any call and do nothing, as a log or a meter."""
+    """Ignore every call, in place of a logger or a meter."""
 
     def __getattr__(self, _: str) -> Callable[..., None]:
         return _do_nothing
 
 
 def _do_nothing(*_: object, **__: object) -> None:
-    """Do nothing."""
+    """Ignore all arguments."""
 
 
 class Scheduler:
-    """Run acts in the order of their times."""
+    """Run scheduled callbacks in order of their simulated times."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -34,16 +34,16 @@
 
     @property
     def now(self) -> Millis:
-        """Return the simulated time."""
+        """Return the current simulated time."""
         return self.clock.current
 
     def after(self, delay: Millis, process: Process, act: Act) -> None:
-        """Let a process act after a delay, if it still lives then."""
+        """Schedule a callback, skipped if its process is killed by then."""
         due = self.now + max(delay, 0.0)
         heapq.heappush(self._acts, (due, next(self._numbers), process, act))
 
     def run(self, until: Millis, is_over: Callable[[], bool]) -> None:
-        """Act until a time, or until it is over."""
+        """Run events up to a time or until `is_over` returns true."""
         while self._acts and self._acts[0][0] <= until and not is_over():
             due, _, process, act = heapq.heappop(self._acts)
             self.clock.current = max(self.now, due)
@@ -52,7 +52,7 @@
 
 @dataclass(eq=False)
 class Process:
-    """Live, freeze or die; what comes to a frozen one waits for it."""
+    """Simulate a process; events of a frozen process are queued."""
 
     scheduler: Scheduler
     name: str
@@ -62,16 +62,16 @@
 
     @property
     def now(self) -> Millis:
-        """Return the simulated time."""
+        """Return the current simulated time."""
         return self.scheduler.now
 
     @property
     def active(self) -> bool:
-        """Tell whether the process can act now."""
+        """Return whether the process is neither killed nor frozen."""
         return self.alive and not self.frozen
 
     def do(self, act: Act) -> None:
-        """Act now, later, or never."""
+        """Run a callback now, queue it if frozen, or drop it if killed."""
         if not self.alive:
             return
         if self.frozen:
@@ -80,11 +80,11 @@
         act()
 
     def after(self, delay: Millis, act: Act) -> None:
-        """Act after a delay."""
+        """Schedule a callback after a delay."""
         self.scheduler.after(delay, self, act)
 
     def every(self, period: Millis, act: Act) -> None:
-        """Act again and again."""
+        """Schedule a callback periodically."""
 
         def repeat() -> None:
             act()
@@ -93,23 +93,23 @@
         self.after(period, repeat)
 
     def kill(self) -> None:
-        """Die at once."""
+        """Kill the process immediately, like SIGKILL."""
         self.alive = False
         self._backlog.clear()
 
     def freeze(self) -> None:
-        """Stand still, like a process that got SIGSTOP."""
+        """Suspend the process, like SIGSTOP."""
         self.frozen = True
 
     def thaw(self) -> None:
-        """Go on, and act on all that came meanwhile in its order."""
+        """Resume the process and run the queued callbacks in order."""
         self.frozen = False
         acts, self._backlog = self._backlog, []
         for act in acts:
             self.after(0, act)
 
     async def checkpoint(self) -> None:
-        """Return when, and only if, the process can act."""
+        """Wait until the process is active; never return if it was killed."""
         if not self.active:
             later = Later(self)
             later.resolve()
@@ -117,7 +117,7 @@
 
 
 class Later:
-    """Wait for a value that its process is given."""
+    """Await a value delivered to the process later, like a future."""
 
     def __init__(self, process: Process) -> None:
         self._process = process
@@ -137,14 +137,14 @@
     def resolve(
         self, value: Any = None, error: BaseException | None = None
     ) -> None:
-        """Give the value or the error; only the first counts."""
+        """Set the value or the error; later calls have no effect."""
         if self._result is not None:
             return
         self._result = (value, error)
         self._process.do(self._arrive)
 
     def then(self, act: Act) -> None:
-        """Go on with an act."""
+        """Run a callback once the result has arrived."""
         self._go_on = act
         if self.is_over:
             act()
@@ -156,7 +156,7 @@
 
 
 def drive(coroutine: Coroutine[Any, Any, Any]) -> None:
-    """Run a coroutine that waits for nothing but `Later` or a turn."""
+    """Run a coroutine that awaits only `Later` objects or bare yields."""
     later = None
     try:
         while later is None:
--- a/tests/matrix/net.py
+++ b/tests/matrix/net.py
@@ -1,4 +1,4 @@
-"""Carry messages between processes over links that may fail."""
+"""Simulate message links between processes, including link failures."""
 
 from __future__ import annotations
 
@@ -11,31 +11,32 @@
 from tests.matrix.loop import Process, Scheduler
 
 LATENCY: Millis = 1.0
-# Twice this is less than an agent that leaves stays for late dispatches.
+# Twice this is less than the time that a leaving agent waits for late
+# dispatches.
 SLOW: Millis = 450.0
-# Both ends find a silent link within this time.
+# Both ends detect a silent link within this time.
 SILENCE: Millis = 3 * SECOND
 _IDLE = SimpleNamespace(control_in=0, control_out=0, data_in=0, data_out=0)
 
 
 class Node(Protocol):
-    """Take what comes over links."""
+    """Define the callbacks by which a process uses its links."""
 
     def receive(self, end: End, message: Message) -> None:
-        """Take a message."""
+        """Process a received message."""
 
     def lose(self, end: End) -> None:
-        """Learn that a link is gone."""
+        """Handle the loss of a link."""
 
     async def before_send(self, message: Message) -> None:
-        """Let a fault strike before a message is sent."""
+        """Inject a fault that is due before a message is sent."""
 
     def after_send(self, message: Message) -> None:
-        """Let a fault strike after a message was sent."""
+        """Inject a fault that is due after a message was sent."""
 
 
 class End:
-    """Show one process its side of a link."""
+    """Represent one process's end of a link."""
 
     def __init__(
         self, link: Link, process: Process, node: Node, peer: Hello
@@ -50,7 +51,7 @@
         self._due: Millis = 0.0
 
     async def send(self, message: Message) -> None:
-        """Send a message; raise LinkClosed."""
+        """Send a message to the peer; raise LinkClosed."""
         await self._node.before_send(message)
         await self.process.checkpoint()
         if self.closed:
@@ -59,17 +60,17 @@
         self._node.after_send(message)
 
     async def close(self) -> None:
-        """Close the link."""
+        """Close the link for both ends."""
         self.link.close()
 
     def plan(self, message: Message, delay: Millis) -> None:
-        """Let a message arrive behind the earlier ones."""
+        """Schedule a message's arrival after all earlier ones."""
         process = self.process
         self._due = max(self._due, process.now + delay)
         process.after(self._due - process.now, lambda: self._take(message))
 
     def plan_down(self, delay: Millis) -> None:
-        """Learn that the link is gone, behind what is under way."""
+        """Schedule the loss of the link after the messages in flight."""
         wait = max(delay, self._due - self.process.now)
         self.process.after(wait, self._go_down)
 
@@ -84,7 +85,7 @@
 
 
 class Link:
-    """Join two processes."""
+    """Connect two processes by a pair of ends."""
 
     def __init__(self, scheduler: Scheduler, address: str) -> None:
         self.address = address
@@ -95,20 +96,20 @@
         self.ends: tuple[End, ...] = ()
 
     def carry(self, sender: End, message: Message) -> None:
-        """Carry a message to the other end, unless it is lost."""
+        """Deliver a message to the other end, unless the link drops it."""
         if self.open and not self.silent:
             for end in self.ends:
                 if end is not sender:
                     end.plan(message, self.delay)
 
     def close(self) -> None:
-        """End the link; what is under way still arrives before."""
+        """Close the link after delivering the messages in flight."""
         self.open = False
         for end in self.ends:
             end.plan_down(self.delay)
 
     def fall_silent(self) -> None:
-        """Lose everything without a word, until both ends find out."""
+        """Drop all messages silently until both ends detect the loss."""
         self.silent = True
         for end in self.ends:
             end.process.after(SILENCE, self.close)
--- a/tests/matrix/operators.py
+++ b/tests/matrix/operators.py
@@ -1,4 +1,4 @@
-"""Change the configuration through an entry."""
+"""Simulate operators that publish configuration changes via an entry."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 _POLL: Millis = 250.0
 _TIMEOUT: Millis = 2 * SECOND
-# An operator that heard nothing appends the same record again.
+# An operator without a response appends the same record again.
 _REPEAT: Millis = 12 * SECOND
 
 
 class Operator:
-    """Publish one change, and learn what became of it."""
+    """Publish one change and track its result."""
 
     def __init__(
         self,
@@ -51,11 +51,11 @@
         world.operators.append(self)
 
     def begin(self) -> None:
-        """Publish, soon."""
+        """Schedule the first attempt to publish."""
         self.world.outside.after(0, self._look)
 
     def note_dead(self, process: object) -> None:
-        """Do nothing: the next look asks another entry."""
+        """Do nothing: the next poll uses another entry."""
 
     def _look(self) -> None:
         entry = self._choose()
--- a/tests/matrix/orders.py
+++ b/tests/matrix/orders.py
@@ -1,4 +1,4 @@
-"""Order model engines in simulated time."""
+"""Run the agent's engine reconciliation in simulated time."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 
 class EnginePort:
-    """Speak to the engine of one agent, with a way there and back."""
+    """Call an agent's engine with simulated latency in both directions."""
 
     def __init__(self, agent: ModelAgent) -> None:
         self._agent = agent
 
     async def get_json(self, _: str) -> Any:
-        """Read the state; raise HttpError."""
+        """Read the engine's state; raise HttpError."""
         agent = self._agent
         agent.world.points.strike(Point.STATE_READ, agent)
         await agent.checkpoint()
@@ -49,7 +49,7 @@
     async def call(
         self, _: str, __: str, *, body: bytes, **___: object
     ) -> tuple[int, bytes]:
-        """Send an order; raise HttpError."""
+        """Send an order to the engine; raise HttpError."""
         agent = self._agent
         order = json.loads(body)
         status: int = await self._ask(lambda: self._load(order))
@@ -91,7 +91,7 @@
 
 
 class ModelOrders(OrderLoop):
-    """Reconcile as the loop does, with simulated waits."""
+    """Reconcile like the production loop, with simulated waits."""
 
     def __init__(self, agent: ModelAgent, *, checks: bool) -> None:
         port: Any = EnginePort(agent)
@@ -119,7 +119,7 @@
         agent.every(_STEP, self.wake)
 
     def wake(self) -> None:
-        """Reconcile now, as after a change."""
+        """Reconcile now, as after a configuration change."""
         if not self._is_busy:
             self._is_busy = True
             drive(self._take_steps())
--- a/tests/matrix/outside.py
+++ b/tests/matrix/outside.py
@@ -1,4 +1,4 @@
-"""Stand in for the log service and the backend servers."""
+"""Simulate the log service and the backend servers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class LogService:
-    """Keep the logs; forget, answer late, lose answers or be out."""
+    """Simulate the log service with expiry, delays, loss and outages."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         self.up = True
@@ -34,7 +34,7 @@
 
     @property
     def delay(self) -> Millis:
-        """Return how long one way of a call takes."""
+        """Return the current one-way latency of a call."""
         return _SLOW if self.slow else 1.0
 
     def append(
@@ -47,7 +47,7 @@
         timeout: Millis,
         note: Callable[[], None],
     ) -> None:
-        """Append soon; answer as the faults allow."""
+        """Schedule an append and its response, subject to active faults."""
         doubt = LogUnavailable('no answer', ran=Ran.MAYBE)
         caller.after(timeout, lambda: later.resolve(error=doubt))
         if not self.up:
@@ -66,7 +66,7 @@
         self._process.after(self.delay, take_effect)
 
     def put(self, log: str, records: Sequence[bytes]) -> int:
-        """Append at once."""
+        """Append records immediately."""
         kept = self.logs.setdefault(log, [])
         first = len(kept)
         for data in records:
@@ -76,7 +76,7 @@
         return first
 
     def read(self, log: str, start: int) -> LogPage | None:
-        """Return a page, or nothing while the service is out."""
+        """Return a page of records, or None during an outage."""
         if not self.up:
             return None
         kept = self.logs.setdefault(log, [])
@@ -93,7 +93,7 @@
 
 
 class Backend:
-    """Run requests on a backend server that may crash and come back."""
+    """Simulate a backend server that may crash and restart."""
 
     def __init__(
         self, world: World, name: str, *, content_type: str, checks: bool
@@ -110,11 +110,11 @@
 
     @property
     def up(self) -> bool:
-        """Tell whether the server answers."""
+        """Return whether the server responds to requests."""
         return self.process.active
 
     def crash(self) -> None:
-        """Lose the server with all it runs, and start it again later."""
+        """Crash the server with all its runs and schedule its restart."""
         if not self.process.alive:
             return
         digests = frozenset(d.digest for d in self._running.values())
@@ -126,7 +126,7 @@
         agent.after(1.0, agent.lose_backend)
 
     def restart(self) -> None:
-        """Come back empty, with the same weights."""
+        """Restart without runs and with the same weights."""
         self.process = Process(self.world.scheduler, f'server of {self.name}')
 
     def request(
@@ -135,7 +135,7 @@
         caller: Process,
         take: Callable[[int, bytes], None],
     ) -> None:
-        """Run a dispatch; give its answer in pieces to the caller."""
+        """Execute a dispatch and pass its response in pieces to `take`."""
 
         def begin() -> None:
             number = len(self.world.runs)
@@ -152,7 +152,7 @@
         self.process.after(1.0, begin)
 
     def load(self, desired: DesiredState, fence: Fence) -> bool:
-        """Take an order; refuse an old fence where they are checked."""
+        """Apply an order; reject an outdated fence if fences are checked."""
         if self.checks and self.fence and fence.offset < self.fence.offset:
             return False
         if self.checks:
@@ -163,7 +163,7 @@
         return True
 
     def observe(self, now: Millis) -> ObservedState:
-        """Report the state."""
+        """Return the observed state of the engine."""
         loaded = self.loaded
         return ObservedState(
             loaded.model,
@@ -192,5 +192,5 @@
 
 
 def _split(body: bytes) -> list[bytes]:
-    """Return the events of a body, each with its end."""
+    """Split a body into events, each including its terminator."""
     return [event + b'\n\n' for event in body.split(b'\n\n')[:-1]]
--- a/tests/matrix/points.py
+++ b/tests/matrix/points.py
@@ -1,4 +1,4 @@
-"""Name the steps of every path, and strike just before and after one."""
+"""Define the fault points and inject a fault before or after one."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Point(enum.StrEnum):
-    """Name a step at which a fault may strike."""
+    """Enumerate the steps at which a fault can be injected."""
 
     ADMISSION = 'admission'
     CLAIM_APPEND = 'claim append'
@@ -72,7 +72,7 @@
 
 
 class Points:
-    """Call the fault once, at the step and side where it is due."""
+    """Inject the armed fault once, before or after its step."""
 
     def __init__(self) -> None:
         self.passed: dict[tuple[Point, bool], float] = {}
@@ -82,13 +82,13 @@
     def arm(
         self, point: Point, *, after: bool, act: Callable[[Process], None]
     ) -> None:
-        """Let an act happen when a step is reached."""
+        """Register a callback for the given step and side."""
         self._due.append((point, after, act))
 
     def strike(
         self, point: Point | None, process: Process, *, after: bool = False
     ) -> None:
-        """Note that a process has reached a step."""
+        """Record that a process reached a step and inject a due fault."""
         if point is None or not self.armed or not process.alive:
             return
         self.passed.setdefault((point, after), process.now)
@@ -98,7 +98,7 @@
                 item[2](process)
 
     def name_append(self, log: str, records: Sequence[bytes]) -> Point | None:
-        """Return the step that an append is."""
+        """Return the step to which an append corresponds."""
         for data in records:
             found = self._name_record(log, data)
             if found is not None:
@@ -108,17 +108,17 @@
     def name_read(
         self, log: str, page: LogPage, entry: ModelEntry
     ) -> Point | None:
-        """Return the step that reading a page is."""
+        """Return the step to which reading a page corresponds."""
         names = {self._name_record(log, each.data) for each in page.records}
         if log == 'claims' and Point.CLAIM_APPEND in names:
-            # Only who waits for its own claim reads it back.
+            # Only an entry that awaits its own claim reads it back.
             return Point.CLAIM_READ if entry.claim_log._watched else None
         if Point.CONFIGURATION_APPEND in names and entry.name == 'entry-1':
             return Point.CONFIGURATION_READ
         return None
 
     def name_sent(self, message: Message) -> Point | None:
-        """Return the step that sending a message is."""
+        """Return the step to which sending a message corresponds."""
         return _SENT.get(type(message))
 
     def _name_record(self, log: str, data: bytes) -> Point | None:
--- a/tests/matrix/runs.py
+++ b/tests/matrix/runs.py
@@ -1,4 +1,4 @@
-"""Start and send an agent's runs in simulated time."""
+"""Start runs and send their responses in simulated time."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ModelOutbox:
-    """Send to one link, without a task of its own."""
+    """Send messages to one link without a separate task."""
 
     def __init__(self, name: str, end: End) -> None:
         self.name = name
@@ -25,16 +25,16 @@
         self.peer = end.peer
 
     def put(self, message: Message) -> None:
-        """Send a message; it is lost where the link is."""
+        """Send a message and drop it if the link is closed."""
         drive(self._send(message))
 
     async def push(self, messages: Iterable[Message]) -> None:
-        """Send messages."""
+        """Send messages in order, waiting for each."""
         for message in messages:
             self.put(message)
 
     async def send(self, message: Message) -> None:
-        """Send now; raise LinkClosed."""
+        """Send a message immediately; raise LinkClosed."""
         await self.end.send(message)
 
     async def _send(self, message: Message) -> None:
@@ -45,19 +45,19 @@
 
 
 class ModelRuns(Runs):
-    """Start a run once its body is there."""
+    """Start each run once its request body is complete."""
 
     model: ModelAgent
 
     def add_body(self, outbox: Any, chunk: BodyChunk) -> None:
-        """Take a part of a run's body."""
+        """Add a received part to a run's request body."""
         super().add_body(outbox, chunk)
         run = self._runs.get((chunk.request, chunk.attempt))
         if run is not None and run.body.ended and not run.forwarded:
             self.model.forward(run)
 
     def drop_link(self, link: str) -> None:
-        """End the runs whose body was cut off; none reached the server."""
+        """End runs with an incomplete body, which never reached the server."""
         cut = [
             run
             for run in self._runs.values()
--- a/tests/matrix/steps.py
+++ b/tests/matrix/steps.py
@@ -1,4 +1,4 @@
-"""Play a scenario that passes through the steps."""
+"""Define the scenarios that pass through each fault point."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """Name a scenario, what it calls, and the agent that takes part."""
+    """Define a scenario: its name, start function, service and agent slot."""
 
     name: str
     play: Callable[[World], None]
@@ -30,7 +30,7 @@
 
 def _book(world: World) -> None:
     Caller(world, 'a', key='key').begin()
-    # A stranger with the same key at the same moment.
+    # Another team uses the same idempotency key at the same time.
     Caller(world, 'z', team=TEAMS[1], key='key', first=1).begin()
 
 
@@ -120,7 +120,7 @@
 
 
 def begin(scenario: Scenario, world: World) -> None:
-    """Let the world start up, then begin the scenario."""
+    """Wait until the world has started, then begin the scenario."""
     world.run_for(_START)
     world.points.armed = True
     scenario.play(world)
--- a/tests/matrix/store.py
+++ b/tests/matrix/store.py
@@ -1,4 +1,4 @@
-"""Keep cached segments as a store's agent does, in simulated time."""
+"""Simulate a segment store and its agent."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class Store:
-    """Keep objects; be full, or lose what is being written."""
+    """Simulate an object store that can be full or lose partial writes."""
 
     def __init__(self, world: World) -> None:
         self.objects: dict[str, bytes] = {}
@@ -48,7 +48,7 @@
         self.process = Process(world.scheduler, 'store')
 
     def put(self, name: str, data: bytes, later: Later) -> None:
-        """Take an object in two halves; tell whether it is stored."""
+        """Write an object in two halves; resolve `later` with the result."""
         if self.full:
             self.process.after(LATENCY, lambda: later.resolve(value=False))
             return
@@ -62,17 +62,17 @@
         self.process.after(2 * LATENCY, end)
 
     def delete(self, name: str) -> None:
-        """Delete an object, after what was put before."""
+        """Schedule the deletion of an object, behind earlier requests."""
         gone = partial(self.objects.pop, name, b'')
         self.process.after(LATENCY, lambda: _ignore(gone()))
 
 
 def _ignore(_: object) -> None:
-    """Drop a value."""
+    """Discard a value."""
 
 
 class StoreNode(Process):
-    """Do what the index allows, as the store's agent does."""
+    """Serve segments according to the index, as the real agent does."""
 
     def __init__(self, kv: Kv, incarnation: int) -> None:
         super().__init__(kv.world.scheduler, 'store-1')
@@ -84,7 +84,7 @@
         self.every(_FREES, self._free)
 
     def open(self) -> None:
-        """Show what the store has kept whole."""
+        """Add all complete objects of the store to the index."""
         self._number += 1000
         keeper = KEEPERS.find('lru')(PolicySettings())
         index = self.kv.world.variants.store(
@@ -100,14 +100,14 @@
         self._delete()
 
     def close(self) -> None:
-        """Hide everything, since the store is lost."""
+        """Remove all segments from the index after losing the store."""
         self.index = None
         self.writing.clear()
 
     def offer(
         self, write: SegmentWrite, send_parts: Callable[[], None]
     ) -> None:
-        """Answer an offered segment."""
+        """Accept or decline an offered segment."""
         if self.index is None:
             return
         outcome = self.index.begin(write, self.now)
@@ -117,7 +117,7 @@
             send_parts()
 
     def add_part(self, part: SegmentPart) -> None:
-        """Take a part; store the segment once all have come."""
+        """Add a part and store the segment once it is complete."""
         index, writing = self.index, self.writing.get(part.request)
         if index is None or writing is None:
             return
@@ -129,7 +129,7 @@
     async def serve(
         self, namespace: bytes, segment: bytes, reader: Any
     ) -> None:
-        """Copy a segment to a reader while it is pinned."""
+        """Copy a segment to a reader, pinning it meanwhile."""
         points, index = self.kv.world.points, self.index
         if index is None:
             return
@@ -164,7 +164,7 @@
             reader(_make_part(pinned, HALF, rest, last=True))
 
     async def _wait_turn(self) -> None:
-        """Let other readers have the link."""
+        """Yield the link to other readers."""
         later = Later(self)
         self.after(_TURN, later.resolve)
         await later
--- a/tests/matrix/unsafe.py
+++ b/tests/matrix/unsafe.py
@@ -1,4 +1,4 @@
-"""Weaken one guard at a time, for proofs that the matrix sees it."""
+"""Define unsafe variants, each of which disables one safety check."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class DeafFleet(FleetState):
-    """Never learn that an agent leaves; this alone must do no harm."""
+    """Treat leaving agents as serving; harmless without a second fault."""
 
     def on_heartbeat(self, agent, beat, now):
         phase = beat.phase
@@ -25,7 +25,7 @@
 
 
 class StayingGate(Gate):
-    """Let runs start although the agent leaves."""
+    """Start runs although the agent is leaving."""
 
     def set_phase(self, phase):
         if phase is not AgentPhase.LEAVING:
@@ -33,35 +33,35 @@
 
 
 class WeightlessGate(Gate):
-    """Run with whatever weights are loaded."""
+    """Start runs without checking the loaded weights."""
 
     def _check_weights(self, _dispatch, _now):
         return None
 
 
 class SharedStreams(StreamTable):
-    """Give a stream to whoever has its token."""
+    """Resume a stream for any team that presents its token."""
 
     def resume(self, resume, link, now):
         return super().resume(replace(resume, team=TEAMS[0]), link, now)
 
 
 class LenientQuarantine(Quarantine):
-    """Hold nothing against a request."""
+    """Report every request as clean."""
 
     def get_status(self, digest, now):
         return QuarantineStatus.CLEAN
 
 
 class HoardingCatalog(Catalog):
-    """Tell peers that there is nothing new."""
+    """Send peers an empty configuration difference."""
 
     def difference(self, after):
         return () if after >= 0 else super().difference(after)
 
 
 class TrustingCopy(SegmentCopy):
-    """Take what came for the segment that was asked for."""
+    """Accept the received data as the requested segment unverified."""
 
     def finish(self):
         return bytes(self._data)
--- a/tests/matrix/world.py
+++ b/tests/matrix/world.py
@@ -1,4 +1,4 @@
-"""Wire entries, agents, backend servers, log and VM list together."""
+"""Build a simulated system of entries, agents, servers, log and VMs."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 JSON = 'application/json'
 EVENTS = 'text/event-stream'
 RESTART: Millis = 3 * SECOND
-# Time to come to rest, longer where the configuration has changed.
+# Time allowed to become idle; longer after a configuration change.
 SETTLE: Millis = 1_500.0
 SETTLE_CHANGED: Millis = 6 * SECOND
 LIMIT: Millis = 240 * SECOND
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Variants:
-    """Choose the classes under test; proofs swap one for an unsafe one."""
+    """Select the classes under test; proofs replace one by an unsafe class."""
 
     gate: type[Gate] = Gate
     table: type[ClaimTable] = ClaimTable
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True)
 class Layout:
-    """Place an agent."""
+    """Define where an agent runs and what it serves."""
 
     name: str
     kind: BackendKind
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True)
 class Start:
-    """Remember the start of a run at a backend server."""
+    """Record the start of a run at a backend server."""
 
     at: Millis
     agent: str
@@ -109,7 +109,7 @@
 
 
 class Watch:
-    """Watch the configuration of every process as time passes."""
+    """Check the configuration of every process periodically."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -121,7 +121,7 @@
         world.note_quiet()
         records = world.log.logs['configuration']
         due = max(world.now - IN_FORCE, 0.0)
-        # Processes that a fault has hampered have the same time after it.
+        # Processes affected by a fault get the same time after its end.
         since = max(world.busy_until, world.changed_at) + IN_FORCE
         newest = sum(record.at <= due for record in records) - 1
         for name, catalog in world.list_catalogs():
@@ -133,7 +133,7 @@
 
 
 class World:
-    """Hold everything there is."""
+    """Hold all simulated processes, services and recorded events."""
 
     def __init__(
         self, variants: Variants | None = None, retention: Millis = HOUR
@@ -173,30 +173,30 @@
 
     @property
     def now(self) -> Millis:
-        """Return the simulated time."""
+        """Return the current simulated time."""
         return self.scheduler.now
 
     @property
     def vms(self) -> dict[str, str]:
-        """Return the VM list as the platform shows it."""
+        """Return the VM list as the platform reports it."""
         if self.bad_vms is not None:
             return self.bad_vms
         return {a.name: a.address for a in self.agents.values()}
 
     def run(self, until: Millis = LIMIT) -> None:
-        """Run until everything is quiet."""
+        """Run until the world is idle or a time limit is reached."""
         self.scheduler.run(until, lambda: self._quiet)
 
     def run_for(self, time: Millis) -> None:
-        """Run for a time."""
+        """Run for a given simulated time."""
         self.scheduler.run(self.now + time, lambda: False)
 
     def keep_busy(self, time: Millis) -> None:
-        """Put off the quiet that ends a run."""
+        """Extend the time before the world counts as idle."""
         self.busy_until = max(self.busy_until, self.now + time)
 
     def dial(self, entry: ModelEntry) -> None:
-        """Connect an entry to the agents that its VM list names."""
+        """Connect an entry to the agents in its VM list."""
         listed = set(self.vms.values())
         for agent in self.agents.values():
             address = agent.address
@@ -206,7 +206,7 @@
     def note_run(
         self, dispatch: Dispatch, backend: Backend, agent: Any
     ) -> bytes:
-        """Note the start of a run; return half of its answer."""
+        """Record the start of a run; return its response body."""
         call = self.calls[dispatch.request]
         text = f'data: {dispatch.team}/run-{len(self.runs)}'
         body = f'{text}/a\n\n{text}/b\n\n'.encode()
@@ -233,13 +233,13 @@
         return body
 
     def decide_leaving(self, agent: ModelAgent) -> None:
-        """Note when an agent decided to leave."""
+        """Record when an agent decided to leave."""
         self.decided.setdefault((agent.name, agent.incarnation), self.now)
 
     def tick_drain(
         self, process: Any, drain: Drain, act: Callable[[Any], None]
     ) -> None:
-        """Let a planned stop go on."""
+        """Advance the drain of a planned stop."""
         if process.left:
             return
         due = drain.next_time()
@@ -253,7 +253,7 @@
             self._leave(process, drain)
 
     def kill(self, process: Any) -> None:
-        """Kill an entry or an agent; it comes back as a new one."""
+        """Kill an entry or an agent and schedule its replacement."""
         if not process.alive:
             return
         process.kill()
@@ -266,7 +266,7 @@
         self.keep_busy(RESTART)
 
     def replace(self, slot: str, name: str = '') -> None:
-        """Start a new agent at the address of an earlier one."""
+        """Start a new agent at the address of an existing one."""
         layout = next(each for each in AGENTS if each.name == slot)
         self.agents[slot] = self._make_agent(layout, name)
         self.keep_busy(SECOND)
@@ -279,7 +279,7 @@
             self.replace(process.slot)
 
     def list_catalogs(self) -> list[tuple[str, Catalog]]:
-        """Return the configuration of every process that serves."""
+        """Return the configuration of every serving process."""
         agents = [a for a in self.agents.values() if a.alive]
         entries = [e for e in self.entries.values() if e.alive]
         return [
@@ -296,7 +296,7 @@
         ]
 
     def publish(self, *changes: Change) -> None:
-        """Append changes as the platform's own tools would."""
+        """Append changes directly to the log, as platform tools do."""
         self.log.put('configuration', [encode_change(c) for c in changes])
 
     def _leave(self, process: Any, drain: Drain) -> None:
@@ -311,7 +311,7 @@
         process.do(leave)
 
     def note_quiet(self) -> None:
-        """See whether everybody is answered and every fault is over."""
+        """Check whether all callers are answered and all faults have ended."""
         if not self.callers or not all(c.done for c in self.callers):
             self.keep_busy(0)
         changed = len(self.log.logs['configuration']) > len(_OBJECTS)
@@ -344,7 +344,7 @@
         self.publish_before(changes)
 
     def publish_before(self, changes: Iterable[Change]) -> None:
-        """Fill the log before anybody reads it."""
+        """Append initial changes before any process reads the log."""
         records: Sequence[bytes] = [encode_change(each) for each in changes]
         self.log.readers.clear()
         self.log.put('configuration', records)
