--- a/tests/matrix/agent.py
+++ b/tests/matrix/agent.py
@@ -43,7 +43,7 @@
 )
 from oleanderdyke.links.messages.claims import ClaimQuery
 from oleanderdyke.links.messages.segments import SegmentListRequest
-from tests.matrix.loop import Null, Process, drive
+from tests.matrix.loop import NullSink, Process, drive
 from tests.matrix.net import End
 from tests.matrix.orders import ModelOrders
 from tests.matrix.points import Point
@@ -53,7 +53,7 @@
     from tests.matrix.outside import Backend
     from tests.matrix.world import World
 
-_NULL: Any = Null()
+_NULL: Any = NullSink()
 _BEAT: Millis = 1_000.0
 _TICK: Millis = 500.0
 _LAST = 5
@@ -236,12 +236,12 @@
         self.after(bound, lambda: self._end_late(run))
 
         def take(index: int, piece: bytes) -> None:
-            point = _name_piece(index)
-            self.world.points.strike(point, self)
+            point = _find_point(index)
+            self.world.points.reach(point, self)
 
             def act() -> None:
                 self._take_piece(run, index, piece)
-                self.world.points.strike(point, self, after=True)
+                self.world.points.reach(point, self, after=True)
 
             self.do(act)
 
@@ -281,13 +281,13 @@
         self.beats.send()
 
     def _announce(self) -> None:
-        self.world.points.strike(Point.LEAVING, self)
+        self.world.points.reach(Point.LEAVING, self)
         self.do(self._leave)
 
     def _leave(self) -> None:
         self.beats.set_phase(AgentPhase.LEAVING)
         self.beats.send()
-        self.world.points.strike(Point.LEAVING, self, after=True)
+        self.world.points.reach(Point.LEAVING, self, after=True)
 
     def _start(self, act: Callable[..., Any], *args: Any) -> None:
         if act == self.runs._execute:
@@ -361,7 +361,7 @@
         drive(self.configuration.answer(outbox, request))
 
 
-def _name_piece(index: int) -> Point | None:
+def _find_point(index: int) -> Point | None:
     names = {
         1: Point.FIRST_CHUNK,
         2: Point.MID_STREAM,
--- a/tests/matrix/callers.py
+++ b/tests/matrix/callers.py
@@ -33,7 +33,7 @@
 from tests.matrix.entry import ModelEntry
 from tests.matrix.world import CHAT, ENTRIES, TICKETS, World
 
-_PATIENCE: Millis = 30 * SECOND
+_RESPONSE_TIMEOUT: Millis = 30 * SECOND
 _TRIES = 60
 POISON = 'poison'
 _FINAL = frozenset(
@@ -105,17 +105,17 @@
         if self.driver is not None and self.entry is not None:
             self.entry.after(1.0, self.driver.effects.note_gone)
 
-    def note_dead(self, process: object) -> None:
+    def on_process_killed(self, process: object) -> None:
         """Lose the connection if it leads to the process that died."""
         if self._reply is not None and self.entry is process:
             self._reply.lose(5.0)
 
-    def take_whole(self, request: str) -> None:
+    def complete_response(self, request: str) -> None:
         """Record a complete response."""
         self.world.calls[request].whole = True
         self._end('whole')
 
-    def take_refusal(self, request: str, refusal: Refuse) -> None:
+    def handle_refusal(self, request: str, refusal: Refuse) -> None:
         """Record a refusal and retry where the request allows it."""
         self.world.calls[request].refusal = refusal
         self.refusals.append(refusal)
@@ -129,14 +129,14 @@
         if is_final or not may_repeat:
             self._end(refusal.kind.value)
             return
-        self._again(refusal.retry_after or 100.0)
+        self._retry(refusal.retry_after or 100.0)
 
-    def take_break(self, request: str) -> None:
+    def handle_disconnect(self, request: str) -> None:
         """Handle a lost connection by resuming or repeating the request."""
         if self.token:
-            self._again(100.0, resume=request)
+            self._retry(100.0, resume=request)
         elif self.key or self.service == CHAT:
-            self._again(100.0)
+            self._retry(100.0)
         else:
             self._end('broken')
 
@@ -146,7 +146,7 @@
             self.done = True
             self.outcome = outcome
 
-    def _again(self, delay: Millis, *, resume: str = '') -> None:
+    def _retry(self, delay: Millis, *, resume: str = '') -> None:
         self._reply = None
         self._turn += self._spread
         self.world.outside.after(
@@ -172,7 +172,7 @@
             return None
         entry = self._choose()
         if entry is None:
-            self._again(500.0)
+            self._retry(500.0)
             return None
         self.entry = entry
         self._request = f'{self.name}.{self._tries}'
@@ -180,7 +180,7 @@
 
     def _make_sink(self) -> Any:
         self._reply = reply = _Reply(self, self._request)
-        self.world.outside.after(_PATIENCE, lambda: reply.lose(0.0))
+        self.world.outside.after(_RESPONSE_TIMEOUT, lambda: reply.lose(0.0))
         return reply.take
 
     def _send(self) -> None:
@@ -212,7 +212,7 @@
         reply = self._reply
         assert reply is not None
         call = self.world.calls[request]
-        reply.go_on_with(request)
+        reply.continue_response(request)
         stream = decode_token(self.token)
         position = reply.find_position(call.body)
         ask = ResumeAsk(self._request, self.team, stream, position)
@@ -243,9 +243,9 @@
             idempotency_key=self.key,
             background=False,
         )
-        return self._note_poison(call)
+        return self._record_poison(call)
 
-    def _note_poison(self, call: Call) -> Call:
+    def _record_poison(self, call: Call) -> Call:
         if self.text.startswith(POISON):
             self.world.poison.add(call.digest)
         return call
@@ -262,7 +262,7 @@
         call = make_chat_call(
             self._request, target, chat, weights.spec, self.key
         )
-        return self._note_poison(call)
+        return self._record_poison(call)
 
 
 class _Reply:
@@ -292,11 +292,11 @@
             self.lose(0.0)
         elif event['type'] == 'http.response.start':
             self._status = event['status']
-            self._note_token(event['headers'])
+            self._record_token(event['headers'])
         else:
             self._take_part(event['body'], more=event.get('more_body', False))
 
-    def go_on_with(self, request: str) -> None:
+    def continue_response(self, request: str) -> None:
         """Append the received data to an earlier request's response."""
         self._request = request
 
@@ -309,7 +309,7 @@
             refusal = Refuse(kind, ran, retry_after)
             if kind is ErrorKind.STREAM_GONE:
                 self._caller.token = ''
-            self._caller.take_refusal(self.call.request, refusal)
+            self._caller.handle_refusal(self.call.request, refusal)
 
     def lose(self, delay: Millis) -> None:
         """Schedule the loss of the connection after a delay."""
@@ -322,9 +322,9 @@
     def _break(self) -> None:
         if not self._over and self.call is not None:
             self._over = True
-            self._caller.take_break(self.call.request)
+            self._caller.handle_disconnect(self.call.request)
 
-    def _note_token(self, headers: list[tuple[bytes, bytes]]) -> None:
+    def _record_token(self, headers: list[tuple[bytes, bytes]]) -> None:
         found = dict(headers)
         wait = found.get(b'retry-after')
         self._retry_after = None if wait is None else int(wait) * SECOND
@@ -341,7 +341,7 @@
             self._take_event(event)
         if not more and not self._over and self.call is not None:
             self._over = True
-            self._caller.take_whole(self.call.request)
+            self._caller.complete_response(self.call.request)
 
     def _take_event(self, event: bytes) -> None:
         if not event or self.call is None:
--- a/tests/matrix/cells.py
+++ b/tests/matrix/cells.py
@@ -15,9 +15,9 @@
 from tests.matrix import steps
 from tests.matrix.checkers import check_all
 from tests.matrix.faults import (
-    STRIKES,
+    INJECTORS,
+    FaultTarget,
     Kind,
-    Scene,
     find_pair_reason,
     find_reason,
 )
@@ -26,10 +26,10 @@
 from tests.matrix.world import Variants, World
 from tests.safety_model import Violation
 
-_PAIRS = 120
+_PAIR_COUNT = 120
 _RETENTION = 20 * SECOND
 _SEED = 4
-_GARBAGE = 200_000
+_GC_THRESHOLD = 200_000
 # Pairs in which the second fault overtakes work delayed by the first.
 _RACING = (
     (Kind.LINK_SLOW, Kind.WEIGHTS),
@@ -75,7 +75,7 @@
 
 def list_cells(*, sides: Sequence[bool] = (False, True)) -> Iterator[Cell]:
     """List each single fault at each step that it applies to."""
-    for kind, point, after in product(STRIKES, SCENARIOS, sides):
+    for kind, point, after in product(INJECTORS, SCENARIOS, sides):
         if not find_reason(kind, point):
             for scenario in SCENARIOS[point]:
                 yield Cell((kind,), point, after, scenario)
@@ -91,13 +91,13 @@
                 )
 
 
-def list_pairs(count: int = _PAIRS, seed: int = _SEED) -> Iterator[Cell]:
+def list_pairs(count: int = _PAIR_COUNT, seed: int = _SEED) -> Iterator[Cell]:
     """List a sample of fault pairs, determined by the seed."""
     random = Random(seed)
     cells = list(list_cells())
     while count:
         first = random.choice(cells)
-        second = random.choice(tuple(STRIKES))
+        second = random.choice(tuple(INJECTORS))
         if find_pair_reason(first.kinds[0], second, first.point):
             continue
         count -= 1
@@ -124,12 +124,12 @@
     forgets = cell.point is Point.SNAPSHOT or Kind.RETENTION in cell.kinds
     world = World(variants, _RETENTION if forgets else HOUR)
 
-    def strike(process: object) -> None:
+    def inject(process: object) -> None:
         slot = world.dispatched or scenario.slot
         for kind in cell.kinds:
-            STRIKES[kind](Scene(world, process, scenario.service, slot))  # type: ignore[arg-type]
+            INJECTORS[kind](FaultTarget(world, process, scenario.service, slot))  # type: ignore[arg-type]
 
-    world.points.arm(cell.point, after=cell.after, act=strike)
+    world.points.arm(cell.point, after=cell.after, act=inject)
     steps.begin(scenario, world)
     world.run()
     return world
@@ -146,7 +146,7 @@
 
     # Each world becomes garbage as a whole: frequent collections find little.
     before = gc.get_threshold()
-    gc.set_threshold(_GARBAGE)
+    gc.set_threshold(_GC_THRESHOLD)
     try:
         return anyio.run(run)
     finally:
--- a/tests/matrix/checkers.py
+++ b/tests/matrix/checkers.py
@@ -84,15 +84,15 @@
 
 def check_configuration(world: World, _: Kinds) -> None:
     """Check that configurations follow the log in time and never regress."""
-    if world.setbacks:
-        raise Violation('going back', world.setbacks)
+    if world.regressions:
+        raise Violation('going back', world.regressions)
     if world.late:
         raise Violation('in time', world.late)
-    truth = _apply_log(world)
-    digest = truth.digest()
+    expected = _apply_log(world)
+    digest = expected.digest()
     for name, catalog in world.list_catalogs():
-        if catalog.offset != truth.offset:
-            raise Violation('in force', (name, catalog.offset, truth.offset))
+        if catalog.offset != expected.offset:
+            raise Violation('in force', (name, catalog.offset, expected.offset))
         if catalog.digest() != digest:
             raise Violation('configuration', name)
 
@@ -101,9 +101,9 @@
     """Check that at most one racing operator wins and results are correct."""
     if not world.operators:
         return
-    truth = _apply_log(world)
+    expected = _apply_log(world)
     for operator in world.operators:
-        found = truth.find_outcome(operator.change.record_id)
+        found = expected.find_outcome(operator.change.record_id)
         if found is None or type(found) is not type(operator.found):
             raise Violation('told', (operator.name, found, operator.found))
     winners = [o for o in world.operators if isinstance(o.found, Applied)]
--- a/tests/matrix/drivers.py
+++ b/tests/matrix/drivers.py
@@ -25,7 +25,7 @@
 CLOSED = 'closed'
 
 
-class _Wake:
+class _WakeFuture:
     """Replace the future by which an inbox wakes its reader."""
 
     def __init__(self, process: Process, act: Callable[[], None]) -> None:
@@ -56,7 +56,7 @@
     ended = True
 
 
-class _Turns:
+class _InboxReader:
     """Process the items of an inbox sequentially."""
 
     def __init__(
@@ -69,7 +69,7 @@
         self._lead = lead
         self._busy = False
         self.over = False
-        inbox._waiting = _Wake(process, self.go_on)  # type: ignore[assignment]
+        inbox._waiting = _WakeFuture(process, self.go_on)  # type: ignore[assignment]
 
     def go_on(self) -> None:
         """Process pending items unless an earlier turn is still waiting."""
@@ -96,7 +96,7 @@
             entry.tools, entry.queue, call, body=caller, answer=answer
         )
         self._machine.__class__ = entry.world.variants.machine
-        self._turns = _Turns(entry, self._inbox, self._take_turn)
+        self._turns = _InboxReader(entry, self._inbox, self._take_turn)
         self._turns._busy = True
 
     @property
@@ -154,7 +154,7 @@
         self._entry = entry
         caller: Any = _Caller()
         super().__init__(entry.tools, ask, body=caller, delivery=delivery)
-        self._turns = _Turns(entry, self._inbox, self._take_turn)
+        self._turns = _InboxReader(entry, self._inbox, self._take_turn)
 
     async def begin(self) -> None:
         """Request the rest of the stream; raise OleanderError."""
--- a/tests/matrix/entry.py
+++ b/tests/matrix/entry.py
@@ -38,14 +38,14 @@
 from oleanderdyke.policies.registries import ADMISSIONS, ROUTERS, TeamTerms
 from oleanderdyke.policies.settings import PolicySettings
 from tests.matrix.drivers import ModelRequest, ModelResume
-from tests.matrix.loop import Later, Null, Process, drive
+from tests.matrix.loop import Deferred, NullSink, Process, drive
 from tests.matrix.net import End
 from tests.matrix.points import Point
 
 if TYPE_CHECKING:
     from tests.matrix.world import World
 
-_NULL: Any = Null()
+_NULL: Any = NullSink()
 _POLL: Millis = 1 * SECOND
 _DIAL: Millis = 500.0
 _STOP_TICK: Millis = 500.0
@@ -72,16 +72,16 @@
         """Append with the interface of `LogClient`; raise LogUnavailable."""
         world, entry = self._entry.world, self._entry
         point = world.points.name_append(log, records)
-        world.points.strike(point, entry)
+        world.points.reach(point, entry)
         await entry.checkpoint()
-        later = Later(entry)
+        later = Deferred(entry)
         world.log.append(
             log,
             records,
             later,
             caller=entry,
             timeout=timeout,
-            note=lambda: world.points.strike(point, entry, after=True),
+            note=lambda: world.points.reach(point, entry, after=True),
         )
         offset: int = await later
         return offset
@@ -182,12 +182,12 @@
 
     async def before_send(self, message: Message) -> None:
         """Inject a fault that is due before a message is sent."""
-        self.world.points.strike(self.world.points.name_sent(message), self)
+        self.world.points.reach(self.world.points.name_sent(message), self)
 
     def after_send(self, message: Message) -> None:
         """Inject a fault that is due after a message was sent."""
         point = self.world.points.name_sent(message)
-        self.world.points.strike(point, self, after=True)
+        self.world.points.reach(point, self, after=True)
 
     def make_hello(self) -> Hello:
         """Build the first message that this entry sends on a link."""
@@ -199,9 +199,9 @@
 
     def stop(self) -> None:
         """Handle a stop signal by starting the drain."""
-        self.world.points.strike(Point.LEAVING, self)
+        self.world.points.reach(Point.LEAVING, self)
         self.do(lambda: self.stopper.take_signal('SIGTERM'))
-        self.world.points.strike(Point.LEAVING, self, after=True)
+        self.world.points.reach(Point.LEAVING, self, after=True)
 
     def _make_core(self, incarnation: str) -> Core:
         world = self.world
@@ -246,9 +246,9 @@
             except OleanderError as error:
                 await answer.send_error(error)
 
-        self.world.points.strike(Point.ADMISSION, self)
+        self.world.points.reach(Point.ADMISSION, self)
         self.do(lambda: drive(run()))
-        self.world.points.strike(Point.ADMISSION, self, after=True)
+        self.world.points.reach(Point.ADMISSION, self, after=True)
 
     def _find_link(self, agent: str) -> End | None:
         for end in self.ends.values():
@@ -297,14 +297,14 @@
         if page is None:
             return
         point = self.world.points.name_read(log, page, self)
-        self.world.points.strike(point, self)
+        self.world.points.reach(point, self)
 
         def take() -> None:
             if is_claims:
                 self._take_claims(page)
             else:
                 self.feed.take_page(page)
-            self.world.points.strike(point, self, after=True)
+            self.world.points.reach(point, self, after=True)
 
         self.do(take)
 
--- a/tests/matrix/faults.py
+++ b/tests/matrix/faults.py
@@ -20,8 +20,8 @@
 from tests.matrix.world import CHAT, SERVICE, World
 
 FREEZE: Millis = 75 * SECOND
-_AWHILE: Millis = 8 * SECOND
-_LONG: Millis = 32 * SECOND
+_FAULT_DURATION: Millis = 8 * SECOND
+_LONG_FAULT_DURATION: Millis = 32 * SECOND
 
 
 class Kind(enum.StrEnum):
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True)
-class Scene:
+class FaultTarget:
     """Give a fault its target: the world, a process, service and slot."""
 
     world: World
@@ -86,137 +86,145 @@
         """Return the links of the affected agent."""
         return self.world.find_links(self.agent)
 
-    def later(self, delay: Millis, act: Callable[[], None]) -> None:
+    def schedule_end(self, delay: Millis, act: Callable[[], None]) -> None:
         """Schedule the end of a fault, keeping the world busy until then."""
         self.world.keep_busy(delay)
         self.world.outside.after(delay, act)
 
 
-Strike: TypeAlias = Callable[[Scene], None]
+Injector: TypeAlias = Callable[[FaultTarget], None]
 
 
-def _kill_entry(scene: Scene) -> None:
-    scene.world.kill(scene.entry)
+def _kill_entry(target: FaultTarget) -> None:
+    target.world.kill(target.entry)
 
 
-def _kill_agent(scene: Scene) -> None:
-    if scene.kv is not None:
-        scene.kv.kill(scene.process)
+def _kill_agent(target: FaultTarget) -> None:
+    if target.kv is not None:
+        target.kv.kill(target.process)
         return
-    scene.world.kill(scene.agent)
+    target.world.kill(target.agent)
 
 
-def _kill_store(scene: Scene) -> None:
-    if scene.kv is not None:
-        scene.kv.lose_store()
+def _kill_store(target: FaultTarget) -> None:
+    if target.kv is not None:
+        target.kv.lose_store()
 
 
-def _fill_store(scene: Scene) -> None:
-    if scene.kv is not None:
-        store = scene.kv.store
+def _fill_store(target: FaultTarget) -> None:
+    if target.kv is not None:
+        store = target.kv.store
         store.full = True
-        scene.later(2 * SECOND, lambda: setattr(store, 'full', False))
+        target.schedule_end(2 * SECOND, lambda: setattr(store, 'full', False))
 
 
-def _kill_backend(scene: Scene) -> None:
-    scene.agent.backend.crash()
-    scene.world.keep_busy(_AWHILE)
+def _kill_backend(target: FaultTarget) -> None:
+    target.agent.backend.crash()
+    target.world.keep_busy(_FAULT_DURATION)
 
 
-def _slow_link(scene: Scene) -> None:
+def _slow_link(target: FaultTarget) -> None:
     """Slow one link of the agent and leave those to other entries alone."""
-    own = scene.world.find_links(scene.entry)
-    links = [link for link in scene.links if link in own]
+    own = target.world.find_links(target.entry)
+    links = [link for link in target.links if link in own]
 
-    def mend() -> None:
+    def restore() -> None:
         for link in links:
             link.delay = 1.0
 
     for link in links:
         link.delay = SLOW
-    if scene.kv is not None:
-        scene.kv.delay = SLOW
-        scene.later(_AWHILE, lambda: setattr(scene.kv, 'delay', LATENCY))
-    scene.later(_AWHILE, mend)
-
-
-def _cut(scene: Scene) -> None:
-    if scene.kv is not None:
-        scene.kv.cut()
-    for link in scene.links:
+    if target.kv is not None:
+        target.kv.delay = SLOW
+        target.schedule_end(
+            _FAULT_DURATION, lambda: setattr(target.kv, 'delay', LATENCY)
+        )
+    target.schedule_end(_FAULT_DURATION, restore)
+
+
+def _cut(target: FaultTarget) -> None:
+    if target.kv is not None:
+        target.kv.cut()
+    for link in target.links:
         link.close()
 
 
-def _silence(scene: Scene) -> None:
-    if scene.kv is not None:
-        scene.kv.fall_silent()
-    for link in scene.links:
+def _silence(target: FaultTarget) -> None:
+    if target.kv is not None:
+        target.kv.fall_silent()
+    for link in target.links:
         link.fall_silent()
-    scene.world.keep_busy(2 * SILENCE)
+    target.world.keep_busy(2 * SILENCE)
 
 
-def _freeze_for(scene: Scene, process: Process, time: Millis) -> None:
+def _freeze_for(target: FaultTarget, process: Process, time: Millis) -> None:
     process.freeze()
-    for link in scene.world.find_links(process):
-        scene.world.outside.after(SILENCE, link.close)
-    scene.later(time, process.thaw)
+    for link in target.world.find_links(process):
+        target.world.outside.after(SILENCE, link.close)
+    target.schedule_end(time, process.thaw)
 
 
-def _freeze(scene: Scene) -> None:
-    _freeze_for(scene, scene.process, FREEZE)
+def _freeze(target: FaultTarget) -> None:
+    _freeze_for(target, target.process, FREEZE)
 
 
-def _stop_log(scene: Scene) -> None:
-    log = scene.world.log
+def _stop_log(target: FaultTarget) -> None:
+    log = target.world.log
     log.up = False
-    scene.later(_AWHILE, lambda: setattr(log, 'up', True))
+    target.schedule_end(_FAULT_DURATION, lambda: setattr(log, 'up', True))
 
 
-def _slow_log(scene: Scene) -> None:
-    log = scene.world.log
+def _slow_log(target: FaultTarget) -> None:
+    log = target.world.log
     log.slow = True
-    scene.later(_AWHILE, lambda: setattr(log, 'slow', False))
+    target.schedule_end(_FAULT_DURATION, lambda: setattr(log, 'slow', False))
 
 
-def _lose_answer(scene: Scene) -> None:
-    scene.world.log.lost_answers = 2
+def _lose_answer(target: FaultTarget) -> None:
+    target.world.log.lost_answers = 2
 
 
-def _pass_reader(scene: Scene) -> None:
-    world, reader = scene.world, scene.world.entries['entry-2']
+def _expire_unread_records(target: FaultTarget) -> None:
+    world, reader = target.world, target.world.entries['entry-2']
     reader.reads_log = False
     world.log.retention = world.retention
-    scene.later(_LONG, lambda: setattr(reader, 'reads_log', True))
+    target.schedule_end(
+        _LONG_FAULT_DURATION, lambda: setattr(reader, 'reads_log', True)
+    )
     # Work finished before the fault must still be known after it.
-    scene.later(_LONG + 3 * SECOND, lambda: _duplicate(scene))
+    target.schedule_end(
+        _LONG_FAULT_DURATION + 3 * SECOND, lambda: _duplicate(target)
+    )
 
 
-def _show_vms(scene: Scene, vms: dict[str, str]) -> None:
-    world = scene.world
+def _replace_vm_list(target: FaultTarget, vms: dict[str, str]) -> None:
+    world = target.world
     world.bad_vms = vms
-    scene.later(_AWHILE, lambda: setattr(world, 'bad_vms', None))
+    target.schedule_end(
+        _FAULT_DURATION, lambda: setattr(world, 'bad_vms', None)
+    )
 
 
-def _make_vms_stale(scene: Scene) -> None:
+def _make_vms_stale(target: FaultTarget) -> None:
     """List a VM that no longer exists and omit the affected one."""
-    vms = {a.name: a.address for a in scene.world.agents.values()}
-    vms.pop(scene.agent.name, None)
-    _show_vms(scene, {**vms, 'gone': 'at-gone'})
+    vms = {a.name: a.address for a in target.world.agents.values()}
+    vms.pop(target.agent.name, None)
+    _replace_vm_list(target, {**vms, 'gone': 'at-gone'})
 
 
-def _mix_vms_up(scene: Scene) -> None:
-    agents = list(scene.world.agents.values())
+def _shift_vm_addresses(target: FaultTarget) -> None:
+    agents = list(target.world.agents.values())
     names = [a.name for a in agents]
     places = [a.address for a in agents]
     shifted = [*places[1:], 'at-nowhere']
-    _show_vms(scene, dict(zip(names, shifted, strict=True)))
+    _replace_vm_list(target, dict(zip(names, shifted, strict=True)))
 
 
-def _duplicate(scene: Scene) -> None:
-    first = scene.world.callers[0]
+def _duplicate(target: FaultTarget) -> None:
+    first = target.world.callers[0]
     if isinstance(first, Caller):
         Caller(
-            scene.world,
+            target.world,
             'again',
             service=first.service,
             key=first.key,
@@ -225,61 +233,61 @@
         ).begin()
 
 
-def _leave(scene: Scene) -> None:
-    for caller in scene.world.callers:
+def _leave(target: FaultTarget) -> None:
+    for caller in target.world.callers:
         if isinstance(caller, Caller) and not caller.done:
             caller.leave()
             return
 
 
-def _send_poison(scene: Scene) -> None:
+def _send_poison(target: FaultTarget) -> None:
     """Send a request that crashes servers, and repeat it once it failed."""
     for place, delay in enumerate((0.0, 5 * SECOND)):
         name = f'{POISON}-{place}'
         Caller(
-            scene.world,
+            target.world,
             name,
-            service=scene.service,
-            key='' if scene.service == CHAT else name,
+            service=target.service,
+            key='' if target.service == CHAT else name,
             text=POISON,
             first=place,
         ).begin(delay)
-    scene.world.keep_busy(_AWHILE)
+    target.world.keep_busy(_FAULT_DURATION)
 
 
-def _stop_agent(scene: Scene) -> None:
-    scene.agent.do(scene.agent.stop)
-    scene.world.keep_busy(_AWHILE)
+def _stop_agent(target: FaultTarget) -> None:
+    target.agent.do(target.agent.stop)
+    target.world.keep_busy(_FAULT_DURATION)
 
 
-def _stop_entry(scene: Scene) -> None:
-    scene.entry.stop()
-    scene.world.keep_busy(_AWHILE)
+def _stop_entry(target: FaultTarget) -> None:
+    target.entry.stop()
+    target.world.keep_busy(_FAULT_DURATION)
 
 
-def _swap_weights(scene: Scene) -> None:
+def _swap_weights(target: FaultTarget) -> None:
     spec = replace(SERVICE, version='v2')
-    if scene.kv is not None:
-        scene.kv.digest = 'd2'
+    if target.kv is not None:
+        target.kv.digest = 'd2'
     change = Change('swap', 'eva', ObjectKind.SERVICE, CHAT, 1, spec)
-    scene.world.publish(change)
-    scene.world.keep_busy(_AWHILE)
+    target.world.publish(change)
+    target.world.keep_busy(_FAULT_DURATION)
 
 
-def _replace_vm(scene: Scene) -> None:
+def _replace_vm(target: FaultTarget) -> None:
     """Freeze the old agent while a new one takes over its address."""
-    old = scene.agent
-    world = scene.world
-    _freeze_for(scene, old, _AWHILE)
+    old = target.agent
+    world = target.world
+    _freeze_for(target, old, _FAULT_DURATION)
     world.outside.after(SECOND, lambda: world.replace(old.slot, 'other'))
 
 
-def _race(scene: Scene) -> None:
-    Operator(scene.world, 'fay', version='v2', first=0).begin()
-    Operator(scene.world, 'gil', version='v1', first=1).begin()
+def _race(target: FaultTarget) -> None:
+    Operator(target.world, 'fay', version='v2', first=0).begin()
+    Operator(target.world, 'gil', version='v1', first=1).begin()
 
 
-STRIKES: Mapping[Kind, Strike] = {
+INJECTORS: Mapping[Kind, Injector] = {
     Kind.ENTRY_KILLED: _kill_entry,
     Kind.AGENT_KILLED: _kill_agent,
     Kind.BACKEND_KILLED: _kill_backend,
@@ -292,10 +300,10 @@
     Kind.LOG_DOWN: _stop_log,
     Kind.LOG_SLOW: _slow_log,
     Kind.ANSWER_LOST: _lose_answer,
-    Kind.RETENTION: _pass_reader,
+    Kind.RETENTION: _expire_unread_records,
     Kind.VMS_STALE: _make_vms_stale,
-    Kind.VMS_MISSING: lambda scene: _show_vms(scene, {}),
-    Kind.VMS_WRONG: _mix_vms_up,
+    Kind.VMS_MISSING: lambda target: _replace_vm_list(target, {}),
+    Kind.VMS_WRONG: _shift_vm_addresses,
     Kind.DUPLICATE: _duplicate,
     Kind.CALLER_GONE: _leave,
     Kind.POISON: _send_poison,
--- a/tests/matrix/kv.py
+++ b/tests/matrix/kv.py
@@ -68,10 +68,10 @@
         self._start(self.reader)
         world.outside.after(_END, self._end)
 
-    def note_dead(self, process: object) -> None:
+    def on_process_killed(self, process: object) -> None:
         """Do nothing: entries have no role in this scenario."""
 
-    def choose_freed(self) -> bytes:
+    def find_evicted(self) -> bytes:
         """Return the segment to evict next."""
         return self._find_segments('team-1')[0]
 
@@ -103,11 +103,11 @@
         """Drop all messages until the link times out."""
         self.silent = True
 
-        def mend() -> None:
+        def restore() -> None:
             self.silent = False
             self.cut()
 
-        self.world.outside.after(SILENCE, mend)
+        self.world.outside.after(SILENCE, restore)
 
     def _send(self, to: Process, act: Callable[[], None]) -> None:
         epoch = self._epoch
@@ -209,11 +209,11 @@
 
     def _use(self, use: Use) -> None:
         points, reader = self.world.points, self.reader
-        points.strike(Point.KV_USE, reader)
+        points.reach(Point.KV_USE, reader)
 
         def act() -> None:
             self.uses.append(use)
-            points.strike(Point.KV_USE, reader, after=True)
+            points.reach(Point.KV_USE, reader, after=True)
 
         reader.do(act)
 
--- a/tests/matrix/loop.py
+++ b/tests/matrix/loop.py
@@ -13,7 +13,7 @@
 Act: TypeAlias = Callable[[], None]
 
 
-class Null:
+class NullSink:
     """Ignore every call, in place of a logger or a meter."""
 
     def __getattr__(self, _: str) -> Callable[..., None]:
@@ -111,12 +111,12 @@
     async def checkpoint(self) -> None:
         """Wait until the process is active; never return if it was killed."""
         if not self.active:
-            later = Later(self)
+            later = Deferred(self)
             later.resolve()
             await later
 
 
-class Later:
+class Deferred:
     """Await a value delivered to the process later, like a future."""
 
     def __init__(self, process: Process) -> None:
@@ -125,7 +125,7 @@
         self._go_on: Act | None = None
         self.is_over = False
 
-    def __await__(self) -> Generator[Later, None, Any]:
+    def __await__(self) -> Generator[Deferred, None, Any]:
         if not self.is_over:
             yield self
         assert self._result is not None
@@ -156,12 +156,12 @@
 
 
 def drive(coroutine: Coroutine[Any, Any, Any]) -> None:
-    """Run a coroutine that awaits only `Later` objects or bare yields."""
+    """Run a coroutine that awaits only `Deferred` objects or bare yields."""
     later = None
     try:
         while later is None:
             later = coroutine.send(None)
     except StopIteration:
         return
-    assert isinstance(later, Later)
+    assert isinstance(later, Deferred)
     later.then(lambda: drive(coroutine))
--- a/tests/matrix/operators.py
+++ b/tests/matrix/operators.py
@@ -52,12 +52,12 @@
 
     def begin(self) -> None:
         """Schedule the first attempt to publish."""
-        self.world.outside.after(0, self._look)
+        self.world.outside.after(0, self._poll)
 
-    def note_dead(self, process: object) -> None:
+    def on_process_killed(self, process: object) -> None:
         """Do nothing: the next poll uses another entry."""
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         entry = self._choose()
         if entry is not None:
             self.found = entry.core.catalog.find_outcome(self.change.record_id)
@@ -68,7 +68,7 @@
             if self.world.now - self._sent_at >= _REPEAT:
                 self._sent_at = self.world.now
                 entry.do(lambda: drive(self._publish(entry)))
-        self.world.outside.after(_POLL, self._look)
+        self.world.outside.after(_POLL, self._poll)
 
     def _choose(self) -> ModelEntry | None:
         for step in range(len(ENTRIES)):
--- a/tests/matrix/orders.py
+++ b/tests/matrix/orders.py
@@ -18,13 +18,13 @@
     Order,
 )
 from oleanderdyke.links.messages import ConfigurationRequest
-from tests.matrix.loop import Later, Null, Process, drive
+from tests.matrix.loop import Deferred, NullSink, Process, drive
 from tests.matrix.points import Point
 
 if TYPE_CHECKING:
     from tests.matrix.agent import ModelAgent
 
-_NULL: Any = Null()
+_NULL: Any = NullSink()
 _STEP: Millis = 500.0
 _CONFIRM: Millis = 200.0
 _LOST = HttpError('no answer', ran=Ran.MAYBE)
@@ -39,10 +39,10 @@
     async def get_json(self, _: str) -> Any:
         """Read the engine's state; raise HttpError."""
         agent = self._agent
-        agent.world.points.strike(Point.STATE_READ, agent)
+        agent.world.points.reach(Point.STATE_READ, agent)
         await agent.checkpoint()
         state = await self._ask(self._read)
-        agent.world.points.strike(Point.STATE_READ, agent, after=True)
+        agent.world.points.reach(Point.STATE_READ, agent, after=True)
         await agent.checkpoint()
         return state
 
@@ -53,13 +53,13 @@
         agent = self._agent
         order = json.loads(body)
         status: int = await self._ask(lambda: self._load(order))
-        agent.world.points.strike(Point.ORDER, agent, after=True)
+        agent.world.points.reach(Point.ORDER, agent, after=True)
         await agent.checkpoint()
         return status, b''
 
     async def _ask(self, act: Any) -> Any:
         agent, server = self._agent, self._agent.backend.process
-        later = Later(agent)
+        later = Deferred(agent)
         agent.after(_STEP, lambda: later.resolve(error=_LOST))
 
         def arrive() -> None:
@@ -146,7 +146,7 @@
             self.engine.hold()
             await self._wait_runs()
             return
-        agent.world.points.strike(Point.ORDER, agent)
+        agent.world.points.reach(Point.ORDER, agent)
         await agent.checkpoint()
         if agent.now <= order.not_after:
             await self._send(order)
@@ -163,6 +163,6 @@
 
 
 async def _sleep(process: Process, time: Millis) -> None:
-    later = Later(process)
+    later = Deferred(process)
     process.after(time, later.resolve)
     await later
--- a/tests/matrix/outside.py
+++ b/tests/matrix/outside.py
@@ -11,7 +11,7 @@
 from oleanderdyke.kernel.gate import LoadedWeights
 from oleanderdyke.kernel.orders import DesiredState, Fence, ObservedState
 from oleanderdyke.links.messages import Dispatch
-from tests.matrix.loop import Later, Process, Scheduler
+from tests.matrix.loop import Deferred, Process, Scheduler
 
 if TYPE_CHECKING:
     from tests.matrix.world import World
@@ -41,15 +41,15 @@
         self,
         log: str,
         records: Sequence[bytes],
-        later: Later,
+        later: Deferred,
         *,
         caller: Process,
         timeout: Millis,
         note: Callable[[], None],
     ) -> None:
         """Schedule an append and its response, subject to active faults."""
-        doubt = LogUnavailable('no answer', ran=Ran.MAYBE)
-        caller.after(timeout, lambda: later.resolve(error=doubt))
+        unknown = LogUnavailable('no answer', ran=Ran.MAYBE)
+        caller.after(timeout, lambda: later.resolve(error=unknown))
         if not self.up:
             refused = LogUnavailable('out', ran=Ran.NO)
             caller.after(1.0, lambda: later.resolve(error=refused))
--- a/tests/matrix/points.py
+++ b/tests/matrix/points.py
@@ -85,7 +85,7 @@
         """Register a callback for the given step and side."""
         self._due.append((point, after, act))
 
-    def strike(
+    def reach(
         self, point: Point | None, process: Process, *, after: bool = False
     ) -> None:
         """Record that a process reached a step and inject a due fault."""
--- a/tests/matrix/steps.py
+++ b/tests/matrix/steps.py
@@ -28,7 +28,7 @@
     slot: str
 
 
-def _book(world: World) -> None:
+def _start_booking(world: World) -> None:
     Caller(world, 'a', key='key').begin()
     # Another team uses the same idempotency key at the same time.
     Caller(world, 'z', team=TEAMS[1], key='key', first=1).begin()
@@ -87,7 +87,7 @@
     Kv(world)
 
 
-BOOKING = Scenario('booking', _book, TICKETS, 'plain-1')
+BOOKING = Scenario('booking', _start_booking, TICKETS, 'plain-1')
 STREAM = Scenario('stream', _chat, CHAT, 'engine-1')
 RESUME = Scenario('resume', _resume, CHAT, 'engine-1')
 CONFIGURATION = Scenario('configuration', _configure, CHAT, 'engine-1')
--- a/tests/matrix/store.py
+++ b/tests/matrix/store.py
@@ -21,7 +21,7 @@
 from oleanderdyke.policies import keeping  # noqa: F401 - registers itself
 from oleanderdyke.policies.registries import KEEPERS
 from oleanderdyke.policies.settings import PolicySettings
-from tests.matrix.loop import Later, Process, drive
+from tests.matrix.loop import Deferred, Process, drive
 from tests.matrix.net import LATENCY
 from tests.matrix.points import Point
 
@@ -47,7 +47,7 @@
         self.full = False
         self.process = Process(world.scheduler, 'store')
 
-    def put(self, name: str, data: bytes, later: Later) -> None:
+    def put(self, name: str, data: bytes, later: Deferred) -> None:
         """Write an object in two halves; resolve `later` with the result."""
         if self.full:
             self.process.after(LATENCY, lambda: later.resolve(value=False))
@@ -133,12 +133,12 @@
         points, index = self.kv.world.points, self.index
         if index is None:
             return
-        points.strike(Point.KV_PIN, self)
+        points.reach(Point.KV_PIN, self)
         await self.checkpoint()
         pinned = index.pin(namespace, segment, self.now)
         if not isinstance(pinned, Pinned):
             return
-        points.strike(Point.KV_PIN, self, after=True)
+        points.reach(Point.KV_PIN, self, after=True)
         await self.checkpoint()
         await self._copy(index, pinned, reader)
         index.unpin(pinned)
@@ -149,11 +149,11 @@
     ) -> None:
         points = self.kv.world.points
         first = await self._get(pinned.object_name, 0)
-        points.strike(Point.KV_COPY, self)
+        points.reach(Point.KV_COPY, self)
         await self.checkpoint()
         await self._wait_turn()
         rest = await self._get(pinned.object_name, HALF)
-        points.strike(Point.KV_COPY, self, after=True)
+        points.reach(Point.KV_COPY, self, after=True)
         await self.checkpoint()
         is_whole = self.kv.world.variants.is_whole
         if not is_whole(first + rest, pinned.length, pinned.digest):
@@ -165,7 +165,7 @@
 
     async def _wait_turn(self) -> None:
         """Yield the link to other readers."""
-        later = Later(self)
+        later = Deferred(self)
         self.after(_TURN, later.resolve)
         await later
 
@@ -174,11 +174,11 @@
     ) -> None:
         points, segment = self.kv.world.points, part.segment
         name, data = self.writing.pop(part.request)
-        points.strike(Point.KV_WRITE, self)
+        points.reach(Point.KV_WRITE, self)
         await self.checkpoint()
         stored = await self._put(name, bytes(data))
         stored = stored and await self._put(verified.meta_name, verified.meta)
-        points.strike(Point.KV_WRITE, self, after=True)
+        points.reach(Point.KV_WRITE, self, after=True)
         await self.checkpoint()
         if index is not self.index:
             return
@@ -186,24 +186,24 @@
             index.abort(part.request, segment, WriteRefusal.STORE_FAILED)
             self._delete()
             return
-        points.strike(Point.KV_SEAL, self)
+        points.reach(Point.KV_SEAL, self)
         await self.checkpoint()
         if index is self.index:
             outcome = index.seal(part.request, segment, self.now)
             sealed = isinstance(outcome, WriteSealed)
             self._delete()
             if sealed:
-                points.strike(Point.KV_SEAL, self, after=True)
+                points.reach(Point.KV_SEAL, self, after=True)
 
     async def _put(self, name: str, data: bytes) -> bool:
-        later = Later(self)
+        later = Deferred(self)
         self.after(_TIMEOUT, lambda: later.resolve(value=False))
         self.kv.store.put(name, data, later)
         stored: bool = await later
         return stored
 
     async def _get(self, name: str, start: int) -> bytes:
-        later, store = Later(self), self.kv.store
+        later, store = Deferred(self), self.kv.store
         self.after(_TIMEOUT, lambda: later.resolve(b''))
 
         def read() -> None:
@@ -215,16 +215,16 @@
         return found
 
     def _free(self) -> None:
-        self.kv.world.points.strike(Point.KV_FREE, self)
+        self.kv.world.points.reach(Point.KV_FREE, self)
         self.do(self._free_next)
 
     def _free_next(self) -> None:
         if self.index is None:
             return
         self.index.expire(self.now)
-        self.index.free(self.kv.choose_freed())
+        self.index.free(self.kv.find_evicted())
         self._delete()
-        self.kv.world.points.strike(Point.KV_FREE, self, after=True)
+        self.kv.world.points.reach(Point.KV_FREE, self, after=True)
 
     def _delete(self) -> None:
         if self.index is not None:
--- a/tests/matrix/unsafe.py
+++ b/tests/matrix/unsafe.py
@@ -14,7 +14,7 @@
 from tests.matrix.world import TEAMS
 
 
-class DeafFleet(FleetState):
+class LeaveIgnoringFleet(FleetState):
     """Treat leaving agents as serving; harmless without a second fault."""
 
     def on_heartbeat(self, agent, beat, now):
@@ -24,7 +24,7 @@
         return super().on_heartbeat(agent, replace(beat, phase=phase), now)
 
 
-class StayingGate(Gate):
+class LeaveIgnoringGate(Gate):
     """Start runs although the agent is leaving."""
 
     def set_phase(self, phase):
@@ -32,7 +32,7 @@
             super().set_phase(phase)
 
 
-class WeightlessGate(Gate):
+class UncheckedWeightsGate(Gate):
     """Start runs without checking the loaded weights."""
 
     def _check_weights(self, _dispatch, _now):
@@ -53,19 +53,19 @@
         return QuarantineStatus.CLEAN
 
 
-class HoardingCatalog(Catalog):
+class WithholdingCatalog(Catalog):
     """Send peers an empty configuration difference."""
 
     def difference(self, after):
         return () if after >= 0 else super().difference(after)
 
 
-class TrustingCopy(SegmentCopy):
+class UnverifiedCopy(SegmentCopy):
     """Accept the received data as the requested segment unverified."""
 
     def finish(self):
         return bytes(self._data)
 
 
-def trust(_data, _length, _digest):
+def accept_any_segment(_data, _length, _digest):
     return True
--- a/tests/matrix/world.py
+++ b/tests/matrix/world.py
@@ -114,11 +114,11 @@
     def __init__(self, world: World) -> None:
         self._world = world
         self._seen: dict[int, int] = {}
-        world.outside.every(_WATCH, self._look)
+        world.outside.every(_WATCH, self._poll)
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         world = self._world
-        world.note_quiet()
+        world.update_idle()
         records = world.log.logs['configuration']
         due = max(world.now - IN_FORCE, 0.0)
         # Processes affected by a fault get the same time after its end.
@@ -126,7 +126,7 @@
         newest = sum(record.at <= due for record in records) - 1
         for name, catalog in world.list_catalogs():
             if catalog.offset < self._seen.get(id(catalog), -1):
-                world.setbacks.append((name, catalog.offset))
+                world.regressions.append((name, catalog.offset))
             self._seen[id(catalog)] = catalog.offset
             if world.now > since and catalog.offset < newest:
                 world.late.append((name, world.now, catalog.offset, newest))
@@ -154,7 +154,7 @@
         self.callers: list[Any] = []
         self.operators: list[Any] = []
         self.kv: Kv | None = None
-        self.setbacks: list[object] = []
+        self.regressions: list[object] = []
         self.late: list[object] = []
         self.links: list[Link] = []
         self.decided: dict[tuple[str, str], Millis] = {}
@@ -169,7 +169,7 @@
         self.agents = {each.name: self._make_agent(each) for each in AGENTS}
         self.entries = {name: self._make_entry(name) for name in ENTRIES}
         self._watch = Watch(self)
-        self._quiet = False
+        self._is_idle = False
 
     @property
     def now(self) -> Millis:
@@ -185,7 +185,7 @@
 
     def run(self, until: Millis = LIMIT) -> None:
         """Run until the world is idle or a time limit is reached."""
-        self.scheduler.run(until, lambda: self._quiet)
+        self.scheduler.run(until, lambda: self._is_idle)
 
     def run_for(self, time: Millis) -> None:
         """Run for a given simulated time."""
@@ -245,10 +245,10 @@
         due = drain.next_time()
         is_due = due is not None and due <= self.now
         if drain.phase is DrainPhase.ANNOUNCED and is_due:
-            self.points.strike(Point.DRAIN, process)
+            self.points.reach(Point.DRAIN, process)
         process.do(lambda: act(drain.tick(self.now)))
         if drain.phase is not DrainPhase.ANNOUNCED:
-            self.points.strike(Point.DRAIN, process, after=True)
+            self.points.reach(Point.DRAIN, process, after=True)
         if drain.phase is DrainPhase.DONE and process.active:
             self._leave(process, drain)
 
@@ -261,7 +261,7 @@
             if any(end.process is process for end in link.ends):
                 link.close()
         for caller in self.callers:
-            caller.note_dead(process)
+            caller.on_process_killed(process)
         self.outside.after(RESTART, lambda: self._restart(process))
         self.keep_busy(RESTART)
 
@@ -300,23 +300,23 @@
         self.log.put('configuration', [encode_change(c) for c in changes])
 
     def _leave(self, process: Any, drain: Drain) -> None:
-        self.points.strike(Point.EXIT, process)
+        self.points.reach(Point.EXIT, process)
 
         def leave() -> None:
             process.left = True
             self.cuts.append(drain._cut or drain.running)
-            self.points.strike(Point.EXIT, process, after=True)
+            self.points.reach(Point.EXIT, process, after=True)
             self.outside.after(100.0, lambda: self.kill(process))
 
         process.do(leave)
 
-    def note_quiet(self) -> None:
+    def update_idle(self) -> None:
         """Check whether all callers are answered and all faults have ended."""
         if not self.callers or not all(c.done for c in self.callers):
             self.keep_busy(0)
         changed = len(self.log.logs['configuration']) > len(_OBJECTS)
         settle = SETTLE_CHANGED if changed else SETTLE
-        self._quiet = self.now >= self.busy_until + settle
+        self._is_idle = self.now >= self.busy_until + settle
 
     def _connect(
         self, entry: ModelEntry, agent: ModelAgent, address: str
--- a/tests/test_fault_matrix.py
+++ b/tests/test_fault_matrix.py
@@ -23,7 +23,7 @@
     list_racing,
     run_cells,
 )
-from tests.matrix.faults import STRIKES, Kind
+from tests.matrix.faults import INJECTORS, Kind
 from tests.matrix.points import Point
 from tests.matrix.world import Variants
 
@@ -38,7 +38,7 @@
     ]
 
 
-@pytest.mark.parametrize('kind', STRIKES)
+@pytest.mark.parametrize('kind', INJECTORS)
 def test_promises_hold_under_a_fault_at_every_step(kind):
     cells = [cell for cell in list_cells() if cell.kinds == (kind,)]
     assert find_broken(cells) == []
@@ -65,7 +65,7 @@
 
 def test_an_entry_that_never_learns_who_leaves_does_no_harm():
     cells = choose(Kind.CUT, at=Point.LEAVING)
-    assert find_broken(cells, Variants(fleet=unsafe.DeafFleet)) == []
+    assert find_broken(cells, Variants(fleet=unsafe.LeaveIgnoringFleet)) == []
 
 
 @pytest.mark.parametrize(
@@ -74,8 +74,8 @@
         (
             Variants(
                 store=ReusesUnderPin,
-                copy=unsafe.TrustingCopy,
-                is_whole=unsafe.trust,
+                copy=unsafe.UnverifiedCopy,
+                is_whole=unsafe.accept_any_segment,
             ),
             choose(Kind.STORE_KILLED, at=Point.KV_COPY),
             'cached blocks',
@@ -91,7 +91,7 @@
             'teams apart',
         ),
         (
-            Variants(gate=unsafe.WeightlessGate),
+            Variants(gate=unsafe.UncheckedWeightsGate),
             choose(Kind.LINK_SLOW, Kind.WEIGHTS),
             'weights',
         ),
@@ -131,7 +131,9 @@
             'whole answer',
         ),
         (
-            Variants(fleet=unsafe.DeafFleet, gate=unsafe.StayingGate),
+            Variants(
+                fleet=unsafe.LeaveIgnoringFleet, gate=unsafe.LeaveIgnoringGate
+            ),
             choose(Kind.CUT, at=Point.LEAVING),
             'leaving',
         ),
@@ -141,7 +143,7 @@
             'planned stop',
         ),
         (
-            Variants(catalog=unsafe.HoardingCatalog),
+            Variants(catalog=unsafe.WithholdingCatalog),
             choose(Kind.CUT, at=Point.SNAPSHOT),
             'in time',
         ),
