--- a/src/oleanderdyke/entry/dispatches.py
+++ b/src/oleanderdyke/entry/dispatches.py
@@ -1,4 +1,4 @@
-"""Build the dispatch of one attempt."""
+"""Build the messages that dispatch an attempt to an agent."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from oleanderdyke.kernel.demand import Fleet, Plan, Replica
 from oleanderdyke.links.messages import BodyChunk, Dispatch, FetchPlan
 
-_BODY_PART = 64 * 1024
+_BODY_CHUNK_BYTES = 64 * 1024
 
 
 def make_dispatch(
@@ -22,11 +22,11 @@
     *,
     offset: int,
     deadline: Millis,
-    worthy: int,
+    export_count: int,
 ) -> Dispatch:
-    """Build what an agent is told first; the body follows.
+    """Build the dispatch message; body chunks follow separately.
 
-    The first `worthy` segments are worth keeping in a store.
+    The first `export_count` segments are to be exported to a store.
     """
     spec = call.spec
     return Dispatch(
@@ -51,7 +51,7 @@
         namespace=call.namespace,
         segments=call.segments,
         fetch=_make_fetch(call, action.plan, fleet),
-        keep=_make_keep(call, action.replica, fleet, worthy),
+        keep=_make_keep(call, action.replica, fleet, export_count),
         incarnation=action.incarnation,
         beat=action.beat,
         priority=action.plan.priority,
@@ -61,11 +61,11 @@
 def split_body(
     request: str, attempt: int, body: bytes, *, whole: bool
 ) -> Iterator[BodyChunk]:
-    """Cut a body into chunks; the last one closes a whole body."""
-    starts = range(0, max(len(body), 1), _BODY_PART)
+    """Split a body into chunks; mark the last if the body is complete."""
+    starts = range(0, max(len(body), 1), _BODY_CHUNK_BYTES)
     for sequence, start in enumerate(starts):
         last = whole and start == starts[-1]
-        data = body[start : start + _BODY_PART]
+        data = body[start : start + _BODY_CHUNK_BYTES]
         yield BodyChunk(request, attempt, sequence, data, last)
 
 
@@ -78,17 +78,19 @@
 
 
 def _make_keep(
-    call: Call, replica: Replica, fleet: Fleet, worthy: int
+    call: Call, replica: Replica, fleet: Fleet, export_count: int
 ) -> FetchPlan | None:
-    stores = fleet.stores(call.service) if worthy else ()
+    stores = fleet.stores(call.service) if export_count else ()
     if not stores:
         return None
     hints = [make_hint(segment) for segment in call.segments]
     store = _choose_store(stores, replica, hints, fleet)
     held = fleet.count_leading(store.agent, hints)
-    if held >= worthy:
+    if held >= export_count:
         return None
-    return FetchPlan(store.agent, store.address, call.segments[held:worthy])
+    return FetchPlan(
+        store.agent, store.address, call.segments[held:export_count]
+    )
 
 
 def _choose_store(
@@ -97,12 +99,14 @@
     hints: Sequence[bytes],
     fleet: Fleet,
 ) -> Replica:
-    """Prefer what holds the prompt, then what is near, then a fixed choice."""
+    """Choose by held segments, then same data centre, then a stable hash."""
 
     def rank(store: Replica) -> tuple[int, bool, bytes]:
         held = fleet.count_leading(store.agent, hints)
         near = store.data_centre == replica.data_centre
-        draw = hashlib.blake2b(hints[0] + store.agent.encode(), digest_size=8)
-        return held, near, draw.digest()
+        tie_breaker = hashlib.blake2b(
+            hints[0] + store.agent.encode(), digest_size=8
+        )
+        return held, near, tie_breaker.digest()
 
     return max(stores, key=rank)
--- a/src/oleanderdyke/entry/effects.py
+++ b/src/oleanderdyke/entry/effects.py
@@ -1,4 +1,4 @@
-"""Carry out what the machine of a request decides."""
+"""Execute the actions of the state machine of a request."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from oleanderdyke.entry.claims import ClaimLog
 from oleanderdyke.entry.core import Core
 from oleanderdyke.entry.delivery import Delivery
-from oleanderdyke.entry.inbox import CreditDue, Inbox, Item, Undeliverable
+from oleanderdyke.entry.inbox import CreditDue, DeliveryFailed, Inbox, Item
 from oleanderdyke.entry.routes import choose_route
 from oleanderdyke.entry.sender import AttemptSender
 from oleanderdyke.entry.stopping import Stopper
-from oleanderdyke.entry.targets import note_answered, note_refused
+from oleanderdyke.entry.targets import evaluate_answered, evaluate_refused
 from oleanderdyke.entry.tokens import StreamToken, encode_token
 from oleanderdyke.errors import OleanderError
 from oleanderdyke.events import EventName
@@ -48,8 +48,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tools:
-    """Hold what every request of an entry uses."""
+class EntryResources:
+    """Hold the services of an entry that every request uses."""
 
     core: Core
     claims: ClaimLog
@@ -57,11 +57,11 @@
 
 
 class Effects:
-    """Do the actions of one request; report back through its inbox."""
+    """Execute the actions of one request; report results to its inbox."""
 
     def __init__(
         self,
-        tools: Tools,
+        resources: EntryResources,
         call: Call,
         demand: Demand,
         *,
@@ -71,67 +71,67 @@
         start_upload: Callable[[], None],
         start_timer: Callable[[Item, Millis], None],
     ) -> None:
-        self._core = tools.core
-        self._claims = tools.claims
-        self._stopper = tools.stopper
+        self._core = resources.core
+        self._claims = resources.claims
+        self._stopper = resources.stopper
         self._call = call
         self._demand = demand
         self._inbox = inbox
         self._sender = sender
         self._delivery = delivery
         self._start_upload = start_upload
-        self._put_later = start_timer
-        self._started = tools.core.clock.now()
-        self._gone = False
+        self._schedule = start_timer
+        self._started = resources.core.clock.now()
+        self._caller_gone = False
         self._handlers = self._make_handlers()
 
-    async def carry_out(self, actions: tuple[Action, ...]) -> None:
-        """Carry out actions one after the other."""
+    async def execute(self, actions: tuple[Action, ...]) -> None:
+        """Execute actions in order."""
         for action in actions:
             await self._handlers[type(action)](action)
 
-    def pass_chunk(self, chunk: DeliverChunk) -> None:
-        """Send on a chunk of a flowing answer at once."""
+    def forward_chunk(self, chunk: DeliverChunk) -> None:
+        """Forward a chunk of a started answer without blocking."""
         try:
-            self._delivery.pass_chunk(chunk)
+            self._delivery.forward_chunk(chunk)
         except OleanderError as error:
-            self._inbox.put(Undeliverable(error))
+            self._inbox.put(DeliveryFailed(error))
             return
-        if self._sender.note_passed():
+        if self._sender.count_forwarded_chunk():
             self._inbox.put(CreditDue())
 
     async def flush(self) -> None:
-        """Send on what has come in so far."""
-        chunks = self._delivery.waiting
+        """Send the queued chunks to the caller; grant credit for them."""
+        chunks = self._delivery.unsent_count
         await self._guard(self._delivery.flush())
         if chunks:
-            await self._sender.grant(chunks)
+            await self._sender.grant_credit(chunks)
 
     async def fail(self, error: OleanderError) -> None:
-        """Answer with an error that the machine did not decide."""
+        """Answer with an error that did not come from the state machine."""
         await self._guard(self._delivery.fail(error))
 
     async def hand_over(self, actions: tuple[Action, ...] | None) -> bool:
-        """Tell the caller to go on through another entry, if it can.
+        """Hand the stream over to another entry; return whether it was.
 
-        `actions` open an answer whose head was held back; None: no run that
-        could be resumed is known.
+        `actions` start an answer whose head was held back. They are None if
+        there is no resumable run.
         """
         if actions is None:
-            self._stopper.take_back(self._call.request)
+            self._stopper.mark_not_resumable(self._call.request)
             return False
-        await self.carry_out(actions)
+        await self.execute(actions)
         await self._guard(self._delivery.hand_over())
         return True
 
-    def note_gone(self) -> None:
-        """Tell the machine once that the caller has gone."""
-        if not self._gone:
-            self._gone = True
+    def report_caller_gone(self) -> None:
+        """Report the disconnect of the caller to the state machine, once."""
+        if not self._caller_gone:
+            self._caller_gone = True
             self._inbox.put(CallerGone())
 
     def log(self, event: EventName, **values: LogValue) -> None:
-        """Write an event of this request."""
+        """Write a log event with the fields of this request."""
         self._core.log.write(
             event,
             request=self._call.request,
@@ -148,11 +148,11 @@
             AppendClaim: self._append_claim,
             AppendRelease: self._append_release,
             AppendOutcome: self._append_outcome,
-            QueryClaim: self._sender.ask,
+            QueryClaim: self._sender.query_claim,
             SendDispatch: self._dispatch,
             SendCancel: self._sender.cancel,
             SendResume: self._resume,
-            MarkResumable: self._note_resumable,
+            MarkResumable: self._mark_resumable,
             DeliverHead: self._deliver_head,
             DeliverChunk: self._deliver_chunk,
             DeliverEnd: self._deliver_end,
@@ -195,7 +195,7 @@
         self.log(EventName.STREAM_RESUMED, attempt=action.attempt)
         await self._sender.resume(action)
 
-    async def _note_resumable(self, _: MarkResumable) -> None:
+    async def _mark_resumable(self, _: MarkResumable) -> None:
         self._stopper.mark_resumable(self._call.request)
 
     async def _deliver_head(self, action: DeliverHead) -> None:
@@ -211,22 +211,25 @@
             self._delivery.put_chunk(action)
         except OleanderError as error:
             await self.fail(error)
-            self.note_gone()
+            self.report_caller_gone()
         if first:
             self._core.router.record_first_token(
                 self._call.request, self._core.clock.now()
             )
-        if self._delivery.waiting >= self._core.settings.requests.credit // 2:
+        if (
+            self._delivery.unsent_count
+            >= self._core.settings.requests.credit // 2
+        ):
             await self.flush()
 
     async def _deliver_end(self, action: DeliverEnd) -> None:
         await self._guard(self._delivery.send_end(action))
-        self._note_end(action)
+        self._record_end(action)
 
     async def _refuse(self, action: Refuse) -> None:
         core, call = self._core, self._call
-        note_refusal(core, call.request, action)
-        note_refused(
+        log_refusal(core, call.request, action)
+        evaluate_refused(
             core,
             call,
             action.kind,
@@ -236,25 +239,25 @@
         await self._guard(self._delivery.refuse(action))
 
     async def _start_timer(self, action: StartTimer) -> None:
-        self._put_later(TimerFired(action.kind, action.number), action.delay)
+        self._schedule(TimerFired(action.kind, action.number), action.delay)
 
     async def _clear_suspect(self, action: ClearSuspect) -> None:
         self._core.quarantine.clear(action.digest)
 
     async def _finish(self, _: Done) -> None:
-        """Do nothing: the driver sees that the machine is done."""
+        """Do nothing: the driver checks the state machine for its end."""
 
     async def _guard(self, sending: Awaitable[None]) -> None:
-        """Send to the caller, and note when that can't go on."""
+        """Await a send to the caller; report its failure."""
         try:
             await sending
         except edge.CallerGone:
-            self.note_gone()
+            self.report_caller_gone()
         except OleanderError as error:
             await self.fail(error)
-            self.note_gone()
+            self.report_caller_gone()
 
-    def _note_end(self, action: DeliverEnd) -> None:
+    def _record_end(self, action: DeliverEnd) -> None:
         duration = self._core.clock.now() - self._started
         metrics, service = self._core.metrics, self._call.service
         metrics.time(Timing.REQUEST, duration, service)
@@ -263,7 +266,7 @@
             metrics.add(Count.PROMPT_TOKENS, end.prompt_tokens, service)
             metrics.add(Count.RECOMPUTED_TOKENS, end.recomputed_tokens, service)
             metrics.add(Count.LINK_BYTES, end.link_bytes, service)
-        note_answered(self._core, self._call, self._delivery, end)
+        evaluate_answered(self._core, self._call, self._delivery, end)
         self.log(
             EventName.REQUEST_FINISHED,
             status=self._delivery.status,
@@ -275,10 +278,10 @@
         )
 
 
-def note_refusal(
+def log_refusal(
     core: Core, request: str, refused: Refuse | OleanderError
 ) -> None:
-    """Log and count a request that was refused."""
+    """Log and count a refused request."""
     core.metrics.add(Count.REFUSALS, label=refused.kind.value)
     detail = refused.detail if isinstance(refused, Refuse) else str(refused)
     core.log.write(
--- a/src/oleanderdyke/entry/hosted/driver.py
+++ b/src/oleanderdyke/entry/hosted/driver.py
@@ -119,9 +119,9 @@
         if not self._reply.ended and self._reply.status:
             raise BrokenAnswer
 
-    def stop(self, *, hurry: bool) -> None:
+    def stop(self, *, immediate: bool) -> None:
         """End the request if the entry must stop at once."""
-        if hurry:
+        if immediate:
             self._inbox.put(Stopping(immediate=True))
 
     def hand_over(self) -> None:
@@ -272,7 +272,7 @@
         """Do nothing: the event loop of the call checks `done` itself."""
 
     async def _watch_caller(self) -> None:
-        await self._body.wait_gone()
+        await self._body.wait_disconnected()
         if not self._reply.ended:
             self._call_log.log_cancelled(self._find_progress())
             self._inbox.put(CallerGone())
