--- a/tests/matrix/agent.py
+++ b/tests/matrix/agent.py
@@ -177,7 +177,7 @@
             self.service,
         )
 
-    def greet(self, end: End) -> None:
+    def on_link_up(self, end: End) -> None:
         """Register a newly opened link."""
         self._links += 1
         outbox: Any = ModelOutbox(f'{self._links}', end)
@@ -194,7 +194,7 @@
         if outbox is not None and handler is not None:
             handler(outbox, message)
 
-    def lose(self, end: End) -> None:
+    def on_link_down(self, end: End) -> None:
         """Remove a closed link and end the work bound to it."""
         outbox = self._find(end)
         if outbox is not None:
@@ -211,16 +211,16 @@
     def lose_backend(self) -> None:
         """Handle the loss of the backend server as the real agent does."""
         self.beats.set_phase(AgentPhase.STARTING)
-        told = self.runs.crash()
+        failures = self.runs.crash()
         if self.orders is not None:
             self.orders.engine.reset()
         self.beats.send()
-        for reader, failed in told:
+        for reader, failed in failures:
             self.runs.send(reader, (failed,))
 
     def stop(self) -> None:
         """Handle a stop signal by starting the drain."""
-        self.world.decide_leaving(self)
+        self.world.record_leaving(self)
         self.departure.signal()
 
     def forward(self, run: Run) -> None:
--- a/tests/matrix/callers.py
+++ b/tests/matrix/callers.py
@@ -34,12 +34,12 @@
 from tests.matrix.world import CHAT, ENTRIES, TICKETS, World
 
 _RESPONSE_TIMEOUT: Millis = 30 * SECOND
-_TRIES = 60
+_MAX_ATTEMPTS = 60
 POISON = 'poison'
 _FINAL = frozenset(
     {ErrorKind.QUARANTINED, ErrorKind.KEY_REUSED, ErrorKind.FORBIDDEN}
 )
-_UNKNOWN_TRIES = 3
+_MAX_UNKNOWN = 3
 _ID = re.compile(rb'^id: (\S+)\n', re.MULTILINE)
 _PROMPT = {'model': 'm', 'stream': True, 'max_tokens': 8}
 
@@ -73,10 +73,10 @@
         self.thief = False
         self.token = ''
         self.entry: ModelEntry | None = None
-        self._turn = first
-        self._spread = spread
-        self._tries = 0
-        self._unknown = 0
+        self._entry_index = first
+        self._rotate_entries = spread
+        self._attempts = 0
+        self._unknown_count = 0
         self._request = ''
         self._reply: _Reply | None = None
         self.driver: Any = None
@@ -120,11 +120,11 @@
         self.world.calls[request].refusal = refusal
         self.refusals.append(refusal)
         if refusal.kind is ErrorKind.OUTCOME_UNKNOWN:
-            self._unknown += 1
+            self._unknown_count += 1
         if self.thief and refusal.kind is ErrorKind.STREAM_GONE:
             self._end('refused')
             return
-        is_final = refusal.kind in _FINAL or self._unknown >= _UNKNOWN_TRIES
+        is_final = refusal.kind in _FINAL or self._unknown_count >= _MAX_UNKNOWN
         may_repeat = refusal.ran is Ran.NO or self.key or self.service == CHAT
         if is_final or not may_repeat:
             self._end(refusal.kind.value)
@@ -148,7 +148,7 @@
 
     def _retry(self, delay: Millis, *, resume: str = '') -> None:
         self._reply = None
-        self._turn += self._spread
+        self._entry_index += self._rotate_entries
         self.world.outside.after(
             delay, lambda: self._resume(resume) if resume else self._send()
         )
@@ -156,7 +156,7 @@
     def _choose(self) -> ModelEntry | None:
         """Return the next entry that the load balancer considers ready."""
         for step in range(len(ENTRIES)):
-            name = ENTRIES[(self._turn + step) % len(ENTRIES)]
+            name = ENTRIES[(self._entry_index + step) % len(ENTRIES)]
             entry = self.world.entries[name]
             # The load balancer detects a frozen entry only by its probes.
             if entry.alive and (entry.frozen or not entry.core.find_fault()):
@@ -166,8 +166,8 @@
     def _prepare(self) -> tuple[ModelEntry, Answer] | None:
         if self.done:
             return None
-        self._tries += 1
-        if self._tries > _TRIES:
+        self._attempts += 1
+        if self._attempts > _MAX_ATTEMPTS:
             self._end('gave up')
             return None
         entry = self._choose()
@@ -175,7 +175,7 @@
             self._retry(500.0)
             return None
         self.entry = entry
-        self._request = f'{self.name}.{self._tries}'
+        self._request = f'{self.name}.{self._attempts}'
         return entry, Answer(self._make_sink(), self._request)
 
     def _make_sink(self) -> Any:
--- a/tests/matrix/checkers.py
+++ b/tests/matrix/checkers.py
@@ -46,8 +46,8 @@
 def check_leaving(world: World, _: Kinds) -> None:
     """Check that no run starts long after an agent decided to leave."""
     for start in world.starts:
-        decided = world.decided.get((start.agent, start.incarnation))
-        if decided is not None and start.at > decided + _LEAVE:
+        left_at = world.leaving_since.get((start.agent, start.incarnation))
+        if left_at is not None and start.at > left_at + _LEAVE:
             raise Violation('leaving', start)
 
 
--- a/tests/matrix/drivers.py
+++ b/tests/matrix/drivers.py
@@ -50,7 +50,7 @@
         self._act()
 
 
-class _Caller:
+class _CompleteBody:
     """Replace the reader of a request body that is already complete."""
 
     ended = True
@@ -63,10 +63,10 @@
         self,
         process: Process,
         inbox: Inbox,
-        lead: Callable[[Item | None], Any],
+        handle: Callable[[Item | None], Any],
     ) -> None:
         self._inbox = inbox
-        self._lead = lead
+        self._handle = handle
         self._busy = False
         self.over = False
         inbox._waiting = _WakeFuture(process, self.go_on)  # type: ignore[assignment]
@@ -79,9 +79,9 @@
 
     async def _take_all(self) -> None:
         while self._inbox._items and not self.over:
-            await self._lead(self._inbox._items.popleft())
+            await self._handle(self._inbox._items.popleft())
         if not self.over:
-            await self._lead(None)
+            await self._handle(None)
         self._busy = False
 
 
@@ -91,13 +91,13 @@
     def __init__(self, entry: ModelEntry, call: Call, answer: Answer) -> None:
         self._entry = entry
         self._answer = answer
-        caller: Any = _Caller()
+        caller: Any = _CompleteBody()
         super().__init__(
             entry.tools, entry.queue, call, body=caller, answer=answer
         )
         self._machine.__class__ = entry.world.variants.machine
-        self._turns = _InboxReader(entry, self._inbox, self._take_turn)
-        self._turns._busy = True
+        self._reader = _InboxReader(entry, self._inbox, self._take_turn)
+        self._reader._busy = True
 
     @property
     def effects(self) -> Any:
@@ -118,12 +118,12 @@
         except OleanderError:
             self.finish()
             raise
-        self._turns._busy = False
-        self._turns.go_on()
+        self._reader._busy = False
+        self._reader.go_on()
 
     def finish(self) -> None:
         """Remove the call from the entry."""
-        self._turns.over = True
+        self._reader.over = True
         drive(_close(self._answer))
         self._core.running.pop(self._call.request, None)
         self._clean_up()
@@ -152,9 +152,9 @@
         self, entry: ModelEntry, ask: ResumeRequest, delivery: Delivery
     ) -> None:
         self._entry = entry
-        caller: Any = _Caller()
+        caller: Any = _CompleteBody()
         super().__init__(entry.tools, ask, body=caller, delivery=delivery)
-        self._turns = _InboxReader(entry, self._inbox, self._take_turn)
+        self._reader = _InboxReader(entry, self._inbox, self._take_turn)
 
     async def begin(self) -> None:
         """Request the rest of the stream; raise OleanderError."""
@@ -172,7 +172,7 @@
 
     def finish(self) -> None:
         """Remove the stream from the entry."""
-        self._turns.over = True
+        self._reader.over = True
         drive(_close(self._delivery._answer))
         self._core.running.pop(self._resume.request, None)
         self._entry.stopper.end(self._resume.request)
--- a/tests/matrix/entry.py
+++ b/tests/matrix/entry.py
@@ -172,13 +172,13 @@
         """Process a message from an agent."""
         drive(self.links.on_message(end, message))  # type: ignore[arg-type]
 
-    def lose(self, end: End) -> None:
+    def on_link_down(self, end: End) -> None:
         """Handle the loss of a link."""
         if self.ends.get(end.address) is end:
             del self.ends[end.address]
         drive(self.links.on_down(end))  # type: ignore[arg-type]
 
-    def greet(self, end: End) -> None:
+    def on_link_up(self, end: End) -> None:
         """Register a newly opened link."""
         self.ends[end.address] = end
         drive(self.links.on_up(end))  # type: ignore[arg-type]
--- a/tests/matrix/kv.py
+++ b/tests/matrix/kv.py
@@ -27,9 +27,9 @@
 if TYPE_CHECKING:
     from tests.matrix.world import World
 
-_OFFERS: Millis = 100.0
-_READS: Millis = 250.0
-_END: Millis = 3 * SECOND
+_OFFER_INTERVAL: Millis = 100.0
+_READ_INTERVAL: Millis = 250.0
+_DURATION: Millis = 3 * SECOND
 _RESTART: Millis = 2 * SECOND
 _PROMPT = b'p' * SEGMENT_BYTES
 
@@ -66,12 +66,12 @@
         world.callers.append(self)
         self._start(self.writer)
         self._start(self.reader)
-        world.outside.after(_END, self._end)
+        world.outside.after(_DURATION, self._end)
 
     def on_process_killed(self, process: object) -> None:
         """Do nothing: entries have no role in this scenario."""
 
-    def find_evicted(self) -> bytes:
+    def find_segment_to_free(self) -> bytes:
         """Return the segment to evict next."""
         return self._find_segments('team-1')[0]
 
@@ -121,9 +121,9 @@
 
     def _start(self, process: Process) -> None:
         if process is self.writer:
-            process.every(_OFFERS, self._offer)
+            process.every(_OFFER_INTERVAL, self._offer)
         else:
-            process.every(_READS, self._read)
+            process.every(_READ_INTERVAL, self._read)
 
     def _replace(self, process: Process) -> None:
         if process is self.agent:
@@ -189,9 +189,9 @@
         own, other = (self._find_namespace(t) for t in ('team-1', 'team-2'))
         (segment,) = self._find_segments('team-1')
         for namespace in (own, other):
-            self._ask(namespace, segment)
+            self._request_segment(namespace, segment)
 
-    def _ask(self, namespace: bytes, segment: bytes) -> None:
+    def _request_segment(self, namespace: bytes, segment: bytes) -> None:
         agent, copies = self.agent, list[SegmentCopy]()
 
         def take(part: SegmentPart) -> None:
--- a/tests/matrix/loop.py
+++ b/tests/matrix/loop.py
@@ -122,7 +122,7 @@
     def __init__(self, process: Process) -> None:
         self._process = process
         self._result: tuple[Any, BaseException | None] | None = None
-        self._go_on: Act | None = None
+        self._continuation: Act | None = None
         self.is_over = False
 
     def __await__(self) -> Generator[Deferred, None, Any]:
@@ -145,14 +145,14 @@
 
     def then(self, act: Act) -> None:
         """Run a callback once the result has arrived."""
-        self._go_on = act
+        self._continuation = act
         if self.is_over:
             act()
 
     def _arrive(self) -> None:
         self.is_over = True
-        if self._go_on is not None:
-            self._go_on()
+        if self._continuation is not None:
+            self._continuation()
 
 
 def drive(coroutine: Coroutine[Any, Any, Any]) -> None:
--- a/tests/matrix/net.py
+++ b/tests/matrix/net.py
@@ -25,7 +25,7 @@
     def receive(self, end: End, message: Message) -> None:
         """Process a received message."""
 
-    def lose(self, end: End) -> None:
+    def on_link_down(self, end: End) -> None:
         """Handle the loss of a link."""
 
     async def before_send(self, message: Message) -> None:
@@ -77,7 +77,7 @@
     def _go_down(self) -> None:
         if not self.closed:
             self.closed = True
-            self._node.lose(self)
+            self._node.on_link_down(self)
 
     def _take(self, message: Message) -> None:
         if not self.closed:
--- a/tests/matrix/operators.py
+++ b/tests/matrix/operators.py
@@ -45,7 +45,7 @@
         self.found: Outcome | None = None
         self.outcome = ''
         self.done = False
-        self._turn = first
+        self._entry_index = first
         self._sent_at: Millis = -_REPEAT
         world.callers.append(self)
         world.operators.append(self)
@@ -72,7 +72,7 @@
 
     def _choose(self) -> ModelEntry | None:
         for step in range(len(ENTRIES)):
-            name = ENTRIES[(self._turn + step) % len(ENTRIES)]
+            name = ENTRIES[(self._entry_index + step) % len(ENTRIES)]
             entry = self.world.entries[name]
             if entry.ready:
                 return entry
--- a/tests/matrix/store.py
+++ b/tests/matrix/store.py
@@ -35,8 +35,8 @@
     capacity_bytes=3 * SIZE, write_time=10 * SECOND, pin_time=5 * SECOND
 )
 _TIMEOUT: Millis = 500.0
-_TURN: Millis = 200.0
-_FREES: Millis = 430.0
+_TURN_TIME: Millis = 200.0
+_FREE_INTERVAL: Millis = 430.0
 
 
 class Store:
@@ -81,7 +81,7 @@
         self._number = incarnation
         self.index: StoreIndex | None = None
         self.open()
-        self.every(_FREES, self._free)
+        self.every(_FREE_INTERVAL, self._free)
 
     def open(self) -> None:
         """Add all complete objects of the store to the index."""
@@ -166,7 +166,7 @@
     async def _wait_turn(self) -> None:
         """Yield the link to other readers."""
         later = Deferred(self)
-        self.after(_TURN, later.resolve)
+        self.after(_TURN_TIME, later.resolve)
         await later
 
     async def _store(
@@ -222,7 +222,7 @@
         if self.index is None:
             return
         self.index.expire(self.now)
-        self.index.free(self.kv.find_evicted())
+        self.index.free(self.kv.find_segment_to_free())
         self._delete()
         self.kv.world.points.reach(Point.KV_FREE, self, after=True)
 
--- a/tests/matrix/world.py
+++ b/tests/matrix/world.py
@@ -142,7 +142,7 @@
         self.scheduler = Scheduler()
         self.outside = Process(self.scheduler, 'outside')
         self.log = LogService(self.scheduler)
-        self.log.readers.append(self._tell_appended)
+        self.log.readers.append(self._notify_appended)
         self.points = Points()
         self.pause: Millis = 10.0
         self.retention = retention
@@ -157,7 +157,7 @@
         self.regressions: list[object] = []
         self.late: list[object] = []
         self.links: list[Link] = []
-        self.decided: dict[tuple[str, str], Millis] = {}
+        self.leaving_since: dict[tuple[str, str], Millis] = {}
         self.cuts: list[tuple[str, ...]] = []
         self.busy_until: Millis = 0.0
         self.changed_at: Millis = 0.0
@@ -232,9 +232,9 @@
         self.starts.append(start)
         return body
 
-    def decide_leaving(self, agent: ModelAgent) -> None:
+    def record_leaving(self, agent: ModelAgent) -> None:
         """Record when an agent decided to leave."""
-        self.decided.setdefault((agent.name, agent.incarnation), self.now)
+        self.leaving_since.setdefault((agent.name, agent.incarnation), self.now)
 
     def tick_drain(
         self, process: Any, drain: Drain, act: Callable[[Any], None]
@@ -329,10 +329,10 @@
         link.ends = (to_agent, to_entry)
         self.links = [each for each in self.links if each.open]
         self.links.append(link)
-        entry.greet(to_agent)
-        agent.greet(to_entry)
+        entry.on_link_up(to_agent)
+        agent.on_link_up(to_entry)
 
-    def _tell_appended(self, log: str) -> None:
+    def _notify_appended(self, log: str) -> None:
         for entry in self.entries.values():
             entry.read_soon(log)
 
@@ -348,7 +348,7 @@
         records: Sequence[bytes] = [encode_change(each) for each in changes]
         self.log.readers.clear()
         self.log.put('configuration', records)
-        self.log.readers.append(self._tell_appended)
+        self.log.readers.append(self._notify_appended)
 
     def _make_backend(self, layout: Layout) -> Backend:
         backend = Backend(
