--- a/tests/matrix/agent.py
+++ b/tests/matrix/agent.py
@@ -1,4 +1,4 @@
-"""Run an agent's own parts in simulated time."""
+"""Simulate an agent process built from the production components."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 )
 from oleanderdyke.links.messages.claims import ClaimQuery
 from oleanderdyke.links.messages.segments import SegmentListRequest
-from tests.matrix.loop import Null, Process, drive
+from tests.matrix.loop import NullSink, Process, drive
 from tests.matrix.net import End
 from tests.matrix.orders import ModelOrders
 from tests.matrix.points import Point
@@ -53,7 +53,7 @@
     from tests.matrix.outside import Backend
     from tests.matrix.world import World
 
-_NULL: Any = Null()
+_NULL: Any = NullSink()
 _BEAT: Millis = 1_000.0
 _TICK: Millis = 500.0
 _LAST = 5
@@ -61,7 +61,7 @@
 
 
 class ModelAgent(Process):
-    """Run an agent: its gate, its runs and its copy of the configuration."""
+    """Simulate an agent with its gate, runs and configuration copy."""
 
     def __init__(
         self,
@@ -165,7 +165,7 @@
         return self.world.backends[self.slot]
 
     def make_hello(self) -> Hello:
-        """Build what this agent says first."""
+        """Build the first message that this agent sends on a link."""
         return Hello(
             PROTOCOL_VERSION,
             Role.AGENT,
@@ -177,8 +177,8 @@
             self.service,
         )
 
-    def greet(self, end: End) -> None:
-        """Take a new link."""
+    def on_link_up(self, end: End) -> None:
+        """Register a newly opened link."""
         self._links += 1
         outbox: Any = ModelOutbox(f'{self._links}', end)
         self.outboxes[outbox.name] = outbox
@@ -188,14 +188,14 @@
         self.beats.send_initial_state(outbox)
 
     def receive(self, end: End, message: Message) -> None:
-        """Take a message over a link."""
+        """Dispatch a received message to its handler."""
         outbox = self._find(end)
         handler = self._handlers.get(type(message))
         if outbox is not None and handler is not None:
             handler(outbox, message)
 
-    def lose(self, end: End) -> None:
-        """Learn that a link is gone."""
+    def on_link_down(self, end: End) -> None:
+        """Remove a closed link and end the work bound to it."""
         outbox = self._find(end)
         if outbox is not None:
             del self.outboxes[outbox.name]
@@ -203,28 +203,28 @@
             self.configuration.drop_link(outbox.name)
 
     async def before_send(self, message: Message) -> None:
-        """Do nothing: only what entries send is a step."""
+        """Do nothing: only messages sent by entries are fault points."""
 
     def after_send(self, message: Message) -> None:
-        """Do nothing."""
+        """Do nothing: messages sent by agents are no fault points."""
 
     def lose_backend(self) -> None:
-        """Do as the shell does when the backend server is lost."""
+        """Handle the loss of the backend server as the real agent does."""
         self.beats.set_phase(AgentPhase.STARTING)
-        told = self.runs.end_lost_runs()
+        failures = self.runs.end_lost_runs()
         if self.orders is not None:
             self.orders.engine.reset()
         self.beats.send()
-        for reader, failed in told:
+        for reader, failed in failures:
             self.runs.send(reader, (failed,))
 
     def stop(self) -> None:
-        """Take a stop signal."""
-        self.world.decide_leaving(self)
+        """Handle a stop signal by starting the drain."""
+        self.world.record_leaving(self)
         self.departure.signal()
 
     def forward(self, run: Run) -> None:
-        """Carry a run through the backend server, as the forwarder does."""
+        """Forward a run to the backend server as the real forwarder does."""
         if run.stopped:
             return
         run.forwarded = True
@@ -236,12 +236,12 @@
         self.after(bound, lambda: self._end_late(run))
 
         def take(index: int, piece: bytes) -> None:
-            point = _name_piece(index)
-            self.world.points.strike(point, self)
+            point = _find_point(index)
+            self.world.points.reach(point, self)
 
             def act() -> None:
                 self._take_piece(run, index, piece)
-                self.world.points.strike(point, self, after=True)
+                self.world.points.reach(point, self, after=True)
 
             self.do(act)
 
@@ -261,7 +261,7 @@
             drive(self.forwarder._forward_chunk(run, piece))
 
     def _watch(self, run: Run) -> None:
-        """Forget a run once its answer is sent or nobody wants it."""
+        """Remove a run once its response is sent or it was stopped."""
         if run.key not in self.runs._runs:
             return
         if run.stopped or run.buffer is None or run.buffer.is_sent:
@@ -281,20 +281,20 @@
         self.beats.send()
 
     def _announce(self) -> None:
-        self.world.points.strike(Point.LEAVING, self)
+        self.world.points.reach(Point.LEAVING, self)
         self.do(self._leave)
 
     def _leave(self) -> None:
         self.beats.set_phase(AgentPhase.LEAVING)
         self.beats.send()
-        self.world.points.strike(Point.LEAVING, self, after=True)
+        self.world.points.reach(Point.LEAVING, self, after=True)
 
     def _start(self, act: Callable[..., Any], *args: Any) -> None:
         if act == self.runs._execute:
             self._wait_stopped(args[0])
 
     def _wait_stopped(self, run: Run) -> None:
-        """Forget a run that was stopped before its end."""
+        """Remove a run that was stopped before it finished."""
         if run.key not in self.runs._runs:
             return
         if run.stopped:
@@ -361,7 +361,7 @@
         drive(self.configuration.answer(outbox, request))
 
 
-def _name_piece(index: int) -> Point | None:
+def _find_point(index: int) -> Point | None:
     names = {
         1: Point.FIRST_CHUNK,
         2: Point.MID_STREAM,
--- a/tests/matrix/callers.py
+++ b/tests/matrix/callers.py
@@ -1,4 +1,4 @@
-"""Call an entry, and call again through another one."""
+"""Simulate clients that retry a request through other entries."""
 
 from __future__ import annotations
 
@@ -33,19 +33,19 @@
 from tests.matrix.entry import ModelEntry
 from tests.matrix.world import CHAT, ENTRIES, TICKETS, World
 
-_PATIENCE: Millis = 30 * SECOND
-_TRIES = 60
+_RESPONSE_TIMEOUT: Millis = 30 * SECOND
+_MAX_ATTEMPTS = 60
 POISON = 'poison'
 _FINAL = frozenset(
     {ErrorKind.QUARANTINED, ErrorKind.KEY_REUSED, ErrorKind.FORBIDDEN}
 )
-_UNKNOWN_TRIES = 3
+_MAX_UNKNOWN = 3
 _ID = re.compile(rb'^id: (\S+)\n', re.MULTILINE)
 _PROMPT = {'model': 'm', 'stream': True, 'max_tokens': 8}
 
 
 class Caller:
-    """Send one request until it is answered or clearly failed."""
+    """Send one request, retrying until a response or a final error."""
 
     def __init__(
         self,
@@ -73,21 +73,21 @@
         self.thief = False
         self.token = ''
         self.entry: ModelEntry | None = None
-        self._turn = first
-        self._spread = spread
-        self._tries = 0
-        self._unknown = 0
+        self._entry_index = first
+        self._rotate_entries = spread
+        self._attempts = 0
+        self._unknown_count = 0
         self._request = ''
         self._reply: _Reply | None = None
         self.driver: Any = None
         world.callers.append(self)
 
     def begin(self, delay: Millis = 0.0) -> None:
-        """Send the request, soon."""
+        """Schedule the first attempt after a delay."""
         self.world.outside.after(delay, self._send)
 
     def steal(self, token: str) -> None:
-        """Try to go on with the stream of somebody else."""
+        """Try to resume another caller's stream with its token."""
         if self.token:
             return
         self.token, self.done, self.outcome = token, False, ''
@@ -98,45 +98,45 @@
         self.world.outside.after(1.0, lambda: self._resume(request))
 
     def leave(self) -> None:
-        """Close the connection and forget about the answer."""
+        """Close the connection and discard the response."""
         self.gone = True
         self.done = True
         self.outcome = 'gone'
         if self.driver is not None and self.entry is not None:
             self.entry.after(1.0, self.driver.effects.report_caller_gone)
 
-    def note_dead(self, process: object) -> None:
-        """Learn that the entry's connection is gone."""
+    def on_process_killed(self, process: object) -> None:
+        """Lose the connection if it leads to the process that died."""
         if self._reply is not None and self.entry is process:
             self._reply.lose(5.0)
 
-    def take_whole(self, request: str) -> None:
-        """Be served."""
+    def complete_response(self, request: str) -> None:
+        """Record a complete response."""
         self.world.calls[request].whole = True
         self._end('whole')
 
-    def take_refusal(self, request: str, refusal: Refuse) -> None:
-        """Be refused, and go on if that makes sense."""
+    def handle_refusal(self, request: str, refusal: Refuse) -> None:
+        """Record a refusal and retry where the request allows it."""
         self.world.calls[request].refusal = refusal
         self.refusals.append(refusal)
         if refusal.kind is ErrorKind.OUTCOME_UNKNOWN:
-            self._unknown += 1
+            self._unknown_count += 1
         if self.thief and refusal.kind is ErrorKind.STREAM_GONE:
             self._end('refused')
             return
-        is_final = refusal.kind in _FINAL or self._unknown >= _UNKNOWN_TRIES
+        is_final = refusal.kind in _FINAL or self._unknown_count >= _MAX_UNKNOWN
         may_repeat = refusal.ran is Ran.NO or self.key or self.service == CHAT
         if is_final or not may_repeat:
             self._end(refusal.kind.value)
             return
-        self._again(refusal.retry_after or 100.0)
+        self._retry(refusal.retry_after or 100.0)
 
-    def take_break(self, request: str) -> None:
-        """Lose the connection; go on with the stream or start again."""
+    def handle_disconnect(self, request: str) -> None:
+        """Handle a lost connection by resuming or repeating the request."""
         if self.token:
-            self._again(100.0, resume=request)
+            self._retry(100.0, resume=request)
         elif self.key or self.service == CHAT:
-            self._again(100.0)
+            self._retry(100.0)
         else:
             self._end('broken')
 
@@ -146,19 +146,19 @@
             self.done = True
             self.outcome = outcome
 
-    def _again(self, delay: Millis, *, resume: str = '') -> None:
+    def _retry(self, delay: Millis, *, resume: str = '') -> None:
         self._reply = None
-        self._turn += self._spread
+        self._entry_index += self._rotate_entries
         self.world.outside.after(
             delay, lambda: self._resume(resume) if resume else self._send()
         )
 
     def _choose(self) -> ModelEntry | None:
-        """Return the next entry that the balancer thinks ready."""
+        """Return the next entry that the load balancer considers ready."""
         for step in range(len(ENTRIES)):
-            name = ENTRIES[(self._turn + step) % len(ENTRIES)]
+            name = ENTRIES[(self._entry_index + step) % len(ENTRIES)]
             entry = self.world.entries[name]
-            # A balancer finds out about a frozen one only by its probes.
+            # The load balancer detects a frozen entry only by its probes.
             if entry.alive and (entry.frozen or not entry.core.find_fault()):
                 return entry
         return None
@@ -166,21 +166,21 @@
     def _prepare(self) -> tuple[ModelEntry, Answer] | None:
         if self.done:
             return None
-        self._tries += 1
-        if self._tries > _TRIES:
+        self._attempts += 1
+        if self._attempts > _MAX_ATTEMPTS:
             self._end('gave up')
             return None
         entry = self._choose()
         if entry is None:
-            self._again(500.0)
+            self._retry(500.0)
             return None
         self.entry = entry
-        self._request = f'{self.name}.{self._tries}'
+        self._request = f'{self.name}.{self._attempts}'
         return entry, Answer(self._make_sink(), self._request)
 
     def _make_sink(self) -> Any:
         self._reply = reply = _Reply(self, self._request)
-        self.world.outside.after(_PATIENCE, lambda: reply.lose(0.0))
+        self.world.outside.after(_RESPONSE_TIMEOUT, lambda: reply.lose(0.0))
         return reply.take
 
     def _send(self) -> None:
@@ -212,7 +212,7 @@
         reply = self._reply
         assert reply is not None
         call = self.world.calls[request]
-        reply.go_on_with(request)
+        reply.continue_response(request)
         stream = decode_token(self.token)
         position = reply.find_position(call.body)
         ask = ResumeRequest(self._request, self.team, stream, position)
@@ -243,9 +243,9 @@
             idempotency_key=self.key,
             background=False,
         )
-        return self._note_poison(call)
+        return self._record_poison(call)
 
-    def _note_poison(self, call: Call) -> Call:
+    def _record_poison(self, call: Call) -> Call:
         if self.text.startswith(POISON):
             self.world.poison.add(call.digest)
         return call
@@ -262,11 +262,11 @@
         call = make_chat_call(
             self._request, target, chat, weights.spec, self.key
         )
-        return self._note_poison(call)
+        return self._record_poison(call)
 
 
 class _Reply:
-    """Collect one answer as the caller's connection gives it."""
+    """Collect the response received on one connection."""
 
     def __init__(self, caller: Caller, request: str) -> None:
         self._caller = caller
@@ -279,11 +279,11 @@
 
     @property
     def call(self) -> safety_model.Call | None:
-        """Return what the caller has got."""
+        """Return the recorded call to which the response belongs."""
         return self._world.calls.get(self._request)
 
     async def take(self, event: MutableMapping[str, Any]) -> None:
-        """Take what the entry sends; raise CallerGone."""
+        """Process an ASGI event from the entry; raise CallerGone."""
         if self._caller.gone and event['type'] != CLOSED:
             raise CallerGone
         if self._over or self._caller.gone:
@@ -292,39 +292,39 @@
             self.lose(0.0)
         elif event['type'] == 'http.response.start':
             self._status = event['status']
-            self._note_token(event['headers'])
+            self._record_token(event['headers'])
         else:
             self._take_part(event['body'], more=event.get('more_body', False))
 
-    def go_on_with(self, request: str) -> None:
-        """Add to the answer of an earlier request."""
+    def continue_response(self, request: str) -> None:
+        """Append the received data to an earlier request's response."""
         self._request = request
 
     def refuse(
         self, kind: ErrorKind, ran: Ran, retry_after: Millis | None
     ) -> None:
-        """Refuse the request."""
+        """Report a refusal to the caller, unless the response has ended."""
         if not self._over and self.call is not None:
             self._over = True
             refusal = Refuse(kind, ran, retry_after)
             if kind is ErrorKind.STREAM_GONE:
                 self._caller.token = ''
-            self._caller.take_refusal(self.call.request, refusal)
+            self._caller.handle_refusal(self.call.request, refusal)
 
     def lose(self, delay: Millis) -> None:
-        """Lose the connection, soon."""
+        """Schedule the loss of the connection after a delay."""
         self._world.outside.after(delay, self._break)
 
     def find_position(self, body: bytes) -> Position:
-        """Return what of a stream has come."""
+        """Return the position of the last event received in a body."""
         return Position(body.count(b'\n\n') - 1)
 
     def _break(self) -> None:
         if not self._over and self.call is not None:
             self._over = True
-            self._caller.take_break(self.call.request)
+            self._caller.handle_disconnect(self.call.request)
 
-    def _note_token(self, headers: list[tuple[bytes, bytes]]) -> None:
+    def _record_token(self, headers: list[tuple[bytes, bytes]]) -> None:
         found = dict(headers)
         wait = found.get(b'retry-after')
         self._retry_after = None if wait is None else int(wait) * SECOND
@@ -341,7 +341,7 @@
             self._take_event(event)
         if not more and not self._over and self.call is not None:
             self._over = True
-            self._caller.take_whole(self.call.request)
+            self._caller.complete_response(self.call.request)
 
     def _take_event(self, event: bytes) -> None:
         if not event or self.call is None:
--- a/tests/matrix/drivers.py
+++ b/tests/matrix/drivers.py
@@ -1,4 +1,4 @@
-"""Lead requests as an entry's drivers do, in simulated time."""
+"""Run the entry's request drivers in simulated time."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 CLOSED = 'closed'
 
 
-class _Wake:
-    """Stand in for what an inbox wakes its reader by."""
+class _WakeFuture:
+    """Replace the future by which an inbox wakes its reader."""
 
     def __init__(self, process: Process, act: Callable[[], None]) -> None:
         self._process = process
@@ -34,11 +34,11 @@
         self._is_due = False
 
     def done(self) -> bool:
-        """Tell that the reader waits all the time."""
+        """Return False: the reader is always waiting."""
         return False
 
     def set_result(self, _: None = None) -> None:
-        """Act soon, once for all that came."""
+        """Schedule one wake-up for all items that have arrived."""
         if not self._is_due:
             self._is_due = True
             self._process.after(0, self._run)
@@ -50,62 +50,62 @@
         self._act()
 
 
-class _Caller:
-    """Stand in for the body of a request, which came whole."""
+class _CompleteBody:
+    """Replace the reader of a request body that is already complete."""
 
     ended = True
 
 
-class _Turns:
-    """Take the items of an inbox one after the other."""
+class _InboxReader:
+    """Process the items of an inbox sequentially."""
 
     def __init__(
         self,
         process: Process,
         inbox: Inbox,
-        lead: Callable[[Item | None], Any],
+        handle: Callable[[Item | None], Any],
     ) -> None:
         self._inbox = inbox
-        self._lead = lead
+        self._handle = handle
         self._busy = False
         self.over = False
-        inbox._waiting = _Wake(process, self.go_on)  # type: ignore[assignment]
+        inbox._waiting = _WakeFuture(process, self.go_on)  # type: ignore[assignment]
 
     def go_on(self) -> None:
-        """Take what has come, unless an earlier turn still waits."""
+        """Process pending items unless an earlier turn is still waiting."""
         if not self._busy and not self.over:
             self._busy = True
             drive(self._take_all())
 
     async def _take_all(self) -> None:
         while self._inbox._items and not self.over:
-            await self._lead(self._inbox._items.popleft())
+            await self._handle(self._inbox._items.popleft())
         if not self.over:
-            await self._lead(None)
+            await self._handle(None)
         self._busy = False
 
 
 class ModelRequest(RequestDriver):
-    """Lead a call as the driver does, with simulated waits."""
+    """Drive a call like the production driver, with simulated waits."""
 
     def __init__(self, entry: ModelEntry, call: Call, answer: Answer) -> None:
         self._entry = entry
         self._answer = answer
-        caller: Any = _Caller()
+        caller: Any = _CompleteBody()
         super().__init__(
             entry.tools, entry.queue, call, body=caller, answer=answer
         )
         self._machine.__class__ = entry.world.variants.machine
-        self._turns = _Turns(entry, self._inbox, self._take_turn)
-        self._turns._busy = True
+        self._reader = _InboxReader(entry, self._inbox, self._take_turn)
+        self._reader._busy = True
 
     @property
     def effects(self) -> Any:
-        """Return what does the actions."""
+        """Return the object that carries out the driver's actions."""
         return self._effects
 
     async def begin(self) -> None:
-        """Admit, then let the machine begin; raise OleanderError."""
+        """Admit the call and start its state machine; raise OleanderError."""
         core, request = self._core, self._call.request
         core.running[request] = self
         try:
@@ -118,12 +118,12 @@
         except OleanderError:
             self.finish()
             raise
-        self._turns._busy = False
-        self._turns.go_on()
+        self._reader._busy = False
+        self._reader.go_on()
 
     def finish(self) -> None:
-        """Forget the call."""
-        self._turns.over = True
+        """Remove the call from the entry."""
+        self._reader.over = True
         drive(_close(self._answer))
         self._core.running.pop(self._call.request, None)
         self._clean_up()
@@ -146,18 +146,18 @@
 
 
 class ModelResume(ResumeDriver):
-    """Go on with a stream as the driver does."""
+    """Resume a stream like the production driver."""
 
     def __init__(
         self, entry: ModelEntry, ask: ResumeRequest, delivery: Delivery
     ) -> None:
         self._entry = entry
-        caller: Any = _Caller()
+        caller: Any = _CompleteBody()
         super().__init__(entry.tools, ask, body=caller, delivery=delivery)
-        self._turns = _Turns(entry, self._inbox, self._take_turn)
+        self._reader = _InboxReader(entry, self._inbox, self._take_turn)
 
     async def begin(self) -> None:
-        """Ask for the rest; raise OleanderError."""
+        """Request the rest of the stream; raise OleanderError."""
         core, ask = self._core, self._resume
         link = core.find_link(ask.stream.agent)
         if link is None:
@@ -171,8 +171,8 @@
         await link.send(Resume(ask.request, 1, ask.team, token, start))
 
     def finish(self) -> None:
-        """Forget the stream."""
-        self._turns.over = True
+        """Remove the stream from the entry."""
+        self._reader.over = True
         drive(_close(self._delivery._answer))
         self._core.running.pop(self._resume.request, None)
         self._entry.stopper.end(self._resume.request)
--- a/tests/matrix/entry.py
+++ b/tests/matrix/entry.py
@@ -1,4 +1,4 @@
-"""Run an entry's own parts in simulated time."""
+"""Simulate an entry process built from the production components."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 from oleanderdyke.policies.registries import ADMISSIONS, ROUTERS, TeamTerms
 from oleanderdyke.policies.settings import PolicySettings
 from tests.matrix.drivers import ModelRequest, ModelResume
-from tests.matrix.loop import Later, Null, Process, drive
+from tests.matrix.loop import Deferred, NullSink, Process, drive
 from tests.matrix.net import End
 from tests.matrix.points import Point
 
 if TYPE_CHECKING:
     from tests.matrix.world import World
 
-_NULL: Any = Null()
+_NULL: Any = NullSink()
 _POLL: Millis = 1 * SECOND
 _DIAL: Millis = 500.0
 _STOP_TICK: Millis = 500.0
@@ -55,13 +55,13 @@
 
 
 def make_settings(name: str, retention: Millis) -> EntrySettings:
-    """Build the settings of an entry."""
+    """Build an entry's settings with a given log retention."""
     log = LogSettings('log', retention=retention)
     return EntrySettings(name, 'centre', log, VmSettings('vms'))
 
 
 class LogPort:
-    """Append to the log for one entry."""
+    """Append to the simulated log service on behalf of one entry."""
 
     def __init__(self, entry: ModelEntry) -> None:
         self._entry = entry
@@ -69,33 +69,33 @@
     async def append(
         self, log: str, records: Sequence[bytes], *, timeout: Millis
     ) -> int:
-        """Append as `LogClient` does; raise LogUnavailable."""
+        """Append with the interface of `LogClient`; raise LogUnavailable."""
         world, entry = self._entry.world, self._entry
         point = world.points.name_append(log, records)
-        world.points.strike(point, entry)
+        world.points.reach(point, entry)
         await entry.checkpoint()
-        later = Later(entry)
+        later = Deferred(entry)
         world.log.append(
             log,
             records,
             later,
             caller=entry,
             timeout=timeout,
-            note=lambda: world.points.strike(point, entry, after=True),
+            note=lambda: world.points.reach(point, entry, after=True),
         )
         offset: int = await later
         return offset
 
 
 class ModelClaimLog(ClaimLog):
-    """Append what is pending without tasks of its own."""
+    """Append pending claims without starting tasks."""
 
     def __init__(self, core: Core, port: Any, process: Process) -> None:
         super().__init__(core, port)
         self._process = process
 
     def flush(self) -> None:
-        """Append what is pending, as far as the bound allows."""
+        """Append pending claims up to the limit on concurrent appends."""
         while (
             self._pending
             and self._active < entry_claims._MAX_CONCURRENT_APPENDS
@@ -113,7 +113,7 @@
 
 
 class ModelEntry(Process):
-    """Run an entry: its links, its reading of the log and its requests."""
+    """Simulate an entry with its links, log readers and requests."""
 
     def __init__(self, world: World, name: str, incarnation: str) -> None:
         super().__init__(world.scheduler, name)
@@ -141,11 +141,11 @@
 
     @property
     def ready(self) -> bool:
-        """Tell what the balancer's probe is told."""
+        """Return the answer to the load balancer's readiness probe."""
         return self.active and not self.core.find_fault()
 
     def serve(self, call: Call, answer: Answer) -> ModelRequest:
-        """Take a call; raise OleanderError."""
+        """Start to serve a call; raise OleanderError."""
         self.stopper.begin(call.request)
         try:
             request = ModelRequest(self, call, answer)
@@ -156,7 +156,7 @@
         return request
 
     def resume(self, ask: ResumeRequest, answer: Answer) -> None:
-        """Go on with a stream; raise OleanderError."""
+        """Start to resume a stream; raise OleanderError."""
         self.stopper.begin(ask.request)
         delivery = Delivery(
             answer,
@@ -169,42 +169,42 @@
         self._run(ModelResume(self, ask, delivery).begin, answer)
 
     def receive(self, end: End, message: Message) -> None:
-        """Take a message of an agent."""
+        """Process a message from an agent."""
         drive(self.links.on_message(end, message))  # type: ignore[arg-type]
 
-    def lose(self, end: End) -> None:
-        """Learn that a link is gone."""
+    def on_link_down(self, end: End) -> None:
+        """Handle the loss of a link."""
         if self.ends.get(end.address) is end:
             del self.ends[end.address]
         drive(self.links.on_down(end))  # type: ignore[arg-type]
 
-    def greet(self, end: End) -> None:
-        """Take a new link."""
+    def on_link_up(self, end: End) -> None:
+        """Register a newly opened link."""
         self.ends[end.address] = end
         drive(self.links.on_up(end))  # type: ignore[arg-type]
 
     async def before_send(self, message: Message) -> None:
-        """Let a fault strike before a message is sent."""
-        self.world.points.strike(self.world.points.name_sent(message), self)
+        """Inject a fault that is due before a message is sent."""
+        self.world.points.reach(self.world.points.name_sent(message), self)
 
     def after_send(self, message: Message) -> None:
-        """Let a fault strike after a message was sent."""
+        """Inject a fault that is due after a message was sent."""
         point = self.world.points.name_sent(message)
-        self.world.points.strike(point, self, after=True)
+        self.world.points.reach(point, self, after=True)
 
     def make_hello(self) -> Hello:
-        """Build what this entry says first."""
+        """Build the first message that this entry sends on a link."""
         return self.core.make_hello()
 
     def read_soon(self, log: str) -> None:
-        """Read a log, as after a long poll."""
+        """Schedule a read of a log, as when a long poll returns."""
         self.after(self.world.log.delay + 1.0, lambda: self._read(log))
 
     def stop(self) -> None:
-        """Take a stop signal."""
-        self.world.points.strike(Point.LEAVING, self)
+        """Handle a stop signal by starting the drain."""
+        self.world.points.reach(Point.LEAVING, self)
         self.do(lambda: self.stopper.handle_signal('SIGTERM'))
-        self.world.points.strike(Point.LEAVING, self, after=True)
+        self.world.points.reach(Point.LEAVING, self, after=True)
 
     def _make_core(self, incarnation: str) -> Core:
         world = self.world
@@ -251,9 +251,9 @@
             except OleanderError as error:
                 await answer.send_error(error)
 
-        self.world.points.strike(Point.ADMISSION, self)
+        self.world.points.reach(Point.ADMISSION, self)
         self.do(lambda: drive(run()))
-        self.world.points.strike(Point.ADMISSION, self, after=True)
+        self.world.points.reach(Point.ADMISSION, self, after=True)
 
     def _find_link(self, agent: str) -> End | None:
         for end in self.ends.values():
@@ -302,14 +302,14 @@
         if page is None:
             return
         point = self.world.points.name_read(log, page, self)
-        self.world.points.strike(point, self)
+        self.world.points.reach(point, self)
 
         def take() -> None:
             if is_claims:
                 self._take_claims(page)
             else:
                 self.feed.apply_page(page)
-            self.world.points.strike(point, self, after=True)
+            self.world.points.reach(point, self, after=True)
 
         self.do(take)
 
--- a/tests/matrix/operators.py
+++ b/tests/matrix/operators.py
@@ -1,4 +1,4 @@
-"""Change the configuration through an entry."""
+"""Simulate operators that publish configuration changes via an entry."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 _POLL: Millis = 250.0
 _TIMEOUT: Millis = 2 * SECOND
-# An operator that heard nothing appends the same record again.
+# An operator without a response appends the same record again.
 _REPEAT: Millis = 12 * SECOND
 
 
 class Operator:
-    """Publish one change, and learn what became of it."""
+    """Publish one change and track its result."""
 
     def __init__(
         self,
@@ -45,19 +45,19 @@
         self.found: Outcome | None = None
         self.outcome = ''
         self.done = False
-        self._turn = first
+        self._entry_index = first
         self._sent_at: Millis = -_REPEAT
         world.callers.append(self)
         world.operators.append(self)
 
     def begin(self) -> None:
-        """Publish, soon."""
-        self.world.outside.after(0, self._look)
+        """Schedule the first attempt to publish."""
+        self.world.outside.after(0, self._poll)
 
-    def note_dead(self, process: object) -> None:
-        """Do nothing: the next look asks another entry."""
+    def on_process_killed(self, process: object) -> None:
+        """Do nothing: the next poll uses another entry."""
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         entry = self._choose()
         if entry is not None:
             self.found = entry.core.catalog.find_outcome(self.change.record_id)
@@ -68,11 +68,11 @@
             if self.world.now - self._sent_at >= _REPEAT:
                 self._sent_at = self.world.now
                 entry.do(lambda: drive(self._publish(entry)))
-        self.world.outside.after(_POLL, self._look)
+        self.world.outside.after(_POLL, self._poll)
 
     def _choose(self) -> ModelEntry | None:
         for step in range(len(ENTRIES)):
-            name = ENTRIES[(self._turn + step) % len(ENTRIES)]
+            name = ENTRIES[(self._entry_index + step) % len(ENTRIES)]
             entry = self.world.entries[name]
             if entry.ready:
                 return entry
--- a/tests/matrix/store.py
+++ b/tests/matrix/store.py
@@ -1,4 +1,4 @@
-"""Keep cached segments as a store's agent does, in simulated time."""
+"""Simulate a segment store and its agent."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from oleanderdyke.policies import keeping  # noqa: F401 - registers itself
 from oleanderdyke.policies.registries import KEEPERS
 from oleanderdyke.policies.settings import PolicySettings
-from tests.matrix.loop import Later, Process, drive
+from tests.matrix.loop import Deferred, Process, drive
 from tests.matrix.net import LATENCY
 from tests.matrix.points import Point
 
@@ -35,20 +35,20 @@
     capacity_bytes=3 * SIZE, write_time=10 * SECOND, pin_time=5 * SECOND
 )
 _TIMEOUT: Millis = 500.0
-_TURN: Millis = 200.0
-_FREES: Millis = 430.0
+_TURN_TIME: Millis = 200.0
+_FREE_INTERVAL: Millis = 430.0
 
 
 class Store:
-    """Keep objects; be full, or lose what is being written."""
+    """Simulate an object store that can be full or lose partial writes."""
 
     def __init__(self, world: World) -> None:
         self.objects: dict[str, bytes] = {}
         self.full = False
         self.process = Process(world.scheduler, 'store')
 
-    def put(self, name: str, data: bytes, later: Later) -> None:
-        """Take an object in two halves; tell whether it is stored."""
+    def put(self, name: str, data: bytes, later: Deferred) -> None:
+        """Write an object in two halves; resolve `later` with the result."""
         if self.full:
             self.process.after(LATENCY, lambda: later.resolve(value=False))
             return
@@ -62,17 +62,17 @@
         self.process.after(2 * LATENCY, end)
 
     def delete(self, name: str) -> None:
-        """Delete an object, after what was put before."""
+        """Schedule the deletion of an object, behind earlier requests."""
         gone = partial(self.objects.pop, name, b'')
         self.process.after(LATENCY, lambda: _ignore(gone()))
 
 
 def _ignore(_: object) -> None:
-    """Drop a value."""
+    """Discard a value."""
 
 
 class StoreNode(Process):
-    """Do what the index allows, as the store's agent does."""
+    """Serve segments according to the index, as the real agent does."""
 
     def __init__(self, kv: Kv, incarnation: int) -> None:
         super().__init__(kv.world.scheduler, 'store-1')
@@ -81,10 +81,10 @@
         self._number = incarnation
         self.index: StoreIndex | None = None
         self.open()
-        self.every(_FREES, self._free)
+        self.every(_FREE_INTERVAL, self._free)
 
     def open(self) -> None:
-        """Show what the store has kept whole."""
+        """Add all complete objects of the store to the index."""
         self._number += 1000
         keeper = KEEPERS.find('lru')(PolicySettings())
         index = self.kv.world.variants.store(
@@ -100,14 +100,14 @@
         self._delete()
 
     def close(self) -> None:
-        """Hide everything, since the store is lost."""
+        """Remove all segments from the index after losing the store."""
         self.index = None
         self.writing.clear()
 
     def offer(
         self, write: SegmentWrite, send_parts: Callable[[], None]
     ) -> None:
-        """Answer an offered segment."""
+        """Accept or decline an offered segment."""
         if self.index is None:
             return
         outcome = self.index.begin(write, self.now)
@@ -117,7 +117,7 @@
             send_parts()
 
     def add_part(self, part: SegmentPart) -> None:
-        """Take a part; store the segment once all have come."""
+        """Add a part and store the segment once it is complete."""
         index, writing = self.index, self.writing.get(part.request)
         if index is None or writing is None:
             return
@@ -129,16 +129,16 @@
     async def serve(
         self, namespace: bytes, segment: bytes, reader: Any
     ) -> None:
-        """Copy a segment to a reader while it is pinned."""
+        """Copy a segment to a reader, pinning it meanwhile."""
         points, index = self.kv.world.points, self.index
         if index is None:
             return
-        points.strike(Point.KV_PIN, self)
+        points.reach(Point.KV_PIN, self)
         await self.checkpoint()
         pinned = index.pin(namespace, segment, self.now)
         if not isinstance(pinned, Pinned):
             return
-        points.strike(Point.KV_PIN, self, after=True)
+        points.reach(Point.KV_PIN, self, after=True)
         await self.checkpoint()
         await self._copy(index, pinned, reader)
         index.unpin(pinned)
@@ -149,11 +149,11 @@
     ) -> None:
         points = self.kv.world.points
         first = await self._get(pinned.object_name, 0)
-        points.strike(Point.KV_COPY, self)
+        points.reach(Point.KV_COPY, self)
         await self.checkpoint()
         await self._wait_turn()
         rest = await self._get(pinned.object_name, HALF)
-        points.strike(Point.KV_COPY, self, after=True)
+        points.reach(Point.KV_COPY, self, after=True)
         await self.checkpoint()
         is_whole = self.kv.world.variants.is_whole
         if not is_whole(first + rest, pinned.length, pinned.digest):
@@ -164,9 +164,9 @@
             reader(_make_part(pinned, HALF, rest, last=True))
 
     async def _wait_turn(self) -> None:
-        """Let other readers have the link."""
-        later = Later(self)
-        self.after(_TURN, later.resolve)
+        """Yield the link to other readers."""
+        later = Deferred(self)
+        self.after(_TURN_TIME, later.resolve)
         await later
 
     async def _store(
@@ -174,11 +174,11 @@
     ) -> None:
         points, segment = self.kv.world.points, part.segment
         name, data = self.writing.pop(part.request)
-        points.strike(Point.KV_WRITE, self)
+        points.reach(Point.KV_WRITE, self)
         await self.checkpoint()
         stored = await self._put(name, bytes(data))
         stored = stored and await self._put(verified.meta_name, verified.meta)
-        points.strike(Point.KV_WRITE, self, after=True)
+        points.reach(Point.KV_WRITE, self, after=True)
         await self.checkpoint()
         if index is not self.index:
             return
@@ -186,24 +186,24 @@
             index.abort(part.request, segment, WriteRefusal.STORE_FAILED)
             self._delete()
             return
-        points.strike(Point.KV_SEAL, self)
+        points.reach(Point.KV_SEAL, self)
         await self.checkpoint()
         if index is self.index:
             outcome = index.seal(part.request, segment, self.now)
             sealed = isinstance(outcome, WriteSealed)
             self._delete()
             if sealed:
-                points.strike(Point.KV_SEAL, self, after=True)
+                points.reach(Point.KV_SEAL, self, after=True)
 
     async def _put(self, name: str, data: bytes) -> bool:
-        later = Later(self)
+        later = Deferred(self)
         self.after(_TIMEOUT, lambda: later.resolve(value=False))
         self.kv.store.put(name, data, later)
         stored: bool = await later
         return stored
 
     async def _get(self, name: str, start: int) -> bytes:
-        later, store = Later(self), self.kv.store
+        later, store = Deferred(self), self.kv.store
         self.after(_TIMEOUT, lambda: later.resolve(b''))
 
         def read() -> None:
@@ -215,16 +215,16 @@
         return found
 
     def _free(self) -> None:
-        self.kv.world.points.strike(Point.KV_FREE, self)
+        self.kv.world.points.reach(Point.KV_FREE, self)
         self.do(self._free_next)
 
     def _free_next(self) -> None:
         if self.index is None:
             return
         self.index.expire(self.now)
-        self.index.free(self.kv.choose_freed())
+        self.index.free(self.kv.find_segment_to_free())
         self._delete()
-        self.kv.world.points.strike(Point.KV_FREE, self, after=True)
+        self.kv.world.points.reach(Point.KV_FREE, self, after=True)
 
     def _delete(self) -> None:
         if self.index is not None:
--- a/tests/matrix/unsafe.py
+++ b/tests/matrix/unsafe.py
@@ -1,4 +1,4 @@
-"""Weaken one guard at a time, for proofs that the matrix sees it."""
+"""Define unsafe variants, each of which disables one safety check."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.matrix.world import TEAMS
 
 
-class DeafFleet(FleetState):
-    """Never learn that an agent leaves; this alone must do no harm."""
+class LeaveIgnoringFleet(FleetState):
+    """Treat leaving agents as serving; harmless without a second fault."""
 
     def on_heartbeat(self, agent, beat, now):
         phase = beat.phase
@@ -24,48 +24,48 @@
         return super().on_heartbeat(agent, replace(beat, phase=phase), now)
 
 
-class StayingGate(Gate):
-    """Let runs start although the agent leaves."""
+class LeaveIgnoringGate(Gate):
+    """Start runs although the agent is leaving."""
 
     def set_phase(self, phase):
         if phase is not AgentPhase.LEAVING:
             super().set_phase(phase)
 
 
-class WeightlessGate(Gate):
-    """Run with whatever weights are loaded."""
+class UncheckedWeightsGate(Gate):
+    """Start runs without checking the loaded weights."""
 
     def _check_weights(self, _dispatch, _now):
         return None
 
 
 class SharedStreams(StreamTable):
-    """Give a stream to whoever has its token."""
+    """Resume a stream for any team that presents its token."""
 
     def resume(self, resume, link, now):
         return super().resume(replace(resume, team=TEAMS[0]), link, now)
 
 
 class LenientQuarantine(Quarantine):
-    """Hold nothing against a request."""
+    """Report every request as clean."""
 
     def get_status(self, digest, now):
         return QuarantineStatus.CLEAN
 
 
-class HoardingCatalog(Catalog):
-    """Tell peers that there is nothing new."""
+class WithholdingCatalog(Catalog):
+    """Send peers an empty configuration difference."""
 
     def difference(self, after):
         return () if after >= 0 else super().difference(after)
 
 
-class TrustingCopy(SegmentAssembler):
-    """Take what came for the segment that was asked for."""
+class UnverifiedCopy(SegmentAssembler):
+    """Accept the received data as the requested segment unverified."""
 
     def finish(self):
         return bytes(self._data)
 
 
-def trust(_data, _length, _digest):
+def accept_any_segment(_data, _length, _digest):
     return True
--- a/tests/matrix/world.py
+++ b/tests/matrix/world.py
@@ -1,4 +1,4 @@
-"""Wire entries, agents, backend servers, log and VM list together."""
+"""Build a simulated system of entries, agents, servers, log and VMs."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 JSON = 'application/json'
 EVENTS = 'text/event-stream'
 RESTART: Millis = 3 * SECOND
-# Time to come to rest, longer where the configuration has changed.
+# Time allowed to become idle; longer after a configuration change.
 SETTLE: Millis = 1_500.0
 SETTLE_CHANGED: Millis = 6 * SECOND
 LIMIT: Millis = 240 * SECOND
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Variants:
-    """Choose the classes under test; proofs swap one for an unsafe one."""
+    """Select the classes under test; proofs replace one by an unsafe class."""
 
     gate: type[Gate] = Gate
     table: type[ClaimTable] = ClaimTable
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True)
 class Layout:
-    """Place an agent."""
+    """Define where an agent runs and what it serves."""
 
     name: str
     kind: BackendKind
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True)
 class Start:
-    """Remember the start of a run at a backend server."""
+    """Record the start of a run at a backend server."""
 
     at: Millis
     agent: str
@@ -109,31 +109,31 @@
 
 
 class Watch:
-    """Watch the configuration of every process as time passes."""
+    """Check the configuration of every process periodically."""
 
     def __init__(self, world: World) -> None:
         self._world = world
         self._seen: dict[int, int] = {}
-        world.outside.every(_WATCH, self._look)
+        world.outside.every(_WATCH, self._poll)
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         world = self._world
-        world.note_quiet()
+        world.update_idle()
         records = world.log.logs['configuration']
         due = max(world.now - IN_FORCE, 0.0)
-        # Processes that a fault has hampered have the same time after it.
+        # Processes affected by a fault get the same time after its end.
         since = max(world.busy_until, world.changed_at) + IN_FORCE
         newest = sum(record.at <= due for record in records) - 1
         for name, catalog in world.list_catalogs():
             if catalog.offset < self._seen.get(id(catalog), -1):
-                world.setbacks.append((name, catalog.offset))
+                world.regressions.append((name, catalog.offset))
             self._seen[id(catalog)] = catalog.offset
             if world.now > since and catalog.offset < newest:
                 world.late.append((name, world.now, catalog.offset, newest))
 
 
 class World:
-    """Hold everything there is."""
+    """Hold all simulated processes, services and recorded events."""
 
     def __init__(
         self, variants: Variants | None = None, retention: Millis = HOUR
@@ -142,7 +142,7 @@
         self.scheduler = Scheduler()
         self.outside = Process(self.scheduler, 'outside')
         self.log = LogService(self.scheduler)
-        self.log.readers.append(self._tell_appended)
+        self.log.readers.append(self._notify_appended)
         self.points = Points()
         self.pause: Millis = 10.0
         self.retention = retention
@@ -154,10 +154,10 @@
         self.callers: list[Any] = []
         self.operators: list[Any] = []
         self.kv: Kv | None = None
-        self.setbacks: list[object] = []
+        self.regressions: list[object] = []
         self.late: list[object] = []
         self.links: list[Link] = []
-        self.decided: dict[tuple[str, str], Millis] = {}
+        self.leaving_since: dict[tuple[str, str], Millis] = {}
         self.cuts: list[tuple[str, ...]] = []
         self.busy_until: Millis = 0.0
         self.changed_at: Millis = 0.0
@@ -169,34 +169,34 @@
         self.agents = {each.name: self._make_agent(each) for each in AGENTS}
         self.entries = {name: self._make_entry(name) for name in ENTRIES}
         self._watch = Watch(self)
-        self._quiet = False
+        self._is_idle = False
 
     @property
     def now(self) -> Millis:
-        """Return the simulated time."""
+        """Return the current simulated time."""
         return self.scheduler.now
 
     @property
     def vms(self) -> dict[str, str]:
-        """Return the VM list as the platform shows it."""
+        """Return the VM list as the platform reports it."""
         if self.bad_vms is not None:
             return self.bad_vms
         return {a.name: a.address for a in self.agents.values()}
 
     def run(self, until: Millis = LIMIT) -> None:
-        """Run until everything is quiet."""
-        self.scheduler.run(until, lambda: self._quiet)
+        """Run until the world is idle or a time limit is reached."""
+        self.scheduler.run(until, lambda: self._is_idle)
 
     def run_for(self, time: Millis) -> None:
-        """Run for a time."""
+        """Run for a given simulated time."""
         self.scheduler.run(self.now + time, lambda: False)
 
     def keep_busy(self, time: Millis) -> None:
-        """Put off the quiet that ends a run."""
+        """Extend the time before the world counts as idle."""
         self.busy_until = max(self.busy_until, self.now + time)
 
     def dial(self, entry: ModelEntry) -> None:
-        """Connect an entry to the agents that its VM list names."""
+        """Connect an entry to the agents in its VM list."""
         listed = set(self.vms.values())
         for agent in self.agents.values():
             address = agent.address
@@ -206,7 +206,7 @@
     def note_run(
         self, dispatch: Dispatch, backend: Backend, agent: Any
     ) -> bytes:
-        """Note the start of a run; return half of its answer."""
+        """Record the start of a run; return its response body."""
         call = self.calls[dispatch.request]
         text = f'data: {dispatch.team}/run-{len(self.runs)}'
         body = f'{text}/a\n\n{text}/b\n\n'.encode()
@@ -232,28 +232,28 @@
         self.starts.append(start)
         return body
 
-    def decide_leaving(self, agent: ModelAgent) -> None:
-        """Note when an agent decided to leave."""
-        self.decided.setdefault((agent.name, agent.incarnation), self.now)
+    def record_leaving(self, agent: ModelAgent) -> None:
+        """Record when an agent decided to leave."""
+        self.leaving_since.setdefault((agent.name, agent.incarnation), self.now)
 
     def tick_drain(
         self, process: Any, drain: Drain, act: Callable[[Any], None]
     ) -> None:
-        """Let a planned stop go on."""
+        """Advance the drain of a planned stop."""
         if process.left:
             return
         due = drain.next_time()
         is_due = due is not None and due <= self.now
         if drain.phase is DrainPhase.ANNOUNCED and is_due:
-            self.points.strike(Point.DRAIN, process)
+            self.points.reach(Point.DRAIN, process)
         process.do(lambda: act(drain.tick(self.now)))
         if drain.phase is not DrainPhase.ANNOUNCED:
-            self.points.strike(Point.DRAIN, process, after=True)
+            self.points.reach(Point.DRAIN, process, after=True)
         if drain.phase is DrainPhase.DONE and process.active:
             self._leave(process, drain)
 
     def kill(self, process: Any) -> None:
-        """Kill an entry or an agent; it comes back as a new one."""
+        """Kill an entry or an agent and schedule its replacement."""
         if not process.alive:
             return
         process.kill()
@@ -261,12 +261,12 @@
             if any(end.process is process for end in link.ends):
                 link.close()
         for caller in self.callers:
-            caller.note_dead(process)
+            caller.on_process_killed(process)
         self.outside.after(RESTART, lambda: self._restart(process))
         self.keep_busy(RESTART)
 
     def replace(self, slot: str, name: str = '') -> None:
-        """Start a new agent at the address of an earlier one."""
+        """Start a new agent at the address of an existing one."""
         layout = next(each for each in AGENTS if each.name == slot)
         self.agents[slot] = self._make_agent(layout, name)
         self.keep_busy(SECOND)
@@ -279,7 +279,7 @@
             self.replace(process.slot)
 
     def list_catalogs(self) -> list[tuple[str, Catalog]]:
-        """Return the configuration of every process that serves."""
+        """Return the configuration of every serving process."""
         agents = [a for a in self.agents.values() if a.alive]
         entries = [e for e in self.entries.values() if e.alive]
         return [
@@ -296,27 +296,27 @@
         ]
 
     def publish(self, *changes: Change) -> None:
-        """Append changes as the platform's own tools would."""
+        """Append changes directly to the log, as platform tools do."""
         self.log.put('configuration', [encode_change(c) for c in changes])
 
     def _leave(self, process: Any, drain: Drain) -> None:
-        self.points.strike(Point.EXIT, process)
+        self.points.reach(Point.EXIT, process)
 
         def leave() -> None:
             process.left = True
             self.cuts.append(drain._cut or drain.running)
-            self.points.strike(Point.EXIT, process, after=True)
+            self.points.reach(Point.EXIT, process, after=True)
             self.outside.after(100.0, lambda: self.kill(process))
 
         process.do(leave)
 
-    def note_quiet(self) -> None:
-        """See whether everybody is answered and every fault is over."""
+    def update_idle(self) -> None:
+        """Check whether all callers are answered and all faults have ended."""
         if not self.callers or not all(c.done for c in self.callers):
             self.keep_busy(0)
         changed = len(self.log.logs['configuration']) > len(_OBJECTS)
         settle = SETTLE_CHANGED if changed else SETTLE
-        self._quiet = self.now >= self.busy_until + settle
+        self._is_idle = self.now >= self.busy_until + settle
 
     def _connect(
         self, entry: ModelEntry, agent: ModelAgent, address: str
@@ -329,10 +329,10 @@
         link.ends = (to_agent, to_entry)
         self.links = [each for each in self.links if each.open]
         self.links.append(link)
-        entry.greet(to_agent)
-        agent.greet(to_entry)
+        entry.on_link_up(to_agent)
+        agent.on_link_up(to_entry)
 
-    def _tell_appended(self, log: str) -> None:
+    def _notify_appended(self, log: str) -> None:
         for entry in self.entries.values():
             entry.read_soon(log)
 
@@ -344,11 +344,11 @@
         self.publish_before(changes)
 
     def publish_before(self, changes: Iterable[Change]) -> None:
-        """Fill the log before anybody reads it."""
+        """Append initial changes before any process reads the log."""
         records: Sequence[bytes] = [encode_change(each) for each in changes]
         self.log.readers.clear()
         self.log.put('configuration', records)
-        self.log.readers.append(self._tell_appended)
+        self.log.readers.append(self._notify_appended)
 
     def _make_backend(self, layout: Layout) -> Backend:
         backend = Backend(
