--- a/tests/calls.py
+++ b/tests/calls.py
@@ -1,4 +1,4 @@
-"""Send HTTP calls as callers do, and note when the first token comes."""
+"""Send HTTP calls as a client and measure the time to the first token."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Hold a whole answer; `first_token` is in ms, for streams only."""
+    """Hold a complete response; `first_token` is in ms, for streams only."""
 
     status: int
     headers: Mapping[str, str]
@@ -29,12 +29,12 @@
 
     @property
     def json(self) -> Any:
-        """Parse the body."""
+        """Decode the body as JSON."""
         return json.loads(self.body)
 
     @property
     def text(self) -> str:
-        """Return the text of a chat completion, streamed or whole."""
+        """Return the text of a chat completion, streamed or complete."""
         if not self.events:
             return str(self.json['choices'][0]['message']['content'])
         return ''.join(
@@ -45,7 +45,7 @@
 
     @property
     def usage(self) -> Any:
-        """Return the usage part of a chat completion."""
+        """Return the `usage` object of a chat completion."""
         if not self.events:
             return self.json['usage']
         found = [event['usage'] for event in self.events if event.get('usage')]
@@ -53,7 +53,7 @@
 
     @property
     def recomputed_share(self) -> float:
-        """Return the share of the prompt that was computed."""
+        """Return the fraction of the prompt that the engine computed."""
         prompt = self.usage['prompt_tokens']
         return float((prompt - self.usage['cached_tokens']) / prompt)
 
@@ -67,7 +67,7 @@
     token: str = '',
     headers: Mapping[str, str] | None = None,
 ) -> Reply:
-    """Send a request and read its whole answer; a body not bytes is JSON."""
+    """Send a request, any body but bytes as JSON, and read the response."""
     with (
         httpcore.ConnectionPool() as pool,
         open_stream(
@@ -87,7 +87,7 @@
     max_tokens: int = 8,
     **more: Any,
 ) -> Reply:
-    """Ask a model service one question and stream the answer."""
+    """Send one chat message to a model service and stream the answer."""
     body = make_chat(service, text, max_tokens=max_tokens, **more)
     start = time.monotonic()
     first_token = 0.0
@@ -111,13 +111,13 @@
 
 
 def make_chat(service: str, text: str, **more: Any) -> dict[str, Any]:
-    """Make a chat completion request with one message."""
+    """Build a chat completion request with one message."""
     messages = [{'role': 'user', 'content': text}]
     return {'model': service, 'messages': messages, 'stream': True, **more}
 
 
 def read_events(data: bytes) -> tuple[tuple[Any, ...], bool]:
-    """Return the server-sent events and whether the end mark came."""
+    """Parse server-sent events; return them and whether the stream ended."""
     lines = [
         line.removeprefix(_EVENT)
         for line in data.decode().splitlines()
@@ -138,7 +138,7 @@
     token: str = '',
     headers: Mapping[str, str] | None = None,
 ) -> Iterator[httpcore.Response]:
-    """Open an answer to read it piece by piece."""
+    """Open a response to read its body in chunks."""
     content = body if isinstance(body, bytes) else _encode(body)
     sent = [('content-type', 'application/json'), *(headers or {}).items()]
     if token:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,9 +5,9 @@
 import pytest
 from hypothesis.internal.conjecture import providers
 
-# Hypothesis mixes constants of every loaded module into what it draws, so a
-# derandomized test would change its examples with the tests that ran before
-# it in the same process: the same tree could pass alone and fail in CI.
+# Hypothesis draws constants from every loaded module, so the examples of a
+# derandomized test would depend on the tests that ran before it in the same
+# process: the same tree could pass alone and fail in CI.
 _NO_CONSTANTS = providers.Constants()
 
 
@@ -23,12 +23,12 @@
 
 @pytest.fixture
 def anyio_backend() -> str:
-    """Run the tests of tasks on the loop that the daemons run on."""
+    """Run async tests on the event loop that the daemons use."""
     return 'asyncio'
 
 
 def _read_known_red() -> dict[str, str]:
-    """Return the cause of each test that may fail for a known fault."""
+    """Return the known cause of each test that is allowed to fail."""
     if not _KNOWN_RED.exists():
         return {}
     lines = _KNOWN_RED.read_text(encoding='utf-8').splitlines()
@@ -44,7 +44,7 @@
     if len(known) > _KNOWN_RED_LIMIT:
         raise pytest.UsageError('KNOWN-RED.txt names more than three tests')
     for item in items:
-        # xdist adds the name of the group that keeps a file on one worker.
+        # With `--dist loadgroup`, xdist appends the group to the test id.
         cause = known.get(item.nodeid.split('@')[0])
         if cause is not None:
             item.add_marker(pytest.mark.xfail(reason=cause, strict=False))
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -1,4 +1,4 @@
-"""Start a deployment of real processes on loopback and drive it."""
+"""Run and control a deployment of real processes on loopback."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Backends:
-    """Describe the backend servers of one service, or one store."""
+    """Describe the backend servers of one service or one store."""
 
     kind: BackendKind
     service: str
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """Describe the processes of a deployment and how stand-ins behave."""
+    """Describe the processes of a deployment and the stand-in settings."""
 
     name: str
     region: str
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class Server:
-    """Pair an agent with the backend server it guards."""
+    """Pair an agent with its backend server."""
 
     name: str
     kind: BackendKind
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class Entry:
-    """Hold an entry and its address for callers."""
+    """Hold an entry process and the address that callers use."""
 
     name: str
     child: Child
@@ -90,10 +90,10 @@
 
 
 class Deployment:
-    """Hold the processes of one deployment; leaving ends them all.
+    """Run the processes of one deployment; leaving the context kills them all.
 
-    Backend servers of a kind share one process with `shared`; then they can't
-    be killed one by one. `options` changes settings by kind of process.
+    With `shared`, the backend servers of a kind run in one process and cannot
+    be killed individually. `options` overrides settings by kind of process.
     """
 
     def __init__(
@@ -134,7 +134,7 @@
         self.close()
 
     def close(self) -> None:
-        """Kill what still runs, by process id."""
+        """Kill the processes that are still running, by process id."""
         for child in self.children.values():
             child.kill()
         self._ports.close()
@@ -155,15 +155,15 @@
             raise NotMet(f'faults refused: {reply.body!r}')
 
     def read_stats(self, address: str) -> Any:
-        """Return the counts of a stand-in."""
+        """Return the counters of a stand-in."""
         return call(address, 'GET', '/stats').json
 
     def is_live(self, entry: Entry) -> bool:
-        """Tell whether an entry answers at all."""
+        """Return whether an entry passes its liveness check."""
         return self._check(entry, '/live')
 
     def is_ready(self, entry: Entry) -> bool:
-        """Tell whether an entry reports itself ready."""
+        """Return whether an entry reports that it is ready."""
         return self._check(entry, '/ready')
 
     def _check(self, entry: Entry, path: str) -> bool:
@@ -182,7 +182,7 @@
             )
 
     def run_ctl(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run oleanderctl as the example operator; return what it printed."""
+        """Run oleanderctl as the example operator; return its result."""
         entries = [f'http://{entry.address}' for entry in self.entries]
         environ = {
             **os.environ,
@@ -200,7 +200,7 @@
         )
 
     def list_logs(self) -> list[str]:
-        """Return the log files of entries and agents."""
+        """Return the log file paths of entries and agents."""
         children = [entry.child for entry in self.entries]
         children += [server.agent for server in self.servers]
         return [str(child.log) for child in children]
@@ -358,7 +358,7 @@
 
 
 def merge(base: Mapping[str, Any], over: Mapping[str, Any]) -> dict[str, Any]:
-    """Lay one tree of settings over another."""
+    """Merge a settings tree into another; values of `over` win."""
     merged = dict(base)
     for key, found in over.items():
         below = merged.get(key)
@@ -370,7 +370,7 @@
 
 
 def wait_listening(child: Child, address: str) -> None:
-    """Wait until a process takes connections; raise NotMet where it ends."""
+    """Wait until a process accepts connections; raise NotMet if it exits."""
 
     def check() -> bool:
         if not child.running:
@@ -381,7 +381,7 @@
 
 
 def stop_all(children: Sequence[Child]) -> dict[str, int]:
-    """Ask all to stop, then collect their exit codes."""
+    """Request the shutdown of all processes, then return their exit codes."""
     for child in children:
         child.terminate()
     return {child.name: child.wait() for child in children}
--- a/tests/foreign.py
+++ b/tests/foreign.py
@@ -1,4 +1,4 @@
-"""Make records as other writers leave them, and a store that answers them."""
+"""Generate records of other writers, and stub the store that returns them."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 
 JSON = _draw_json(st.floats())
-# What can stand in an answer of the store, which writes proper JSON.
+# JSON values that the store can return: it encodes only finite numbers.
 FINITE = _draw_json(st.floats(allow_nan=False, allow_infinity=False))
 
 
 class CannedStore(StoreClient):
-    """Answer each call with the next bytes; `asked` holds what was asked."""
+    """Return prepared bytes for each call; `asked` records the requests."""
 
     def __init__(self, *answers: bytes, status: int = _OK) -> None:
         super().__init__('127.0.0.1:9')
@@ -55,23 +55,23 @@
 
 
 def encode(document: object) -> bytes:
-    """Return a document as it stands in a record."""
+    """Encode a document as the bytes of a record."""
     return json.dumps(document).encode()
 
 
 def make_item(key: str, value: bytes, offset: int = 0) -> dict[str, Any]:
-    """Build one of the newest records of a topic."""
+    """Build one item of a listing of a topic's newest records."""
     text = base64.b64encode(value).decode()
     return {'key': key, 'value': text, 'offset': offset}
 
 
 def make_page(items: object, *, end: Any = 0, more: Any = False) -> bytes:
-    """Build an answer with the newest records."""
+    """Build a response that lists newest records."""
     return encode({'items': items, 'more': more, 'end': end})
 
 
 def list_items(records: Iterable[tuple[str, bytes]]) -> list[dict[str, Any]]:
-    """Build the newest records in the order of their offsets."""
+    """Build the items of newest records in the order of their offsets."""
     return [
         make_item(key, value, offset)
         for offset, (key, value) in enumerate(records)
@@ -79,7 +79,7 @@
 
 
 def make_history(records: Iterable[bytes], *, end: int = 1 << 40) -> bytes:
-    """Build an answer with records in their order."""
+    """Build a response with records in order."""
     data = b''.join(_LENGTH.pack(len(each)) + each for each in records)
     return _ENDS.pack(end, 0) + data
 
@@ -90,11 +90,11 @@
 
 
 def drop(document: Mapping[str, Any], name: str) -> dict[str, Any]:
-    """Return a document without a field."""
+    """Return a copy of a document without one field."""
     return {each: value for each, value in document.items() if each != name}
 
 
-# What no entry of a backend server says of a field.
+# Invalid values for each field of a backend server's entry.
 _WRONG: dict[str, list[Any]] = {
     'service': [None, 7, '', ['desk'], 'a\nb', '\ud800'],
     'address': [None, 7, '', 'host', 'h:port', 'h:0', 'h:99999', 'a b:1'],
@@ -160,7 +160,7 @@
 
 
 def list_slightly_broken() -> st.SearchStrategy[bytes]:
-    """Draw a good record in which something was changed, or any bytes."""
+    """Draw a valid record with one change, or arbitrary bytes."""
     text = encode(GOOD)
     cut = st.integers(0, len(text) - 1).map(lambda at: text[:at])
     flipped = st.tuples(st.integers(0, len(text) - 1), st.integers(0, 255)).map(
--- a/tests/machines.py
+++ b/tests/machines.py
@@ -1,4 +1,4 @@
-"""Run hypothesis state machines, and prove that their checks can fail."""
+"""Run Hypothesis state machines and verify that their checks can fail."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     database=None,
     suppress_health_check=list(HealthCheck),
 )
-# Finding a failure is enough; there is nothing to shrink it for.
+# Shrinking is skipped: only whether a failure is found matters.
 UNSAFE = settings(
     SAFE,
     max_examples=400,
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Start, freeze, kill and stop child processes for tests and the demo."""
+"""Start, pause, kill and stop child processes for tests and the demo."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 class NotMet(AssertionError):
-    """Tell which condition didn't come true in time."""
+    """Report a condition that did not hold within its time limit."""
 
 
 def wait_until(
     condition: Callable[[], bool], what: str, *, seconds: float = 20.0
 ) -> None:
-    """Poll until a condition holds; raise NotMet after a limit."""
+    """Poll until a condition holds; raise NotMet after a time limit."""
     limit = time.monotonic() + seconds
     while not condition():
         if time.monotonic() > limit:
@@ -37,8 +37,8 @@
 class Ports:
     """Reserve loopback ports that children can listen on.
 
-    A reserving socket is bound but never listens, so the system gives its
-    port to nobody else while a child with SO_REUSEADDR may take it.
+    A reserving socket is bound but never listens, so the kernel assigns its
+    port to no other process, while a child can bind it with SO_REUSEADDR.
     """
 
     def __init__(self) -> None:
@@ -60,14 +60,14 @@
         return port
 
     def close(self) -> None:
-        """Give every port back."""
+        """Release every reserved port."""
         for holder in self._sockets:
             holder.close()
 
 
 @dataclass(slots=True)
 class Child:
-    """Hold one child process; its output goes to files in a directory."""
+    """Manage one child process; its output goes to files in a directory."""
 
     name: str
     argv: Sequence[str]
@@ -77,12 +77,12 @@
 
     @property
     def output(self) -> Path:
-        """Return the file of standard output."""
+        """Return the path of the file that holds standard output."""
         return self.directory / f'{self.name}.out'
 
     @property
     def log(self) -> Path:
-        """Return the file of standard error."""
+        """Return the path of the file that holds standard error."""
         return self.directory / f'{self.name}.log'
 
     @property
@@ -94,11 +94,11 @@
 
     @property
     def running(self) -> bool:
-        """Tell whether the process lives."""
+        """Return whether the process is alive."""
         return self.process is not None and self.process.poll() is None
 
     def start(self) -> None:
-        """Start, or start again under the same name."""
+        """Start the process; a restart keeps its name and output files."""
         with self.output.open('ab') as out, self.log.open('ab') as log:
             self.process = subprocess.Popen(
                 [sys.executable, *self.argv],
@@ -107,42 +107,42 @@
                 stdin=subprocess.DEVNULL,
                 stdout=out,
                 stderr=log,
-                # Ctrl-C is for the parent, which stops children in order.
+                # Ctrl-C goes to the parent only, which stops its children.
                 process_group=0,
             )
         self.starts += 1
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to a living process."""
+        """Send a signal to a running process."""
         if self.process is not None and self.running:
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """End at once, as a crash does; do nothing before the first start."""
+        """Kill the process immediately; do nothing before the first start."""
         if self.process is None:
             return
         self.send(signal.SIGKILL)
         self.wait()
 
     def freeze(self) -> None:
-        """Stop the process where it is."""
+        """Pause the process with SIGSTOP."""
         self.send(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a paused process with SIGCONT."""
         self.send(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask for a planned stop."""
+        """Request an orderly shutdown with SIGTERM."""
         self.send(signal.SIGTERM)
 
     def stop(self, *, seconds: float = 30.0) -> int:
-        """Ask for a planned stop and return the exit code."""
+        """Request an orderly shutdown and return the exit code."""
         self.terminate()
         return self.wait(seconds=seconds)
 
     def wait(self, *, seconds: float = 30.0) -> int:
-        """Return the exit code; raise NotMet after a limit."""
+        """Return the exit code; raise NotMet after a time limit."""
         if self.process is None:
             raise NotMet(f'{self.name} was never started')
         try:
@@ -151,7 +151,7 @@
             raise NotMet(f'{self.name} did not exit') from error
 
     def wait_ready(self, count: int = 1) -> tuple[str, ...]:
-        """Return the addresses that a stand-in printed since its start."""
+        """Return the addresses that a stand-in has printed since its start."""
         lines: list[str] = []
 
         def find() -> bool:
@@ -166,7 +166,7 @@
 
 
 def accepts(address: str) -> bool:
-    """Tell whether something listens at an address."""
+    """Return whether a process listens on an address."""
     host, _, port = address.rpartition(':')
     try:
         socket.create_connection((host, int(port)), timeout=1).close()
--- a/tests/relays.py
+++ b/tests/relays.py
@@ -1,4 +1,4 @@
-"""Relay TCP between two ends, and misbehave when told to."""
+"""Relay TCP between two ends, with stalls on request."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Relay:
-    """Forward bytes; go silent without closing; count what was accepted."""
+    """Forward bytes; stall connections without closing; count connections."""
 
     def __init__(self, target: str) -> None:
         self.target = target
@@ -27,11 +27,11 @@
         self._silent.update(range(self.accepted + 1))
 
     def silence_next(self) -> None:
-        """Forward nothing on the connection that is accepted next."""
+        """Stop forwarding on the next accepted connection."""
         self._silent.add(self.accepted + 1)
 
     async def carry(self, near: SocketStream) -> None:
-        """Carry one connection until both its ends are closed."""
+        """Relay one connection until both of its ends are closed."""
         self.accepted += 1
         number = self.accepted
         host, _, port = self.target.rpartition(':')
@@ -61,7 +61,7 @@
 
 @asynccontextmanager
 async def relaying(target: str) -> AsyncIterator[tuple[Relay, str]]:
-    """Run a relay to `target`; give it and its address."""
+    """Run a relay to `target`; yield it and its address."""
     relay = Relay(target)
     listener = await anyio.create_tcp_listener(local_host=LOOPBACK)
     port = listener.extra(anyio.abc.SocketAttribute.local_port)
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -1,4 +1,4 @@
-"""Share what the cases of failure on real processes do and look at."""
+"""Provide actions and checks for failure tests on real processes."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 TEAM = make_token('visitantes')
 OTHER_TEAM = make_token('escuelas')
 CHAT_PATH = '/v1/chat/completions'
-# A mark in every prompt, body and key, by which no log may know them.
+# Included in every prompt, body and key; logs must never contain it.
 MARK = 'cormorant'
 SIZES = {BackendKind.ENGINE: 2, BackendKind.PLAIN: 2, BackendKind.STORE: 1}
 PING = {'ping_interval': 300.0, 'missed_pings': 3}
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the systems around the product, in tests and the demo."""
+"""Simulate the systems around the product, for tests and the demo."""
--- a/tests/standins/answers.py
+++ b/tests/standins/answers.py
@@ -1,4 +1,4 @@
-"""Read chats, make deterministic answers and count what ran."""
+"""Parse chat requests, build deterministic answers and count engine runs."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Chat:
-    """Hold what an engine reads of a chat."""
+    """Hold the fields of a chat request that an engine uses."""
 
     request: str
     model: str
@@ -33,13 +33,13 @@
 
     @property
     def tokens(self) -> int:
-        """Count the tokens of the prompt."""
+        """Return the number of tokens in the prompt."""
         return cache.count_tokens(self.prompt)
 
 
 @dataclass(slots=True)
 class Run:
-    """Hold one run, bound to the weights it started with."""
+    """Hold one run and the weights that were loaded when it started."""
 
     chat: Chat
     digest: str
@@ -53,7 +53,7 @@
 
     @property
     def usage(self) -> dict[str, Any]:
-        """Return the usage part of an answer."""
+        """Return the `usage` object of a chat completion."""
         prompt = self.chat.tokens
         return {
             'prompt_tokens': prompt,
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True)
 class Stats:
-    """Count what an engine did."""
+    """Count the runs and tokens of an engine."""
 
     runs: collections.Counter[str] = field(default_factory=collections.Counter)
     background_runs: int = 0
@@ -83,7 +83,7 @@
     orders_refused: int = 0
 
     def note_start(self, run: Run) -> None:
-        """Count a run and its tokens."""
+        """Count a started run and its prompt and cached tokens."""
         self.runs[run.chat.request] += 1
         self.background_runs += run.chat.priority >= _BACKGROUND
         self.prompt_tokens += run.chat.tokens
@@ -95,13 +95,13 @@
         self.cancelled += not finished
 
     def show(self) -> dict[str, Any]:
-        """Return the counts."""
+        """Return the counts as a JSON object."""
         names = [item.name for item in dataclasses.fields(self)]
         return {name: getattr(self, name) for name in names}
 
 
 def make_words(prompt: bytes, digest: str, count: int) -> tuple[str, ...]:
-    """Return an answer that names its prompt and its weights."""
+    """Return the words of an answer, derived from prompt and weights."""
     mark = hashlib.blake2b(prompt, digest_size=32).hexdigest()
     rest = [f'w{index}' for index in range(2, count)]
     words = [f'p-{mark[:_MARK_LENGTH]}', f'd-{digest[:_MARK_LENGTH]}', *rest]
@@ -111,13 +111,13 @@
 def make_text(
     messages: list[dict[str, Any]], digest: str, count: int = _DEFAULT_TOKENS
 ) -> str:
-    """Return the whole answer to chat messages."""
+    """Return the complete text that answers the given chat messages."""
     prompt = cache.render_prompt(messages)
     return ''.join(make_words(prompt, digest, count))
 
 
 def read_chat(body: bytes, request: str) -> Chat:
-    """Read a chat; raise KeyError, TypeError or ValueError."""
+    """Parse a chat request; raise KeyError, TypeError or ValueError."""
     asked: Mapping[str, Any] = json.loads(body)
     return Chat(
         request=request,
@@ -131,12 +131,12 @@
 
 
 def read_digest(body: bytes) -> str:
-    """Read the digest from the weight store's answer."""
+    """Return the digest in a response of the weight store."""
     return str(json.loads(body)['digest'])
 
 
 def render_whole(run: Run) -> dict[str, Any]:
-    """Render a whole chat completion."""
+    """Return a complete, unstreamed chat completion."""
     message = {'role': 'assistant', 'content': ''.join(run.words)}
     choice = {'index': 0, 'message': message, 'finish_reason': 'stop'}
     return _render(run, 'chat.completion', choice) | {'usage': run.usage}
@@ -145,7 +145,7 @@
 async def stream_events(
     run: Run, words: AsyncGenerator[str, None]
 ) -> AsyncGenerator[bytes, None]:
-    """Render a chat completion as server-sent events, word by word."""
+    """Yield a chat completion as server-sent events, one word each."""
     delta: dict[str, str] = {'role': 'assistant'}
     async with contextlib.aclosing(words):
         async for word in words:
--- a/tests/standins/batch.py
+++ b/tests/standins/batch.py
@@ -1,4 +1,4 @@
-"""Share an engine's slots and prefill rate between its runs."""
+"""Schedule an engine's runs on its slots and its prefill rate."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, order=True)
 class Ticket:
-    """Hold the place of one run; the lower priority goes first."""
+    """Hold a run's position in the queue; lower priority values go first."""
 
     priority: int
     number: int
@@ -26,12 +26,12 @@
     started: anyio.Event = field(compare=False, default_factory=anyio.Event)
 
     async def wait(self) -> None:
-        """Wait for a slot."""
+        """Wait until the run has a slot."""
         await self.started.wait()
 
 
 class Batch:
-    """Run as many tickets as there are slots; show the load with a lag."""
+    """Assign tickets to slots; report the load with a delay."""
 
     def __init__(self, slots: int, rate: float, lag: float) -> None:
         self._slots = slots
@@ -47,14 +47,14 @@
         self._note()
 
     def enter(self, priority: int, tokens: int) -> Ticket:
-        """Queue a run."""
+        """Add a run to the queue and return its ticket."""
         ticket = Ticket(priority, next(self._numbers), tokens)
         heapq.heappush(self._waiting, ticket)
         self._start_next()
         return ticket
 
     def leave(self, ticket: Ticket) -> None:
-        """Give back the slot or the place in the queue."""
+        """Release the run's slot or remove it from the queue."""
         self._running.pop(ticket.number, None)
         if ticket in self._waiting:
             self._waiting.remove(ticket)
@@ -62,7 +62,7 @@
         self._start_next()
 
     async def prefill(self, ticket: Ticket, tokens: int) -> None:
-        """Compute a prompt in parts, in turns with other runs."""
+        """Compute a prompt in chunks, interleaved with other runs."""
         ticket.tokens = tokens
         while ticket.tokens > 0:
             part = min(ticket.tokens, _PREFILL_PART)
@@ -71,11 +71,11 @@
         self._note()
 
     def count_open(self) -> int:
-        """Count the runs that wait or hold a slot."""
+        """Return the number of runs that are queued or hold a slot."""
         return len(self._running) + len(self._waiting)
 
     def show_load(self) -> dict[str, Any]:
-        """Return the load as it was one lag ago."""
+        """Return the load as of one lag period ago."""
         before = web.now() - self._lag
         while len(self._samples) > 1 and self._samples[1][0] <= before:
             self._samples.popleft()
--- a/tests/standins/cache.py
+++ b/tests/standins/cache.py
@@ -1,4 +1,4 @@
-"""Keep the prefix cache of an engine, with its late and gappy events."""
+"""Simulate an engine's prefix cache, with delayed and lost events."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 def render_prompt(messages: Sequence[dict[str, Any]]) -> bytes:
-    """Return the canonical prompt of chat messages."""
+    """Encode chat messages as the canonical prompt."""
     parts = [f'{item["role"]}\0{item["content"]}\n' for item in messages]
     return ''.join(parts).encode()
 
 
 def count_tokens(prompt: bytes) -> int:
-    """Count the tokens of a prompt."""
+    """Return the number of tokens in a prompt."""
     return -(-len(prompt) // TOKEN_BYTES)
 
 
@@ -41,14 +41,14 @@
 
 
 def make_kv(segment: bytes) -> bytes:
-    """Return the only right KV bytes of a segment."""
+    """Return the KV bytes that are correct for a segment."""
     length = KV_BYTES_PER_TOKEN * SEGMENT_TOKENS
     return hashlib.shake_128(segment).digest(length)
 
 
 @dataclass(slots=True)
 class Event:
-    """Tell that a segment was stored or removed; a lost one leaves a gap."""
+    """Describe a segment stored or removed; lost events leave number gaps."""
 
     number: int
     lost: bool
@@ -58,7 +58,7 @@
 
 
 class SegmentCache:
-    """Hold the segments last used; a lag and lost events spoil its news."""
+    """Cache segments with LRU eviction; events are delayed and may be lost."""
 
     def __init__(self, limit: int, lag: float, lose_every: int) -> None:
         self._limit = limit
@@ -76,11 +76,11 @@
         return len(self._segments)
 
     def find(self, segment: bytes) -> bytes | None:
-        """Return the KV bytes of a segment."""
+        """Return the KV bytes of a segment, or None if it is not cached."""
         return self._segments.get(segment)
 
     def count_leading(self, chain: Sequence[bytes]) -> int:
-        """Count the leading segments that are held, and note their use."""
+        """Return how many leading segments are cached and mark them as used."""
         for count, segment in enumerate(chain):
             if segment not in self._segments:
                 return count
@@ -88,7 +88,7 @@
         return len(chain)
 
     def store(self, segment: bytes, data: bytes) -> None:
-        """Hold a segment, evicting the longest unused where it is full."""
+        """Store a segment; evict the least recently used one if needed."""
         if segment not in self._segments:
             self._note('stored', segment)
         self._segments[segment] = data
@@ -104,7 +104,7 @@
         self._segments.clear()
 
     def show_events(self, after: int) -> dict[str, Any]:
-        """Return the events that may be seen by now, as the engine does."""
+        """Return the events after a number that are visible by now."""
         at = web.now()
         shown = [item for item in self._events if item.shown_at <= at]
         return {
--- a/tests/standins/contexts.py
+++ b/tests/standins/contexts.py
@@ -1,4 +1,4 @@
-"""Stand in for a store of kept context of the users' platform."""
+"""Simulate a context store of the users' platform."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ContextStore(web.StandIn[web.Faults]):
-    """Tell by events what it holds, and free parts."""
+    """Publish events about the stored parts and delete parts on request."""
 
     def __init__(self) -> None:
         super().__init__(web.Faults())
@@ -23,28 +23,28 @@
         self.events: list[list[Any]] = []
         self.freed: list[list[str]] = []
         self.reads = 0
-        # Whether there is no place for another reader, and who found none.
+        # Whether new readers are refused, and which readers were refused.
         self.is_crowded = False
         self.turned_away = 0
         self._changed = anyio.Event()
 
     @property
     def clock(self) -> float:
-        """Return the engines' clock in milliseconds."""
+        """Return the time of the engines' clock, in milliseconds."""
         return time.monotonic() * _MILLIS
 
     def add(self, salt: str, part: str, tokens: int) -> None:
-        """Hold a part whole."""
+        """Store a complete part."""
         self._tell('+', salt, part, tokens)
 
     def restart(self) -> None:
-        """Come back empty."""
+        """Simulate a restart that loses every stored part."""
         self.boot += 1
         self.events.clear()
         self._wake()
 
     async def answer(self, request: web.Request) -> web.Answer:
-        """Answer one call."""
+        """Handle one API call."""
         match request.path:
             case '/api/kv-events':
                 return await self._list_events(request)
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand in for a model engine that batches continuously."""
+"""Simulate a model engine with continuous batching."""
 
 from __future__ import annotations
 
@@ -21,9 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSettings:
-    """Size an engine; `weights` is the address of the weight store.
+    """Set the size of an engine and the addresses that it uses.
 
-    Without `model` it starts empty; `poison` is the text that crashes it.
+    `weights` is the address of the weight store. Without `model` the engine
+    starts with no weights. A prompt that contains `poison` crashes it.
     """
 
     model: str = ''
@@ -43,11 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineFaults(web.Faults):
-    """Add what goes wrong in an engine.
+    """Add the faults of an engine.
 
-    `crash` dies in the next run, `hang` never answers a chat, `hold` keeps
-    runs from their first token while it is set, `cut_after` drops each stream
-    after so many tokens.
+    `crash` ends the process in the next run, `hang` leaves chats unanswered,
+    `hold` delays the first token of each run while it is set, and `cut_after`
+    drops each stream after that many tokens.
     """
 
     crash: bool = False
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedWeights:
-    """Name the weights in an engine; an empty digest means none."""
+    """Identify the loaded weights; an empty digest means none."""
 
     model: str = ''
     version: str = ''
@@ -71,7 +72,7 @@
 
 
 class Engine(web.StandIn[EngineFaults]):
-    """Run chats, cache their prefixes and take orders."""
+    """Run chats, cache their prefixes and execute control orders."""
 
     def __init__(
         self, settings: EngineSettings, die: Callable[[], None] = _exit
@@ -96,7 +97,7 @@
         )
 
     async def answer(self, request: web.Request) -> web.Answer:
-        """Answer one request."""
+        """Handle one HTTP request."""
         await self._load_first()
         kv = request.path.removeprefix('/kv/')
         if kv != request.path:
@@ -276,7 +277,7 @@
 def make_app(
     settings: EngineSettings | None = None, die: Callable[[], None] = _exit
 ) -> Engine:
-    """Build an engine; `die` ends its process."""
+    """Build an engine that calls `die` to end its process."""
     return Engine(settings or EngineSettings(), die)
 
 
--- a/tests/standins/hosted_engine.py
+++ b/tests/standins/hosted_engine.py
@@ -1,4 +1,4 @@
-"""Stand in for a model engine of the users' platform that takes orders."""
+"""Simulate a model engine of the users' platform that executes orders."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class HostedEngine:
-    """Hold weights and take orders; a load takes `load_seconds`.
+    """Hold weights and execute orders; a load takes `load_seconds`.
 
-    Where `server` is set, it is the only start that orders may name. A crash
-    leaves the weights that were held before. Like the engines of the platform
-    it notes the fence of an order for weights that it holds, and doesn't count
-    that order; `fence` is None where it checks none.
+    If `server` is set, orders must name that start id. A crash keeps the
+    weights that were loaded before. Like the platform's engines, this one
+    stores the fence of an order for weights that it already holds, but does
+    not count the order. `fence` is None if fences are not checked.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self._load_seconds = load_seconds
 
     async def __call__(self, peer: Peer) -> None:
-        """Answer a call of an agent."""
+        """Handle a call from an agent."""
         if self.down:
             peer.reset()
             return
@@ -70,11 +70,11 @@
             await self.load(order['version'])
 
     def holds(self, order: dict[str, Any]) -> bool:
-        """Tell whether an order names the weights that are held."""
+        """Return whether an order names the loaded weights."""
         return bool(order['version'] == self.version)
 
     def find_refusal(self, order: dict[str, Any]) -> int | None:
-        """Return with which status an order has no effect, if so."""
+        """Return the status that rejects an order, or None if accepted."""
         if self.server and order['instance'] != self.server:
             return 421
         if order['precondition'] != self.accepted:
@@ -84,18 +84,18 @@
         return None
 
     async def take_late(self, order: dict[str, Any]) -> None:
-        """Carry an order out that was on its way until now, if it holds."""
+        """Execute an order delayed in transit if it is still valid."""
         if self.find_refusal(order) is None:
             self.note_fence(order)
             await self.load(order['version'])
 
     def note_fence(self, order: dict[str, Any]) -> None:
-        """Note the highest fence where fences are checked."""
+        """Store the highest fence seen, if fences are checked."""
         if self.fence is not None:
             self.fence = max(self.fence, order['fence'])
 
     async def load(self, version: int) -> None:
-        """Take new weights, unless the engine crashes meanwhile."""
+        """Load new weights, unless the engine crashes during the load."""
         self.accepted += 1
         self.busy = True
         start = self.server
@@ -104,17 +104,17 @@
             self.version, self.busy = version, False
 
     def crash(self) -> None:
-        """Answer nothing until the next start."""
+        """Stop answering until the next start."""
         self.down, self.busy = True, False
 
     def start_anew(self, server: str, born: int | None = None) -> None:
-        """Come back under this id, on the weights of before."""
+        """Restart under the given start id with the weights loaded before."""
         self.down, self.accepted, self.server = False, 0, server
         self.born = born
         self.fence = None if self.fence is None else 0
 
     def report(self) -> dict[str, Any]:
-        """Return what the engine says of itself."""
+        """Return the status report of the engine."""
         models = [{'name': self._model, 'version': self.version}]
         told = {} if self.born is None else {'born': self.born}
         state = {'models': models, 'busy': self.busy, 'seq': self.accepted}
--- a/tests/standins/log.py
+++ b/tests/standins/log.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's append-only log service."""
+"""Simulate the platform's append-only log service."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogSettings:
-    """Bound the log; zero means no bound."""
+    """Limit the size and rate of the log; zero means no limit."""
 
     appends_per_second: float = 400.0
     burst: float = 100.0
@@ -26,10 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LogFaults(web.Faults):
-    """Add what goes wrong in a log.
+    """Add the faults of a log service.
 
-    `lose_answers` counts the appends whose answer is lost (-1: all);
-    `truncate` drops the records of a log before an offset, once.
+    `lose_answers` counts the appends whose response is lost (-1: all).
+    `truncate` deletes the records of a log before an offset, once.
     """
 
     lose_answers: int = 0
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class Log:
-    """Hold the kept records of one log."""
+    """Hold the retained records of one log."""
 
     first: int = 0
     records: list[tuple[float, bytes]] = field(default_factory=list)
@@ -50,7 +50,7 @@
         return self.first + len(self.records)
 
     def append(self, records: list[bytes], at: float) -> int:
-        """Add records and wake the readers."""
+        """Append records and wake the waiting readers."""
         offset = self.end
         self.records.extend((at, data) for data in records)
         self.changed.set()
@@ -58,7 +58,7 @@
         return offset
 
     def forget(self, before: int) -> None:
-        """Drop the records before an offset."""
+        """Delete the records before an offset."""
         count = min(max(0, before - self.first), len(self.records))
         del self.records[:count]
         self.first += count
@@ -76,13 +76,13 @@
         self.appends = 0
 
     def note_faults(self) -> None:
-        """Count lost answers anew and truncate once."""
+        """Reset the count of lost responses and truncate logs once."""
         self._lose = self.faults.lose_answers
         for name, before in self.faults.truncate.items():
             self._find(name).forget(before)
 
     async def answer(self, request: web.Request) -> web.Answer:
-        """Answer an append or a read."""
+        """Handle an append or a read."""
         if request.path == '/stats':
             return web.answer_json(
                 {
--- a/tests/standins/plain.py
+++ b/tests/standins/plain.py
@@ -1,4 +1,4 @@
-"""Stand in for a plain service that knows no idempotency keys."""
+"""Simulate a plain service without support for idempotency keys."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PlainSettings:
-    """Name the service in its receipts."""
+    """Set the service name that receipts contain."""
 
     name: str = 'plain'
 
 
 @dataclass(frozen=True, slots=True)
 class PlainFaults(web.Faults):
-    """Add what goes wrong in a plain service, before or after the effect.
+    """Add the faults of a plain service, before or after the effect.
 
-    `big` answers each GET with that many bytes.
+    `big` is the size in bytes of the response to each GET.
     """
 
     crash_before: bool = False
@@ -40,7 +40,7 @@
 
 
 class PlainService(web.StandIn[PlainFaults]):
-    """Make a receipt for each POST and count how often each body ran."""
+    """Return a receipt for each POST and count the executions of each body."""
 
     def __init__(
         self, settings: PlainSettings, die: Callable[[], None] = _exit
@@ -52,7 +52,7 @@
         self.requests: collections.Counter[str] = collections.Counter()
 
     async def answer(self, request: web.Request) -> web.Answer:
-        """Answer any method on any path."""
+        """Handle any method on any path."""
         if request.path == '/stats':
             return web.answer_json(
                 {'runs': self.runs, 'requests': self.requests}
@@ -104,7 +104,7 @@
 def make_app(
     settings: PlainSettings | None = None, die: Callable[[], None] = _exit
 ) -> PlainService:
-    """Build a plain service; `die` ends its process."""
+    """Build a plain service that calls `die` to end its process."""
     return PlainService(settings or PlainSettings(), die)
 
 
--- a/tests/standins/records.py
+++ b/tests/standins/records.py
@@ -1,4 +1,4 @@
-"""Stand in for the store of records of the users' platform."""
+"""Simulate the record store of the users' platform."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordFaults(web.Faults):
-    """Add what goes wrong in a store; `lose_answers` counts appends."""
+    """Add the faults of a record store; `lose_answers` counts appends."""
 
     lose_answers: int = 0
 
 
 @dataclass(slots=True)
 class Topic:
-    """Hold the kept records of the one partition of a topic."""
+    """Hold the retained records of a topic's single partition."""
 
     first: int = 0
     records: list[bytes] = field(default_factory=list)
@@ -38,7 +38,7 @@
         return self.first + len(self.records)
 
     def append(self, record: bytes) -> int:
-        """Add a record and wake the readers."""
+        """Append a record and wake the waiting readers."""
         offset = self.end
         self.records.append(record)
         self.changed.set()
@@ -46,7 +46,7 @@
         return offset
 
     def put(self, key: str, value: bytes) -> None:
-        """Add a record with a key; without a value the key is dropped."""
+        """Append a keyed record; an empty value deletes the key."""
         encoded = key.encode()
         offset = self.append(bytes([len(encoded)]) + encoded + value)
         self.newest.pop(key, None)
@@ -54,12 +54,12 @@
             self.newest[key] = (offset, value)
 
     def forget(self) -> None:
-        """Drop the history; the newest record of each key stays."""
+        """Compact the topic: keep only the newest record of each key."""
         self.first = self.end
         self.records.clear()
 
     def copy(self) -> Topic:
-        """Return a copy that later records don't change."""
+        """Return a copy that later appends do not change."""
         return Topic(self.first, list(self.records), dict(self.newest))
 
 
@@ -70,35 +70,35 @@
         super().__init__(RecordFaults())
         self.topics: dict[str, Topic] = {}
         self.calls: list[str] = []
-        # How many records a read gives at most.
+        # Maximum number of records that one read returns.
         self.most = 1_000
-        # The text of the era in each answer, none where it is empty.
+        # Era header of each response; omitted if empty.
         self.era = ''
         self._copy: dict[str, Topic] = {}
         self._lose = 0
 
     def note_faults(self) -> None:
-        """Count lost answers anew."""
+        """Reset the count of lost responses."""
         self._lose = self.faults.lose_answers
 
     def find(self, topic: str) -> Topic:
-        """Return a topic, which comes to be with its first use."""
+        """Return a topic, creating it on first use."""
         return self.topics.setdefault(topic, Topic())
 
     def put(self, topic: str, key: str, value: object) -> None:
-        """Write a document under a key."""
+        """Append a document under a key."""
         self.find(topic).put(key, json.dumps(value).encode())
 
     def drop(self, topic: str, key: str) -> None:
-        """Drop a key."""
+        """Delete a key."""
         self.find(topic).put(key, b'')
 
     def back_up(self) -> None:
-        """Make the copy that a restore goes back to."""
+        """Take the backup that `restore` returns to."""
         self._copy = {name: each.copy() for name, each in self.topics.items()}
 
     def restore(self) -> None:
-        """Come back from the copy; offsets after it are given out again."""
+        """Restore the backup; later offsets are then assigned a second time."""
         before = tuple(self.topics.values())
         self.topics = {name: each.copy() for name, each in self._copy.items()}
         self.era = str(int(self.era or 0) + 1)
@@ -106,7 +106,7 @@
             topic.changed.set()
 
     async def answer(self, request: web.Request) -> web.Answer:
-        """Answer one call, and tell the era."""
+        """Handle one call and add the era header to the response."""
         found = await self._answer_call(request)
         if not self.era:
             return found
--- a/tests/standins/replica.py
+++ b/tests/standins/replica.py
@@ -1,4 +1,4 @@
-"""Stand in for a backend server of the users' platform, byte by byte."""
+"""Simulate a backend server of the users' platform at the byte level."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class MessageReceived:
-    """Hold one request as it came in, names in lower case."""
+    """Hold one received request; header names are in lower case."""
 
     method: str
     target: str
@@ -27,26 +27,26 @@
 
 @dataclass(slots=True)
 class Peer:
-    """Give a script the way to answer one request."""
+    """Let a script answer one request."""
 
     request: MessageReceived
     writer: asyncio.StreamWriter
     reader: asyncio.StreamReader
 
     async def send(self, data: bytes) -> None:
-        """Write raw bytes."""
+        """Write raw bytes to the connection."""
         self.writer.write(data)
         await self.writer.drain()
 
     def reset(self) -> None:
-        """Break the connection off with a reset, not an orderly end."""
+        """Abort the connection with a TCP reset."""
         connection = self.writer.get_extra_info('socket')
         linger = struct.pack('ii', 1, 0)
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         self.writer.transport.abort()
 
     async def wait_closed(self) -> None:
-        """Return once the caller has closed."""
+        """Wait until the caller has closed the connection."""
         with contextlib.suppress(ConnectionError):
             while await self.reader.read(_PIECE):
                 pass
@@ -54,7 +54,7 @@
     async def answer(
         self, status: int = 200, body: bytes = b'done', **headers: str
     ) -> None:
-        """Send a whole answer that bears the marks of a server."""
+        """Send a complete response with the headers of a backend server."""
         await self.send(make_answer(self.request, status, body, **headers))
 
 
@@ -67,7 +67,7 @@
     body: bytes = b'done',
     **headers: str,
 ) -> bytes:
-    """Build a whole answer; underscores in names become dashes."""
+    """Build a complete response; underscores in header names become dashes."""
     return (
         make_head(request, status, content_length=str(len(body)), **headers)
         + body
@@ -77,7 +77,7 @@
 def make_head(
     request: MessageReceived, status: int = 200, **headers: str
 ) -> bytes:
-    """Build the head of an answer."""
+    """Build the status line and headers of a response."""
     named = {
         'oleanderdyke-request-id': request.headers['oleanderdyke-request-id'],
         'oleanderdyke-response-seal': 'seal',
@@ -90,7 +90,7 @@
 
 
 def make_chunk(data: bytes) -> bytes:
-    """Frame a part of a body of unknown length."""
+    """Encode one chunk for chunked transfer encoding."""
     return b'%x\r\n%b\r\n' % (len(data), data)
 
 
@@ -101,7 +101,7 @@
 
 @dataclass
 class Replica:
-    """Run a script for each request and remember what came."""
+    """Run a script for each request and record the requests."""
 
     script: Script
     received: list[MessageReceived] = field(default_factory=list)
@@ -110,7 +110,7 @@
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serve one connection until it ends."""
+        """Serve one connection until it is closed."""
         self.connections += 1
         number = self.connections
         parser = h11.Connection(h11.SERVER)
--- a/tests/standins/scripts.py
+++ b/tests/standins/scripts.py
@@ -1,4 +1,4 @@
-"""Answer as a backend server of the users' platform that is well, or not."""
+"""Provide scripts of correct and faulty backend server responses."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 async def answer_well(peer: Peer) -> None:
-    """Send a whole answer."""
+    """Send a complete, successful response."""
     await peer.answer(body=b'booked')
 
 
 async def shed(peer: Peer) -> None:
-    """Refuse, and tell that nothing ran."""
+    """Refuse the request and report that nothing was executed."""
     await peer.answer(503, b'full', oleanderdyke_not_executed='1')
 
 
 async def reset(peer: Peer) -> None:
-    """Break the connection off."""
+    """Reset the connection."""
     peer.reset()
 
 
 async def send_events(peer: Peer, first: int, last: int) -> None:
-    """Begin a stream, and send some events of it."""
+    """Start a streamed response and send the events of a range."""
     await peer.send(
         make_head(
             peer.request,
@@ -40,7 +40,7 @@
 
 
 def stream(first: int, last: int, *, ending: bytes = b'0\r\n\r\n') -> Script:
-    """Make a script that streams; without an ending it breaks off."""
+    """Return a script that streams; an empty ending truncates the stream."""
 
     async def run(peer: Peer) -> None:
         await send_events(peer, first, last)
@@ -53,7 +53,7 @@
 
 
 def naming(**headers: str) -> dict[str, Script]:
-    """Make scripts that name headers in each kind of answer, by its name."""
+    """Return scripts that add headers to each kind of response, by kind."""
 
     async def answer(peer: Peer) -> None:
         await peer.answer(200, b'done', **headers)
--- a/tests/standins/server.py
+++ b/tests/standins/server.py
@@ -1,4 +1,4 @@
-"""Serve stand-ins on loopback, in this loop or as a process."""
+"""Serve stand-ins on loopback, in the current loop or as a process."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def _listen(port: int) -> socket.socket:
-    # asyncio turns Nagle's algorithm off only where the protocol is named.
+    # asyncio sets TCP_NODELAY only if the socket's protocol is given.
     listener = socket.socket(proto=socket.IPPROTO_TCP)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind((LOOPBACK, port))
@@ -66,7 +66,7 @@
     ports: Sequence[int] = (),
     sockets: Sequence[socket.socket] = (),
 ) -> AsyncGenerator[tuple[str, ...], None]:
-    """Serve apps on this loop; yield their addresses in order."""
+    """Serve apps on the current loop; yield their addresses in order."""
     wanted = ports or (0,) * len(apps)
     listeners = sockets or [_listen(port) for port in wanted]
     servers = [_make_server(app) for app in apps]
@@ -85,7 +85,7 @@
 def add_settings(
     parser: argparse.ArgumentParser, settings_type: type[Any]
 ) -> None:
-    """Add an option for each field of a settings class."""
+    """Add a command-line option for each field of a settings class."""
     for item in dataclasses.fields(settings_type):
         option = f'--{item.name.replace("_", "-")}'
         parser.add_argument(
@@ -101,8 +101,8 @@
 ) -> None:
     """Run one app for each `--port` until SIGTERM; print the addresses.
 
-    With `--respawn 1` a process that crashed is replaced at once while its
-    ports stay open, and each crash is printed.
+    With `--respawn 1` a crashed process is replaced immediately while its ports
+    stay open, and each crash is printed.
     """
     parser = argparse.ArgumentParser(prog=name)
     parser.add_argument('--port', type=int, action='append')
@@ -118,11 +118,11 @@
 
 
 def _fork_until_stopped() -> None:
-    """Return in each new child; the parent leaves with the last one."""
+    """Fork children; return in each one, exit the parent after the last."""
     while True:
         child = os.fork()
         if not child:
-            # The child ends with its parent, however that ends.
+            # The kernel ends the child when its parent ends for any reason.
             ctypes.CDLL(None).prctl(_DEATH_SIGNAL, signal.SIGKILL)
             return
         if _wait_child(child) <= 0:
--- a/tests/standins/store.py
+++ b/tests/standins/store.py
@@ -1,4 +1,4 @@
-"""Stand in for a store VM behind a limited link."""
+"""Simulate a store VM behind a link of limited bandwidth."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreSettings:
-    """Bound the memory and the link; a rate of zero means no limit."""
+    """Limit the memory and the link rate; a rate of zero means no limit."""
 
     capacity_bytes: int = 64 * 1024 * 1024
     link_bytes_per_second: float = 0.0
@@ -20,11 +20,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreFaults(web.Faults):
-    """Add what goes wrong in a store.
+    """Add the faults of a store.
 
-    `link_bytes_per_second` slows the link, `full` refuses writes,
-    `keep_partial` keeps what came of a write that was cut. `lose`, `corrupt`
-    and `truncate` act once, on the named objects ('*': all).
+    `link_bytes_per_second` slows the link, `full` refuses writes, and
+    `keep_partial` keeps the received part of an interrupted write. `lose`,
+    `corrupt` and `truncate` are applied once to the named objects ('*': all).
     """
 
     link_bytes_per_second: float = 0.0
@@ -46,7 +46,7 @@
         self.read_bytes = 0
 
     def note_faults(self) -> None:
-        """Slow the link and damage objects once."""
+        """Set the link rate and damage the named objects once."""
         self._link.rate = (
             self.faults.link_bytes_per_second
             or self._settings.link_bytes_per_second
@@ -65,7 +65,7 @@
         return [name for name in names if name in self.objects]
 
     async def answer(self, request: web.Request) -> web.Answer:
-        """Answer one request."""
+        """Handle one HTTP request."""
         match request.path:
             case '/space':
                 return web.answer_json(self._measure())
--- a/tests/standins/vms.py
+++ b/tests/standins/vms.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's list of live and leaving VMs."""
+"""Simulate the platform's list of running and terminating VMs."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 @dataclass(frozen=True, slots=True)
 class VmSettings:
-    """Say how far the list lags."""
+    """Set the delay of the list."""
 
     lag_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class VmFaults(web.Faults):
-    """Add what goes wrong in a VM list.
+    """Add the faults of a VM list.
 
-    `stale` freezes the list, `missing` names VMs to leave out, `wrong` gives
-    VMs another address.
+    `stale` freezes the list, `missing` omits the named VMs, and `wrong`
+    replaces the addresses of VMs.
     """
 
     stale: bool = False
@@ -29,7 +29,7 @@
 
 
 class VmList(web.StandIn[VmFaults]):
-    """Show the VMs as they were some time ago; `PUT /vms` sets them."""
+    """List the VMs as of some time ago; `PUT /vms` replaces the list."""
 
     def __init__(self, settings: VmSettings) -> None:
         super().__init__(VmFaults())
@@ -38,7 +38,7 @@
         self._coming: list[tuple[float, list[dict[str, Any]]]] = []
 
     async def answer(self, request: web.Request) -> web.Answer:
-        """Answer with the list, or take a new one."""
+        """Return the list or replace it."""
         if request.path != '/vms':
             return web.refuse(404, 'not found')
         if request.method == 'PUT':
--- a/tests/standins/web.py
+++ b/tests/standins/web.py
@@ -1,4 +1,4 @@
-"""Answer HTTP as a small ASGI app whose faults can be set."""
+"""Provide a small ASGI app with configurable faults."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 
 class Dropped(Exception):
-    """Cut the connection without an answer."""
+    """Signal that the connection must be closed without a response."""
 
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """Hold the faults that every stand-in knows; `slow` is in ms."""
+    """Hold the faults common to all stand-ins; `slow` is in ms."""
 
     down: bool = False
     silent: bool = False
@@ -51,7 +51,7 @@
     receive: Receive
 
     async def chunks(self) -> AsyncGenerator[bytes, None]:
-        """Yield the body as it comes; raise Dropped where it is cut."""
+        """Yield the body as it arrives; raise Dropped if it is truncated."""
         more = True
         while more:
             event = await self.receive()
@@ -61,24 +61,24 @@
             yield event.get('body', b'')
 
     async def body(self) -> bytes:
-        """Read the whole body."""
+        """Read the complete body."""
         return b''.join([chunk async for chunk in self.chunks()])
 
     async def json(self) -> Any:
-        """Read the body as JSON."""
+        """Read and decode the body as JSON."""
         return json.loads(await self.body())
 
     async def wait_closed(self) -> None:
-        """Return once the caller has gone; the body must have been read."""
+        """Wait until the caller disconnects; the body must have been read."""
         while (await self.receive())['type'] != 'http.disconnect':
             pass
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Hold one answer; a body of several chunks is streamed.
+    """Hold one response; a body of several chunks is streamed.
 
-    A watched body ends when the caller leaves.
+    A watched body is cancelled when the caller disconnects.
     """
 
     status: int = 200
@@ -89,29 +89,29 @@
 
 
 def find_request_id(request: Request) -> str:
-    """Return the id by which runs are counted."""
+    """Return the request id by which runs are counted."""
     return request.headers.get('x-request-id', '')
 
 
 def answer_json(value: Any, status: int = 200) -> Answer:
-    """Make a JSON answer."""
+    """Build a JSON response."""
     return Answer(status, json.dumps(value).encode())
 
 
 def answer_cbor(value: Any) -> Answer:
-    """Make a CBOR answer."""
+    """Build a CBOR response."""
     return Answer(200, cbor2.dumps(value), 'application/cbor')
 
 
 def refuse(status: int, message: str) -> Answer:
-    """Make an error answer."""
+    """Build an error response."""
     return answer_json({'error': message}, status)
 
 
 async def run_until_closed(
     request: Request, work: Callable[[], Awaitable[ResultT]]
 ) -> ResultT:
-    """Run the work; cancel it and raise Dropped when the caller leaves."""
+    """Run work; cancel it and raise Dropped if the caller disconnects."""
     results: list[ResultT] = []
     async with anyio.create_task_group() as group:
 
@@ -120,7 +120,7 @@
             group.cancel_scope.cancel()
 
         group.start_soon(watch)
-        # An exception would leave the group in an exception group.
+        # The task group would wrap an exception in an exception group.
         with contextlib.suppress(Dropped):
             results.append(await work())
         group.cancel_scope.cancel()
@@ -130,7 +130,7 @@
 
 
 class StandIn(abc.ABC, Generic[FaultsT]):
-    """Answer HTTP requests unless a fault says otherwise."""
+    """Answer HTTP requests and inject the configured faults."""
 
     def __init__(self, faults: FaultsT) -> None:
         self.faults = faults
@@ -138,10 +138,10 @@
 
     @abc.abstractmethod
     async def answer(self, request: Request) -> Answer:
-        """Answer one request."""
+        """Handle one request."""
 
     def note_faults(self) -> None:
-        """Act on newly set faults."""
+        """Apply newly configured faults."""
 
     async def __call__(self, scope: Any, receive: Receive, send: Send) -> None:
         """Serve one ASGI request."""
@@ -223,7 +223,7 @@
 
 
 async def _drop(send: Send) -> None:
-    # uvicorn offers no way to cut a connection before the answer's head.
+    # uvicorn has no API to close a connection before the response head.
     cycle = getattr(send, '__self__', None)
     transport = getattr(cycle, 'transport', None)
     if transport is not None:
@@ -233,17 +233,17 @@
 
 
 def now() -> float:
-    """Return monotonic milliseconds."""
+    """Return monotonic time in milliseconds."""
     return time.monotonic() * 1_000
 
 
 async def sleep(milliseconds: float) -> None:
-    """Sleep for milliseconds."""
+    """Sleep for a number of milliseconds."""
     await anyio.sleep(max(0.0, milliseconds) / 1_000)
 
 
 class Bucket:
-    """Limit a rate by a token bucket; a rate of zero means no limit."""
+    """Limit a rate with a token bucket; a rate of zero means no limit."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate = rate
@@ -252,7 +252,7 @@
         self._at = now()
 
     def take(self) -> bool:
-        """Take one token if there is one."""
+        """Take one token; return whether one was available."""
         if not self.rate:
             return True
         at = now()
@@ -273,7 +273,7 @@
         self._free_at = now()
 
     async def carry(self, units: float) -> None:
-        """Wait for the units' turn and their own time."""
+        """Wait for earlier transfers and for the units' own transfer time."""
         if not self.rate:
             return
         start = max(now(), self._free_at)
--- a/tests/standins/weights.py
+++ b/tests/standins/weights.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's rate-limited weight store."""
+"""Simulate the platform's rate-limited weight store."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightSettings:
-    """Limit the rate of the store; zero means no limit."""
+    """Limit the request rate of the store; zero means no limit."""
 
     requests_per_second: float = 50.0
     burst: float = 20.0
@@ -21,13 +21,13 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightFaults(web.Faults):
-    """Add what goes wrong in a weight store: versions not found."""
+    """Add the faults of a weight store: versions reported as missing."""
 
     missing: list[str] = field(default_factory=list)
 
 
 def make_digest(model: str, version: str) -> str:
-    """Return the digest that the store gives unless told another."""
+    """Return the digest of a version that has no explicit description."""
     text = f'{model}/{version}'.encode()
     return hashlib.blake2b(text, digest_size=32).hexdigest()
 
@@ -41,7 +41,7 @@
         self._replaced: dict[str, Any] = {}
 
     async def answer(self, request: web.Request) -> web.Answer:
-        """Answer with digest and length."""
+        """Return the digest and length of a version."""
         name = request.path.removeprefix('/weights/')
         model, _, version = name.partition('/')
         if request.method == 'PUT':
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""Run a loop whose time passes only while nothing has to be done."""
+"""Run an event loop on simulated time that advances only when it is idle."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class _Selector(selectors.SelectSelector):
-    """Skip each wait, and tell its loop for how long it would have been."""
+    """Skip each wait and advance the loop's time by its timeout."""
 
     loop: VirtualLoop
 
@@ -26,7 +26,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Tell the time of a simulation, in seconds."""
+    """Provide an event loop whose clock is simulated time, in seconds."""
 
     def __init__(self) -> None:
         selector = _Selector()
@@ -40,7 +40,7 @@
 
 @dataclass
 class VirtualClock:
-    """Read a loop's time in ms, `ahead` of others that read the same loop."""
+    """Read a loop's time in ms, shifted by `ahead` to simulate clock skew."""
 
     ahead: float = 0.0
 
@@ -52,6 +52,6 @@
 
 
 def run_virtually(act: Callable[[], Awaitable[Any]]) -> Any:
-    """Run until `act` returns; hours pass in seconds."""
+    """Run `act` to completion on simulated time."""
     options = {'loop_factory': VirtualLoop}
     return anyio.run(act, backend='asyncio', backend_options=options)
