--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -209,7 +209,7 @@
         self._start_platform()
         self._start_backends()
         self._publish_vms()
-        self._start_own()
+        self._start_daemons()
 
     def _start_platform(self) -> None:
         for name in ('log', 'vms', 'weights'):
@@ -301,7 +301,7 @@
         ]
         call(self.platform['vms'], 'PUT', '/vms', vms)
 
-    def _start_own(self) -> None:
+    def _start_daemons(self) -> None:
         for number in range(self._entry_count):
             self._add_entry(number)
         waiting = [
@@ -374,7 +374,7 @@
 
     def check() -> bool:
         if not child.running:
-            raise NotMet(f'{child.name} ended: {_read_end(child.log)}')
+            raise NotMet(f'{child.name} ended: {_read_log_tail(child.log)}')
         return accepts(address)
 
     wait_until(check, f'{child.name} listens')
@@ -387,5 +387,5 @@
     return {child.name: child.wait() for child in children}
 
 
-def _read_end(path: Path) -> str:
+def _read_log_tail(path: Path) -> str:
     return path.read_text(errors='replace')[-600:]
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -102,7 +102,7 @@
     )
 
 
-def look(entry: Entry, token: str = TEAM) -> Reply:
+def read_booking(entry: Entry, token: str = TEAM) -> Reply:
     return call(
         entry.address, 'GET', f'/v1/services/{PLAIN}/bookings/7', token=token
     )
@@ -120,7 +120,7 @@
     )
 
 
-def count_wrong(deployment: Deployment) -> int:
+def count_corrupt_segments(deployment: Deployment) -> int:
     stats = map(deployment.read_stats, list_backends(deployment, MODEL))
     return sum(item['corrupt_imports'] + item['corrupt_used'] for item in stats)
 
@@ -135,7 +135,7 @@
     return answers.make_text(make_chat('', text)['messages'], digest, count)
 
 
-def question(entry: Entry, text: str, token: str = TEAM) -> Reply:
+def ask_model(entry: Entry, text: str, token: str = TEAM) -> Reply:
     return ask(entry.address, MODEL, text, token=token)
 
 
@@ -143,8 +143,8 @@
     return lambda: send().status in {200, 201}
 
 
-def wait_reaching(entry: Entry) -> None:
-    for send in (look, lambda entry: question(entry, 'there?')):
+def wait_agents_reachable(entry: Entry) -> None:
+    for send in (read_booking, lambda entry: ask_model(entry, 'there?')):
         wait_until(
             is_ok(functools.partial(send, entry)),
             f'{entry.name} reaches its agents',
@@ -154,17 +154,17 @@
 def check_served(deployment: Deployment, entries: Sequence[Entry]) -> None:
     for entry in entries:
         text = make_prompt('a passing question')
-        reply = question(entry, text)
+        reply = ask_model(entry, text)
         assert (reply.status, reply.done) == (200, True), reply
         assert reply.text == expect_text(text)
-        assert look(entry).status == 200, entry.name
+        assert read_booking(entry).status == 200, entry.name
 
 
-def check_unbroken(deployment: Deployment) -> None:
+def check_no_failures(deployment: Deployment) -> None:
     for child in deployment.children.values():
         assert not list_events(child, 'process_failed'), child.name
         assert 'Traceback' not in child.log.read_text(), child.name
-    assert count_wrong(deployment) == 0
+    assert count_corrupt_segments(deployment) == 0
 
 
 def list_events(child: Child, event: str, **keys: str) -> list[dict[str, str]]:
@@ -220,7 +220,7 @@
     )
 
 
-class Streamed:
+class StreamedChat:
     def __init__(self, entry: Entry, text: str, tokens: int) -> None:
         self.data = bytearray()
         self.resume = ''
@@ -243,14 +243,14 @@
             for chunk in response.iter_stream():
                 self.data += chunk
 
-    def wait_begun(self) -> None:
+    def wait_started(self) -> None:
         wait_until(lambda: self.data.count(b'data: ') >= 3, 'words come')
 
     def join(self) -> Reply:
         self._thread.join()
         return make_reply(self.status, bytes(self.data))
 
-    def join_rest(self, entry: Entry) -> Reply:
+    def join_and_resume(self, entry: Entry) -> Reply:
         self._thread.join()
         whole = bytes(self.data[: self.data.rindex(b'\n\n') + 2])
         last = re.findall(rb'^id: (\S+)$', whole, re.MULTILINE)[-1].decode()
--- a/tests/standins/answers.py
+++ b/tests/standins/answers.py
@@ -82,14 +82,14 @@
     orders_taken: int = 0
     orders_refused: int = 0
 
-    def note_start(self, run: Run) -> None:
+    def count_start(self, run: Run) -> None:
         """Count a started run and its prompt and cached tokens."""
         self.runs[run.chat.request] += 1
         self.background_runs += run.chat.priority >= _BACKGROUND
         self.prompt_tokens += run.chat.tokens
         self.cached_tokens += run.cached_tokens
 
-    def note_end(self, *, finished: bool) -> None:
+    def count_end(self, *, finished: bool) -> None:
         """Count a run that finished or was cancelled."""
         self.finished += finished
         self.cancelled += not finished
--- a/tests/standins/batch.py
+++ b/tests/standins/batch.py
@@ -44,7 +44,7 @@
         self._samples: collections.deque[tuple[float, dict[str, Any]]] = (
             collections.deque(maxlen=_SAMPLES)
         )
-        self._note()
+        self._record_load()
 
     def enter(self, priority: int, tokens: int) -> Ticket:
         """Add a run to the queue and return its ticket."""
@@ -68,7 +68,7 @@
             part = min(ticket.tokens, _PREFILL_PART)
             await self._prefill.carry(part)
             ticket.tokens -= part
-        self._note()
+        self._record_load()
 
     def count_open(self) -> int:
         """Return the number of runs that are queued or hold a slot."""
@@ -86,9 +86,9 @@
             ticket = heapq.heappop(self._waiting)
             self._running[ticket.number] = ticket
             ticket.started.set()
-        self._note()
+        self._record_load()
 
-    def _note(self) -> None:
+    def _record_load(self) -> None:
         tickets = [*self._running.values(), *self._waiting]
         load = {
             'running': len(self._running),
--- a/tests/standins/cache.py
+++ b/tests/standins/cache.py
@@ -90,17 +90,17 @@
     def store(self, segment: bytes, data: bytes) -> None:
         """Store a segment; evict the least recently used one if needed."""
         if segment not in self._segments:
-            self._note('stored', segment)
+            self._record_event('stored', segment)
         self._segments[segment] = data
         self._segments.move_to_end(segment)
         while len(self._segments) > self._limit:
             evicted, _ = self._segments.popitem(last=False)
-            self._note('removed', evicted)
+            self._record_event('removed', evicted)
 
     def clear(self) -> None:
         """Remove every segment."""
         for segment in self._segments:
-            self._note('removed', segment)
+            self._record_event('removed', segment)
         self._segments.clear()
 
     def show_events(self, after: int) -> dict[str, Any]:
@@ -117,7 +117,7 @@
             ],
         }
 
-    def _note(self, kind: str, segment: bytes) -> None:
+    def _record_event(self, kind: str, segment: bytes) -> None:
         self._number += 1
         every = self._lose_every
         lost = bool(every and self._number % every == 0)
--- a/tests/standins/contexts.py
+++ b/tests/standins/contexts.py
@@ -35,7 +35,7 @@
 
     def add(self, salt: str, part: str, tokens: int) -> None:
         """Store a complete part."""
-        self._tell('+', salt, part, tokens)
+        self._publish('+', salt, part, tokens)
 
     def restart(self) -> None:
         """Simulate a restart that loses every stored part."""
@@ -77,10 +77,10 @@
             return web.refuse(409, 'another start')
         for salt, part in asked['parts']:
             self.freed.append([salt, part])
-            self._tell('-', salt, part, 0)
+            self._publish('-', salt, part, 0)
         return web.answer_json({})
 
-    def _tell(self, sign: str, salt: str, part: str, tokens: int) -> None:
+    def _publish(self, sign: str, salt: str, part: str, tokens: int) -> None:
         number = len(self.events) + 1
         self.events.append([number, sign, salt, part, tokens, ''])
         self._wake()
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -141,7 +141,7 @@
 
     async def _take_order(self, order: dict[str, Any]) -> web.Answer:
         fence = order.get('fence')
-        if self._is_old(fence):
+        if self._is_stale(fence):
             self.stats.orders_refused += 1
             return web.refuse(409, 'old fence')
         self._fence = fence
@@ -154,7 +154,7 @@
         )
         return web.answer_json(self._show_state())
 
-    def _is_old(self, fence: Fence) -> bool:
+    def _is_stale(self, fence: Fence) -> bool:
         if not self._settings.checks_fence or not self._fence:
             return False
         return not fence or bool(fence[0] < self._fence[0])
@@ -242,13 +242,13 @@
             while self.faults.hold:
                 await web.sleep(_HOLD_POLL_MS)
             for index, word in enumerate(run.words):
-                self._meet_faults(run, index)
+                self._apply_run_faults(run, index)
                 await web.sleep(self._settings.decode_ms)
                 yield word
             finished = True
         finally:
             self.batch.leave(ticket)
-            self.stats.note_end(finished=finished)
+            self.stats.count_end(finished=finished)
 
     async def _prefill(self, run: answers.Run, ticket: batch.Ticket) -> None:
         chain = cache.make_chain(run.chat.namespace, run.chat.prompt)
@@ -257,7 +257,7 @@
         for segment in chain[:held]:
             if self.cache.find(segment) != cache.make_kv(segment):
                 self.stats.corrupt_used += 1
-        self.stats.note_start(run)
+        self.stats.count_start(run)
         await self.batch.prefill(ticket, run.chat.tokens - run.cached_tokens)
         if run.digest != self.loaded.digest:
             return
@@ -266,7 +266,7 @@
                 segment, self.cache.find(segment) or cache.make_kv(segment)
             )
 
-    def _meet_faults(self, run: answers.Run, index: int) -> None:
+    def _apply_run_faults(self, run: answers.Run, index: int) -> None:
         if self.faults.cut_after and index >= self.faults.cut_after:
             raise web.Dropped
         poison = self._settings.poison.encode()
--- a/tests/standins/hosted_engine.py
+++ b/tests/standins/hosted_engine.py
@@ -50,18 +50,18 @@
         order = json.loads(peer.request.body)
         order['instance'] = peer.request.headers['oleanderdyke-expect-instance']
         self.orders.append(order)
-        await self._take(order, peer)
+        await self._handle_order(order, peer)
 
-    async def _take(self, order: dict[str, Any], peer: Peer) -> None:
+    async def _handle_order(self, order: dict[str, Any], peer: Peer) -> None:
         if self.lose_answers:
             self.lose_answers -= 1
             peer.reset()
             return
-        refusal = self.find_refusal(order)
-        if refusal is not None:
-            await peer.answer(refusal)
+        status = self.find_error_status(order)
+        if status is not None:
+            await peer.answer(status)
             return
-        self.note_fence(order)
+        self.update_fence(order)
         if self.holds(order):
             await peer.answer(_ORDER_HOLDS)
             return
@@ -73,7 +73,7 @@
         """Return whether an order names the loaded weights."""
         return bool(order['version'] == self.version)
 
-    def find_refusal(self, order: dict[str, Any]) -> int | None:
+    def find_error_status(self, order: dict[str, Any]) -> int | None:
         """Return the status that rejects an order, or None if accepted."""
         if self.server and order['instance'] != self.server:
             return 421
@@ -85,11 +85,11 @@
 
     async def take_late(self, order: dict[str, Any]) -> None:
         """Execute an order delayed in transit if it is still valid."""
-        if self.find_refusal(order) is None:
-            self.note_fence(order)
+        if self.find_error_status(order) is None:
+            self.update_fence(order)
             await self.load(order['version'])
 
-    def note_fence(self, order: dict[str, Any]) -> None:
+    def update_fence(self, order: dict[str, Any]) -> None:
         """Store the highest fence seen, if fences are checked."""
         if self.fence is not None:
             self.fence = max(self.fence, order['fence'])
--- a/tests/standins/records.py
+++ b/tests/standins/records.py
@@ -74,7 +74,7 @@
         self.most = 1_000
         # Era header of each response; omitted if empty.
         self.era = ''
-        self._copy: dict[str, Topic] = {}
+        self._backup: dict[str, Topic] = {}
         self._lose = 0
 
     def note_faults(self) -> None:
@@ -95,12 +95,12 @@
 
     def back_up(self) -> None:
         """Take the backup that `restore` returns to."""
-        self._copy = {name: each.copy() for name, each in self.topics.items()}
+        self._backup = {name: each.copy() for name, each in self.topics.items()}
 
     def restore(self) -> None:
         """Restore the backup; later offsets are then assigned a second time."""
         before = tuple(self.topics.values())
-        self.topics = {name: each.copy() for name, each in self._copy.items()}
+        self.topics = {name: each.copy() for name, each in self._backup.items()}
         self.era = str(int(self.era or 0) + 1)
         for topic in before:
             topic.changed.set()
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -44,7 +44,7 @@
     PLAIN,
     STORE,
     TEAM,
-    count_wrong,
+    count_corrupt_segments,
     expect_text,
     failing,
 )
@@ -105,7 +105,7 @@
     )
 
 
-def test_a_question_is_answered_whole_through_every_entry(
+def test_every_entry_answers_a_chat_completely(
     deployment: Deployment,
 ) -> None:
     for entry in deployment.entries:
@@ -172,24 +172,26 @@
     assert again.recomputed_share < 1
 
 
-def test_evicted_context_comes_back_from_the_store(
+def test_evicted_context_is_fetched_from_the_store(
     deployment: Deployment,
 ) -> None:
-    again = fetch_again(deployment, 'kept')
+    again = fetch_after_eviction(deployment, 'kept')
     assert again.recomputed_share < 0.5
-    assert count_wrong(deployment) == 0
+    assert count_corrupt_segments(deployment) == 0
 
 
 @pytest.mark.parametrize('damage', ['corrupt', 'truncate', 'lose'])
 def test_damaged_context_is_computed_again(
     deployment: Deployment, damage: str
 ) -> None:
-    again = fetch_again(deployment, damage, **{damage: ['*']})
+    again = fetch_after_eviction(deployment, damage, **{damage: ['*']})
     assert again.recomputed_share == 1
-    assert count_wrong(deployment) == 0
+    assert count_corrupt_segments(deployment) == 0
 
 
-def fetch_again(deployment: Deployment, title: str, **faults: Any) -> Reply:
+def fetch_after_eviction(
+    deployment: Deployment, title: str, **faults: Any
+) -> Reply:
     """Ask twice, with an eviction between, until the store was read."""
     store = deployment.find(STORE)[0].address
     for attempt in range(5):
@@ -243,7 +245,7 @@
     assert count_runs(deployment, b'lost') == 1
 
 
-def test_without_the_log_questions_go_on_and_bookings_are_not_run(
+def test_without_the_log_chats_succeed_and_bookings_are_not_run(
     deployment: Deployment,
 ) -> None:
     with failing(deployment, deployment.platform['log'], down=True):
@@ -262,7 +264,9 @@
     assert count_runs(deployment, b'no log') == 1
 
 
-def test_bookings_go_around_a_killed_agent(deployment: Deployment) -> None:
+def test_bookings_succeed_while_an_agent_is_killed(
+    deployment: Deployment,
+) -> None:
     server = deployment.find(PLAIN)[0]
     server.agent.kill()
     for number in range(6):
@@ -293,7 +297,7 @@
     return token, bytes(data)
 
 
-def test_bookings_given_to_a_frozen_agent_run_at_most_once(
+def test_bookings_sent_to_a_frozen_agent_run_at_most_once(
     deployment: Deployment,
 ) -> None:
     server = deployment.find(PLAIN)[1]
@@ -324,7 +328,7 @@
             assert reply.status == 201 or reply.json['error'], reply
 
 
-def test_a_stream_of_a_killed_entry_goes_on_for_its_team_only(
+def test_a_stream_of_a_killed_entry_resumes_for_its_team_only(
     deployment: Deployment,
 ) -> None:
     entry, other = deployment.entries[1], deployment.entries[0]
@@ -347,7 +351,7 @@
 
 
 @pytest.mark.parametrize('which', ['entry', 'agent'])
-def test_a_planned_stop_in_the_middle_of_a_stream_cuts_nothing(
+def test_an_orderly_stop_does_not_interrupt_a_stream(
     deployment: Deployment, which: str
 ) -> None:
     entry = deployment.entries[-1]
--- a/tests/test_failures_configuration.py
+++ b/tests/test_failures_configuration.py
@@ -108,7 +108,7 @@
         assert found == (generation + 1, weight + 1), entry.name
 
 
-def test_of_two_operators_at_once_one_wins_everywhere(
+def test_one_of_two_concurrent_changes_wins_on_every_entry(
     deployment: Deployment,
 ) -> None:
     generation, weight = read_team(deployment, deployment.entries[0])
@@ -137,7 +137,7 @@
         assert found == (generation + 1, weight + 1 + winner), entry.name
 
 
-def test_a_change_reaches_a_frozen_entry_when_it_is_back(
+def test_a_frozen_entry_applies_a_change_after_it_resumes(
     deployment: Deployment,
 ) -> None:
     *others, frozen = deployment.entries
@@ -160,34 +160,34 @@
     deployment.wait_ready()
     wait_same_offset(deployment)
     assert read_team(deployment, frozen) == (generation + 2, weight + 2)
-    scenes.wait_reaching(frozen)
+    scenes.wait_agents_reachable(frozen)
     scenes.check_served(deployment, [frozen])
 
 
-def test_a_stream_keeps_its_version_while_the_next_one_is_put_in_force(
+def test_a_stream_keeps_its_version_while_another_is_activated(
     deployment: Deployment,
 ) -> None:
     text = scenes.make_prompt('versions')
     for entry in deployment.entries:
-        assert scenes.question(entry, text).text == scenes.expect_text(text)
-    stream = scenes.Streamed(deployment.entries[0], text, 300)
-    stream.wait_begun()
-    put_in_force(deployment, NEXT)
+        assert scenes.ask_model(entry, text).text == scenes.expect_text(text)
+    stream = scenes.StreamedChat(deployment.entries[0], text, 300)
+    stream.wait_started()
+    activate_version(deployment, NEXT)
     reply = stream.join()
     assert (reply.status, reply.done) == (200, True), reply
     assert reply.text == scenes.expect_text(text, 300)
 
     wait_version(deployment, NEXT)
-    first = scenes.question(deployment.entries[1], text)
+    first = scenes.ask_model(deployment.entries[1], text)
     assert first.text == scenes.expect_text(text, version=NEXT)
     assert first.recomputed_share == 1
-    put_in_force(deployment, VERSION)
+    activate_version(deployment, VERSION)
     wait_version(deployment, VERSION)
     scenes.check_served(deployment, deployment.entries)
-    assert scenes.count_wrong(deployment) == 0
+    assert scenes.count_corrupt_segments(deployment) == 0
 
 
-def put_in_force(deployment: Deployment, version: str) -> None:
+def activate_version(deployment: Deployment, version: str) -> None:
     digest = weights.make_digest(scenes.WEIGHTS, version)
     known = f'{scenes.WEIGHTS}-{VERSION}'
     wanted = make_object(
@@ -203,7 +203,7 @@
     known = {scenes.expect_text(text, version=v): v for v in (VERSION, NEXT)}
 
     def serves(entry: Entry) -> bool:
-        reply = scenes.question(entry, text)
+        reply = scenes.ask_model(entry, text)
         if reply.status != 200:
             assert reply.json['error']['ran'] == 'no', reply
             return False
@@ -216,16 +216,16 @@
         )
 
 
-def test_no_process_ever_went_back(deployment: Deployment) -> None:
+def test_configuration_offsets_never_decrease(deployment: Deployment) -> None:
     entries = [entry.child for entry in deployment.entries]
     agents = [server.agent for server in deployment.servers]
     for child in entries + agents:
-        for offsets in split_lives(child):
+        for offsets in split_offsets_by_start(child):
             assert offsets == sorted(offsets), child.name
-    scenes.check_unbroken(deployment)
+    scenes.check_no_failures(deployment)
 
 
-def split_lives(child: Child) -> Iterator[list[int]]:
+def split_offsets_by_start(child: Child) -> Iterator[list[int]]:
     offsets: list[int] = []
     for line in child.log.read_text().splitlines():
         if 'event=process_started ' in line:
--- a/tests/test_failures_links.py
+++ b/tests/test_failures_links.py
@@ -32,7 +32,7 @@
         yield running
 
 
-def make_wrong(deployment: Deployment, choose: Callable[[int], str]) -> Any:
+def map_addresses(deployment: Deployment, choose: Callable[[int], str]) -> Any:
     names = [server.name for server in deployment.servers]
     return {name: choose(number) for number, name in enumerate(names)}
 
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize(
     'fault', ['down', 'silent', 'missing', 'closed', 'swapped']
 )
-def test_requests_go_on_while_the_vm_list_is_out_or_wrong(
+def test_requests_succeed_while_the_vm_list_is_down_or_wrong(
     deployment: Deployment, fault: str
 ) -> None:
     ports = Ports()
@@ -50,9 +50,9 @@
         'down': {'down': True},
         'silent': {'silent': True},
         'missing': {'missing': [item.name for item in deployment.servers]},
-        'closed': {'wrong': make_wrong(deployment, lambda n: closed[n])},
+        'closed': {'wrong': map_addresses(deployment, lambda n: closed[n])},
         'swapped': {
-            'wrong': make_wrong(deployment, lambda n: addresses[n - 1])
+            'wrong': map_addresses(deployment, lambda n: addresses[n - 1])
         },
     }
     vms = deployment.platform['vms']
@@ -68,13 +68,13 @@
         scenes.wait_condition(deployment.entries, server.name, {'heard'})
 
 
-def test_requests_go_around_an_agent_that_a_stale_vm_list_names(
+def test_requests_succeed_while_a_stale_vm_list_names_a_dead_agent(
     deployment: Deployment,
 ) -> None:
     server = deployment.find(PLAIN)[0]
     vms = deployment.platform['vms']
     with scenes.failing(deployment, vms, stale=True):
-        with killed(server):
+        with killing_agent(server):
             for number in range(6):
                 name = f'stale list {number}'
                 reply = scenes.book(deployment.entries[number % 3], name)
@@ -85,7 +85,7 @@
 
 
 @contextmanager
-def killed(server: Server) -> Iterator[None]:
+def killing_agent(server: Server) -> Iterator[None]:
     """Have an agent dead for a while, and back for the next test."""
     server.agent.kill()
     try:
@@ -96,7 +96,9 @@
 
 
 @contextmanager
-def relayed(deployment: Deployment, entry: Entry) -> Iterator[dict[str, Relay]]:
+def relaying_links(
+    deployment: Deployment, entry: Entry
+) -> Iterator[dict[str, Relay]]:
     servers = deployment.find(MODEL) + deployment.find(PLAIN)
     vms = deployment.platform['vms']
     with contextlib.ExitStack() as stack:
@@ -131,54 +133,54 @@
     entry.child.kill()
     entry.child.start()
     deployment.wait_ready()
-    scenes.wait_reaching(entry)
+    scenes.wait_agents_reachable(entry)
 
 
 @pytest.fixture(scope='module')
 def relays(deployment: Deployment) -> Iterator[dict[str, Relay]]:
-    with relayed(deployment, deployment.entries[1]) as found:
+    with relaying_links(deployment, deployment.entries[1]) as found:
         yield found
 
 
-def count_downs(entry: Entry, *names: str) -> int:
+def count_links_down(entry: Entry, *names: str) -> int:
     events = scenes.list_events(entry.child, 'link_down')
     return sum(item['peer'] in names for item in events)
 
 
-def test_slow_links_and_backend_servers_are_not_taken_for_silent(
+def test_slow_links_and_backend_servers_are_not_reported_down(
     deployment: Deployment, relays: dict[str, Relay]
 ) -> None:
     entry = deployment.entries[1]
-    before = count_downs(entry, *relays)
+    before = count_links_down(entry, *relays)
     engines = scenes.list_backends(deployment, MODEL)
     text = scenes.make_prompt('slow')
     with scenes.failing(deployment, *engines, slow=1_200):
-        reply = scenes.question(entry, text)
+        reply = scenes.ask_model(entry, text)
     assert reply.text == scenes.expect_text(text)
     for relay in relays.values():
         relay.piece, relay.pause = 512, 0.05
     try:
-        reply = scenes.Streamed(entry, text, 100).join()
+        reply = scenes.StreamedChat(entry, text, 100).join()
     finally:
         for relay in relays.values():
             relay.piece, relay.pause = 64 * 1024, 0.0
     assert (reply.status, reply.done) == (200, True), reply
     assert reply.text == scenes.expect_text(text, 100)
-    assert count_downs(entry, *relays) == before
+    assert count_links_down(entry, *relays) == before
 
 
-def test_a_leaving_agent_refuses_what_an_entry_sends_that_has_not_heard(
+def test_a_stopping_agent_refuses_requests_of_an_uninformed_entry(
     deployment: Deployment, relays: dict[str, Relay]
 ) -> None:
     servers = deployment.find(MODEL)
     before = scenes.count_dispatched(servers)
     text = scenes.make_prompt('leaving')
-    stream = scenes.Streamed(deployment.entries[0], text, 300)
+    stream = scenes.StreamedChat(deployment.entries[0], text, 300)
     server = scenes.wait_dispatched(servers, before)
-    stream.wait_begun()
+    stream.wait_started()
     ran = deployment.read_stats(server.address)['runs']
     asked = [scenes.make_prompt(f'leaving {number}') for number in range(6)]
-    ask = functools.partial(scenes.question, deployment.entries[1])
+    ask = functools.partial(scenes.ask_model, deployment.entries[1])
     relays[server.name].pause = 0.5
     server.agent.terminate()
     with ThreadPoolExecutor(len(asked)) as pool:
@@ -196,23 +198,23 @@
     scenes.wait_condition(deployment.entries, server.name, {'heard'})
 
 
-def test_silent_links_are_replaced_and_their_streams_go_on(
+def test_silent_links_are_replaced_and_their_streams_continue(
     deployment: Deployment, relays: dict[str, Relay]
 ) -> None:
     entry = deployment.entries[1]
     servers = deployment.find(MODEL)
     before = scenes.count_dispatched(servers)
     text = scenes.make_prompt('silent')
-    stream = scenes.Streamed(entry, text, 200)
+    stream = scenes.StreamedChat(entry, text, 200)
     server = scenes.wait_dispatched(servers, before)
-    stream.wait_begun()
+    stream.wait_started()
     silent = {server.name, deployment.find(PLAIN)[0].name}
-    downs = {name: count_downs(entry, name) for name in silent}
+    downs = {name: count_links_down(entry, name) for name in silent}
     accepted = {name: relays[name].accepted for name in silent}
     for name in silent:
         relays[name].silence()
     for _ in range(3):
-        assert scenes.look(entry).status == 200
+        assert scenes.read_booking(entry).status == 200
     reply = stream.join()
     assert (reply.status, reply.done) == (200, True), reply
     assert reply.text == scenes.expect_text(text, 200)
@@ -228,5 +230,7 @@
     scenes.check_served(deployment, [entry])
 
 
-def test_nothing_was_broken_unnoticed(deployment: Deployment) -> None:
-    scenes.check_unbroken(deployment)
+def test_no_process_failed_and_no_context_was_corrupted(
+    deployment: Deployment,
+) -> None:
+    scenes.check_no_failures(deployment)
--- a/tests/test_failures_requests.py
+++ b/tests/test_failures_requests.py
@@ -32,12 +32,12 @@
 
 
 @pytest.fixture(scope='module')
-def threads() -> Iterator[ThreadPoolExecutor]:
+def executor() -> Iterator[ThreadPoolExecutor]:
     with ThreadPoolExecutor(8) as pool:
         yield pool
 
 
-def start_again(deployment: Deployment, entry: Entry) -> None:
+def restart_entry(deployment: Deployment, entry: Entry) -> None:
     entry.child.start()
     deployment.wait_ready()
 
@@ -49,14 +49,14 @@
 
 
 def test_a_killed_entry_leaves_a_booking_that_runs_once(
-    deployment: Deployment, threads: ThreadPoolExecutor
+    deployment: Deployment, executor: ThreadPoolExecutor
 ) -> None:
     entry, other = deployment.entries[:2]
     servers = deployment.find(scenes.PLAIN)
     before = scenes.count_dispatched(servers)
     backends = scenes.list_backends(deployment, scenes.PLAIN)
     with scenes.failing(deployment, *backends, slow=1_500):
-        sent = threads.submit(
+        sent = executor.submit(
             send_unless_closed,
             functools.partial(scenes.book, entry, 'entry killed'),
         )
@@ -71,18 +71,18 @@
     wait_until(scenes.is_ok(send), 'the recorded answer is given')
     assert at_once.status != 201 or at_once.body == send().body
     assert scenes.count_runs(deployment, 'entry killed') == 1
-    start_again(deployment, entry)
+    restart_entry(deployment, entry)
 
 
 def test_a_booking_whose_agent_was_killed_never_runs_again(
-    deployment: Deployment, threads: ThreadPoolExecutor
+    deployment: Deployment, executor: ThreadPoolExecutor
 ) -> None:
     name = 'agent killed'
     servers = deployment.find(scenes.PLAIN)
     before = scenes.count_dispatched(servers)
     backends = scenes.list_backends(deployment, scenes.PLAIN)
     with scenes.failing(deployment, *backends, hang=True):
-        sent = threads.submit(scenes.book, deployment.entries[0], name)
+        sent = executor.submit(scenes.book, deployment.entries[0], name)
         server = scenes.wait_dispatched(servers, before)
         wait_until(
             lambda: scenes.count_runs(deployment, name) == 1, 'it has run'
@@ -91,25 +91,25 @@
         first = sent.result()
     assert first.json['error']['ran'] == 'maybe', first
     book = functools.partial(scenes.book, name=name)
-    again = list(threads.map(book, deployment.entries))
+    again = list(executor.map(book, deployment.entries))
     server.agent.start()
     wait_listening(server.agent, server.agent_address)
     scenes.wait_condition(deployment.entries, server.name, {'heard'})
-    again += list(threads.map(book, deployment.entries))
+    again += list(executor.map(book, deployment.entries))
     for reply in again:
         found = reply.json['error']
         assert (found['kind'], found['ran']) == ('outcome_unknown', 'maybe')
     assert scenes.count_runs(deployment, name) == 1
 
 
-def test_a_call_that_may_repeat_survives_the_kill_of_its_agent(
-    deployment: Deployment, threads: ThreadPoolExecutor
+def test_an_idempotent_call_survives_the_kill_of_its_agent(
+    deployment: Deployment, executor: ThreadPoolExecutor
 ) -> None:
     servers = deployment.find(scenes.PLAIN)
     before = scenes.count_dispatched(servers)
     backends = scenes.list_backends(deployment, scenes.PLAIN)
     with scenes.failing(deployment, *backends, slow=1_000):
-        sent = threads.submit(scenes.look, deployment.entries[1])
+        sent = executor.submit(scenes.read_booking, deployment.entries[1])
         server = scenes.wait_dispatched(servers, before)
         server.agent.kill()
         reply = sent.result()
@@ -119,8 +119,8 @@
     scenes.wait_condition(deployment.entries, server.name, {'heard'})
 
 
-def test_an_agent_frozen_past_every_timeout_runs_nothing_old(
-    deployment: Deployment, threads: ThreadPoolExecutor
+def test_an_agent_frozen_past_every_timeout_runs_no_stale_request(
+    deployment: Deployment, executor: ThreadPoolExecutor
 ) -> None:
     entries = deployment.entries
     frozen = deployment.find(scenes.PLAIN)[0]
@@ -128,7 +128,7 @@
     frozen.agent.freeze()
     try:
         sent = [
-            threads.submit(scenes.book, entries[number % 3], name)
+            executor.submit(scenes.book, entries[number % 3], name)
             for number, name in enumerate(names)
         ]
         scenes.wait_condition(entries, frozen.name, {'dropped', 'unknown'})
@@ -143,12 +143,12 @@
     scenes.wait_condition(entries, frozen.name, {'heard'})
     taken = sum(scenes.count_dispatched([frozen]))
 
-    def takes_work() -> bool:
+    def receives_work() -> bool:
         for entry in entries:
-            scenes.look(entry)
+            scenes.read_booking(entry)
         return sum(scenes.count_dispatched([frozen])) > taken
 
-    wait_until(takes_work, 'the agent gets new work')
+    wait_until(receives_work, 'the agent gets new work')
     for name, reply in zip(names, replies, strict=True):
         check_at_most_once(deployment, name, reply)
 
@@ -165,16 +165,16 @@
 
 
 def test_an_entry_frozen_past_every_timeout_serves_again(
-    deployment: Deployment, threads: ThreadPoolExecutor
+    deployment: Deployment, executor: ThreadPoolExecutor
 ) -> None:
     frozen, other = deployment.entries[2], deployment.entries[0]
     name = 'frozen entry'
     servers = deployment.find(scenes.PLAIN)
     before = scenes.count_dispatched(servers)
-    downs = [count_downs(server, frozen) for server in servers]
+    downs = [count_links_down(server, frozen) for server in servers]
     backends = scenes.list_backends(deployment, scenes.PLAIN)
     with scenes.failing(deployment, *backends, slow=1_000):
-        sent = threads.submit(
+        sent = executor.submit(
             send_unless_closed, functools.partial(scenes.book, frozen, name)
         )
         scenes.wait_dispatched(servers, before)
@@ -192,25 +192,25 @@
     if late is not None and late.status != 201:
         assert late.json['error']['ran'] != 'no', late
     deployment.wait_ready()
-    scenes.wait_reaching(frozen)
+    scenes.wait_agents_reachable(frozen)
     scenes.check_served(deployment, [frozen])
     assert scenes.book(frozen, name).body == send().body
     assert scenes.count_runs(deployment, name) == 1
 
 
-def count_downs(server: Server, entry: Entry) -> int:
+def count_links_down(server: Server, entry: Entry) -> int:
     return len(scenes.list_events(server.agent, 'link_down', peer=entry.name))
 
 
 @pytest.mark.parametrize('fault', ['down', 'silent'])
-def test_without_the_log_what_may_repeat_goes_on_and_bookings_wait(
-    deployment: Deployment, threads: ThreadPoolExecutor, fault: str
+def test_without_the_log_idempotent_calls_succeed_and_bookings_fail(
+    deployment: Deployment, executor: ThreadPoolExecutor, fault: str
 ) -> None:
     entries = deployment.entries
     names = [f'log {fault} {number}' for number in range(3)]
     log = deployment.platform['log']
     with scenes.failing(deployment, log, **{fault: True}):
-        sent = list(map(threads.submit, [scenes.book] * 3, entries, names))
+        sent = list(map(executor.submit, [scenes.book] * 3, entries, names))
         scenes.check_served(deployment, entries)
         replies = [each.result() for each in sent]
         for name, reply in zip(names, replies, strict=True):
@@ -246,7 +246,7 @@
     before = scenes.count_dispatched(servers)
     # Long enough to be read for seconds before the first word.
     text = scenes.make_prompt('engine dies' * 20) * 8
-    stream = scenes.Streamed(entry, text, 8)
+    stream = scenes.StreamedChat(entry, text, 8)
     server = scenes.wait_dispatched(servers, before)
     started = 'answer_started'
     request = scenes.list_events(server.agent, 'dispatch_received')[-1][
@@ -270,19 +270,19 @@
 
 def is_serving(deployment: Deployment, server: Server) -> bool:
     for entry in deployment.entries:
-        scenes.question(entry, 'there again?')
+        scenes.ask_model(entry, 'there again?')
     return bool(deployment.read_stats(server.address)['finished'])
 
 
-def test_a_stopping_agent_ends_its_stream_and_takes_nothing_new(
+def test_a_stopping_agent_ends_its_stream_and_refuses_requests(
     deployment: Deployment,
 ) -> None:
     servers = deployment.find(scenes.MODEL)
     before = scenes.count_dispatched(servers)
     text = scenes.make_prompt('agent stops')
-    stream = scenes.Streamed(deployment.entries[0], text, 300)
+    stream = scenes.StreamedChat(deployment.entries[0], text, 300)
     server = scenes.wait_dispatched(servers, before)
-    stream.wait_begun()
+    stream.wait_started()
     ran = deployment.read_stats(server.address)['runs']
     server.agent.terminate()
     scenes.wait_event(server.agent, 'process_stopping', 0)
@@ -298,43 +298,43 @@
     scenes.wait_condition(deployment.entries, server.name, {'heard'})
 
 
-def test_a_stopping_entry_hands_a_long_stream_on(
+def test_a_stopping_entry_hands_over_a_long_stream(
     deployment: Deployment,
 ) -> None:
     entry, other = deployment.entries[1], deployment.entries[2]
     text = scenes.make_prompt('entry stops')
-    stream = scenes.Streamed(entry, text, 500)
-    stream.wait_begun()
+    stream = scenes.StreamedChat(entry, text, 500)
+    stream.wait_started()
     entry.child.terminate()
-    reply = stream.join_rest(other)
+    reply = stream.join_and_resume(other)
     assert b'event: resume' in stream.data
     assert reply.done
     assert reply.text == scenes.expect_text(text, 500)
     assert entry.child.wait() == 0
     assert not scenes.list_events(entry.child, 'request_cut')
-    start_again(deployment, entry)
+    restart_entry(deployment, entry)
 
 
-def test_a_resume_token_of_another_team_looks_like_an_unknown_one(
+def test_a_resume_token_of_another_team_is_rejected_as_unknown(
     deployment: Deployment,
 ) -> None:
     entry, other = deployment.entries[:2]
     text = scenes.make_prompt('whose stream')
-    stream = scenes.Streamed(entry, text, 200)
-    stream.wait_begun()
+    stream = scenes.StreamedChat(entry, text, 200)
+    stream.wait_started()
     stolen = scenes.resume(other, stream.resume, '-1', scenes.OTHER_TEAM)
     guessed = scenes.resume(
         other, stream.resume[:-8] + 'AAAAAAAA', '-1', scenes.OTHER_TEAM
     )
     unknown = scenes.resume(other, 'nothing', '-1', scenes.OTHER_TEAM)
-    shapes = [strip(reply) for reply in (stolen, guessed, unknown)]
+    shapes = [strip_request_id(reply) for reply in (stolen, guessed, unknown)]
     assert shapes[0] == shapes[1] == shapes[2], shapes
     assert shapes[0][0] == 410
     reply = stream.join()
     assert reply.text == scenes.expect_text(text, 200)
 
 
-def strip(reply: Reply) -> tuple[int, set[str], dict[str, str]]:
+def strip_request_id(reply: Reply) -> tuple[int, set[str], dict[str, str]]:
     found = dict(reply.json['error'])
     del found['request']
     return reply.status, set(reply.headers), found
@@ -345,7 +345,7 @@
 ) -> None:
     entry = deployment.entries[0]
     text = scenes.make_prompt('what logs hold')
-    stream = scenes.Streamed(entry, text, 50)
+    stream = scenes.StreamedChat(entry, text, 50)
     reply = stream.join()
     receipt = scenes.book(entry, 'what logs hold').json
     call(entry.address, 'GET', f'/{scenes.MARK}', token=scenes.MARK)
@@ -364,5 +364,7 @@
             assert not [item for item in secrets if item in held], child.name
 
 
-def test_nothing_was_broken_unnoticed(deployment: Deployment) -> None:
-    scenes.check_unbroken(deployment)
+def test_no_process_failed_and_no_context_was_corrupted(
+    deployment: Deployment,
+) -> None:
+    scenes.check_no_failures(deployment)
--- a/tests/test_first_views.py
+++ b/tests/test_first_views.py
@@ -21,20 +21,20 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_the_first_request_is_told_what_stores_hold(tmp_path):
+async def test_the_first_request_names_the_store_of_its_context(tmp_path):
     contexts = ContextStore()
     contexts.add(SALT, 'aa', 2_000)
     async with staging_contexts(tmp_path, contexts) as (stage, address):
-        told = await ask_prompt(stage)
-    assert told[SOURCE] == f'{address}/2000,-,-'
+        request_headers = await ask_prompt(stage)
+    assert request_headers[SOURCE] == f'{address}/2000,-,-'
 
 
-async def test_a_store_that_is_silent_holds_up_the_first_request_for_little(
+async def test_an_unresponsive_store_delays_the_first_request_briefly(
     tmp_path,
 ):
     contexts = ContextStore()
     contexts.faults = type(contexts.faults)(silent=True)
     async with staging_contexts(tmp_path, contexts) as (stage, _):
         with anyio.fail_after(1.0):
-            told = await ask_prompt(stage)
-    assert SOURCE not in told
+            request_headers = await ask_prompt(stage)
+    assert SOURCE not in request_headers
