--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -152,7 +152,7 @@
         """Replace the faults of a stand-in."""
         reply = call(address, 'PUT', '/faults', faults)
         if reply.status != _READY:
-            raise NotMet(f'faults refused: {reply.body!r}')
+            raise NotMet(f'{address} refused faults: {reply.body!r}')
 
     def read_stats(self, address: str) -> Any:
         """Return the counters of a stand-in."""
@@ -374,7 +374,7 @@
 
     def check() -> bool:
         if not child.running:
-            raise NotMet(f'{child.name} ended: {_read_log_tail(child.log)}')
+            raise NotMet(f'{child.name} exited: {_read_log_tail(child.log)}')
         return accepts(address)
 
     wait_until(check, f'{child.name} listens')
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -187,7 +187,7 @@
         pairs = zip(servers, before, now, strict=True)
         return [server for server, old, new in pairs if new > old]
 
-    wait_until(lambda: bool(find()), 'an agent gets a dispatch')
+    wait_until(lambda: bool(find()), 'an agent receives a dispatch')
     return find()[0]
 
 
@@ -215,7 +215,7 @@
 ) -> None:
     wait_until(
         lambda: all(find_condition(each, agent) in wanted for each in entries),
-        f'entries hold {agent} for {wanted}',
+        f'every entry reports {agent} as one of {wanted}',
         seconds=40,
     )
 
@@ -244,7 +244,9 @@
                 self.data += chunk
 
     def wait_started(self) -> None:
-        wait_until(lambda: self.data.count(b'data: ') >= 3, 'words come')
+        wait_until(
+            lambda: self.data.count(b'data: ') >= 3, 'the stream has started'
+        )
 
     def join(self) -> Reply:
         self._thread.join()
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""Check the whole path on real processes."""
+"""Check requests end to end on a deployment of real processes."""
 
 from __future__ import annotations
 
@@ -50,10 +50,10 @@
 )
 from tests.standins import cache
 
-# One worker runs the whole file, so that one deployment serves it.
+# All tests of this file share a deployment, so one xdist worker runs them.
 pytestmark = pytest.mark.xdist_group('deployment')
 
-# With one engine every question meets what the engine has cached.
+# With a single engine, a repeated prompt always reaches the same cache.
 SIZES = {BackendKind.ENGINE: 1, BackendKind.PLAIN: 2, BackendKind.STORE: 1}
 LOST = (httpcore.NetworkError, httpcore.ProtocolError)
 RULEBOOK = 'The key of room {} opens box {} only.\n'
@@ -192,7 +192,7 @@
 def fetch_after_eviction(
     deployment: Deployment, title: str, **faults: Any
 ) -> Reply:
-    """Ask twice, with an eviction between, until the store was read."""
+    """Send a prompt, evict it and send it again until the store is read."""
     store = deployment.find(STORE)[0].address
     for attempt in range(5):
         text = make_rulebook(f'{title} {attempt}')
@@ -203,18 +203,18 @@
         evict(deployment)
         deployment.set_faults(store, **faults)
         before = count_read_bytes(deployment)
-        # An entry counts on what it sent itself for some seconds.
+        # For a few seconds an entry assumes its own dispatches are cached.
         again = ask(deployment.entries[1].address, MODEL, text, token=TEAM)
         assert first.text == again.text == expect_text(text)
         if 'lose' in faults or count_read_bytes(deployment) > before:
             return again
-    pytest.fail('nothing was fetched')
+    pytest.fail('no context was fetched from the store')
 
 
 def wait_kept(deployment: Deployment, wanted: int) -> None:
     wait_until(
         lambda: count_cached_tokens(deployment) >= wanted,
-        'the store keeps the context',
+        'the store holds the context',
     )
 
 
@@ -260,7 +260,7 @@
     def is_booked() -> bool:
         return book(deployment, 1, b'no log', 'key-log').status == 201
 
-    wait_until(is_booked, 'the booking is taken once the log is back')
+    wait_until(is_booked, 'the booking succeeds once the log is available')
     assert count_runs(deployment, b'no log') == 1
 
 
@@ -293,7 +293,7 @@
             data += chunk
             if data.count(b'data: ') >= 5:
                 entry.child.kill()
-    assert not read_events(bytes(data))[1], 'the stream was over before'
+    assert not read_events(bytes(data))[1], 'the stream ended before the kill'
     return token, bytes(data)
 
 
@@ -317,7 +317,7 @@
     numbers = range(len(bodies))
     wait_until(
         lambda: all(send(number).status == 201 for number in numbers),
-        'every booking is known once the agent is back',
+        'every booking succeeds once the agent resumes',
     )
     for number in numbers:
         replies = first[number], second[number], send(number)
--- a/tests/test_failures_configuration.py
+++ b/tests/test_failures_configuration.py
@@ -1,4 +1,4 @@
-"""Check on real processes that configuration and context survive failure."""
+"""Check that configuration and streams survive failures of real processes."""
 
 from __future__ import annotations
 
@@ -212,7 +212,8 @@
 
     for entry in deployment.entries:
         wait_until(
-            functools.partial(serves, entry), f'{entry.name} has {version}'
+            functools.partial(serves, entry),
+            f'{entry.name} serves version {version}',
         )
 
 
--- a/tests/test_failures_links.py
+++ b/tests/test_failures_links.py
@@ -1,4 +1,4 @@
-"""Check on real processes that links and their agents may come and go."""
+"""Check that requests survive link and agent failures on real processes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.relays import Relay, relaying
 from tests.scenes import MODEL, PLAIN
 
-# Several periods of reading the VM list.
+# Covers several polls of the VM list.
 LIST_SECONDS = 1.5
 
 
@@ -86,7 +86,7 @@
 
 @contextmanager
 def killing_agent(server: Server) -> Iterator[None]:
-    """Have an agent dead for a while, and back for the next test."""
+    """Kill an agent and restart it on exit."""
     server.agent.kill()
     try:
         yield
@@ -123,7 +123,7 @@
             restart(deployment, entry)
             wait_until(
                 lambda: all(relay.accepted for relay in relays.values()),
-                'the entry speaks through every relay',
+                'the entry has a link through every relay',
             )
             yield relays
     restart(deployment, entry)
--- a/tests/test_failures_requests.py
+++ b/tests/test_failures_requests.py
@@ -1,4 +1,4 @@
-"""Check on real processes what a request is promised under failure."""
+"""Check the guarantees for requests while real processes fail."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
         at_once.status == 201 or at_once.json['error']['kind'] in NOT_AGAIN
     ), at_once
     send = functools.partial(scenes.book, other, 'entry killed')
-    wait_until(scenes.is_ok(send), 'the recorded answer is given')
+    wait_until(scenes.is_ok(send), 'the recorded response is returned')
     assert at_once.status != 201 or at_once.body == send().body
     assert scenes.count_runs(deployment, 'entry killed') == 1
     restart_entry(deployment, entry)
@@ -85,7 +85,8 @@
         sent = executor.submit(scenes.book, deployment.entries[0], name)
         server = scenes.wait_dispatched(servers, before)
         wait_until(
-            lambda: scenes.count_runs(deployment, name) == 1, 'it has run'
+            lambda: scenes.count_runs(deployment, name) == 1,
+            'the booking has run',
         )
         server.agent.kill()
         first = sent.result()
@@ -148,7 +149,7 @@
             scenes.read_booking(entry)
         return sum(scenes.count_dispatched([frozen])) > taken
 
-    wait_until(receives_work, 'the agent gets new work')
+    wait_until(receives_work, 'the agent receives new requests')
     for name, reply in zip(names, replies, strict=True):
         check_at_most_once(deployment, name, reply)
 
@@ -185,7 +186,7 @@
                     server.agent, 'link_down', down, peer=frozen.name
                 )
             send = functools.partial(scenes.book, other, name)
-            wait_until(scenes.is_ok(send), 'the recorded answer is given')
+            wait_until(scenes.is_ok(send), 'the recorded response is returned')
         finally:
             frozen.child.thaw()
     late = sent.result()
@@ -220,7 +221,7 @@
             assert scenes.count_runs(deployment, name) == 0
     for entry, name in zip(entries, names, strict=True):
         send = functools.partial(scenes.book, entry, name)
-        wait_until(scenes.is_ok(send), 'the booking is taken again')
+        wait_until(scenes.is_ok(send), 'the booking succeeds again')
         assert scenes.count_runs(deployment, name) == 1
 
 
@@ -233,7 +234,7 @@
     with scenes.failing(deployment, log, lose_answers=lost):
         reply = scenes.book(deployment.entries[0], name)
     send = functools.partial(scenes.book, deployment.entries[1], name)
-    wait_until(scenes.is_ok(send), 'the booking is known')
+    wait_until(scenes.is_ok(send), 'the booking has a recorded response')
     assert reply.status != 201 or reply.body == send().body
     assert scenes.count_runs(deployment, name) == 1
 
@@ -244,7 +245,7 @@
     entry = deployment.entries[0]
     servers = deployment.find(scenes.MODEL)
     before = scenes.count_dispatched(servers)
-    # Long enough to be read for seconds before the first word.
+    # The prefill takes seconds, so the kill precedes the first token.
     text = scenes.make_prompt('engine dies' * 20) * 8
     stream = scenes.StreamedChat(entry, text, 8)
     server = scenes.wait_dispatched(servers, before)
--- a/tests/test_first_views.py
+++ b/tests/test_first_views.py
@@ -1,13 +1,9 @@
-"""An entry that had just started had all context read from nothing.
+"""Check that the first requests after a start use the context stores.
 
-What was seen: in the quarter of a second after an entry was back, it named no
-store for 52 parts of prompts that were asked for before. With all starts of the
-day these were 289,000 tokens; 484,000 were read again.
-
-How it came about: an entry serves some ten milliseconds after its start, but
-looked for the stores that the configuration names only every 250 ms.
-
-What proved it: its dispatches named no store in that time, and all did after.
+An entry accepts requests about 10 ms after its start, but used to query the
+configured stores only every 250 ms. Requests dispatched in between named no
+store, although their context was stored. This affected 52 prompt parts in one
+start and 289,000 tokens over all starts of a day; 484,000 were recomputed.
 """
 
 from __future__ import annotations
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""Check that the stand-ins behave as their protocols say, faults too."""
+"""Check the protocols and the faults of the stand-ins."""
 
 from __future__ import annotations
 
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -20,7 +20,9 @@
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError('everything waits for ever')
+            raise RuntimeError(
+                'deadlock: no timer is scheduled and no task can run'
+            )
         self.loop.passed += timeout
         return super().select(0)
 
