--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand in for a model engine that batches continuously."""
+"""Simulate a model engine with continuous batching."""
 
 from __future__ import annotations
 
@@ -21,9 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSettings:
-    """Size an engine; `weights` is the address of the weight store.
+    """Set the size of an engine and the addresses that it uses.
 
-    Without `model` it starts empty; `poison` is the text that crashes it.
+    `weights` is the address of the weight store. Without `model` the engine
+    starts with no weights. A prompt that contains `poison` crashes it.
     """
 
     model: str = ''
@@ -43,11 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineFaults(web.Faults):
-    """Add what goes wrong in an engine.
+    """Add the faults of an engine.
 
-    `crash` dies in the next run, `hang` never answers a chat, `hold` keeps
-    runs from their first token while it is set, `cut_after` drops each stream
-    after so many tokens.
+    `crash` ends the process in the next run, `hang` leaves chats unanswered,
+    `hold` delays the first token of each run while it is set, and `cut_after`
+    drops each stream after that many tokens.
     """
 
     crash: bool = False
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedWeights:
-    """Name the weights in an engine; an empty digest means none."""
+    """Identify the loaded weights; an empty digest means none."""
 
     model: str = ''
     version: str = ''
@@ -71,7 +72,7 @@
 
 
 class Engine(web.StandIn[EngineFaults]):
-    """Run chats, cache their prefixes and take orders."""
+    """Run chats, cache their prefixes and execute control orders."""
 
     def __init__(
         self, settings: EngineSettings, die: Callable[[], None] = _exit
@@ -96,7 +97,7 @@
         )
 
     async def answer(self, request: web.Request) -> web.Answer:
-        """Answer one request."""
+        """Handle one HTTP request."""
         await self._load_first()
         kv = request.path.removeprefix('/kv/')
         if kv != request.path:
@@ -140,7 +141,7 @@
 
     async def _take_order(self, order: dict[str, Any]) -> web.Answer:
         fence = order.get('fence')
-        if self._is_old(fence):
+        if self._is_stale(fence):
             self.stats.orders_refused += 1
             return web.refuse(409, 'old fence')
         self._fence = fence
@@ -153,7 +154,7 @@
         )
         return web.answer_json(self._show_state())
 
-    def _is_old(self, fence: Fence) -> bool:
+    def _is_stale(self, fence: Fence) -> bool:
         if not self._settings.checks_fence or not self._fence:
             return False
         return not fence or bool(fence[0] < self._fence[0])
@@ -241,13 +242,13 @@
             while self.faults.hold:
                 await web.sleep(_HOLD_POLL_MS)
             for index, word in enumerate(run.words):
-                self._meet_faults(run, index)
+                self._apply_run_faults(run, index)
                 await web.sleep(self._settings.decode_ms)
                 yield word
             finished = True
         finally:
             self.batch.leave(ticket)
-            self.stats.note_end(finished=finished)
+            self.stats.count_end(finished=finished)
 
     async def _prefill(self, run: answers.Run, ticket: batch.Ticket) -> None:
         chain = cache.make_chain(run.chat.namespace, run.chat.prompt)
@@ -256,7 +257,7 @@
         for segment in chain[:held]:
             if self.cache.find(segment) != cache.make_kv(segment):
                 self.stats.corrupt_used += 1
-        self.stats.note_start(run)
+        self.stats.count_start(run)
         await self.batch.prefill(ticket, run.chat.tokens - run.cached_tokens)
         if run.digest != self.loaded.digest:
             return
@@ -265,7 +266,7 @@
                 segment, self.cache.find(segment) or cache.make_kv(segment)
             )
 
-    def _meet_faults(self, run: answers.Run, index: int) -> None:
+    def _apply_run_faults(self, run: answers.Run, index: int) -> None:
         if self.faults.cut_after and index >= self.faults.cut_after:
             raise web.Dropped
         poison = self._settings.poison.encode()
@@ -276,7 +277,7 @@
 def make_app(
     settings: EngineSettings | None = None, die: Callable[[], None] = _exit
 ) -> Engine:
-    """Build an engine; `die` ends its process."""
+    """Build an engine that calls `die` to end its process."""
     return Engine(settings or EngineSettings(), die)
 
 
--- a/tests/test_first_views.py
+++ b/tests/test_first_views.py
@@ -1,13 +1,9 @@
-"""An entry that had just started had all context read from nothing.
+"""Check that the first requests after a start use the context stores.
 
-What was seen: in the quarter of a second after an entry was back, it named no
-store for 52 parts of prompts that were asked for before. With all starts of the
-day these were 289,000 tokens; 484,000 were read again.
-
-How it came about: an entry serves some ten milliseconds after its start, but
-looked for the stores that the configuration names only every 250 ms.
-
-What proved it: its dispatches named no store in that time, and all did after.
+An entry accepts requests about 10 ms after its start, but used to query the
+configured stores only every 250 ms. Requests dispatched in between named no
+store, although their context was stored. This affected 52 prompt parts in one
+start and 289,000 tokens over all starts of a day; 484,000 were recomputed.
 """
 
 from __future__ import annotations
@@ -21,20 +17,20 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_the_first_request_is_told_what_stores_hold(tmp_path):
+async def test_the_first_request_names_the_store_of_its_context(tmp_path):
     contexts = ContextStore()
     contexts.add(SALT, 'aa', 2_000)
     async with staging_contexts(tmp_path, contexts) as (stage, address):
-        told = await ask_prompt(stage)
-    assert told[SOURCE] == f'{address}/2000,-,-'
+        request_headers = await ask_prompt(stage)
+    assert request_headers[SOURCE] == f'{address}/2000,-,-'
 
 
-async def test_a_store_that_is_silent_holds_up_the_first_request_for_little(
+async def test_an_unresponsive_store_delays_the_first_request_briefly(
     tmp_path,
 ):
     contexts = ContextStore()
     contexts.faults = type(contexts.faults)(silent=True)
     async with staging_contexts(tmp_path, contexts) as (stage, _):
         with anyio.fail_after(1.0):
-            told = await ask_prompt(stage)
-    assert SOURCE not in told
+            request_headers = await ask_prompt(stage)
+    assert SOURCE not in request_headers
