--- a/src/oleanderdyke/entry/hosted/attempt.py
+++ b/src/oleanderdyke/entry/hosted/attempt.py
@@ -189,14 +189,10 @@
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, fault)
         elif metadata.is_not_executed:
             self._updates.apply_refusal(metadata, self._weights)
-            self._report_failure(
-                ErrorKind.OVERLOADED, Ran.NO, f'status {status}'
-            )
+            self._report_failure(ErrorKind.OVERLOADED, Ran.NO, f'{status}')
         elif status >= _SERVER_ERROR and self._reserve_retry():
             self._core.backends.record_error(self._start)
-            self._report_failure(
-                ErrorKind.STREAM_BROKEN, Ran.YES, f'status {status}'
-            )
+            self._report_failure(ErrorKind.STREAM_BROKEN, Ran.YES, f'{status}')
         elif self._is_continuation() and not continues_stream(status, headers):
             reason = f'status {status} instead of the rest of the stream'
             self._close_failed(ErrorKind.STREAM_BROKEN, Ran.MAYBE, reason)
