--- a/tests/standins/answers.py
+++ b/tests/standins/answers.py
@@ -118,15 +118,15 @@
 
 def read_chat(body: bytes, request: str) -> Chat:
     """Parse a chat request; raise KeyError, TypeError or ValueError."""
-    asked: Mapping[str, Any] = json.loads(body)
+    document: Mapping[str, Any] = json.loads(body)
     return Chat(
         request=request,
-        model=str(asked.get('model', '')),
-        prompt=cache.render_prompt(asked['messages']),
-        namespace=bytes.fromhex(asked.get('cache_salt') or ''),
-        priority=int(asked.get('priority') or 0),
-        stream=bool(asked.get('stream')),
-        answer_tokens=int(asked.get('max_tokens') or _DEFAULT_TOKENS),
+        model=str(document.get('model', '')),
+        prompt=cache.render_prompt(document['messages']),
+        namespace=bytes.fromhex(document.get('cache_salt') or ''),
+        priority=int(document.get('priority') or 0),
+        stream=bool(document.get('stream')),
+        answer_tokens=int(document.get('max_tokens') or _DEFAULT_TOKENS),
     )
 
 
--- a/tests/standins/contexts.py
+++ b/tests/standins/contexts.py
@@ -41,7 +41,7 @@
         """Simulate a restart that loses every stored part."""
         self.boot += 1
         self.events.clear()
-        self._wake()
+        self._notify_readers()
 
     async def answer(self, request: web.Request) -> web.Answer:
         """Handle one API call."""
@@ -72,10 +72,10 @@
         return web.answer_json(dict(zip(_LIST, found, strict=True)))
 
     async def _free(self, request: web.Request) -> web.Answer:
-        asked = json.loads(await request.body())
-        if asked['bootEpoch'] != self.boot:
+        document = json.loads(await request.body())
+        if document['bootEpoch'] != self.boot:
             return web.refuse(409, 'another start')
-        for salt, part in asked['parts']:
+        for salt, part in document['parts']:
             self.freed.append([salt, part])
             self._publish('-', salt, part, 0)
         return web.answer_json({})
@@ -83,8 +83,8 @@
     def _publish(self, sign: str, salt: str, part: str, tokens: int) -> None:
         number = len(self.events) + 1
         self.events.append([number, sign, salt, part, tokens, ''])
-        self._wake()
+        self._notify_readers()
 
-    def _wake(self) -> None:
+    def _notify_readers(self) -> None:
         self._changed.set()
         self._changed = anyio.Event()
--- a/tests/standins/log.py
+++ b/tests/standins/log.py
@@ -71,13 +71,13 @@
         super().__init__(LogFaults())
         self._settings = settings
         self._bucket = web.Bucket(settings.appends_per_second, settings.burst)
-        self._lose = 0
+        self._answers_to_lose = 0
         self.logs: dict[str, Log] = {}
         self.appends = 0
 
     def note_faults(self) -> None:
         """Reset the count of lost responses and truncate logs once."""
-        self._lose = self.faults.lose_answers
+        self._answers_to_lose = self.faults.lose_answers
         for name, before in self.faults.truncate.items():
             self._find(name).forget(before)
 
@@ -105,8 +105,8 @@
         first = log.append(records, time.time() * 1_000)
         self.appends += 1
         self._retain(log)
-        if self._lose:
-            self._lose -= 1
+        if self._answers_to_lose:
+            self._answers_to_lose -= 1
             raise web.Dropped
         return web.answer_cbor({'first': first})
 
--- a/tests/standins/records.py
+++ b/tests/standins/records.py
@@ -75,11 +75,11 @@
         # Era header of each response; omitted if empty.
         self.era = ''
         self._backup: dict[str, Topic] = {}
-        self._lose = 0
+        self._answers_to_lose = 0
 
     def note_faults(self) -> None:
         """Reset the count of lost responses."""
-        self._lose = self.faults.lose_answers
+        self._answers_to_lose = self.faults.lose_answers
 
     def find(self, topic: str) -> Topic:
         """Return a topic, creating it on first use."""
@@ -128,8 +128,8 @@
         body = await request.body()
         (length,) = _LENGTH.unpack_from(body)
         offset = topic.append(body[_LENGTH.size : _LENGTH.size + length])
-        if self._lose:
-            self._lose -= 1
+        if self._answers_to_lose:
+            self._answers_to_lose -= 1
             raise web.Dropped
         return web.answer_json({'offset': offset, 'end': topic.end})
 
--- a/tests/standins/vms.py
+++ b/tests/standins/vms.py
@@ -34,8 +34,8 @@
     def __init__(self, settings: VmSettings) -> None:
         super().__init__(VmFaults())
         self._lag = settings.lag_ms
-        self._shown: list[dict[str, Any]] = []
-        self._coming: list[tuple[float, list[dict[str, Any]]]] = []
+        self._current: list[dict[str, Any]] = []
+        self._pending: list[tuple[float, list[dict[str, Any]]]] = []
 
     async def answer(self, request: web.Request) -> web.Answer:
         """Return the list or replace it."""
@@ -43,19 +43,19 @@
             return web.refuse(404, 'not found')
         if request.method == 'PUT':
             shown_at = web.now() + self._lag
-            self._coming.append((shown_at, await request.json()))
+            self._pending.append((shown_at, await request.json()))
             return web.answer_json({})
         if not self.faults.stale:
             self._advance()
         return web.answer_json([self._show(vm) for vm in self._list()])
 
     def _advance(self) -> None:
-        while self._coming and self._coming[0][0] <= web.now():
-            self._shown = self._coming.pop(0)[1]
+        while self._pending and self._pending[0][0] <= web.now():
+            self._current = self._pending.pop(0)[1]
 
     def _list(self) -> list[dict[str, Any]]:
         missing = self.faults.missing
-        return [vm for vm in self._shown if vm['name'] not in missing]
+        return [vm for vm in self._current if vm['name'] not in missing]
 
     def _show(self, vm: dict[str, Any]) -> dict[str, Any]:
         return {
