--- a/src/oleanderdyke/entry/app.py
+++ b/src/oleanderdyke/entry/app.py
@@ -1,4 +1,4 @@
-"""Answer HTTP requests of callers, operators and the balancer."""
+"""Serve HTTP requests of callers, operators and the load balancer."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     Receive,
     Scope,
     Send,
-    find_key,
+    find_idempotency_key,
     make_not_found,
     make_request_id,
     parse_head,
     split_path,
 )
-from oleanderdyke.entry.effects import Tools, note_refusal
+from oleanderdyke.entry.effects import EntryResources, log_refusal
 from oleanderdyke.entry.lookup import (
     find_model_service,
     find_plain_service,
@@ -34,38 +34,46 @@
 )
 from oleanderdyke.entry.queue import ReleaseQueue
 from oleanderdyke.entry.requests import RequestDriver
-from oleanderdyke.entry.resume import ResumeAsk, ResumeDriver
+from oleanderdyke.entry.resume import ResumeDriver, ResumeRequest
 from oleanderdyke.entry.sse import Position, parse_position
-from oleanderdyke.entry.targets import note_refused
+from oleanderdyke.entry.targets import evaluate_refused
 from oleanderdyke.entry.tokens import decode_token
 from oleanderdyke.errors import ErrorKind, OleanderError, Ran
 from oleanderdyke.events import EventName
 from oleanderdyke.kernel.objects import StoredObject
 from oleanderdyke.metrics import RENDERED_TYPE, Count, Gauge
 
-Serve: TypeAlias = Callable[[Head, Body, Answer], Awaitable[None]]
+RequestHandler: TypeAlias = Callable[[Head, Body, Answer], Awaitable[None]]
 
 _CLASS_HEADER = 'oleander-class'
 _BACKGROUND = 'background'
-# A body up to this size can be sent again and is read before routing.
-_HELD_BYTES = 256 * 1024
+# A body up to this size is read whole before routing, so that it can be
+# sent again to another replica.
+_REPLAYABLE_BYTES = 256 * 1024
 
 
 class App:
-    """Route requests; answer every fault with a typed error."""
+    """Route requests and answer every fault with a typed error."""
 
-    def __init__(self, tools: Tools, queue: ReleaseQueue, admin: Serve) -> None:
-        self._core: Core = tools.core
-        self._tools = tools
+    def __init__(
+        self,
+        resources: EntryResources,
+        queue: ReleaseQueue,
+        admin: RequestHandler,
+    ) -> None:
+        self._core: Core = resources.core
+        self._resources = resources
         self._queue = queue
-        self._fixed: Mapping[tuple[str, str], Serve] = {
+        self._exact_routes: Mapping[tuple[str, str], RequestHandler] = {
             ('GET', '/live'): self._serve_live,
             ('GET', '/ready'): self._serve_ready,
             ('GET', '/metrics'): self._serve_metrics,
             ('POST', '/v1/chat/completions'): self._serve_chat,
         }
-        self._methods = {path: method for method, path in self._fixed}
-        self._prefixes: Mapping[str, Serve] = {
+        self._allowed_methods = {
+            path: method for method, path in self._exact_routes
+        }
+        self._prefix_routes: Mapping[str, RequestHandler] = {
             '/v1/services/': self._serve_plain,
             '/v1/streams/': self._serve_stream,
             '/admin/v1/': admin,
@@ -74,7 +82,7 @@
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Serve one request."""
+        """Serve one ASGI request."""
         if scope['type'] != 'http':
             return
         request = make_request_id()
@@ -86,35 +94,35 @@
             body = Body(
                 receive, settings.body_limit, settings.body_timeout, head
             )
-            await self._find_serve(head)(head, body, answer)
+            await self._find_handler(head)(head, body, answer)
         except Exception as error:
             await self._answer_fault(answer, request, error)
 
-    def _find_serve(self, head: Head) -> Serve:
-        fixed = self._fixed.get((head.method, head.target))
+    def _find_handler(self, head: Head) -> RequestHandler:
+        fixed = self._exact_routes.get((head.method, head.target))
         if fixed is not None:
             return fixed
-        if head.target in self._methods:
-            allowed = self._methods[head.target]
+        if head.target in self._allowed_methods:
+            allowed = self._allowed_methods[head.target]
             raise _make_wrong_method(allowed)
-        for prefix, serve in self._prefixes.items():
+        for prefix, handler in self._prefix_routes.items():
             if head.target.startswith(prefix):
-                return serve
+                return handler
         raise make_not_found()
 
     async def _answer_fault(
         self, answer: Answer, request: str, fault: BaseException
     ) -> None:
-        error = _find_error(fault)
+        error = _convert_error(fault)
         if error is None:
             return
         if error.kind is ErrorKind.INTERNAL:
             self._core.log.write(
                 EventName.PROCESS_FAILED,
                 request=request,
-                detail=type(_find_first(fault)).__name__,
+                detail=type(_unwrap_group(fault)).__name__,
             )
-        note_refusal(self._core, request, error)
+        log_refusal(self._core, request, error)
         if answer.started:
             return
         await answer.send_error(error)
@@ -144,7 +152,7 @@
         await answer.send_whole(200, core.metrics.render(), headers)
 
     async def _serve_chat(self, head: Head, body: Body, answer: Answer) -> None:
-        team = self._find_team(head)
+        team = self._authenticate_team(head)
         chat = parse_chat(await body.read())
         target = find_model_service(self._core, team, chat.model)
         if _is_background(head):
@@ -154,22 +162,22 @@
             target,
             chat,
             find_weights(self._core, target),
-            find_key(head),
+            find_idempotency_key(head),
         )
         await self._run(call, body, answer)
 
     async def _serve_plain(
         self, head: Head, body: Body, answer: Answer
     ) -> None:
-        team = self._find_team(head)
+        team = self._authenticate_team(head)
         _, _, service, *rest = split_path(head.target, 3)
         target = find_plain_service(self._core, team, service)
         if head.method not in target.spec.methods:
             raise _make_wrong_method(', '.join(target.spec.methods))
         body.set_limit(target.spec.body_limit)
-        key = find_key(head)
-        bound = target.spec.body_limit if key else _HELD_BYTES
-        data = await body.read_up_to(bound + 1)
+        key = find_idempotency_key(head)
+        read_limit = target.spec.body_limit if key else _REPLAYABLE_BYTES
+        data = await body.read_up_to(read_limit + 1)
         path = '/' + '/'.join(rest)
         call = make_plain_call(
             head,
@@ -187,10 +195,10 @@
     ) -> None:
         if head.method != 'GET':
             raise _make_wrong_method('GET')
-        team = self._find_team(head)
+        team = self._authenticate_team(head)
         _, _, token = split_path(head.target, 3)
         await body.read()
-        ask = ResumeAsk(
+        resume = ResumeRequest(
             head.request, team.name, decode_token(token), _find_position(head)
         )
         core = self._core
@@ -200,13 +208,15 @@
             label='resumed',
             clock=core.clock,
             metrics=core.metrics,
-            position=ask.position,
+            position=resume.position,
+        )
+        driver = ResumeDriver(
+            self._resources, resume, body=body, delivery=delivery
         )
-        driver = ResumeDriver(self._tools, ask, body=body, delivery=delivery)
-        await self._count(head.request, driver.run)
+        await self._run_counted(head.request, driver.run)
 
-    def _find_team(self, head: Head) -> StoredObject:
-        """Return the caller's team; raise NOT_READY without configuration."""
+    def _authenticate_team(self, head: Head) -> StoredObject:
+        """Return the caller's team; raise NOT_READY or UNAUTHENTICATED."""
         core = self._core
         if core.reader.offset < 0:
             fault = core.find_configuration_fault()
@@ -226,20 +236,20 @@
         started = core.clock.now()
         try:
             driver = RequestDriver(
-                self._tools, self._queue, call, body=body, answer=answer
+                self._resources, self._queue, call, body=body, answer=answer
             )
-            await self._count(call.request, driver.run)
+            await self._run_counted(call.request, driver.run)
         except Exception as fault:
-            error = _find_error(fault)
+            error = _convert_error(fault)
             if error is not None:
                 duration = core.clock.now() - started
-                note_refused(core, call, error.kind, duration=duration)
+                evaluate_refused(core, call, error.kind, duration=duration)
             raise
 
-    async def _count(
+    async def _run_counted(
         self, request: str, run: Callable[[], Awaitable[None]]
     ) -> None:
-        stopper = self._tools.stopper
+        stopper = self._resources.stopper
         stopper.begin(request)
         try:
             await run()
@@ -259,19 +269,19 @@
 
 def _make_wrong_method(allowed: str) -> OleanderError:
     return OleanderError(
-        ErrorKind.METHOD_NOT_ALLOWED, f'allowed here: {allowed}'
+        ErrorKind.METHOD_NOT_ALLOWED, f'method not allowed; allowed: {allowed}'
     )
 
 
-def _find_first(fault: BaseException) -> BaseException:
+def _unwrap_group(fault: BaseException) -> BaseException:
     while isinstance(fault, BaseExceptionGroup):
         fault = fault.exceptions[0]
     return fault
 
 
-def _find_error(fault: BaseException) -> OleanderError | None:
-    """Return the error to answer with, or none where the caller has gone."""
-    first = _find_first(fault)
+def _convert_error(fault: BaseException) -> OleanderError | None:
+    """Return the error to answer with, or None if the caller has gone."""
+    first = _unwrap_group(fault)
     if isinstance(first, CallerGone):
         return None
     if isinstance(first, OleanderError):
--- a/src/oleanderdyke/entry/resume.py
+++ b/src/oleanderdyke/entry/resume.py
@@ -1,4 +1,4 @@
-"""Continue a stream that began through this or another entry."""
+"""Resume a stream that was started through this or another entry."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from oleanderdyke.entry import edge
 from oleanderdyke.entry.delivery import Delivery
-from oleanderdyke.entry.effects import Tools
+from oleanderdyke.entry.effects import EntryResources
 from oleanderdyke.entry.inbox import HandedOver, Inbox, Item
 from oleanderdyke.entry.receiver import AnswerReceiver
 from oleanderdyke.entry.sse import Position
@@ -47,8 +47,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ResumeAsk:
-    """Name the stream a team wants to go on with, and what it has of it."""
+class ResumeRequest:
+    """Identify a stream to resume and the position of its caller."""
 
     request: str
     team: str
@@ -57,28 +57,28 @@
 
 
 class ResumeDriver:
-    """Pass on the rest of one stream."""
+    """Deliver the rest of one stream to its caller."""
 
     def __init__(
         self,
-        tools: Tools,
-        ask: ResumeAsk,
+        resources: EntryResources,
+        resume: ResumeRequest,
         *,
         body: edge.Body,
         delivery: Delivery,
     ) -> None:
-        self._core = tools.core
-        self._stopper = tools.stopper
-        self._ask = ask
+        self._core = resources.core
+        self._stopper = resources.stopper
+        self._resume = resume
         self._body = body
         self._delivery = delivery
         self._inbox = Inbox()
-        self._receiver = AnswerReceiver(ask.request, self._inbox)
+        self._receiver = AnswerReceiver(resume.request, self._inbox)
         self._link: Link | None = None
         self._ungranted = 0
-        self._credit = tools.core.settings.requests.credit // 2
-        self._parts: Mapping[type[Message], Callable[[Any], Awaitable[None]]]
-        self._parts = {
+        self._credit = resources.core.settings.requests.credit // 2
+        self._handlers: Mapping[type[Message], Callable[[Any], Awaitable[None]]]
+        self._handlers = {
             AnswerHead: self._pass_head,
             AnswerChunk: self._pass_chunk,
             AnswerEnd: self._pass_end,
@@ -86,65 +86,65 @@
         }
 
     async def run(self) -> None:
-        """Answer the caller; raise OleanderError or CallerGone."""
-        link = self._core.find_link(self._ask.stream.agent)
+        """Deliver the stream; raise OleanderError or CallerGone."""
+        link = self._core.find_link(self._resume.stream.agent)
         if link is None:
             raise make_stream_gone()
         self._link = link
-        self._core.running[self._ask.request] = self
+        self._core.running[self._resume.request] = self
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._watch_caller)
-                await self._lead(link)
+                await self._drive(link)
                 tasks.cancel_scope.cancel()
         finally:
-            del self._core.running[self._ask.request]
+            del self._core.running[self._resume.request]
 
     def take(self, message: Message) -> None:
-        """Take a message of the agent."""
+        """Handle a message of the agent about this stream."""
         self._receiver.take(message)
 
-    def lose(self, link: Link) -> None:
-        """Learn that a link is gone."""
+    def handle_link_down(self, link: Link) -> None:
+        """Queue the loss of the link to the agent."""
         if link is self._link:
             peer = link.peer
             self._inbox.put(LinkLost(peer.process, peer.incarnation))
 
-    def gain(self, link: Link) -> None:
-        """Ignore a new link: a caller whose stream broke asks again."""
+    def handle_link_up(self, link: Link) -> None:
+        """Ignore a new link: the caller resumes a broken stream itself."""
 
     def end_incarnation(self, agent: str, incarnation: str) -> None:
-        """Learn that an incarnation of an agent is over for good."""
-        if agent == self._ask.stream.agent:
+        """Queue the permanent end of an incarnation of the agent."""
+        if agent == self._resume.stream.agent:
             self._inbox.put(IncarnationEnded(agent, incarnation))
 
     def release(self, decision: Admitted | Refusal) -> None:
-        """Ignore the admission: a resumed stream was admitted before."""
+        """Ignore the admission: the stream was admitted when it started."""
 
     def hand_over(self) -> None:
-        """Leave the stream to another entry."""
+        """Queue the handover of the stream to another entry."""
         self._inbox.put(HandedOver())
 
-    def stop(self, *, hurry: bool) -> None:
-        """Learn that the entry stops."""
-        if hurry:
+    def stop(self, *, immediate: bool) -> None:
+        """Queue an immediate stop; otherwise the stream goes on."""
+        if immediate:
             self._inbox.put(Stopping(immediate=True))
 
-    async def _lead(self, link: Link) -> None:
-        start = self._ask.position.chunk + 1
+    async def _drive(self, link: Link) -> None:
+        start = self._resume.position.chunk + 1
         self._receiver.expect_rest(_ATTEMPT, start)
         self._core.log.write(
             EventName.STREAM_RESUMED,
-            request=self._ask.request,
-            team=self._ask.team,
-            agent=self._ask.stream.agent,
+            request=self._resume.request,
+            team=self._resume.team,
+            agent=self._resume.stream.agent,
         )
         await link.send(
             Resume(
-                self._ask.request,
+                self._resume.request,
                 _ATTEMPT,
-                self._ask.team,
-                self._ask.stream.token,
+                self._resume.team,
+                self._resume.stream.token,
                 start,
             )
         )
@@ -153,37 +153,37 @@
                 await self._flush()
             item = await self._inbox.take()
             if isinstance(item, MessageReceived):
-                await self._parts[type(item.message)](item.message)
+                await self._handlers[type(item.message)](item.message)
             else:
-                await self._end(item)
+                await self._handle_end(item)
 
-    async def _end(self, item: Item) -> None:
+    async def _handle_end(self, item: Item) -> None:
         if isinstance(item, CallerGone):
             raise edge.CallerGone
         if isinstance(item, HandedOver | Stopping):
             await self._delivery.hand_over()
             return
         raise OleanderError(
-            ErrorKind.BACKEND_LOST, 'the link to the agent is lost'
+            ErrorKind.BACKEND_LOST, 'the link to the agent was lost'
         )
 
     async def _pass_head(self, head: AnswerHead) -> None:
-        token = encode_token(self._ask.stream)
-        self._stopper.mark_resumable(self._ask.request)
+        token = encode_token(self._resume.stream)
+        self._stopper.mark_resumable(self._resume.request)
         self._delivery.put_head(DeliverHead(head.status, head.headers, token))
 
     async def _pass_chunk(self, chunk: AnswerChunk) -> None:
         self._delivery.put_chunk(DeliverChunk(chunk.data))
-        if self._delivery.waiting >= self._credit:
+        if self._delivery.unsent_count >= self._credit:
             await self._flush()
 
     async def _flush(self) -> None:
-        """Send on what has come in, then let the agent send more."""
-        self._ungranted += self._delivery.waiting
+        """Send the queued chunks, then grant the agent credit for more."""
+        self._ungranted += self._delivery.unsent_count
         await self._delivery.flush()
         if self._ungranted < self._credit or self._link is None:
             return
-        credit = Credit(self._ask.request, _ATTEMPT, self._ungranted)
+        credit = Credit(self._resume.request, _ATTEMPT, self._ungranted)
         self._ungranted = 0
         await self._link.send(credit)
 
@@ -196,13 +196,13 @@
         await self._delivery.fail(
             OleanderError(
                 failed.kind,
-                'the stream can not go on',
+                'the stream cannot be continued',
                 ran=Ran.MAYBE if failed.ran is Ran.NO else failed.ran,
                 retry_after=failed.retry_after,
             )
         )
 
     async def _watch_caller(self) -> None:
-        await self._body.wait_gone()
+        await self._body.wait_disconnected()
         if not self._delivery.ended:
             self._inbox.put(CallerGone())
--- a/src/oleanderdyke/entry/sse.py
+++ b/src/oleanderdyke/entry/sse.py
@@ -1,4 +1,4 @@
-"""Number the events of a server-sent stream so that it can be resumed."""
+"""Number server-sent events, so that a stream can be resumed."""
 
 from __future__ import annotations
 
@@ -12,12 +12,15 @@
 
 _BOUNDARY = re.compile(rb'\r?\n\r?\n')
 _POSITION = re.compile(r'(-1|\d{1,12})(?:\.(\d{1,12}))?\Z', re.ASCII)
-_EVENT_LIMIT = 1024 * 1024
+_EVENT_LIMIT_BYTES = 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """Tell what a caller has: all chunks up to `chunk`, and then `events`."""
+    """Hold what a caller has received of a stream.
+
+    That is all chunks up to `chunk` and `events` events after it.
+    """
 
     chunk: int = -1
     events: int = 0
@@ -27,65 +30,79 @@
 
 
 def parse_position(text: str) -> Position:
-    """Read the id of an event; raise BAD_REQUEST."""
+    """Parse an event id; raise BAD_REQUEST."""
     match = _POSITION.match(text)
     if match is None:
-        raise make_bad_request('not the id of an event of this stream')
+        raise make_bad_request(
+            'not a valid event id; allowed: those that the stream has sent'
+        )
     return Position(int(match[1]), int(match[2] or 0))
 
 
 class EventNumberer:
-    """Put the position behind each event in front of it.
+    """Prefix each event with the position after it, as its id.
 
-    Chunks need not end where events do. An event that ends its chunk carries
-    the number of the chunk, any other the last such number and a count.
+    Chunk and event boundaries need not coincide. An event that ends with its
+    chunk is numbered by the chunk. Any other is numbered by the latest such
+    chunk and the count of events since.
     """
 
     def __init__(self, position: Position) -> None:
         self._chunk = position.chunk
-        self._aligned = position.chunk
+        self._aligned_chunk = position.chunk
         self._skipped = position.events
         self._events = 0
-        self._rest = b''
+        self._partial_event = b''
 
     def take(self, chunk: bytes) -> bytes:
-        """Take the next chunk; return the numbered events that it completes.
+        """Add the next chunk; return the numbered events it completes.
 
-        Raise STREAM_BROKEN for an event without an end.
+        Raise STREAM_BROKEN for an event that exceeds the size limit.
         """
         self._chunk += 1
-        if not self._rest and not self._skipped and _is_one_event(chunk):
-            self._aligned = self._chunk
+        if (
+            not self._partial_event
+            and not self._skipped
+            and _is_one_event(chunk)
+        ):
+            self._aligned_chunk = self._chunk
             self._events = 0
             return b'id: %d\n%b' % (self._chunk, chunk)
-        *events, self._rest = _BOUNDARY.split(self._rest + chunk)
-        if len(self._rest) > _EVENT_LIMIT:
-            raise OleanderError(ErrorKind.STREAM_BROKEN, 'an event is too long')
+        *events, self._partial_event = _BOUNDARY.split(
+            self._partial_event + chunk
+        )
+        if len(self._partial_event) > _EVENT_LIMIT_BYTES:
+            raise OleanderError(
+                ErrorKind.STREAM_BROKEN,
+                f'server-sent event longer than {_EVENT_LIMIT_BYTES} bytes',
+            )
         parts = [
-            self._number(event, last=not self._rest and event is events[-1])
+            self._number(
+                event, last=not self._partial_event and event is events[-1]
+            )
             for event in events
         ]
         return b''.join(parts)
 
     def finish(self) -> bytes:
-        """Return what is left without a number."""
-        rest, self._rest = self._rest, b''
+        """Return the bytes after the last complete event, unnumbered."""
+        rest, self._partial_event = self._partial_event, b''
         return rest
 
     def _number(self, event: bytes, *, last: bool) -> bytes:
         self._events += 1
         seen = self._events <= self._skipped
         if last:
-            self._aligned = self._chunk
+            self._aligned_chunk = self._chunk
             self._events = 0
             self._skipped = 0
         if seen:
             return b''
-        position = Position(self._aligned, self._events)
+        position = Position(self._aligned_chunk, self._events)
         return f'id: {position}\n'.encode() + event + b'\n\n'
 
 
 def _is_one_event(chunk: bytes) -> bool:
-    """Return whether a chunk is one event in the usual form."""
+    """Return whether a chunk is exactly one event with LF line ends."""
     boundary = chunk.find(b'\n\n')
     return 0 <= boundary == len(chunk) - 2 and b'\r' not in chunk
