--- a/tests/test_platform_clients.py
+++ b/tests/test_platform_clients.py
@@ -48,7 +48,7 @@
 
 async def test_the_vm_list_is_read():
     app = vms.make_app()
-    app._shown = [HALL]
+    app._current = [HALL]
     async with server.serving(app) as (address,):
         client = VmClient(address)
         assert await client.list() == (Vm(**HALL),)
